--- a/bench/src/main/java/sandpaddle/bench/cost/RequestPath.java
+++ b/bench/src/main/java/sandpaddle/bench/cost/RequestPath.java
@@ -15,11 +15,11 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.Slot;
-import sandpaddle.fleet.view.Usage;
+import sandpaddle.fleet.view.SlotUsage;
 
 /** What the fleet costs a request: to read the view, and to count a start and an end. Run with -prof gc for bytes. */
 @State(Scope.Thread)
@@ -35,7 +35,7 @@
     private int engines;
 
     private Publication<FleetView> views;
-    private Cells cells;
+    private AttemptCounters cells;
     private String[] names;
     private String[] tenants;
     private int turn;
@@ -55,7 +55,7 @@
         List<FleetView.Share> shares = slots.stream().map(s -> new FleetView.Share(8, 1, 0)).toList();
         views = new Publication<>(new FleetView(1, slots, shares, List.of(), 0, Long.MAX_VALUE, List.of(), Map.of(),
                 FleetView.Isolation.NONE));
-        cells = new Cells(views, new Publication<>(new Usage(0, 0)), CLASSES);
+        cells = new AttemptCounters(views, new Publication<>(new SlotUsage(0, 0)), CLASSES);
         cells.adopt();
     }
 
--- a/gateway/src/main/java/sandpaddle/app/FleetCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/FleetCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import sandpaddle.config.OperatorFile;
 import sandpaddle.fleet.FleetSettings;
-import sandpaddle.fleet.node.agree.Directory;
+import sandpaddle.fleet.node.agree.VoterDirectory;
 import sandpaddle.fleet.store.StoreException;
 
 /** {@code fleet}: what an operator does to a fleet's directories. */
@@ -40,7 +40,7 @@
                     System.err.println("sandpaddle: " + operator + ": 'fleet' names no directory or no cluster");
                     return Main.UNUSABLE;
                 }
-                Optional<String> why = Directory.format(fleet, name);
+                Optional<String> why = VoterDirectory.format(fleet, name);
                 why.ifPresent(w -> System.err.println("sandpaddle: " + fleet.directory() + ": " + w));
                 if (why.isEmpty()) {
                     System.out.println(fleet.directory() + ": formatted for " + name + " of " + fleet.cluster()
--- a/gateway/src/main/java/sandpaddle/config/AgreedReader.java
+++ b/gateway/src/main/java/sandpaddle/config/AgreedReader.java
@@ -10,7 +10,7 @@
 import sandpaddle.fleet.limit.Unit;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.member.MemberName;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 
 /** The section {@code fleet.agreed} of the operator's file: what holds for the whole fleet, by its version. */
 final class AgreedReader {
@@ -23,10 +23,10 @@
     private AgreedReader() {
     }
 
-    static Agreed read(Section s) {
+    static FleetConfig read(Section s) {
         long version = s.integer("version", 1, 1, MOST_VERSION);
         List<Member> members = members(s);
-        return new Agreed(version, members, limits(s), PoolReader.read(s, members), "");
+        return new FleetConfig(version, members, limits(s), PoolReader.read(s, members), "");
     }
 
     private static List<Member> members(Section s) {
--- a/gateway/src/main/java/sandpaddle/config/PoolReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PoolReader.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.PolicyFault;
@@ -33,14 +33,14 @@
         }
         byte[] text;
         try (InputStream in = Files.newInputStream(file.get())) {
-            text = in.readNBytes(Agreed.MOST_TEXT + 1);
+            text = in.readNBytes(FleetConfig.MOST_TEXT + 1);
         } catch (IOException e) {
             s.wrongIn(KEY, file.get(), 1, 1, e.toString(), "a file that can be read where '" + KEY + "' says");
             return "";
         }
-        if (text.length > Agreed.MOST_TEXT) {
-            s.wrongIn(KEY, file.get(), 1, 1, "more than " + Agreed.MOST_TEXT + " bytes",
-                    "a policy of " + Agreed.MOST_TEXT + " bytes at most, which gateways send to each other");
+        if (text.length > FleetConfig.MOST_TEXT) {
+            s.wrongIn(KEY, file.get(), 1, 1, "more than " + FleetConfig.MOST_TEXT + " bytes",
+                    "a policy of " + FleetConfig.MOST_TEXT + " bytes at most, which gateways send to each other");
             return "";
         }
         List<PolicyFault> errors = PoolPolicyCheck.check(text, known(members)).errors();
--- a/gateway/src/main/java/sandpaddle/fleet/FleetSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/FleetSettings.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.member.VoterPlan;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.store.StoreSettings;
 import sandpaddle.fleet.verdict.VerdictSettings;
 
@@ -20,14 +20,14 @@
 public record FleetSettings(boolean enabled, String cluster, InetSocketAddress listen, Path directory,
         List<String> founders, Map<String, LinkSettings.Address> routes, LinkSettings.Times links,
         LimitSettings limits, VoterPlan.Settings voters, StoreSettings store, boolean verdictsOn,
-        VerdictSettings verdicts, Agreed agreed, OutageSettings outages) {
+        VerdictSettings verdicts, FleetConfig agreed, OutageSettings outages) {
     private static final long SECOND_US = 1_000_000;
 
     /** Gateways share nothing. */
     public static final FleetSettings OFF = new FleetSettings(false, "", null, null, List.of(), Map.of(),
             LinkSettings.Times.USUAL, LimitSettings.DEFAULTS,
             new VoterPlan.Settings(3, 60 * SECOND_US, 5 * SECOND_US, 5 * SECOND_US), StoreSettings.USUAL, true,
-            VerdictSettings.DEFAULT, Agreed.NONE, OutageSettings.OFF);
+            VerdictSettings.DEFAULT, FleetConfig.NONE, OutageSettings.OFF);
 
     /** Whether all but what holds for the whole fleet is the same. */
     public boolean onlyAgreedDiffersFrom(FleetSettings o) {
--- a/gateway/src/main/java/sandpaddle/fleet/content/Meta.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/AnswerMetadata.java
@@ -15,12 +15,13 @@
  * @param maxAgeMs how old it may be handed out, as its class states
  * @param worth of all asks that are expected to find it
  */
-public record Meta(ContentKey key, Set<Long> groups, long askedWall, long askedMono, long incarnation, long maxAgeMs,
+public record AnswerMetadata(ContentKey key, Set<Long> groups, long askedWall, long askedMono, long incarnation,
+        long maxAgeMs,
         double worth) {
     public static final int GROUPS_MOST = 64;
     private static final long AGE_MOST_MS = 366L * 24 * 3_600_000;
 
-    public Meta {
+    public AnswerMetadata {
         groups = Set.copyOf(groups);
     }
 
@@ -34,12 +35,12 @@
     }
 
     /** The same as it is known in another process, which knows its age. */
-    public Meta adopted(long now, long ageMs, long process) {
-        return new Meta(key, groups, askedWall, now - ageMs * 1000, process, maxAgeMs, worth);
+    public AnswerMetadata adopted(long now, long ageMs, long process) {
+        return new AnswerMetadata(key, groups, askedWall, now - ageMs * 1000, process, maxAgeMs, worth);
     }
 
-    public Meta worth(double other) {
-        return new Meta(key, groups, askedWall, askedMono, incarnation, maxAgeMs, other);
+    public AnswerMetadata worth(double other) {
+        return new AnswerMetadata(key, groups, askedWall, askedMono, incarnation, maxAgeMs, other);
     }
 
     public void write(CborOut out) {
@@ -48,7 +49,7 @@
         out.number(askedWall).number(askedMono).number(incarnation).number(maxAgeMs).real(worth);
     }
 
-    public static Meta read(CborIn in) throws CborIn.FaultyMessageException {
+    public static AnswerMetadata read(CborIn in) throws CborIn.FaultyMessageException {
         ContentKey key = ContentKey.read(in);
         List<Long> groups = in.list(GROUPS_MOST, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         long wall = in.number(0, Long.MAX_VALUE / 4);
@@ -59,6 +60,6 @@
         if (worth < 0) {
             throw in.wrong("is a worth below zero");
         }
-        return new Meta(key, Set.copyOf(groups), wall, mono, incarnation, maxAge, worth);
+        return new AnswerMetadata(key, Set.copyOf(groups), wall, mono, incarnation, maxAge, worth);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
@@ -8,10 +8,10 @@
 import sandpaddle.query.ResultSet;
 
 /**
- * A stored answer, and its form on disk and between gateways: one CBOR message of its {@link Meta} and its rows. What
- * is read is checked to be whole rows before it is an answer again.
+ * A stored answer, and its form on disk and between gateways: one CBOR message of its {@link AnswerMetadata} and its
+ * rows. What is read is checked to be whole rows before it is an answer again.
  */
-public record StoredAnswer(Meta meta, ResultSet rows) {
+public record StoredAnswer(AnswerMetadata meta, ResultSet rows) {
     /** Bytes of the rows of one answer; a larger one is not stored. */
     public static final int ROWS_MOST = 8 * 1024 * 1024;
     /** Bytes of one answer in its form on disk. */
@@ -21,7 +21,7 @@
 
     /** Whether it fits the bounds of {@link #read}. */
     public boolean isStorable() {
-        return meta.key().isStorable() && meta.groups().size() <= Meta.GROUPS_MOST && rowBytes() <= ROWS_MOST
+        return meta.key().isStorable() && meta.groups().size() <= AnswerMetadata.GROUPS_MOST && rowBytes() <= ROWS_MOST
                 && rows.pages().size() <= PAGES_MOST && rows.pages().stream().allMatch(ResultSet::isWhole);
     }
 
@@ -43,7 +43,7 @@
     public static StoredAnswer read(byte[] body) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(body);
         in.number(VERSION, VERSION);
-        Meta meta = Meta.read(in);
+        AnswerMetadata meta = AnswerMetadata.read(in);
         List<byte[]> pages = new ArrayList<>(in.list(PAGES_MOST, i -> {
             byte[] page = i.bytes(ROWS_MOST);
             if (!ResultSet.isWhole(page)) {
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Copies.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/AnswerReplication.java
@@ -12,16 +12,16 @@
  * part. Lost, repeated and late messages are mended by offering and asking again; a copy goes on where it stood. The
  * receiver bounds what is under way, the sender what is offered. No I/O of its own: messages come in and go out.
  */
-public final class Copies {
-    private final Incoming incoming;
-    private final Outgoing outgoing;
-    private final BiConsumer<String, Message.Want> wants;
+public final class AnswerReplication {
+    private final ReplicaReceiver incoming;
+    private final ReplicaSender outgoing;
+    private final BiConsumer<String, ReplicationMessage.Want> wants;
 
     /** {@code age}: how old (ms) an answer is now; {@code wants}: hears what a neighbour expects to be asked. */
-    public Copies(CopySettings settings, Shelf shelf, ToLongFunction<StoredAnswer> age,
-            BiConsumer<String, Message.Want> wants) {
-        incoming = new Incoming(settings, shelf);
-        outgoing = new Outgoing(settings, shelf, age);
+    public AnswerReplication(ReplicationSettings settings, ReplicaStore shelf, ToLongFunction<StoredAnswer> age,
+            BiConsumer<String, ReplicationMessage.Want> wants) {
+        incoming = new ReplicaReceiver(settings, shelf);
+        outgoing = new ReplicaSender(settings, shelf, age);
         this.wants = wants;
     }
 
@@ -31,8 +31,8 @@
     }
 
     /** Asks a neighbour for an answer. */
-    public Out ask(String of, ContentId id) {
-        return new Out(of, new Message.Ask(id));
+    public OutgoingMessage ask(String of, ContentId id) {
+        return new OutgoingMessage(of, new ReplicationMessage.Ask(id));
     }
 
     public void up(String peer) {
@@ -49,28 +49,28 @@
     }
 
     /** Hears a message; what is to be sent for it. */
-    public List<Out> received(String from, Message message, long now) {
-        if (message instanceof Message.Offer o) {
+    public List<OutgoingMessage> received(String from, ReplicationMessage message, long now) {
+        if (message instanceof ReplicationMessage.Offer o) {
             return incoming.offered(from, o, now);
-        } else if (message instanceof Message.Chunk c) {
+        } else if (message instanceof ReplicationMessage.Chunk c) {
             return incoming.chunk(from, c, now);
-        } else if (message instanceof Message.Need n) {
-            return List.of(new Out(from, outgoing.needed(from, n, now)));
-        } else if (message instanceof Message.Ask a) {
-            return List.of(new Out(from, outgoing.asked(a.id())));
-        } else if (message instanceof Message.Have h) {
+        } else if (message instanceof ReplicationMessage.Need n) {
+            return List.of(new OutgoingMessage(from, outgoing.needed(from, n, now)));
+        } else if (message instanceof ReplicationMessage.Ask a) {
+            return List.of(new OutgoingMessage(from, outgoing.asked(a.id())));
+        } else if (message instanceof ReplicationMessage.Have h) {
             outgoing.had(from, h.id());
-        } else if (message instanceof Message.Not n) {
+        } else if (message instanceof ReplicationMessage.Not n) {
             incoming.gone(from, n.id());
-        } else if (message instanceof Message.Want w) {
+        } else if (message instanceof ReplicationMessage.Want w) {
             wants.accept(from, w);
         }
         return List.of();
     }
 
     /** What is to be sent as time passes: first offers and repeats. Call it several times a second. */
-    public List<Out> tick(long now) {
-        List<Out> out = new ArrayList<>(outgoing.tick(now));
+    public List<OutgoingMessage> tick(long now) {
+        List<OutgoingMessage> out = new ArrayList<>(outgoing.tick(now));
         out.addAll(incoming.tick(now));
         return out;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/StoreShelf.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ContentReplicaStore.java
@@ -8,9 +8,9 @@
 /**
  * A gateway's store as copying sees it. An answer that comes is taken as of this process, with the age that it came
  * with; one whose age cannot be told, since it is of an earlier process and the wall clock was set back, is not
- * offered. Tell the time by {@link #at} before each call to {@link Copies}.
+ * offered. Tell the time by {@link #at} before each call to {@link AnswerReplication}.
  */
-public final class StoreShelf implements Shelf {
+public final class ContentReplicaStore implements ReplicaStore {
     private final ContentStore store;
     private final long process;
     private final long wallSlackMs;
@@ -18,7 +18,7 @@
     private long wall;
 
     /** {@code wallSlackMs}: added to the age of what an earlier process asked for. */
-    public StoreShelf(ContentStore store, long process, long wallSlackMs) {
+    public ContentReplicaStore(ContentStore store, long process, long wallSlackMs) {
         this.store = store;
         this.process = process;
         this.wallSlackMs = wallSlackMs;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Out.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/OutgoingMessage.java
@@ -1,4 +1,4 @@
 package sandpaddle.fleet.content.copy;
 
 /** A message to send to a neighbour. */
-public record Out(String to, Message message) { }
+public record OutgoingMessage(String to, ReplicationMessage message) { }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Incoming.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.StoredAnswer;
 import sandpaddle.fleet.wire.CborIn;
 
@@ -15,7 +15,7 @@
  * copy goes on where it stood after a link was lost, from whoever offers the same bytes again. A part that comes twice,
  * or for another place, changes nothing.
  */
-final class Incoming {
+final class ReplicaReceiver {
     private static final class Partial {
         private String from;
         private final int crc;
@@ -26,7 +26,7 @@
         private long askedAt;
         private int tries;
 
-        Partial(String from, Message.Offer o, long offeredAt) {
+        Partial(String from, ReplicationMessage.Offer o, long offeredAt) {
             this.from = from;
             crc = o.crc();
             bytes = new byte[o.length()];
@@ -36,25 +36,25 @@
     }
 
     /** An offer that found no room; its copy is begun as others end. */
-    private record Deferred(String from, Message.Offer offer, long at) { }
+    private record Deferred(String from, ReplicationMessage.Offer offer, long at) { }
 
     private static final int DEFERRED_MOST = 1024;
 
-    private final CopySettings settings;
-    private final Shelf shelf;
+    private final ReplicationSettings settings;
+    private final ReplicaStore shelf;
     private final Map<ContentId, Deferred> deferred = new LinkedHashMap<>();
     private final Map<ContentId, Partial> partials = new LinkedHashMap<>();
     private long bytes;
     private long broken;
 
-    Incoming(CopySettings settings, Shelf shelf) {
+    ReplicaReceiver(ReplicationSettings settings, ReplicaStore shelf) {
         this.settings = settings;
         this.shelf = shelf;
     }
 
-    List<Out> offered(String from, Message.Offer o, long now) {
+    List<OutgoingMessage> offered(String from, ReplicationMessage.Offer o, long now) {
         if (shelf.askedAt(o.id()) >= o.askedWall()) {
-            return List.of(new Out(from, new Message.Have(o.id())));
+            return List.of(new OutgoingMessage(from, new ReplicationMessage.Have(o.id())));
         }
         Partial p = partials.get(o.id());
         if (p != null && (p.crc != o.crc() || p.bytes.length != o.length())) {
@@ -78,11 +78,11 @@
         return List.of(need(o.id(), p, now));
     }
 
-    private boolean hasRoom(Message.Offer o) {
+    private boolean hasRoom(ReplicationMessage.Offer o) {
         return partials.size() < settings.partsMost() && bytes + o.length() <= settings.bytesMost();
     }
 
-    private Partial begin(String from, Message.Offer o, long offeredAt) {
+    private Partial begin(String from, ReplicationMessage.Offer o, long offeredAt) {
         Partial p = new Partial(from, o, offeredAt);
         partials.put(o.id(), p);
         bytes += o.length();
@@ -90,8 +90,8 @@
     }
 
     /** Begins what found no room before; what waited so long that it was offered again meanwhile is let go. */
-    private List<Out> beginDeferred(long now) {
-        List<Out> out = new ArrayList<>();
+    private List<OutgoingMessage> beginDeferred(long now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         for (Iterator<Deferred> i = deferred.values().iterator(); i.hasNext();) {
             Deferred d = i.next();
             boolean isOver = now - d.at > settings.answerUs() * settings.tries() || partials.containsKey(d.offer.id())
@@ -107,14 +107,14 @@
         return out;
     }
 
-    private static Out need(ContentId id, Partial p, long now) {
+    private static OutgoingMessage need(ContentId id, Partial p, long now) {
         p.askedAt = now;
         p.tries++;
-        return new Out(p.from, new Message.Need(id, p.crc, p.have,
-                Math.min(MessageForm.CHUNK_MOST, p.bytes.length - p.have)));
+        return new OutgoingMessage(p.from, new ReplicationMessage.Need(id, p.crc, p.have,
+                Math.min(ReplicationMessageCodec.CHUNK_MOST, p.bytes.length - p.have)));
     }
 
-    List<Out> chunk(String from, Message.Chunk c, long now) {
+    List<OutgoingMessage> chunk(String from, ReplicationMessage.Chunk c, long now) {
         Partial p = partials.get(c.id());
         if (p == null || p.crc != c.crc() || p.have != c.from() || !p.from.equals(from) || c.bytes().length == 0
                 || c.bytes().length > p.bytes.length - p.have) {
@@ -127,9 +127,9 @@
             return List.of(need(c.id(), p, now));
         }
         drop(c.id());
-        List<Out> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         if (isTaken(c.id(), p, now)) {
-            out.add(new Out(from, new Message.Have(c.id())));
+            out.add(new OutgoingMessage(from, new ReplicationMessage.Have(c.id())));
         }
         out.addAll(beginDeferred(now));
         return out;
@@ -140,7 +140,7 @@
         try {
             if (StoredAnswer.crc(p.bytes) == p.crc) {
                 StoredAnswer answer = StoredAnswer.read(p.bytes);
-                Meta m = answer.meta();
+                AnswerMetadata m = answer.meta();
                 if (m.key().id().equals(id)) {
                     shelf.take(answer, p.ageMs + Math.max(0, now - p.offeredAt) / 1000);
                     return true;
@@ -161,8 +161,8 @@
         }
     }
 
-    List<Out> tick(long now) {
-        List<Out> out = new ArrayList<>();
+    List<OutgoingMessage> tick(long now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         for (Iterator<Map.Entry<ContentId, Partial>> i = partials.entrySet().iterator(); i.hasNext();) {
             Map.Entry<ContentId, Partial> e = i.next();
             Partial p = e.getValue();
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Outgoing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
@@ -17,7 +17,7 @@
  * Copies going out: names wait for each neighbour, some of them are offered, and parts go out as they are asked for.
  * Apart from names nothing is kept but the body last read, since its parts are asked for one after the other.
  */
-final class Outgoing {
+final class ReplicaSender {
     private static final int NEIGHBOURS_MOST = 256;
 
     private static final class Offered {
@@ -33,13 +33,13 @@
 
     private record Body(ContentId id, byte[] bytes, int crc, long askedWall) { }
 
-    private final CopySettings settings;
-    private final Shelf shelf;
+    private final ReplicationSettings settings;
+    private final ReplicaStore shelf;
     private final ToLongFunction<StoredAnswer> age;
     private final Map<String, Neighbour> neighbours = new TreeMap<>();
     private Body last;
 
-    Outgoing(CopySettings settings, Shelf shelf, ToLongFunction<StoredAnswer> age) {
+    ReplicaSender(ReplicationSettings settings, ReplicaStore shelf, ToLongFunction<StoredAnswer> age) {
         this.settings = settings;
         this.shelf = shelf;
         this.age = age;
@@ -82,13 +82,13 @@
         neighbours.remove(peer);
     }
 
-    Message asked(ContentId id) {
-        return body(id, true).map(this::offerOf).orElse(new Message.Not(id));
+    ReplicationMessage asked(ContentId id) {
+        return body(id, true).map(this::offerOf).orElse(new ReplicationMessage.Not(id));
     }
 
-    private Message offerOf(Body b) {
+    private ReplicationMessage offerOf(Body b) {
         long ageMs = shelf.find(b.id).map(age::applyAsLong).orElse(0L);
-        return new Message.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
+        return new ReplicationMessage.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
     }
 
     private Optional<Body> body(ContentId id, boolean fresh) {
@@ -101,7 +101,7 @@
         return Optional.ofNullable(last);
     }
 
-    Message needed(String from, Message.Need n, long now) {
+    ReplicationMessage needed(String from, ReplicationMessage.Need n, long now) {
         Neighbour who = neighbours.get(from);
         Offered o = who == null ? null : who.offered.get(n.id());
         if (o != null) {
@@ -110,12 +110,12 @@
         }
         Body b = body(n.id(), false).orElse(null);
         if (b == null || b.crc != n.crc() || n.from() >= b.bytes.length) {
-            return new Message.Not(n.id());
+            return new ReplicationMessage.Not(n.id());
         }
-        int length = Math.min(Math.min(n.most(), MessageForm.CHUNK_MOST), b.bytes.length - n.from());
+        int length = Math.min(Math.min(n.most(), ReplicationMessageCodec.CHUNK_MOST), b.bytes.length - n.from());
         byte[] part = new byte[length];
         System.arraycopy(b.bytes, n.from(), part, 0, length);
-        return new Message.Chunk(n.id(), b.crc, n.from(), part);
+        return new ReplicationMessage.Chunk(n.id(), b.crc, n.from(), part);
     }
 
     void had(String from, ContentId id) {
@@ -126,8 +126,8 @@
         }
     }
 
-    List<Out> tick(long now) {
-        List<Out> out = new ArrayList<>();
+    List<OutgoingMessage> tick(long now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         neighbours.forEach((name, n) -> {
             if (n.up) {
                 again(name, n, now, out);
@@ -137,7 +137,7 @@
         return out;
     }
 
-    private void again(String name, Neighbour n, long now, List<Out> out) {
+    private void again(String name, Neighbour n, long now, List<OutgoingMessage> out) {
         List<ContentId> behind = new ArrayList<>();
         for (Iterator<Map.Entry<ContentId, Offered>> i = n.offered.entrySet().iterator(); i.hasNext();) {
             Map.Entry<ContentId, Offered> e = i.next();
@@ -153,7 +153,7 @@
         behind.forEach(id -> offer(name, id));
     }
 
-    private void first(String name, Neighbour n, long now, List<Out> out) {
+    private void first(String name, Neighbour n, long now, List<OutgoingMessage> out) {
         for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.offersMost();) {
             ContentId id = i.next();
             i.remove();
@@ -164,11 +164,11 @@
         }
     }
 
-    private boolean send(String name, ContentId id, Offered o, long now, List<Out> out) {
+    private boolean send(String name, ContentId id, Offered o, long now, List<OutgoingMessage> out) {
         Optional<Body> b = body(id, true);
         o.at = now;
         o.tries++;
-        b.ifPresent(body -> out.add(new Out(name, offerOf(body))));
+        b.ifPresent(body -> out.add(new OutgoingMessage(name, offerOf(body))));
         return b.isPresent();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Shelf.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaStore.java
@@ -5,7 +5,7 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /** The stored answers of this gateway, as copying sees them. */
-public interface Shelf {
+public interface ReplicaStore {
     /** When (wall, ms) the copy here was asked for, -1 where there is none. */
     long askedAt(ContentId id);
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/CopyLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationLinks.java
@@ -5,29 +5,32 @@
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.wire.CborIn;
 
-/** Carries the messages of {@link Copies} over the fleet's links. What a full queue refuses is mended by a repeat. */
-public final class CopyLinks {
+/**
+ * Carries the messages of {@link AnswerReplication} over the fleet's links. What a full queue refuses is mended by a
+ * repeat.
+ */
+public final class ReplicationLinks {
     private final Links links;
-    private final Copies copies;
+    private final AnswerReplication copies;
 
-    public CopyLinks(Links links, Copies copies) {
+    public ReplicationLinks(Links links, AnswerReplication copies) {
         this.links = links;
         this.copies = copies;
     }
 
     /** Hears a payload of {@link Kind#CONTENT}; a fault names what is wrong in it, for the link to be ended. */
     public void received(String from, byte[] payload, long now) throws CborIn.FaultyMessageException {
-        send(copies.received(from, MessageForm.read(payload), now));
+        send(copies.received(from, ReplicationMessageCodec.read(payload), now));
     }
 
     public void tick(long now) {
         send(copies.tick(now));
     }
 
-    public boolean send(List<Out> messages) {
+    public boolean send(List<OutgoingMessage> messages) {
         boolean all = true;
-        for (Out m : messages) {
-            all &= links.send(m.to(), Kind.CONTENT, MessageForm.write(m.message()));
+        for (OutgoingMessage m : messages) {
+            all &= links.send(m.to(), Kind.CONTENT, ReplicationMessageCodec.write(m.message()));
         }
         return all;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/MessageForm.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessageCodec.java
@@ -3,16 +3,16 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.TreeSet;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.StoredAnswer;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
 /** The messages' form on the wire: version, number of the message, its values. */
-public final class MessageForm {
+public final class ReplicationMessageCodec {
     /** Bytes of a part: four of them and their heads stay under a frame's 1 MiB. */
     public static final int CHUNK_MOST = 256 * 1024;
     private static final int VERSION = 1;
@@ -26,24 +26,24 @@
     private static final long LARGE = Long.MAX_VALUE / 4;
     private static final long AGE_MOST_MS = 366L * 24 * 3_600_000;
 
-    private MessageForm() {
+    private ReplicationMessageCodec() {
     }
 
-    public static byte[] write(Message message) {
+    public static byte[] write(ReplicationMessage message) {
         CborOut out = new CborOut().number(VERSION);
-        if (message instanceof Message.Want w) {
+        if (message instanceof ReplicationMessage.Want w) {
             want(out.number(WANT), w);
-        } else if (message instanceof Message.Offer o) {
+        } else if (message instanceof ReplicationMessage.Offer o) {
             id(out, OFFER, o.id()).number(o.askedWall()).number(o.ageMs()).number(o.length()).number(o.crc());
-        } else if (message instanceof Message.Need n) {
+        } else if (message instanceof ReplicationMessage.Need n) {
             id(out, NEED, n.id()).number(n.crc()).number(n.from()).number(n.most());
-        } else if (message instanceof Message.Have h) {
+        } else if (message instanceof ReplicationMessage.Have h) {
             id(out, HAVE, h.id());
-        } else if (message instanceof Message.Chunk c) {
+        } else if (message instanceof ReplicationMessage.Chunk c) {
             id(out, CHUNK, c.id()).number(c.crc()).number(c.from()).bytes(c.bytes());
-        } else if (message instanceof Message.Ask a) {
+        } else if (message instanceof ReplicationMessage.Ask a) {
             id(out, ASK, a.id());
-        } else if (message instanceof Message.Not n) {
+        } else if (message instanceof ReplicationMessage.Not n) {
             id(out, NOT, n.id());
         }
         return out.done();
@@ -54,7 +54,7 @@
         return out;
     }
 
-    private static void want(CborOut out, Message.Want w) {
+    private static void want(CborOut out, ReplicationMessage.Want w) {
         Candidate c = w.what();
         c.key().write(out);
         out.number(c.fingerprint()).list(new TreeSet<>(c.groups()), CborOut::number).number(c.size())
@@ -62,26 +62,26 @@
     }
 
     /** Reads a message that anybody may have sent. */
-    public static Message read(byte[] bytes) throws CborIn.FaultyMessageException {
+    public static ReplicationMessage read(byte[] bytes) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(bytes);
         in.number(VERSION, VERSION);
         int number = (int) in.number(WANT, NOT);
-        Message m = number == WANT ? want(in) : named(in, number, ContentId.read(in));
+        ReplicationMessage m = number == WANT ? want(in) : named(in, number, ContentId.read(in));
         in.end();
         return m;
     }
 
-    private static Message named(CborIn in, int number, ContentId id) throws CborIn.FaultyMessageException {
+    private static ReplicationMessage named(CborIn in, int number, ContentId id) throws CborIn.FaultyMessageException {
         return switch (number) {
-            case OFFER -> new Message.Offer(id, in.number(0, LARGE), in.number(0, AGE_MOST_MS),
+            case OFFER -> new ReplicationMessage.Offer(id, in.number(0, LARGE), in.number(0, AGE_MOST_MS),
                     (int) in.number(1, StoredAnswer.BODY_MOST), crc(in));
-            case NEED -> new Message.Need(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
+            case NEED -> new ReplicationMessage.Need(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
                     (int) in.number(1, CHUNK_MOST));
-            case HAVE -> new Message.Have(id);
-            case CHUNK -> new Message.Chunk(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
+            case HAVE -> new ReplicationMessage.Have(id);
+            case CHUNK -> new ReplicationMessage.Chunk(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
                     in.bytes(CHUNK_MOST));
-            case ASK -> new Message.Ask(id);
-            default -> new Message.Not(id);
+            case ASK -> new ReplicationMessage.Ask(id);
+            default -> new ReplicationMessage.Not(id);
         };
     }
 
@@ -89,16 +89,18 @@
         return (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
     }
 
-    private static Message want(CborIn in) throws CborIn.FaultyMessageException {
+    private static ReplicationMessage want(CborIn in) throws CborIn.FaultyMessageException {
         ContentKey key = ContentKey.read(in);
         long fingerprint = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        Set<Long> groups = new HashSet<>(in.list(Meta.GROUPS_MOST, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)));
+        Set<Long> groups = new HashSet<>(in.list(AnswerMetadata.GROUPS_MOST, i ->
+                i.number(Long.MIN_VALUE, Long.MAX_VALUE)));
         long size = in.number(0, StoredAnswer.BODY_MOST);
         long work = in.number(0, LARGE);
         long maxAge = in.number(0, AGE_MOST_MS);
         double worth = notNegative(in);
         double asks = notNegative(in);
-        return new Message.Want(new Candidate(key, fingerprint, groups, size, work, maxAge, worth, -1), asks);
+        return new ReplicationMessage.Want(new Candidate(key, fingerprint, groups, size, work, maxAge, worth, -1),
+                asks);
     }
 
     private static double notNegative(CborIn in) throws CborIn.FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/CopySettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationSettings.java
@@ -9,6 +9,7 @@
  * @param bytesMost of the copies coming in together
  * @param answerUs what was not answered for so long is sent again, {@code tries} times in all
  */
-public record CopySettings(int offersMost, int queuedMost, int partsMost, long bytesMost, long answerUs, int tries) {
-    public static final CopySettings DEFAULT = new CopySettings(32, 100_000, 16, 32L << 20, 5_000_000, 5);
+public record ReplicationSettings(int offersMost, int queuedMost, int partsMost, long bytesMost, long answerUs,
+        int tries) {
+    public static final ReplicationSettings DEFAULT = new ReplicationSettings(32, 100_000, 16, 32L << 20, 5_000_000, 5);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
@@ -23,9 +23,9 @@
     private static final int FULL_TRIES = 3; // segments given up for one write before it is given up itself
 
     private final DiskSettings settings;
-    private final Faults faults = new Faults();
+    private final FaultLog faults = new FaultLog();
     private final Index index = new Index();
-    private final Gathering gathering = new Gathering();
+    private final WriteBuffer gathering = new WriteBuffer();
     private final Segments segments;
     private long number;
     private long restsUntil = Long.MIN_VALUE;
@@ -50,15 +50,15 @@
 
     /** Takes an answer, which is on disk after the next {@link #flush}; writes where enough has gathered. */
     public void put(StoredAnswer answer, long now, long wall) {
-        gathering.put(Body.of(answer));
-        if (gathering.diskBytes() >= settings.segmentBytes() || gathering.size() >= SegmentForm.ENTRIES_MOST / 4) {
+        gathering.put(EncodedAnswer.of(answer));
+        if (gathering.diskBytes() >= settings.segmentBytes() || gathering.size() >= SegmentCodec.ENTRIES_MOST / 4) {
             flush(now, wall);
         }
     }
 
     /** Reads and checks an answer; one that cannot be read, or is not what it says, is dropped and told. */
     public Optional<StoredAnswer> get(ContentId id) {
-        byte[] bytes = gathering.get(id).map(Body::bytes).or(() -> segments.read(id)).orElse(null);
+        byte[] bytes = gathering.get(id).map(EncodedAnswer::bytes).or(() -> segments.read(id)).orElse(null);
         if (bytes == null) {
             return Optional.empty();
         }
@@ -84,7 +84,7 @@
     public boolean flush(long now, long wall) {
         if (gathering.size() > 0 && now >= restsUntil) {
             segments.retryRemovals();
-            Gathering batch = gathering.copy();
+            WriteBuffer batch = gathering.copy();
             List<Segment> joined = segments.join(batch);
             if (write(batch, wall)) {
                 joined.forEach(segments::remove);
@@ -94,12 +94,12 @@
                 restsUntil = now + settings.retryUs();
             }
         }
-        gathering.trim(settings.segmentBytes(), SegmentForm.ENTRIES_MOST / 4, wall);
+        gathering.trim(settings.segmentBytes(), SegmentCodec.ENTRIES_MOST / 4, wall);
         return gathering.size() == 0;
     }
 
     /** Guards against a disk fuller than the quota says: the least valuable segments make room, a few a write. */
-    private boolean write(Gathering batch, long wall) {
+    private boolean write(WriteBuffer batch, long wall) {
         for (int tried = 0;; tried++) {
             segments.makeRoom(batch, wall);
             if (batch.size() == 0) {
@@ -116,8 +116,8 @@
                 if (left == 0) {
                     return false;
                 }
-                batch.trim(left, SegmentForm.ENTRIES_MOST, wall); // no more than what was just removed took
-            } catch (IOException | SegmentForm.BrokenException e) {
+                batch.trim(left, SegmentCodec.ENTRIES_MOST, wall); // no more than what was just removed took
+            } catch (IOException | SegmentCodec.BrokenException e) {
                 faults.add(DiskFault.Kind.WRITE, name, e.toString());
                 segments.clean(name, batch.diskBytes());
                 return false;
@@ -127,7 +127,7 @@
 
     /** When (wall, ms) an answer here was asked for, -1 where there is none. */
     public long askedAt(ContentId id) {
-        return gathering.get(id).map(Body::askedWall)
+        return gathering.get(id).map(EncodedAnswer::askedWall)
                 .or(() -> index.find(id).map(s -> s.live().get(id).askedWall())).orElse(-1L);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Body.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/EncodedAnswer.java
@@ -1,14 +1,14 @@
 package sandpaddle.fleet.content.disk;
 
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.StoredAnswer;
 
 /** An answer as it is written: its form on disk, and what the index knows of it. */
-record Body(ContentId id, long askedWall, long maxAgeMs, double worth, byte[] bytes) {
-    static Body of(StoredAnswer answer) {
-        Meta m = answer.meta();
-        return new Body(m.key().id(), m.askedWall(), m.maxAgeMs(), m.worth(), answer.body());
+record EncodedAnswer(ContentId id, long askedWall, long maxAgeMs, double worth, byte[] bytes) {
+    static EncodedAnswer of(StoredAnswer answer) {
+        AnswerMetadata m = answer.meta();
+        return new EncodedAnswer(m.key().id(), m.askedWall(), m.maxAgeMs(), m.worth(), answer.body());
     }
 
     /** Worth a byte; nothing once it is too old to be handed out. */
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Faults.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/FaultLog.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Faults not yet logged, the first {@value #MOST} since they were last taken. */
-final class Faults {
+final class FaultLog {
     static final int MOST = 100;
 
     private final Deque<DiskFault> waiting = new ArrayDeque<>();
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
@@ -22,11 +22,11 @@
 
     private final Files files;
     private final DiskSettings settings;
-    private final Faults faults;
+    private final FaultLog faults;
     private final Index index;
     private long last; // the highest number that a name has
 
-    Recovery(Files files, DiskSettings settings, Faults faults, Index index) {
+    Recovery(Files files, DiskSettings settings, FaultLog faults, Index index) {
         this.files = files;
         this.settings = settings;
         this.faults = faults;
@@ -77,7 +77,7 @@
     private void segment(String name, Deque<String> aside) throws IOException {
         long size = files.size(name);
         try {
-            SegmentForm.Read read = SegmentForm.read(files, name, size);
+            SegmentCodec.Read read = SegmentCodec.read(files, name, size);
             if (read.torn()) {
                 faults.add(DiskFault.Kind.TORN, name, "shorter than it says; " + read.slots().size()
                         + " answers in it are whole");
@@ -88,7 +88,7 @@
             } else {
                 index.add(new Segment(name, size, read.slots()));
             }
-        } catch (SegmentForm.BrokenException e) {
+        } catch (SegmentCodec.BrokenException e) {
             faults.add(DiskFault.Kind.CORRUPT, name, e.getMessage() + "; set aside");
             files.rename(name, name + ASIDE);
             keepLast(name + ASIDE, aside);
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Segment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Segment.java
@@ -9,9 +9,9 @@
 final class Segment {
     private final String name;
     private final long size;
-    private final Map<ContentId, Slot> live = new HashMap<>();
+    private final Map<ContentId, AnswerLocation> live = new HashMap<>();
 
-    Segment(String name, long size, Collection<Slot> slots) {
+    Segment(String name, long size, Collection<AnswerLocation> slots) {
         this.name = name;
         this.size = size;
         slots.forEach(s -> live.put(s.id(), s));
@@ -25,7 +25,7 @@
         return size;
     }
 
-    Map<ContentId, Slot> live() {
+    Map<ContentId, AnswerLocation> live() {
         return live;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentForm.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
@@ -15,7 +15,7 @@
  * The form of a segment: eight letters, the length and the CRC-32C of its head, the head (what answers lie in it, and
  * where), then their bodies. The start of a gateway reads heads alone; a body is checked when it is read.
  */
-final class SegmentForm {
+final class SegmentCodec {
     static final int PRELUDE = 16;
     static final int ENTRIES_MOST = 65_536;
     private static final long MAGIC = 0x5350_434F_4E54_3031L; // "SPCONT01"
@@ -32,12 +32,12 @@
     }
 
     /** The answers that lie whole in a segment; {@code torn}: it is shorter than its head says. */
-    record Read(List<Slot> slots, boolean torn) { }
+    record Read(List<AnswerLocation> slots, boolean torn) { }
 
-    private SegmentForm() {
+    private SegmentCodec() {
     }
 
-    static byte[] write(Collection<Body> bodies) {
+    static byte[] write(Collection<EncodedAnswer> bodies) {
         byte[] head = new CborOut().number(VERSION).list(bodies, (out, b) -> {
             b.id().write(out);
             out.number(b.bytes().length).number(StoredAnswer.crc(b.bytes())).number(b.askedWall())
@@ -76,12 +76,12 @@
     private static Read slots(CborIn in, long from, long size) throws CborIn.FaultyMessageException {
         in.number(VERSION, VERSION);
         long[] at = {from};
-        List<Slot> whole = new ArrayList<>();
+        List<AnswerLocation> whole = new ArrayList<>();
         in.list(ENTRIES_MOST, i -> {
             ContentId id = ContentId.read(i);
             int length = (int) i.number(0, StoredAnswer.BODY_MOST);
             int crc = (int) i.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
-            Slot slot = new Slot(id, at[0], length, crc, i.number(0, Long.MAX_VALUE / 4),
+            AnswerLocation slot = new AnswerLocation(id, at[0], length, crc, i.number(0, Long.MAX_VALUE / 4),
                     i.number(0, Long.MAX_VALUE / 4), i.real());
             at[0] += length;
             if (at[0] <= size) {
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Segments.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Segments.java
@@ -14,11 +14,11 @@
 final class Segments {
     private final Files files;
     private final DiskSettings settings;
-    private final Faults faults;
+    private final FaultLog faults;
     private final Index index;
     private final Map<String, Long> unremoved = new TreeMap<>(); // bytes of what counts no more and is still there
 
-    Segments(Files files, DiskSettings settings, Faults faults, Index index) {
+    Segments(Files files, DiskSettings settings, FaultLog faults, Index index) {
         this.files = files;
         this.settings = settings;
         this.faults = faults;
@@ -26,13 +26,13 @@
     }
 
     /** Temporary name, sync, rename, sync of the directory: at a crash the file is whole or it is not there. */
-    void write(String name, Gathering batch) throws IOException, SegmentForm.BrokenException {
-        byte[] whole = SegmentForm.write(batch.bodies());
+    void write(String name, WriteBuffer batch) throws IOException, SegmentCodec.BrokenException {
+        byte[] whole = SegmentCodec.write(batch.bodies());
         files.write(name + Recovery.PART, whole);
         files.sync(name + Recovery.PART);
         files.rename(name + Recovery.PART, name);
         files.syncNames();
-        index.add(new Segment(name, whole.length, SegmentForm.read(files, name, whole.length).slots()));
+        index.add(new Segment(name, whole.length, SegmentCodec.read(files, name, whole.length).slots()));
     }
 
     /** Removes what a write that failed may have left under either name. */
@@ -68,7 +68,7 @@
         if (segment == null) {
             return Optional.empty();
         }
-        Slot slot = segment.live().get(id);
+        AnswerLocation slot = segment.live().get(id);
         try {
             byte[] bytes = files.read(segment.name(), slot.at(), slot.length());
             if (bytes.length == slot.length() && StoredAnswer.crc(bytes) == slot.crc()) {
@@ -83,15 +83,15 @@
         return Optional.empty();
     }
 
-    private void move(Slot slot, Gathering batch) {
+    private void move(AnswerLocation slot, WriteBuffer batch) {
         if (!batch.has(slot.id())) {
             read(slot.id()).ifPresent(b -> batch.put(
-                    new Body(slot.id(), slot.askedWall(), slot.maxAgeMs(), slot.worth(), b)));
+                    new EncodedAnswer(slot.id(), slot.askedWall(), slot.maxAgeMs(), slot.worth(), b)));
         }
     }
 
     /** Many small segments become one: the smallest that fit go into {@code batch}; remove them once it is written. */
-    List<Segment> join(Gathering batch) {
+    List<Segment> join(WriteBuffer batch) {
         if (index.segments().size() < settings.filesMost() / 2) {
             return List.of();
         }
@@ -100,7 +100,7 @@
         List<Segment> joined = new ArrayList<>();
         for (Segment s : smallest) {
             if (batch.diskBytes() + s.size() > settings.segmentBytes()
-                    || batch.size() + s.live().size() > SegmentForm.ENTRIES_MOST) {
+                    || batch.size() + s.live().size() > SegmentCodec.ENTRIES_MOST) {
                 break;
             }
             List.copyOf(s.live().values()).forEach(slot -> move(slot, batch));
@@ -113,7 +113,7 @@
      * Gives up the least valuable segments until {@code batch} fits the bounds. What counts in them competes with the
      * batch for the room that they leave, so that a segment's good answers do not go with its others.
      */
-    void makeRoom(Gathering batch, long wall) {
+    void makeRoom(WriteBuffer batch, long wall) {
         long most = Math.max(2L * settings.segmentBytes(), batch.diskBytes());
         long over = used() + batch.diskBytes() - settings.quotaBytes();
         long tooMany = index.entries() + batch.size() - settings.entriesMost();
@@ -133,7 +133,7 @@
     }
 
     /** Removes the segment worth least, and adds its answers to {@code batch}; returns the bytes that it leaves. */
-    long giveUpLeast(long wall, Gathering batch) {
+    long giveUpLeast(long wall, WriteBuffer batch) {
         Segment least = index.leastValuable(wall).orElse(null);
         if (least == null) {
             return 0;
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Gathering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
@@ -10,31 +10,31 @@
 import sandpaddle.fleet.content.ContentId;
 
 /** Answers that wait to be written together, the last one of each name. */
-final class Gathering {
+final class WriteBuffer {
     /** What one answer takes in a segment's head, at most. */
     private static final int HEAD_EACH = 128;
 
-    private final Map<ContentId, Body> byId = new LinkedHashMap<>();
+    private final Map<ContentId, EncodedAnswer> byId = new LinkedHashMap<>();
     private long bytes;
 
-    void put(Body body) {
+    void put(EncodedAnswer body) {
         remove(body.id());
         byId.put(body.id(), body);
         bytes += body.bytes().length;
     }
 
     /** Adds those that it has not. */
-    void putAll(Gathering others) {
+    void putAll(WriteBuffer others) {
         others.byId.values().stream().filter(b -> !has(b.id())).forEach(this::put);
     }
 
-    Gathering copy() {
-        Gathering copy = new Gathering();
+    WriteBuffer copy() {
+        WriteBuffer copy = new WriteBuffer();
         copy.putAll(this);
         return copy;
     }
 
-    Optional<Body> get(ContentId id) {
+    Optional<EncodedAnswer> get(ContentId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
@@ -43,7 +43,7 @@
     }
 
     void remove(ContentId id) {
-        Body old = byId.remove(id);
+        EncodedAnswer old = byId.remove(id);
         bytes -= old == null ? 0 : old.bytes().length;
     }
 
@@ -52,7 +52,7 @@
         bytes = 0;
     }
 
-    Collection<Body> bodies() {
+    Collection<EncodedAnswer> bodies() {
         return byId.values();
     }
 
@@ -66,7 +66,7 @@
 
     /** Bytes that they take on disk, head and all, at most. */
     long diskBytes() {
-        return SegmentForm.PRELUDE + bytes + (long) HEAD_EACH * byId.size();
+        return SegmentCodec.PRELUDE + bytes + (long) HEAD_EACH * byId.size();
     }
 
     /** Drops the least valuable until no more than so many bytes and answers are left. */
@@ -74,9 +74,9 @@
         if (diskBytes() <= bytesMost && size() <= answersMost) {
             return;
         }
-        List<Body> byDensity = new ArrayList<>(byId.values());
+        List<EncodedAnswer> byDensity = new ArrayList<>(byId.values());
         byDensity.sort(Comparator.comparingDouble(b -> b.density(wall)));
-        for (Body b : byDensity) {
+        for (EncodedAnswer b : byDensity) {
             if (diskBytes() <= bytesMost && size() <= answersMost) {
                 return;
             }
--- a/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
@@ -20,7 +20,7 @@
     /** Of the two indexes and the objects of one entry. */
     static final int OVERHEAD = 300;
 
-    private record Held(StoredAnswer answer, double density) {
+    private record Entry(StoredAnswer answer, double density) {
         long size() {
             return answer.size() + OVERHEAD;
         }
@@ -30,12 +30,12 @@
         }
     }
 
-    private static final Comparator<Held> LEAST_FIRST =
-            Comparator.comparingDouble(Held::density).thenComparing(Held::id);
+    private static final Comparator<Entry> LEAST_FIRST =
+            Comparator.comparingDouble(Entry::density).thenComparing(Entry::id);
 
     private final long bytesMost;
-    private final Map<ContentId, Held> byId = new HashMap<>();
-    private final TreeSet<Held> byDensity = new TreeSet<>(LEAST_FIRST);
+    private final Map<ContentId, Entry> byId = new HashMap<>();
+    private final TreeSet<Entry> byDensity = new TreeSet<>(LEAST_FIRST);
     private long bytes;
 
     public MemoryTier(long bytesMost) {
@@ -45,13 +45,13 @@
     /** Takes an answer in place of an older one; returns what had to go for it, itself where it is worth least. */
     public List<StoredAnswer> put(StoredAnswer answer) {
         remove(answer.meta().key().id());
-        Held held = new Held(answer, answer.meta().worth() / (answer.size() + OVERHEAD));
+        Entry held = new Entry(answer, answer.meta().worth() / (answer.size() + OVERHEAD));
         byId.put(held.id(), held);
         byDensity.add(held);
         bytes += held.size();
         List<StoredAnswer> gone = new ArrayList<>();
         while (bytes > bytesMost) {
-            Held least = byDensity.first();
+            Entry least = byDensity.first();
             remove(least.id());
             gone.add(least.answer);
         }
@@ -59,11 +59,11 @@
     }
 
     public Optional<StoredAnswer> get(ContentId id) {
-        return Optional.ofNullable(byId.get(id)).map(Held::answer);
+        return Optional.ofNullable(byId.get(id)).map(Entry::answer);
     }
 
     public boolean remove(ContentId id) {
-        Held held = byId.remove(id);
+        Entry held = byId.remove(id);
         if (held != null) {
             byDensity.remove(held);
             bytes -= held.size();
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/Changes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.Meta;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
@@ -14,13 +14,13 @@
  * changed by any load. At most {@value #MOST} groups of about 100 bytes: the change heard longest ago is forgotten
  * first, and whatever was asked for before it then counts as changed, whatever its group.
  */
-public final class Changes {
+public final class DataChanges {
     static final int MOST = 16_384;
     private static final int VERSION = 1;
 
     private record Change(long mono, long wall, long process) {
         /** Whether an answer was asked for before the change was over. */
-        boolean outdates(Meta m, long slackUs) {
+        boolean outdates(AnswerMetadata m, long slackUs) {
             return process == m.incarnation() ? m.askedMono() - slackUs <= mono
                     : m.askedWall() - slackUs / 1000 <= wall;
         }
@@ -32,7 +32,7 @@
     private final List<Change> forAll = new ArrayList<>(2); // of this process and of an earlier one, the latest each
 
     /** {@code slackUs}: an answer asked for so shortly after a change counts as before it. */
-    public Changes(long process, long slackUs) {
+    public DataChanges(long process, long slackUs) {
         this.process = process;
         this.slackUs = slackUs;
     }
@@ -75,7 +75,7 @@
     }
 
     /** Whether a load that is known of has changed what an answer was read from since it was asked for. */
-    public boolean outdates(Meta m) {
+    public boolean outdates(AnswerMetadata m) {
         if (forAll.stream().anyMatch(c -> c.outdates(m, slackUs))) {
             return true;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/Situation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeContext.java
@@ -10,7 +10,7 @@
  * @param heardAt when (us, monotonic) anything was last heard from outside the hall
  * @param unheardMostMs nothing is handed out once nothing was heard for so long
  */
-public record Situation(boolean isolated, long now, long wall, long process, boolean wallTrusted, long wallSlackMs,
+public record ServeContext(boolean isolated, long now, long wall, long process, boolean wallTrusted, long wallSlackMs,
         long heardAt, long unheardMostMs) {
     /** How long (ms) nothing has been heard from outside the hall: so old may a change be that nobody here knows of. */
     public long unheardMs() {
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.content.serve;
 
 import java.util.Optional;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
@@ -22,7 +22,7 @@
      * @param asked the key of what is asked for, whose class {@code repeatable} and {@code maxAgeMs} tell of now
      */
     public static Decision decide(ContentKey asked, boolean repeatable, long maxAgeMs, Optional<StoredAnswer> found,
-            Situation s, Changes changes) {
+            ServeContext s, DataChanges changes) {
         if (!s.isolated()) {
             return not(Decision.Reason.NOT_ISOLATED);
         }
@@ -32,7 +32,7 @@
         if (found.isEmpty()) {
             return not(Decision.Reason.ABSENT);
         }
-        Meta m = found.get().meta();
+        AnswerMetadata m = found.get().meta();
         if (!m.key().equals(asked)) {
             return not(Decision.Reason.FOREIGN);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Turn.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/AllocatorOutput.java
@@ -5,4 +5,4 @@
 import sandpaddle.fleet.limit.wire.Grant;
 
 /** What a leader does now: commands to propose, in order, and grants to send, each lost without harm. */
-public record Turn(List<Command> propose, List<Grant> grants) { }
+public record AllocatorOutput(List<Command> propose, List<Grant> grants) { }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Shares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/FairShares.java
@@ -12,15 +12,15 @@
  * demand, and short of it gateway i has max(least_i, level * demand_i) for one level. Cost: O(n) for each of 64
  * halvings.
  */
-public final class Shares {
+public final class FairShares {
     /** How long a turn lasts where a limit is too small for each: n that share m have one each n/m turns. */
     public static final long TURN_US = 5_000_000;
     private static final int HALVINGS = 64;
 
-    private Shares() { }
+    private FairShares() { }
 
     /** The shares, not yet whole; the floors sum to the amount at most. */
-    public static double[] of(long now, long amount, long[] floors, List<Claim> claims) {
+    public static double[] of(long now, long amount, long[] floors, List<SlotDemand> claims) {
         int n = floors.length;
         double[] least = leasts(now, amount, floors, claims);
         double[] wish = new double[n];
@@ -60,7 +60,7 @@
         return wish;
     }
 
-    private static double[] leasts(long now, long amount, long[] floors, List<Claim> claims) {
+    private static double[] leasts(long now, long amount, long[] floors, List<SlotDemand> claims) {
         double[] least = new double[floors.length];
         long left = amount;
         List<Integer> without = new ArrayList<>();
@@ -72,7 +72,7 @@
             }
         }
         if (without.size() > left && left > 0) {
-            without.sort(Comparator.comparingLong(i -> Rendezvous.hash(claims.get(i).slot().member(), "")));
+            without.sort(Comparator.comparingLong(i -> RendezvousHash.hash(claims.get(i).slot().member(), "")));
             Collections.rotate(without, -(int) (now / TURN_US % without.size() * left % without.size()));
         }
         for (int i : without) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Floors.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/Floors.java
@@ -37,7 +37,7 @@
         for (int i = 0; i < floors.length; i++) {
             order.add(i);
         }
-        order.sort(Comparator.comparingLong(i -> Rendezvous.hash(members.get(i), limit)));
+        order.sort(Comparator.comparingLong(i -> RendezvousHash.hash(members.get(i), limit)));
         order.stream().limit(amount / 2).forEach(i -> floors[i] = 1);
         return floors;
     }
@@ -56,7 +56,7 @@
         Map<String, Set<String>> on = new HashMap<>();
         limits.forEach(limit -> on.put(limit, new HashSet<>()));
         List<String> order = new ArrayList<>(members);
-        order.sort(Comparator.comparingLong(m -> Rendezvous.hash(m, "")));
+        order.sort(Comparator.comparingLong(m -> RendezvousHash.hash(m, "")));
         long left = places * limits.size();
         boolean moved = true;
         while (left > 0 && moved) {
@@ -66,7 +66,7 @@
                 for (String limit : limits) {
                     Set<String> there = on.get(limit);
                     if (there.size() < places && !there.contains(member) && (best == null
-                            || Rendezvous.hash(member, limit) > Rendezvous.hash(member, best))) {
+                            || RendezvousHash.hash(member, limit) > RendezvousHash.hash(member, best))) {
                         best = limit;
                     }
                 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Peer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GatewayState.java
@@ -4,10 +4,10 @@
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.table.MemberRow;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /** What the leader knows of one gateway: when it was heard, and which of its beats it may vouch for. */
-final class Peer {
+final class GatewayState {
     private static final int MOST_PENDING = 64;
 
     private record Pending(long sequence, long session, long at) { }
@@ -33,14 +33,14 @@
     long sentConfirmed;
     long grantAt = Long.MIN_VALUE / 2;
 
-    Peer(LimitSettings settings, long opened) {
+    GatewayState(LimitSettings settings, long opened) {
         this.settings = settings;
         switchedAt = opened;
         heard = settings.has(Guard.ELECTION_RENEWS) ? opened : opened - settings.reclaimAfter();
     }
 
     /** Whether the beat is news of this gateway's process now. */
-    boolean beat(long now, MemberRow row, Beat beat) {
+    boolean beat(long now, MemberRow row, Heartbeat beat) {
         if (beat.incarnation() != incarnation) {
             boolean old = beat.incarnation() == (incarnation == 0 ? row.former() : former);
             if (beat.incarnation() == 0 || old && now - switchedAt < settings.lease()) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Granting.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
@@ -10,21 +10,21 @@
 import sandpaddle.fleet.limit.table.RightsTable;
 import sandpaddle.fleet.limit.table.Slot;
 import sandpaddle.fleet.limit.table.SlotName;
-import sandpaddle.fleet.limit.wire.Given;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.SlotGrant;
 
 /** What to tell gateways now: rights not acknowledged, limits that they do not know, beats that are vouched for. */
-final class Granting {
+final class GrantBuilder {
     private final LimitSettings settings;
     private final RightsTable table;
 
-    Granting(LimitSettings settings, RightsTable table) {
+    GrantBuilder(LimitSettings settings, RightsTable table) {
         this.settings = settings;
         this.table = table;
     }
 
-    List<Grant> grants(long now, Map<String, Peer> peers, Map<String, Desk> desks) {
-        Map<String, List<Given>> news = new TreeMap<>();
+    List<Grant> grants(long now, Map<String, GatewayState> peers, Map<String, LimitAllocator> desks) {
+        Map<String, List<SlotGrant>> news = new TreeMap<>();
         desks.forEach((limit, desk) -> {
             var row = table.limits().get(limit);
             if (row != null && !desk.quiet) {
@@ -45,7 +45,7 @@
             }
             long confirmed = peer.confirmed(row);
             boolean stale = peer.session != row.session() || peer.epoch != table.epoch();
-            List<Given> given = news.getOrDefault(name, List.of());
+            List<SlotGrant> given = news.getOrDefault(name, List.of());
             if (!given.isEmpty() || confirmed > peer.sentConfirmed
                     || stale && now - peer.grantAt >= settings.repeat()) {
                 peer.sentConfirmed = confirmed;
@@ -59,14 +59,14 @@
         return grants;
     }
 
-    private void one(long now, String limit, SlotName name, Ask ask, Slot slot,
-            Map<String, List<Given>> news, Map<String, Peer> peers) {
-        Peer peer = peers.get(name.member());
+    private void one(long now, String limit, SlotName name, SlotState ask, Slot slot,
+            Map<String, List<SlotGrant>> news, Map<String, GatewayState> peers) {
+        GatewayState peer = peers.get(name.member());
         if (peer == null || peer.incarnation == 0) {
             return; // nobody to tell
         }
-        Given given = ask.toSend(now, limit, name.sub(), slot, settings);
-        List<Given> all = news.computeIfAbsent(name.member(), m -> new ArrayList<>());
+        SlotGrant given = ask.toSend(now, limit, name.sub(), slot, settings);
+        List<SlotGrant> all = news.computeIfAbsent(name.member(), m -> new ArrayList<>());
         if (given != null && all.size() < Grant.MOST_GIVEN) {
             all.add(given);
             ask.sent(now, given);
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Desk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
@@ -5,18 +5,18 @@
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.table.Change;
 import sandpaddle.fleet.limit.table.LimitRow;
 import sandpaddle.fleet.limit.table.Slot;
+import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.table.SlotName;
-import sandpaddle.fleet.limit.wire.Told;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
  * Moves the rights of one limit towards their targets, shrinking first. What nobody holds goes to whoever is short.
  * Others are asked to give only where somebody is short by more than the band, so that noise moves nothing; and they
  * give only what they have over their own target.
  */
-final class Desk {
+final class LimitAllocator {
     /** The most slots of one limit that a leader looks at. */
     static final int MOST_ASKS = 65_536;
     private static final long IDLE_US = 2_000_000; // a quiet limit is looked at this often, for turns and the lost
@@ -25,28 +25,28 @@
 
     private final String limit;
     private final LimitSettings settings;
-    final TreeMap<SlotName, Ask> asks = new TreeMap<>();
+    final TreeMap<SlotName, SlotState> asks = new TreeMap<>();
     boolean news = true;
     boolean quiet; // nothing to tell anybody
     private long touched = -1;
     private long plannedAt = Long.MIN_VALUE / 2;
 
-    Desk(String limit, LimitSettings settings) {
+    LimitAllocator(String limit, LimitSettings settings) {
         this.limit = limit;
         this.settings = settings;
     }
 
-    Ask ask(SlotName name) {
-        Ask ask = asks.get(name);
+    SlotState ask(SlotName name) {
+        SlotState ask = asks.get(name);
         if (ask == null && asks.size() < MOST_ASKS) {
-            ask = new Ask();
+            ask = new SlotState();
             asks.put(name, ask);
         }
         return ask;
     }
 
-    void told(long now, String member, Told told) {
-        Ask ask = ask(new SlotName(member, told.sub()));
+    void told(long now, String member, SlotReport told) {
+        SlotState ask = ask(new SlotName(member, told.sub()));
         if (ask != null) {
             news |= ask.told(now, told);
         }
@@ -66,7 +66,7 @@
     }
 
     /** What a slot has and should have. */
-    private record Place(SlotName name, Ask ask, Slot slot, Target target, boolean fit) {
+    private record SlotPlan(SlotName name, SlotState ask, Slot slot, Target target, boolean fit) {
         double gap() {
             return target.share() - slot.held();
         }
@@ -80,9 +80,9 @@
      * Changes to propose; what to ask back is left in the asks. {@code fit}: whether the slot's gateway holds a lease
      * now, in the claims' order.
      */
-    List<Change> plan(long now, LimitRow row, List<Claim> claims, List<Target> targets, List<Boolean> fit) {
-        List<Change> changes = new ArrayList<>();
-        List<Place> places = new ArrayList<>();
+    List<SlotChange> plan(long now, LimitRow row, List<SlotDemand> claims, List<Target> targets, List<Boolean> fit) {
+        List<SlotChange> changes = new ArrayList<>();
+        List<SlotPlan> places = new ArrayList<>();
         long free = row.amount() - row.sum();
         asks.forEach((name, ask) -> { // who is not heard is asked for nothing
             ask.sinkTo = row.slot(name).held();
@@ -90,25 +90,25 @@
         });
         for (int i = 0; i < claims.size(); i++) {
             SlotName name = claims.get(i).slot();
-            Ask ask = ask(name);
+            SlotState ask = ask(name);
             if (ask != null) {
                 Slot slot = row.slot(name);
                 Target target = targets.get(i);
                 free -= ask.coming(now, slot, settings);
                 ask.sinkTo = slot.held();
                 ask.floorTo = Math.min(slot.floor(), target.floor());
-                places.add(new Place(name, ask, slot, target, fit.get(i)));
+                places.add(new SlotPlan(name, ask, slot, target, fit.get(i)));
             }
         }
         places.sort((a, b) -> Double.compare(b.gap(), a.gap()));
         long missing = missing(places, free);
         sink(places, missing, row.sum() > row.amount());
         free += settings.has(Guard.SHRINK_FIRST) ? 0 : sinking(places);
-        for (Place place : places) {
+        for (SlotPlan place : places) {
             if (place.ask.proposed(now, place.slot, settings)) {
                 continue;
             }
-            Change change = lower(place);
+            SlotChange change = lower(place);
             if (change == null && place.fit && knows(place)) {
                 change = raise(place, free);
                 free -= change == null ? 0 : change.held() - place.slot.held();
@@ -121,26 +121,26 @@
         return changes;
     }
 
-    private boolean knows(Place place) {
+    private boolean knows(SlotPlan place) {
         return place.slot.version() == 0 || place.ask.told != null
             && (place.ask.told.version() == place.slot.version() || !settings.has(Guard.VERSION));
     }
 
     /** How much has to be asked back for those that are short. */
-    private long missing(List<Place> places, long free) {
+    private long missing(List<SlotPlan> places, long free) {
         double needed = 0;
-        for (Place place : places) {
+        for (SlotPlan place : places) {
             needed += place.isShort(settings.band()) ? Math.ceil(place.gap() - SHORT + SPARE) : 0;
         }
         return (long) needed - free;
     }
 
     /** Asks back from those that have most over their target; places come with the least over first. */
-    private void sink(List<Place> places, long missing, boolean over) {
+    private void sink(List<SlotPlan> places, long missing, boolean over) {
         long left = missing;
-        Place last = null;
+        SlotPlan last = null;
         for (int i = places.size() - 1; i >= 0 && left > 0; i--) {
-            Place place = places.get(i);
+            SlotPlan place = places.get(i);
             double surplus = -place.gap();
             long take = Math.min(left, (long) Math.floor(surplus + (over ? 1 - 1e-9 : SPARE)));
             take = Math.min(take, place.slot.held() - place.ask.floorTo);
@@ -158,13 +158,13 @@
         }
     }
 
-    private static long sinking(List<Place> places) {
+    private static long sinking(List<SlotPlan> places) {
         return places.stream().mapToLong(p -> p.slot.held() - p.ask.sinkTo).sum();
     }
 
     /** What the gateway promised to do without is free once this is agreed on. */
-    private Change lower(Place place) {
-        Told told = place.ask.told;
+    private SlotChange lower(SlotPlan place) {
+        SlotReport told = place.ask.told;
         Slot slot = place.slot;
         if (told == null || slot.version() == 0 || told.version() != slot.version() && settings.has(Guard.VERSION)) {
             return null;
@@ -172,16 +172,16 @@
         long floor = Math.min(slot.floor(), told.floor());
         long held = Math.max(floor, Math.min(slot.held(), told.ceiling()));
         return held < slot.held() || floor < slot.floor()
-            ? new Change(limit, place.name, slot.version(), held, floor) : null;
+            ? new SlotChange(limit, place.name, slot.version(), held, floor) : null;
     }
 
-    private Change raise(Place place, long free) {
+    private SlotChange raise(SlotPlan place, long free) {
         Slot slot = place.slot;
         long more = place.ask.sinkTo < slot.held() ? 0
             : Math.max(0, Math.min(free, (long) Math.ceil(place.gap() - 1e-9)));
         long held = slot.held() + more;
         long floor = Math.max(slot.floor(), Math.min(place.target.floor(), held));
         return held > slot.held() || floor > slot.floor()
-            ? new Change(limit, place.name, slot.version(), held, floor) : null;
+            ? new SlotChange(limit, place.name, slot.version(), held, floor) : null;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Sharing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitPlanner.java
@@ -9,37 +9,37 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.table.Change;
 import sandpaddle.fleet.limit.table.LimitRow;
 import sandpaddle.fleet.limit.table.MemberRow;
 import sandpaddle.fleet.limit.table.RightsTable;
 import sandpaddle.fleet.limit.table.Slot;
+import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.table.SlotName;
 
 /** Gathers the claims of one limit, asks for their targets, and lets the limit's desk move rights towards them. */
-final class Sharing {
+final class LimitPlanner {
     private final LimitSettings settings;
     private final RightsTable table;
-    private final Targets targets;
+    private final TargetPolicy targets;
     private final Map<String, Map<String, Set<String>>> places = new HashMap<>(); // of floors, by limit by engine
     private long placesAt = -1; // the state of the fleet that they are of
 
-    Sharing(LimitSettings settings, RightsTable table, Targets targets) {
+    LimitPlanner(LimitSettings settings, RightsTable table, TargetPolicy targets) {
         this.settings = settings;
         this.table = table;
         this.targets = targets;
     }
 
-    List<Change> plan(long now, LimitRow row, Desk desk, Map<String, Peer> peers) {
+    List<SlotChange> plan(long now, LimitRow row, LimitAllocator desk, Map<String, GatewayState> peers) {
         LimitSpec spec = row.spec();
         boolean decided = targets.decide(spec);
-        List<Claim> claims = new ArrayList<>();
-        List<Claim> away = new ArrayList<>(); // has to give up all
+        List<SlotDemand> claims = new ArrayList<>();
+        List<SlotDemand> away = new ArrayList<>(); // has to give up all
         List<Boolean> fit = new ArrayList<>();
         List<String> members = new ArrayList<>();
         long amount = row.amount();
         for (MemberRow member : table.members().values()) {
-            Peer peer = peers.get(member.name());
+            GatewayState peer = peers.get(member.name());
             boolean alive = peer != null && peer.alive(now, member);
             boolean in = !row.dropped() && !member.leaving()
                 && (spec.scope().hall() == null || spec.scope().hall().equals(member.hall()));
@@ -53,7 +53,7 @@
             for (SlotName name : names(row, desk, member.name(), in && !decided)) {
                 boolean claimed = in && (decided != name.sub().isEmpty());
                 double demand = claimed ? desk.ask(name) == null ? 0 : desk.ask(name).demand.level() : 0;
-                (claimed ? claims : away).add(new Claim(name, demand));
+                (claimed ? claims : away).add(new SlotDemand(name, demand));
                 if (claimed) {
                     fit.add(peer.leased);
                 }
@@ -62,7 +62,7 @@
         List<Target> wish = new ArrayList<>(decided
             ? targets.targets(now, spec, Math.max(0, amount), claims)
             : even(now, row, Math.max(0, amount), members, claims));
-        for (Claim claim : away) {
+        for (SlotDemand claim : away) {
             claims.add(claim);
             wish.add(new Target(0, 0));
             fit.add(false);
@@ -71,7 +71,7 @@
     }
 
     /** The slots of a gateway: those it told of or holds, and the plain one. */
-    private static Set<SlotName> names(LimitRow row, Desk desk, String member, boolean plain) {
+    private static Set<SlotName> names(LimitRow row, LimitAllocator desk, String member, boolean plain) {
         Set<SlotName> names = new java.util.TreeSet<>(RightsTable.of(row, member).keySet());
         names.addAll(desk.asks.subMap(new SlotName(member, ""), new SlotName(member + "\0", "")).keySet());
         if (plain) {
@@ -80,7 +80,7 @@
         return names;
     }
 
-    private List<Target> even(long now, LimitRow row, long amount, List<String> members, List<Claim> claims) {
+    private List<Target> even(long now, LimitRow row, long amount, List<String> members, List<SlotDemand> claims) {
         long[] all = floors(row, members);
         Map<String, Long> of = new HashMap<>();
         for (int i = 0; i < all.length; i++) {
@@ -92,7 +92,7 @@
             floors[i] = Math.min(left, of.get(claims.get(i).slot().member()));
             left -= floors[i];
         }
-        double[] shares = Shares.of(now, amount, floors, claims);
+        double[] shares = FairShares.of(now, amount, floors, claims);
         List<Target> wish = new ArrayList<>();
         for (int i = 0; i < floors.length; i++) {
             wish.add(new Target(shares[i], floors[i]));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Rendezvous.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RendezvousHash.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.limit.allot;
 
 /** Highest random weight (Thaler and Ravishankar 1998): who of many, the same on each gateway and after each change. */
-final class Rendezvous {
-    private Rendezvous() { }
+final class RendezvousHash {
+    private RendezvousHash() { }
 
     /** Of the pair, evenly spread: FNV-1a, finished as in SplitMix64. */
     static long hash(String one, String other) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Allotter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
-import sandpaddle.fleet.limit.table.Change;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.CommandCodec;
 import sandpaddle.fleet.limit.table.LimitRow;
 import sandpaddle.fleet.limit.table.MemberRow;
 import sandpaddle.fleet.limit.table.RightsTable;
-import sandpaddle.fleet.limit.wire.Beat;
-import sandpaddle.fleet.limit.wire.Told;
-import sandpaddle.fleet.limit.wire.Wanted;
+import sandpaddle.fleet.limit.table.SlotChange;
+import sandpaddle.fleet.limit.wire.Heartbeat;
+import sandpaddle.fleet.limit.wire.InstanceRequest;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
  * The leader's part: hears beats, decides who should have which rights, proposes that to the voters, and tells gateways
@@ -25,25 +25,25 @@
  * beats. Cost: O(slots that a beat tells) a beat; a limit is looked at only where something about it changed. Bounds:
  * those of the table.
  */
-public final class Allotter {
+public final class RightsAllocator {
     private static final int MOST_MOVES = 16; // commands of changes in one turn
 
     private final LimitSettings settings;
     private final RightsTable table;
-    private final Sharing sharing;
-    private final Map<String, Peer> peers = new TreeMap<>();
-    private final Map<String, Desk> desks = new TreeMap<>();
-    private final Map<Wanted, Long> wanted = new LinkedHashMap<>();
+    private final LimitPlanner sharing;
+    private final Map<String, GatewayState> peers = new TreeMap<>();
+    private final Map<String, LimitAllocator> desks = new TreeMap<>();
+    private final Map<InstanceRequest, Long> wanted = new LinkedHashMap<>();
     private long lead; // 0: does not lead
     private boolean open; // the voters have taken this one's first command
     private long opened;
     private long ledAt = Long.MIN_VALUE / 2;
     private long roster = -1;
 
-    public Allotter(LimitSettings settings, RightsTable table, Targets targets) {
+    public RightsAllocator(LimitSettings settings, RightsTable table, TargetPolicy targets) {
         this.settings = settings;
         this.table = table;
-        sharing = new Sharing(settings, table, targets);
+        sharing = new LimitPlanner(settings, table, targets);
     }
 
     /** This gateway leads; {@code lead} is greater than that of all leaders before, such as its term. */
@@ -68,29 +68,29 @@
     }
 
     /** A gateway's beat; one that is old, repeated or from nobody known changes nothing. */
-    public void beat(long now, String member, Beat beat) {
+    public void beat(long now, String member, Heartbeat beat) {
         MemberRow row = table.members().get(member);
         if (row == null || !leads()) {
             return;
         }
-        Peer peer = peers.computeIfAbsent(member, m -> new Peer(settings, opened));
+        GatewayState peer = peers.computeIfAbsent(member, m -> new GatewayState(settings, opened));
         if (!peer.beat(now, row, beat)) {
             return;
         }
-        for (Told told : beat.told()) {
+        for (SlotReport told : beat.told()) {
             if (table.limits().containsKey(told.limit())) {
                 desk(told.limit()).told(now, member, told);
             }
         }
-        for (Wanted name : beat.wanted()) {
+        for (InstanceRequest name : beat.wanted()) {
             if (wanted.size() < RightsTable.MOST_LIMITS) {
                 wanted.putIfAbsent(name, Long.MIN_VALUE / 2);
             }
         }
     }
 
-    private Desk desk(String limit) {
-        return desks.computeIfAbsent(limit, l -> new Desk(l, settings));
+    private LimitAllocator desk(String limit) {
+        return desks.computeIfAbsent(limit, l -> new LimitAllocator(l, settings));
     }
 
     /** A majority confirmed, by a question asked at {@code asOf}, that no other leader was elected before that. */
@@ -109,17 +109,17 @@
     }
 
     /** What is to be done now. */
-    public Turn tick(long now) {
+    public AllocatorOutput tick(long now) {
         List<Command> propose = new ArrayList<>();
         if (lead == 0 || table.lead() > lead) {
-            return new Turn(propose, List.of());
+            return new AllocatorOutput(propose, List.of());
         }
         if (table.lead() < lead) {
             if (now - ledAt >= settings.repeat()) {
                 ledAt = now;
                 propose.add(new Command.Lead(lead));
             }
-            return new Turn(propose, List.of());
+            return new AllocatorOutput(propose, List.of());
         }
         if (!open) {
             open = true;
@@ -129,7 +129,7 @@
         table.members().values().forEach(row -> member(now, row, propose));
         names(now, propose);
         move(now, propose);
-        return new Turn(propose, new Granting(settings, table).grants(now, peers, desks));
+        return new AllocatorOutput(propose, new GrantBuilder(settings, table).grants(now, peers, desks));
     }
 
     /** Forgets who left and limits that are gone; all is looked at again when the fleet changed. */
@@ -146,7 +146,7 @@
         }
         boolean changed = false;
         for (MemberRow row : table.members().values()) {
-            Peer peer = peers.computeIfAbsent(row.name(), m -> new Peer(settings, opened));
+            GatewayState peer = peers.computeIfAbsent(row.name(), m -> new GatewayState(settings, opened));
             changed |= peer.changed(now, row);
         }
         if (changed) {
@@ -156,7 +156,7 @@
 
     /** A new process of a gateway, or one that must be taken for lost. */
     private void member(long now, MemberRow row, List<Command> propose) {
-        Peer peer = peers.get(row.name());
+        GatewayState peer = peers.get(row.name());
         if (now - peer.proposedAt < settings.repeat()) {
             return;
         }
@@ -190,7 +190,7 @@
             return spec == null || spec.instance(e.getKey().at()).map(i -> table.limits().containsKey(i.id()))
                 .orElse(true) || table.limits().size() >= RightsTable.MOST_LIMITS;
         });
-        for (Map.Entry<Wanted, Long> e : wanted.entrySet()) {
+        for (Map.Entry<InstanceRequest, Long> e : wanted.entrySet()) {
             if (now - e.getValue() >= settings.repeat() && propose.size() < MOST_MOVES) {
                 e.setValue(now);
                 propose.add(new Command.Instantiate(e.getKey().limit(), e.getKey().at()));
@@ -199,10 +199,10 @@
     }
 
     private void move(long now, List<Command> propose) {
-        List<Change> changes = new ArrayList<>();
+        List<SlotChange> changes = new ArrayList<>();
         int most = MOST_MOVES * CommandCodec.MOST_CHANGES;
         for (Map.Entry<String, LimitRow> e : table.limits().entrySet()) {
-            Desk desk = desk(e.getKey());
+            LimitAllocator desk = desk(e.getKey());
             if (changes.size() < most && desk.due(now, e.getValue())) {
                 changes.addAll(sharing.plan(now, e.getValue(), desk, peers));
             }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Ask.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SlotState.java
@@ -1,25 +1,25 @@
 package sandpaddle.fleet.limit.allot;
 
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.table.Change;
 import sandpaddle.fleet.limit.table.Slot;
-import sandpaddle.fleet.limit.wire.Given;
-import sandpaddle.fleet.limit.wire.Told;
+import sandpaddle.fleet.limit.table.SlotChange;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
 /** What the leader knows of one slot, and what it asked and proposed last about it. */
-final class Ask {
+final class SlotState {
     private static final double STIR = 0.01; // part by which demand has to change to be looked at
-    final Demand demand = new Demand();
-    Told told; // last, null where nothing was
+    final SmoothedDemand demand = new SmoothedDemand();
+    SlotReport told; // last, null where nothing was
     long sinkTo;
     long floorTo;
-    private Given sent;
+    private SlotGrant sent;
     private long sentAt;
-    private Change proposed;
+    private SlotChange proposed;
     private long proposedAt;
 
     /** Whether this is news. */
-    boolean told(long now, Told next) {
+    boolean told(long now, SlotReport next) {
         boolean news = told == null || !told.equals(next);
         told = next;
         double before = demand.level();
@@ -32,7 +32,7 @@
         return proposed != null && proposed.version() == slot.version() && now - proposedAt < settings.repeat();
     }
 
-    void propose(long now, Change change) {
+    void propose(long now, SlotChange change) {
         proposed = change;
         proposedAt = now;
     }
@@ -43,11 +43,11 @@
     }
 
     /** What the gateway has to be told now; null where it knows. */
-    Given toSend(long now, String limit, String sub, Slot slot, LimitSettings settings) {
+    SlotGrant toSend(long now, String limit, String sub, Slot slot, LimitSettings settings) {
         if (!open(slot)) {
             return null;
         }
-        Given given = new Given(limit, sub, slot.version(), slot.held(), slot.floor(), sinkTo, floorTo);
+        SlotGrant given = new SlotGrant(limit, sub, slot.version(), slot.held(), slot.floor(), sinkTo, floorTo);
         if (given.equals(sent) && now - sentAt < settings.repeat()) {
             return null;
         }
@@ -60,7 +60,7 @@
             || told.ceiling() > Math.max(sinkTo, slot.floor()) || told.floor() > floorTo);
     }
 
-    void sent(long now, Given given) {
+    void sent(long now, SlotGrant given) {
         sent = given;
         sentAt = now;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Demand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
@@ -4,7 +4,7 @@
  * Demand of one slot, evened out so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
  * half or more is believed when two beats in a row tell it.
  */
-final class Demand {
+final class SmoothedDemand {
     /** Noise of a fifth either way, told ten times a second, stays within 4% of the mean. */
     static final double EVEN_US = 2e6;
     private static final double STEP = 0.5;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Targets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/TargetPolicy.java
@@ -4,7 +4,7 @@
 import sandpaddle.fleet.limit.LimitSpec;
 
 /** Says how some limits should be shared, such as the budgets of pools. Deterministic, without effect. */
-public interface Targets {
+public interface TargetPolicy {
     /** Whether these say it for this limit; its slots are then those that gateways have opened, by tenant. */
     boolean decide(LimitSpec limit);
 
@@ -12,17 +12,17 @@
      * What each claim should have, in their order. {@code amount}: what there is for these claims, without what is held
      * by gateways not heard. The shares sum to it at most; a floor is at most its share.
      */
-    List<Target> targets(long now, LimitSpec limit, long amount, List<Claim> claims);
+    List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims);
 
-    /** Everything by demand, see {@link Shares}. */
-    Targets NONE = new Targets() {
+    /** Everything by demand, see {@link FairShares}. */
+    TargetPolicy NONE = new TargetPolicy() {
         @Override
         public boolean decide(LimitSpec limit) {
             return false;
         }
 
         @Override
-        public List<Target> targets(long now, LimitSpec limit, long amount, List<Claim> claims) {
+        public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims) {
             return List.of();
         }
     };
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
@@ -12,7 +12,7 @@
  * boot, or as old as {@code keep} (the settings' {@code floorKeep} when it was written), is not used: it may be an old
  * copy put back.
  */
-public record FloorFile(String boot, long at, long keep, List<KeptFloor> floors) {
+public record FloorFile(String boot, long at, long keep, List<SavedFloor> floors) {
     private static final long FORMAT = 1;
 
     public byte[] write() {
@@ -24,7 +24,7 @@
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
         FloorFile file = new FloorFile(in.text(LimitSpec.MOST_NAME), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
-            in.number(0, Long.MAX_VALUE), in.list(Holder.MOST_SLOTS, i -> new KeptFloor(
+            in.number(0, Long.MAX_VALUE), in.list(RightsHolder.MOST_SLOTS, i -> new SavedFloor(
                 i.text(LimitSpec.MOST_ID), i.text(LimitSpec.MOST_NAME),
                 i.number(0, LimitSpec.MOST_AMOUNT))));
         in.end();
@@ -32,7 +32,7 @@
     }
 
     /** The floors that a process of this boot may use now; none where the file is too old or of another boot. */
-    public List<KeptFloor> usable(String bootNow, long now) {
+    public List<SavedFloor> usable(String bootNow, long now) {
         return boot.equals(bootNow) && at <= now && now - at < keep ? floors : List.of();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/Holder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
@@ -13,21 +13,21 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.wire.Beat;
-import sandpaddle.fleet.limit.wire.Given;
 import sandpaddle.fleet.limit.wire.Grant;
-import sandpaddle.fleet.limit.wire.Told;
-import sandpaddle.fleet.limit.wire.Wanted;
+import sandpaddle.fleet.limit.wire.Heartbeat;
+import sandpaddle.fleet.limit.wire.InstanceRequest;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
  * The rights of one gateway's process: what it may use now, by its own clock and what it heard. With a lease it is the
  * ceiling last given, without one the floor reserved for it, and nothing while engines may still run what a former
  * process left. What it told the leader it keeps, so the leader may give the rest away. After leases (Gray and Cheriton
  * 1989) and the demarcation protocol (Barbara and Garcia-Molina 1994). Cost: O(slots) a beat, O(1) a question. Bounds:
- * {@link #MOST_SLOTS} slots; a beat tells {@link Beat#MOST_TOLD} and of idle ones {@link Beat#MOST_IDLE},
+ * {@link #MOST_SLOTS} slots; a beat tells {@link Heartbeat#MOST_TOLD} and of idle ones {@link Heartbeat#MOST_IDLE},
  * the rest in turn.
  */
-public final class Holder {
+public final class RightsHolder {
     /** The most slots of one gateway. */
     public static final int MOST_SLOTS = 65_536;
 
@@ -35,11 +35,11 @@
     private final long incarnation;
     private final long freshAt;
     private final LimitSettings settings;
-    private final Usage usage;
+    private final UsageSource usage;
     private final Lease lease;
-    private final TreeMap<Rights.Key, Held> slots = new TreeMap<>();
+    private final TreeMap<Rights.Key, SlotRights> slots = new TreeMap<>();
     private Map<String, LimitSpec> limits = new HashMap<>();
-    private final Set<Wanted> wanted = new LinkedHashSet<>();
+    private final Set<InstanceRequest> wanted = new LinkedHashSet<>();
     private long session;
     private long epoch;
     private long sequence;
@@ -49,16 +49,16 @@
      * A process that starts now. {@code incarnation}: drawn at the start, not 0, so that no two processes of a name
      * have the same. {@code floors}: from the disk, none where it had none that is young enough.
      */
-    public Holder(String member, long incarnation, long now, LimitSettings settings, Usage usage,
-            List<KeptFloor> floors) {
+    public RightsHolder(String member, long incarnation, long now, LimitSettings settings, UsageSource usage,
+            List<SavedFloor> floors) {
         this.member = member;
         this.incarnation = incarnation;
         this.settings = settings;
         this.usage = usage;
         lease = new Lease(settings);
         freshAt = now + settings.freshAfter();
-        for (KeptFloor kept : floors) {
-            slots.put(new Rights.Key(kept.limit(), kept.sub()), new Held(kept.floor()));
+        for (SavedFloor kept : floors) {
+            slots.put(new Rights.Key(kept.limit(), kept.sub()), new SlotRights(kept.floor()));
         }
     }
 
@@ -73,13 +73,13 @@
             session = grant.session();
             if (settings.has(Guard.SESSION)) {
                 lease.end();
-                slots.values().forEach(Held::reset);
+                slots.values().forEach(SlotRights::reset);
             }
         }
-        for (Given given : grant.given()) {
+        for (SlotGrant given : grant.given()) {
             Rights.Key key = new Rights.Key(given.limit(), given.sub());
             if (slots.containsKey(key) || slots.size() < MOST_SLOTS) {
-                slots.computeIfAbsent(key, k -> new Held(0)).take(given, settings);
+                slots.computeIfAbsent(key, k -> new SlotRights(0)).take(given, settings);
             }
         }
         if (grant.confirmed() > 0) {
@@ -95,32 +95,32 @@
     }
 
     /** What to tell the leader now. It is sent at this moment or not at all: the lease counts from here. */
-    public Beat beat(long now) {
+    public Heartbeat beat(long now) {
         sequence++;
         lease.sent(now, sequence, session);
         boolean leased = lease.holds(now);
-        List<Told> told = new ArrayList<>();
+        List<SlotReport> told = new ArrayList<>();
         List<Rights.Key> idle = new ArrayList<>();
-        Map.Entry<Rights.Key, Held> next = toldLast == null ? slots.firstEntry() : slots.higherEntry(toldLast);
-        for (int i = slots.size(); i > 0 && told.size() < Beat.MOST_TOLD; i--) {
+        Map.Entry<Rights.Key, SlotRights> next = toldLast == null ? slots.firstEntry() : slots.higherEntry(toldLast);
+        for (int i = slots.size(); i > 0 && told.size() < Heartbeat.MOST_TOLD; i--) {
             if (next == null) {
                 next = slots.firstEntry();
             }
             Rights.Key key = next.getKey();
             if (next.getValue().news(used(key), demand(key))) {
                 told.add(told(now, leased, key, next.getValue()));
-            } else if (idle.size() < Beat.MOST_IDLE) {
+            } else if (idle.size() < Heartbeat.MOST_IDLE) {
                 idle.add(key);
             }
             // the next beat goes on behind the last idle slot of this one, and so meets all of them in turn
-            toldLast = idle.size() < Beat.MOST_IDLE || idle.get(idle.size() - 1) == key ? key : toldLast;
+            toldLast = idle.size() < Heartbeat.MOST_IDLE || idle.get(idle.size() - 1) == key ? key : toldLast;
             next = slots.higherEntry(key);
         }
-        idle.stream().limit(Beat.MOST_TOLD - told.size())
+        idle.stream().limit(Heartbeat.MOST_TOLD - told.size())
             .forEach(key -> told.add(told(now, leased, key, slots.get(key))));
-        List<Wanted> names = wanted.stream().limit(Beat.MOST_WANTED).toList();
+        List<InstanceRequest> names = wanted.stream().limit(Heartbeat.MOST_WANTED).toList();
         names.forEach(wanted::remove);
-        return new Beat(incarnation, sequence, session, leased, settings.hold(), epoch, told, names);
+        return new Heartbeat(incarnation, sequence, session, leased, settings.hold(), epoch, told, names);
     }
 
     private long used(Rights.Key key) {
@@ -131,12 +131,12 @@
         return Math.min(LimitSpec.MOST_AMOUNT, Math.max(used(key), usage.demand(key.limit(), key.sub())));
     }
 
-    private Told told(long now, boolean leased, Rights.Key key, Held held) {
+    private SlotReport told(long now, boolean leased, Rights.Key key, SlotRights held) {
         long used = used(key); // read after the rights that it may exceed were published
         if (now >= freshAt) { // until then a former process may use what was given, though this one does not
             held.sink(now, used, leased, settings.floorKeep());
         }
-        return held.told(new Told(key.limit(), key.sub(), held.version, held.ceiling(), held.floor(), used,
+        return held.told(new SlotReport(key.limit(), key.sub(), held.version, held.ceiling(), held.floor(), used,
             Math.max(used, demand(key))));
     }
 
@@ -148,7 +148,7 @@
 
     /** What may be used at this moment; 0 where nothing was ever given. */
     public long ceiling(long now, String limit, String sub) {
-        Held held = slots.get(new Rights.Key(limit, sub));
+        SlotRights held = slots.get(new Rights.Key(limit, sub));
         return held == null || now < freshAt ? 0 : lease.holds(now) ? held.leased() : held.unleased();
     }
 
@@ -191,9 +191,10 @@
     public Optional<LimitSpec> seen(LimitSpec spec, Scope query) {
         Optional<LimitSpec> made = spec.instance(query);
         if (made.isPresent() && spec.scope().each()) {
-            Held held = slots.get(new Rights.Key(made.get().id(), ""));
-            if ((held == null || held.version == 0) && wanted.size() < Beat.MOST_WANTED) {
-                wanted.add(new Wanted(spec.id(), made.get().scope())); // again with each query until rights come
+            SlotRights held = slots.get(new Rights.Key(made.get().id(), ""));
+            if ((held == null || held.version == 0) && wanted.size() < Heartbeat.MOST_WANTED) {
+                // again with each query until rights come
+                wanted.add(new InstanceRequest(spec.id(), made.get().scope()));
             }
             open(made.get().id(), "");
         }
@@ -203,21 +204,21 @@
     /** A slot to be told of before anything was given, such as a tenant's part of a pool. */
     public void open(String limit, String sub) {
         if (slots.size() < MOST_SLOTS) {
-            slots.computeIfAbsent(new Rights.Key(limit, sub), k -> new Held(0));
+            slots.computeIfAbsent(new Rights.Key(limit, sub), k -> new SlotRights(0));
         }
     }
 
     /** What to write down, so that a restart while cut off has it. */
-    public List<KeptFloor> floors() {
-        List<KeptFloor> kept = new ArrayList<>();
-        slots.forEach((key, held) -> kept.add(new KeptFloor(key.limit(), key.sub(), held.unleased())));
+    public List<SavedFloor> floors() {
+        List<SavedFloor> kept = new ArrayList<>();
+        slots.forEach((key, held) -> kept.add(new SavedFloor(key.limit(), key.sub(), held.unleased())));
         return kept;
     }
 
     /** These are on disk. A lowered floor is told to the leader once every older file is too old to be used. */
-    public void floorsWritten(long now, List<KeptFloor> kept) {
-        for (KeptFloor floor : kept) {
-            Held held = slots.get(new Rights.Key(floor.limit(), floor.sub()));
+    public void floorsWritten(long now, List<SavedFloor> kept) {
+        for (SavedFloor floor : kept) {
+            SlotRights held = slots.get(new Rights.Key(floor.limit(), floor.sub()));
             if (held != null) {
                 held.written(now, floor.floor());
             }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/Held.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/SlotRights.java
@@ -2,17 +2,17 @@
 
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.wire.Given;
-import sandpaddle.fleet.limit.wire.Told;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
 /** What one slot may use. Under one version everything only goes down. */
-final class Held {
+final class SlotRights {
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final int LOUD = 3; // beats that tell a change: one may be lost, and a step of demand takes two
 
     long version;
-    private Told told;
+    private SlotReport told;
     private int loud;
     private long ceiling; // never exceeded again under this version
     private long floor; // nor this without a lease
@@ -20,7 +20,7 @@
     private long floorTo;
     private long writtenAt = NEVER; // when the lowered floor was on disk
 
-    Held(long floor) {
+    SlotRights(long floor) {
         this.floor = floor;
         ceiling = floor;
         sinkTo = floor;
@@ -28,7 +28,7 @@
     }
 
     /** Rights that came; older ones and those of the same version cannot raise anything. */
-    void take(Given given, LimitSettings settings) {
+    void take(SlotGrant given, LimitSettings settings) {
         loud = LOUD;
         if (given.version() < version && settings.has(Guard.VERSION)) {
             return;
@@ -76,7 +76,7 @@
         return loud > 0 || used > 0 || demand > 0;
     }
 
-    Told told(Told next) {
+    SlotReport told(SlotReport next) {
         told = next;
         loud = Math.max(0, loud - 1);
         return next;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/Command.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/Command.java
@@ -28,5 +28,5 @@
     record Reclaim(long lead, String member, long session) implements Command { }
 
     /** New rights, each judged by itself. */
-    record Move(long lead, List<Change> changes) implements Command { }
+    record Move(long lead, List<SlotChange> changes) implements Command { }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/CommandCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/CommandCodec.java
@@ -54,7 +54,7 @@
             case 5 -> new Command.Enter(any(in), name(in), any(in), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
                 any(in));
             case 6 -> new Command.Reclaim(any(in), name(in), any(in));
-            default -> new Command.Move(any(in), in.list(MOST_CHANGES, i -> new Change(i.text(LimitSpec.MOST_ID),
+            default -> new Command.Move(any(in), in.list(MOST_CHANGES, i -> new SlotChange(i.text(LimitSpec.MOST_ID),
                 new SlotName(name(i), name(i)), any(i), amount(i), amount(i))));
         };
         in.end();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
@@ -188,7 +188,7 @@
     private Outcome move(Command.Move c) {
         int applied = 0;
         String why = "";
-        for (Change change : c.changes()) {
+        for (SlotChange change : c.changes()) {
             String fault = change(change);
             if (fault == null) {
                 applied++;
@@ -199,7 +199,7 @@
         return new Outcome(applied, c.changes().size() - applied, why, -1);
     }
 
-    private String change(Change c) {
+    private String change(SlotChange c) {
         LimitRow row = limits.get(c.limit());
         if (row == null || !members.containsKey(c.slot().member())) {
             return "no limit " + c.limit() + " or gateway " + c.slot().member();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Grant.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Grant.java
@@ -9,7 +9,7 @@
  * else none.
  */
 public record Grant(String member, long incarnation, long session, long confirmed, long epoch, boolean whole,
-        List<LimitSpec> limits, List<Given> given) {
+        List<LimitSpec> limits, List<SlotGrant> given) {
     /** The most slots of one grant; the rest goes with the next. */
     public static final int MOST_GIVEN = 2048;
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Beat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
@@ -7,8 +7,8 @@
  * that its rights are of, 0 where it has none; {@code leased}: whether a lease holds; {@code hold}: its own lease
  * and outliving, as its settings may differ from the leader's; {@code epoch}: of the limits that it knows.
  */
-public record Beat(long incarnation, long sequence, long session, boolean leased, long hold, long epoch,
-        List<Told> told, List<Wanted> wanted) {
+public record Heartbeat(long incarnation, long sequence, long session, boolean leased, long hold, long epoch,
+        List<SlotReport> told, List<InstanceRequest> wanted) {
     /** The most slots of one beat; a gateway with more tells them in turn. */
     public static final int MOST_TOLD = 2048;
     /** The most slots of one beat that nothing happens to. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Wanted.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/InstanceRequest.java
@@ -3,4 +3,4 @@
 import sandpaddle.fleet.limit.Scope;
 
 /** A limit for each of something, at names that a gateway has met. */
-public record Wanted(String limit, Scope at) { }
+public record InstanceRequest(String limit, Scope at) { }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
@@ -11,7 +11,7 @@
 public final class LimitCodec {
     private LimitCodec() { }
 
-    public static void write(CborOut out, Beat beat) {
+    public static void write(CborOut out, Heartbeat beat) {
         out.number(beat.incarnation()).number(beat.sequence()).number(beat.session()).flag(beat.leased())
             .number(beat.hold()).number(beat.epoch());
         out.list(beat.told(), (o, t) -> o.text(t.limit()).text(t.sub()).number(t.version()).number(t.ceiling())
@@ -19,12 +19,13 @@
         out.list(beat.wanted(), (o, w) -> CommandCodec.scope(o.text(w.limit()), w.at()));
     }
 
-    public static Beat readBeat(CborIn in) throws FaultyMessageException {
-        return new Beat(in.number(Long.MIN_VALUE, Long.MAX_VALUE), any(in), any(in), in.flag(),
-            in.number(0, Beat.MOST_HOLD), any(in),
-            in.list(Beat.MOST_TOLD, i -> new Told(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
+    public static Heartbeat readBeat(CborIn in) throws FaultyMessageException {
+        return new Heartbeat(in.number(Long.MIN_VALUE, Long.MAX_VALUE), any(in), any(in), in.flag(),
+            in.number(0, Heartbeat.MOST_HOLD), any(in),
+            in.list(Heartbeat.MOST_TOLD, i ->
+            new SlotReport(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
                 amount(i), amount(i))),
-            in.list(Beat.MOST_WANTED, i -> new Wanted(name(i), CommandCodec.scope(i))));
+            in.list(Heartbeat.MOST_WANTED, i -> new InstanceRequest(name(i), CommandCodec.scope(i))));
     }
 
     public static void write(CborOut out, Grant grant) {
@@ -38,7 +39,8 @@
     public static Grant readGrant(CborIn in) throws FaultyMessageException {
         return new Grant(name(in), in.number(Long.MIN_VALUE, Long.MAX_VALUE), any(in), any(in), any(in), in.flag(),
             in.list(RightsTable.MOST_LIMITS, CommandCodec::spec),
-            in.list(Grant.MOST_GIVEN, i -> new Given(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
+            in.list(Grant.MOST_GIVEN, i ->
+            new SlotGrant(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
                 amount(i), amount(i))));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/FanIn.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/AcceptLimits.java
@@ -5,9 +5,9 @@
 import sandpaddle.fleet.link.LinkSettings;
 
 /** Bounds what peers may open here: connections, and of them those without a finished handshake. */
-record FanIn(boolean full, Optional<Session> oldestSilent) {
+record AcceptLimits(boolean full, Optional<Session> oldestSilent) {
     /** Whether one more finds room, and who would have to go: the first of those that have not told their name. */
-    static FanIn of(Collection<Session> inOrder, LinkSettings.Bounds bounds) {
+    static AcceptLimits of(Collection<Session> inOrder, LinkSettings.Bounds bounds) {
         int accepted = 0;
         int greeting = 0;
         Session oldest = null;
@@ -16,6 +16,7 @@
             greeting += s.stage == Session.Stage.ACCEPTED || s.stage == Session.Stage.WELCOMED ? 1 : 0;
             oldest = oldest == null && s.stage == Session.Stage.ACCEPTED ? s : oldest;
         }
-        return new FanIn(accepted >= bounds.accepted() || greeting >= bounds.greeting(), Optional.ofNullable(oldest));
+        return new AcceptLimits(accepted >= bounds.accepted() || greeting >= bounds.greeting(),
+                Optional.ofNullable(oldest));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Greeter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/GreetingValidator.java
@@ -9,7 +9,7 @@
 import sandpaddle.fleet.member.MemberName;
 
 /** Judges greetings; each refusal names what is wrong, and what this gateway has in its place. */
-final class Greeter {
+final class GreetingValidator {
     /** The protocol versions that this program speaks. */
     static final int LEAST = 1;
     static final int MOST = 1;
@@ -17,14 +17,14 @@
     private static final Pattern HOST = Pattern.compile("[A-Za-z0-9._-]{1,253}");
 
     /** A greeting that is not taken. */
-    record No(Refusal code, String why) { }
+    record Rejection(Refusal code, String why) { }
 
     private final LinkSettings settings;
     private final Predicate<String> known;
     private final int least, most;
     private long stamp;
 
-    Greeter(LinkSettings settings, Predicate<String> known, int least, int most) {
+    GreetingValidator(LinkSettings settings, Predicate<String> known, int least, int most) {
         this.settings = settings;
         this.known = known;
         this.least = least;
@@ -52,7 +52,7 @@
     }
 
     /** What is wrong with the first greeting of a peer. */
-    Optional<No> judge(Greeting g) {
+    Optional<Rejection> judge(Greeting g) {
         String self = settings.self().name();
         String name = g.member().name();
         if (Greeting.common(least, most, g.least(), g.most()) == 0) {
@@ -80,7 +80,7 @@
     }
 
     /** What is wrong with the answer of a peer that was dialled. */
-    Optional<No> judgeAnswer(Greeting g, String dialled) {
+    Optional<Rejection> judgeAnswer(Greeting g, String dialled) {
         if (g.least() != g.most() || g.least() < least || g.least() > most) {
             return no(Refusal.VERSION, dialled + " chose version " + g.least() + ", not one from " + least + " to "
                     + most);
@@ -94,8 +94,8 @@
                 + shown(g.member().hall()) + " answered");
     }
 
-    private static Optional<No> no(Refusal code, String why) {
-        return Optional.of(new No(code, why));
+    private static Optional<Rejection> no(Refusal code, String why) {
+        return Optional.of(new Rejection(code, why));
     }
 
     /** What a peer said, fit for a log line. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
@@ -12,11 +12,11 @@
  * dialled, the answer, and whatever the first then sends, which shows that the answer came through.
  */
 final class Handshake {
-    private final Switchboard board;
+    private final LinkManager board;
     private final String self;
-    private final Greeter greeter;
+    private final GreetingValidator greeter;
 
-    Handshake(Switchboard board, String self, Greeter greeter) {
+    Handshake(LinkManager board, String self, GreetingValidator greeter) {
         this.board = board;
         this.self = self;
         this.greeter = greeter;
@@ -63,7 +63,7 @@
 
     private void asking(long now, Session s, Frame frame) throws FaultyMessageException {
         if (frame instanceof Frame.Welcome w) {
-            Optional<Greeter.No> no = greeter.judgeAnswer(w.from(), s.peer);
+            Optional<GreetingValidator.Rejection> no = greeter.judgeAnswer(w.from(), s.peer);
             if (no.isPresent()) {
                 board.end(now, s, Loss.REJECTED, no.get().why(), new Frame.Rejected(no.get().code(), no.get().why()));
                 return;
@@ -95,7 +95,7 @@
             throw new FaultyMessageException("a frame before the greeting");
         }
         Greeting theirs = h.from();
-        Optional<Greeter.No> no = greeter.judge(theirs).or(() -> older(theirs));
+        Optional<GreetingValidator.Rejection> no = greeter.judge(theirs).or(() -> older(theirs));
         if (no.isPresent()) {
             refuse(s, theirs, no.get());
             return;
@@ -125,18 +125,18 @@
         return p.attempt.stage == Session.Stage.DIALLING || self.compareTo(p.name) > 0;
     }
 
-    private void refuse(Session s, Greeting theirs, Greeter.No no) {
+    private void refuse(Session s, Greeting theirs, GreetingValidator.Rejection no) {
         if (no.code() == Refusal.STALE) {
             board.counts.abandoned++;
         } else {
             board.counts.refused++;
-            board.events.refused(s.address, Greeter.shown(theirs.member().name()), no.code(), no.why());
+            board.events.refused(s.address, GreetingValidator.shown(theirs.member().name()), no.code(), no.why());
         }
         board.drop(s, new Frame.Rejected(no.code(), no.why()));
     }
 
     /** Whether what is linked, or about to be, is of a newer process or newer of the same process. */
-    private Optional<Greeter.No> older(Greeting theirs) {
+    private Optional<GreetingValidator.Rejection> older(Greeting theirs) {
         Peer p = board.peers.get(theirs.member().name());
         Session other = p == null ? null : p.link != null ? p.link : p.welcomed;
         if (other == null) {
@@ -144,17 +144,19 @@
         }
         Greeting newer = other.theirs;
         if (theirs.incarnation() < newer.incarnation()) {
-            return Optional.of(new Greeter.No(Refusal.DUPLICATE, "a newer process named " + p.name + " is linked to "
+            return Optional.of(new GreetingValidator.Rejection(Refusal.DUPLICATE, "a newer process named " + p.name
+                    + " is linked to "
                     + self + ": incarnation " + newer.incarnation() + ", not " + theirs.incarnation()));
         }
         return theirs.incarnation() == newer.incarnation() && theirs.stamp() < newer.stamp()
-                ? Optional.of(new Greeter.No(Refusal.STALE, "a newer connection is linked")) : Optional.empty();
+                ? Optional.of(new GreetingValidator.Rejection(Refusal.STALE, "a newer connection is linked"))
+                : Optional.empty();
     }
 
     /** The peer heard the answer, and either refuses it or has its link from here on. */
     private void welcomed(long now, Session s, Frame frame) throws FaultyMessageException {
         Peer p = board.peers.of(s.peer);
-        Optional<Greeter.No> no = p.link == null ? Optional.empty() : older(s.theirs);
+        Optional<GreetingValidator.Rejection> no = p.link == null ? Optional.empty() : older(s.theirs);
         if (frame instanceof Frame.Rejected r) {
             board.counts.refused++;
             board.events.refused(s.address, s.peer, r.code(), "refused by " + s.peer + ": " + printable(r.reason()));
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Events.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkEvents.java
@@ -4,7 +4,7 @@
 import sandpaddle.fleet.link.frame.Refusal;
 
 /** What whoever stands on the links hears, and what only the log does. */
-public interface Events extends Links.Listener {
+public interface LinkEvents extends Links.Listener {
     /**
      * This gateway refused a connection, or ended one before it was a link.
      *
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Switchboard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
@@ -22,11 +22,11 @@
  * and each pair keeps one. Bounds: one link, one attempt and one handshake for each peer; accepted connections by the
  * settings. Cost: a map look-up for each event, a pass over all sessions for each tick.
  */
-public final class Switchboard {
+public final class LinkManager {
     private final LinkSettings settings;
-    private final Greeter greeter;
-    final Wires wires;
-    final Events events;
+    private final GreetingValidator greeter;
+    final LinkTransport wires;
+    final LinkEvents events;
     private final Map<Long, Session> sessions = new LinkedHashMap<>(); // in the order of their making
     final Peers peers;
     final LinkCounts.Counting counts = new LinkCounts.Counting();
@@ -34,19 +34,20 @@
     private long lastWire;
     private long tickedAt = Long.MIN_VALUE;
 
-    public Switchboard(LinkSettings settings, Predicate<String> known, SplittableRandom random, Wires wires,
-            Events events) {
-        this(settings, known, random, wires, events, Greeter.LEAST, Greeter.MOST);
+    public LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
+            LinkEvents events) {
+        this(settings, known, random, wires, events, GreetingValidator.LEAST, GreetingValidator.MOST);
     }
 
     /** Of a program that speaks other versions. */
-    Switchboard(LinkSettings settings, Predicate<String> known, SplittableRandom random, Wires wires, Events events,
+    LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
+            LinkEvents events,
             int least, int most) {
         this.settings = settings;
         peers = new Peers(settings, random);
         this.wires = wires;
         this.events = events;
-        greeter = new Greeter(settings, known, least, most);
+        greeter = new GreetingValidator(settings, known, least, most);
         handshake = new Handshake(this, settings.self().name(), greeter);
     }
 
@@ -82,7 +83,7 @@
 
     /** A peer has connected; returns the connection's number, or 0 where it must be closed at once. */
     public long accepted(long now, String address) {
-        FanIn in = FanIn.of(sessions.values(), settings.bounds());
+        AcceptLimits in = AcceptLimits.of(sessions.values(), settings.bounds());
         if (in.full()) {
             counts.evicted++;
             if (in.oldestSilent().isEmpty()) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Wires.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkTransport.java
@@ -4,10 +4,10 @@
 import sandpaddle.fleet.link.LinkSettings.Address;
 
 /**
- * Connections as {@link Switchboard} has them made: over sockets, or in virtual time. None of these calls may call the
+ * Connections as {@link LinkManager} has them made: over sockets, or in virtual time. None of these calls may call the
  * switchboard back before it returns.
  */
-public interface Wires {
+public interface LinkTransport {
     /** Connects; later comes {@code connected} or {@code ended}. */
     void dial(long wire, Address to);
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.link.frame.Frame;
 import sandpaddle.fleet.link.frame.FrameReader;
 import sandpaddle.fleet.link.frame.Greeting;
-import sandpaddle.fleet.link.queue.Outbox;
+import sandpaddle.fleet.link.queue.SendQueue;
 
 /** One connection: how far its handshake is, what waits for it, and when it was heard. */
 final class Session {
@@ -37,7 +37,7 @@
     final FrameReader reader = new FrameReader(Frame.MOST_GREETING_BYTES);
     final boolean opener; // whether this gateway dialled
     private final LinkSettings settings;
-    private final Outbox outbox;
+    private final SendQueue outbox;
 
     Stage stage;
     String peer = "";    // of a dialled one whom it looks for, else who it said it is
@@ -55,7 +55,7 @@
         this.wire = wire;
         this.address = address;
         this.settings = settings;
-        outbox = new Outbox(settings.bounds().queueBytes(), settings.bounds().queueFrames());
+        outbox = new SendQueue(settings.bounds().queueBytes(), settings.bounds().queueFrames());
         this.stage = stage;
         opener = stage == Stage.DIALLING;
         since = now;
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/Outbox.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
@@ -11,7 +11,7 @@
  * queue up to a part of its own, so the more urgent always finds room that the less urgent could not take; nothing
  * that was taken is dropped. Bounded by bytes and frames, plus the link's own few small frames.
  */
-public final class Outbox {
+public final class SendQueue {
     /** What the link itself says goes first; it is bounded by whoever says it. */
     private static final int OWN = 0;
     private static final int[] PERCENT = {100, 100, 90, 80, 70, 60, 50};
@@ -20,7 +20,7 @@
     private final List<ArrayDeque<ByteBuffer>> waiting = new ArrayList<>();
     private int bytes, frames;
 
-    public Outbox(int mostBytes, int mostFrames) {
+    public SendQueue(int mostBytes, int mostFrames) {
         this.mostBytes = mostBytes;
         this.mostFrames = mostFrames;
         for (int i = 0; i < PERCENT.length; i++) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Farewells.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
@@ -9,13 +9,13 @@
  * after {@value #LASTING_US} us. A connection closed at once would lose the frame where the peer has sent something
  * that was not read. Bounded by {@value #MOST}; others are closed without a word.
  */
-final class Farewells {
+final class ClosingConnections {
     static final int MOST = 128;
     static final long LASTING_US = 1_000_000;
 
-    private final Set<Wire> wires = new LinkedHashSet<>();
+    private final Set<FramedSocket> wires = new LinkedHashSet<>();
 
-    boolean add(Wire w, long now) {
+    boolean add(FramedSocket w, long now) {
         if (wires.size() >= MOST) {
             return false;
         }
@@ -23,15 +23,15 @@
         return wires.add(w);
     }
 
-    void end(Wire w) {
+    void end(FramedSocket w) {
         if (wires.remove(w)) {
             w.close();
         }
     }
 
     void expire(long now) {
-        for (Iterator<Wire> i = wires.iterator(); i.hasNext();) {
-            Wire w = i.next();
+        for (Iterator<FramedSocket> i = wires.iterator(); i.hasNext();) {
+            FramedSocket w = i.next();
             if (now >= w.closeAt) {
                 w.close();
                 i.remove();
@@ -40,7 +40,7 @@
     }
 
     void closeAll() {
-        wires.forEach(Wire::close);
+        wires.forEach(FramedSocket::close);
         wires.clear();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Wire.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/FramedSocket.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /** A socket, and the frames begun on it. */
-final class Wire {
+final class FramedSocket {
     private static final int ROUNDS = 4; // a busy peer must not keep the others waiting
 
     /** How far writing came. */
@@ -22,7 +22,7 @@
     long closeAt;     // by when it is closed after its farewell
     private final ArrayDeque<ByteBuffer> begun = new ArrayDeque<>();
 
-    Wire(long number, SocketChannel channel) {
+    FramedSocket(long number, SocketChannel channel) {
         this.number = number;
         this.channel = channel;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Handover.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
@@ -7,12 +7,12 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.Links.Loss;
-import sandpaddle.fleet.link.board.Events;
+import sandpaddle.fleet.link.board.LinkEvents;
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.Member;
 
 /** Brings what happens on links to the fleet's thread, in order, and counts the bytes that it has not taken yet. */
-final class Handover implements Events {
+final class LinkEventQueue implements LinkEvents {
     private static final int OVERHEAD = 128; // memory of one message beside its payload
 
     private final Links.Listener listener;
@@ -21,7 +21,7 @@
     private final LinkLog log = new LinkLog();
     private final AtomicLong waitingBytes = new AtomicLong();
 
-    Handover(Links.Listener listener, Executor fleet, LongSupplier clock) {
+    LinkEventQueue(Links.Listener listener, Executor fleet, LongSupplier clock) {
         this.listener = listener;
         this.fleet = fleet;
         this.clock = clock;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import sandpaddle.fleet.link.LinkSettings.Address;
 import sandpaddle.fleet.link.Links.Loss;
-import sandpaddle.fleet.link.board.Switchboard;
-import sandpaddle.fleet.link.board.Wires;
+import sandpaddle.fleet.link.board.LinkManager;
+import sandpaddle.fleet.link.board.LinkTransport;
 
 /** The sockets of all links on one selector. All but {@link #wake} is called under the lock of {@link TcpLinks}. */
-final class Sockets implements Wires {
+final class Sockets implements LinkTransport {
     /** What the kernel holds cannot be overtaken by what is more urgent, so it holds little. */
     private static final int SEND_BUFFER = 256 << 10;
     private static final int PIECE = 64 << 10;
@@ -29,13 +29,13 @@
 
     private final Selector selector;
     private final Resolver resolver = new Resolver();
-    private final Map<Long, Wire> wires = new HashMap<>();
-    private final Farewells farewells = new Farewells();
-    private final Queue<Wire> dirty = new ArrayDeque<>();
+    private final Map<Long, FramedSocket> wires = new HashMap<>();
+    private final ClosingConnections farewells = new ClosingConnections();
+    private final Queue<FramedSocket> dirty = new ArrayDeque<>();
     private final Queue<Runnable> later = new ConcurrentLinkedQueue<>();
     private final ByteBuffer in = ByteBuffer.allocateDirect(PIECE);
     private final ByteBuffer out = ByteBuffer.allocateDirect(PIECE);
-    private Switchboard board;
+    private LinkManager board;
     private boolean reading = true;
     private long now;
 
@@ -43,7 +43,7 @@
         this.selector = selector;
     }
 
-    void serve(Switchboard by) {
+    void serve(LinkManager by) {
         board = by;
     }
 
@@ -55,7 +55,7 @@
     public void dial(long wire, Address to) {
         try {
             SocketChannel channel = SocketChannel.open(StandardProtocolFamily.INET);
-            Wire w = new Wire(wire, channel);
+            FramedSocket w = new FramedSocket(wire, channel);
             wires.put(wire, w);
             resolver.resolve(to, channel::isOpen, (address, fault) -> {
                 later.add(() -> connect(w, address, fault));
@@ -66,7 +66,7 @@
         }
     }
 
-    private void connect(Wire w, InetSocketAddress address, String fault) {
+    private void connect(FramedSocket w, InetSocketAddress address, String fault) {
         if (wires.get(w.number) != w) {
             return;
         }
@@ -98,7 +98,7 @@
                 ? Loss.REFUSED : Loss.UNREACHABLE;
     }
 
-    private void connected(Wire w) {
+    private void connected(FramedSocket w) {
         w.key.interestOps(reading ? SelectionKey.OP_READ : 0);
         board.connected(now, w.number);
     }
@@ -106,7 +106,7 @@
     /** Takes a connection of a peer. */
     void accept(long at, SocketChannel channel) {
         now = at;
-        Wire w = new Wire(board.accepted(now, from(channel)), channel);
+        FramedSocket w = new FramedSocket(board.accepted(now, from(channel)), channel);
         if (w.number == 0) {
             w.close();
             return;
@@ -126,7 +126,7 @@
 
     @Override
     public void ready(long wire) {
-        Wire w = wires.get(wire);
+        FramedSocket w = wires.get(wire);
         if (w != null && !w.dirty) {
             w.dirty = true;
             dirty.add(w);
@@ -135,7 +135,7 @@
 
     @Override
     public void close(long wire, ByteBuffer last) {
-        Wire w = wires.remove(wire);
+        FramedSocket w = wires.remove(wire);
         if (w == null) {
             return;
         }
@@ -148,7 +148,7 @@
         w.interest(SelectionKey.OP_READ, true);
     }
 
-    private void end(Wire w, Loss how, String why) {
+    private void end(FramedSocket w, Loss how, String why) {
         if (wires.remove(w.number) != null) {
             w.close();
             board.ended(now, w.number, how, why);
@@ -159,7 +159,7 @@
     /** What a key is ready for. */
     void handle(long at, SelectionKey key) {
         now = at;
-        Wire w = (Wire) key.attachment();
+        FramedSocket w = (FramedSocket) key.attachment();
         try {
             if (key.isConnectable() && w.channel.finishConnect()) {
                 connected(w);
@@ -178,7 +178,7 @@
         }
     }
 
-    private void read(Wire w) throws IOException {
+    private void read(FramedSocket w) throws IOException {
         for (int round = 0; round < ROUNDS && w.channel.isOpen(); round++) {
             in.clear();
             int n = w.channel.read(in);
@@ -195,13 +195,13 @@
         }
     }
 
-    private void write(Wire w) throws IOException {
-        Wire.Written written = w.write(out, () -> w.farewell ? null : board.nextFrame(w.number));
-        if (written != Wire.Written.NOTHING && !w.farewell) {
+    private void write(FramedSocket w) throws IOException {
+        FramedSocket.Written written = w.write(out, () -> w.farewell ? null : board.nextFrame(w.number));
+        if (written != FramedSocket.Written.NOTHING && !w.farewell) {
             board.wrote(now, w.number, w.isWritten());
         }
-        w.interest(SelectionKey.OP_WRITE, written != Wire.Written.ALL);
-        if (w.farewell && written == Wire.Written.ALL) {
+        w.interest(SelectionKey.OP_WRITE, written != FramedSocket.Written.ALL);
+        if (w.farewell && written == FramedSocket.Written.ALL) {
             w.channel.shutdownOutput(); // what the peer has sent is read on, else its kernel drops our last frame
         }
     }
@@ -212,7 +212,7 @@
         for (Runnable r = later.poll(); r != null; r = later.poll()) {
             r.run();
         }
-        for (Wire w = dirty.poll(); w != null; w = dirty.poll()) {
+        for (FramedSocket w = dirty.poll(); w != null; w = dirty.poll()) {
             w.dirty = false;
             if (w.channel.isOpen() && w.channel.isConnected()) {
                 try {
@@ -236,7 +236,7 @@
 
     void closeAll() {
         farewells.closeAll();
-        wires.values().forEach(Wire::close);
+        wires.values().forEach(FramedSocket::close);
         resolver.close();
         try {
             selector.close();
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -16,13 +16,13 @@
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.board.LinkCounts;
-import sandpaddle.fleet.link.board.Switchboard;
+import sandpaddle.fleet.link.board.LinkManager;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.log.LogEvent;
 
 /**
  * Links over TCP: sockets of its own on a thread of its own ({@code fleet-link}), so that the loop that serves queries
- * never waits for a gateway. {@link Switchboard} decides; this class carries it out and keeps the time. Its cost is one
+ * never waits for a gateway. {@link LinkManager} decides; this class carries it out and keeps the time. Its cost is one
  * wake-up in a fortieth of the time of silence plus those for traffic; its memory is bounded by the settings: each
  * peer's queue and one frame, and what the fleet's thread has not taken yet.
  */
@@ -39,8 +39,8 @@
     private final ServerSocketChannel listening;
     private final SelectionKey listeningKey;
     private final Sockets sockets;
-    private final Handover handover;
-    private final Switchboard board;
+    private final LinkEventQueue handover;
+    private final LinkManager board;
     private final Thread thread;
     private long tickAt;
     private long acceptAt;
@@ -70,9 +70,9 @@
             selector.close();
             throw new IOException("fleet links cannot listen on " + listen + ": " + e.getMessage(), e);
         }
-        handover = new Handover(listener, fleet, this::now);
+        handover = new LinkEventQueue(listener, fleet, this::now);
         sockets = new Sockets(selector);
-        board = new Switchboard(settings, known, new SplittableRandom(seed), sockets, handover);
+        board = new LinkManager(settings, known, new SplittableRandom(seed), sockets, handover);
         sockets.serve(board);
         thread = new Thread(this::run, "fleet-link");
         thread.setDaemon(true);
--- a/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
@@ -37,7 +37,7 @@
     }
 
     /** When a member was heard last, and since when it has been heard without a break; monotonic microseconds. */
-    public record Heard(long lastUs, long sinceUs) { }
+    public record LastHeard(long lastUs, long sinceUs) { }
 
     /** One voter to add, one to remove, or one of each: a replacement. */
     public record Change(Optional<String> add, Optional<String> remove) {
@@ -51,7 +51,7 @@
     }
 
     /** What the leader knows. {@code observingSinceUs}: from when it has listened; nobody is missed from before. */
-    public record Situation(Roster roster, List<String> voters, String leader, Map<String, Heard> heard,
+    public record Situation(Roster roster, List<String> voters, String leader, Map<String, LastHeard> heard,
             long observingSinceUs, long changedUs) { }
 
     private final Settings settings;
@@ -96,7 +96,7 @@
     }
 
     private static boolean isMissed(Situation s, long now, String name, long forUs) {
-        Heard heard = s.heard().get(name);
+        LastHeard heard = s.heard().get(name);
         long last = heard == null ? s.observingSinceUs() : Math.max(heard.lastUs(), s.observingSinceUs());
         return now - last >= forUs;
     }
@@ -113,7 +113,7 @@
             this.s = s;
             this.now = now;
             for (Member m : s.roster().members()) {
-                Heard heard = s.heard().get(m.name());
+                LastHeard heard = s.heard().get(m.name());
                 if (!s.voters().contains(m.name()) && heard != null && lives(s, now, m.name())
                         && now - heard.sinceUs() >= settings.steadyUs()) {
                     candidates.add(m);
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -12,20 +12,20 @@
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.tcp.TcpLinks;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.agree.Agreement;
+import sandpaddle.fleet.node.agree.VoterSetup;
 import sandpaddle.fleet.node.agree.VoterThread;
-import sandpaddle.fleet.node.lead.Leading;
-import sandpaddle.fleet.node.lead.Ruling;
-import sandpaddle.fleet.node.loop.Heard;
+import sandpaddle.fleet.node.lead.CommittedConfig;
+import sandpaddle.fleet.node.lead.FleetLeader;
+import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.node.loop.LoopSide;
 import sandpaddle.fleet.node.loop.PoolBudget;
-import sandpaddle.fleet.node.outage.LoopFetching;
 import sandpaddle.fleet.node.outage.OutageThread;
-import sandpaddle.fleet.node.rights.FloorsOnDisk;
-import sandpaddle.fleet.node.rights.PoolSide;
-import sandpaddle.fleet.node.rights.RightsKeeper;
+import sandpaddle.fleet.node.outage.QueryPathFetcher;
+import sandpaddle.fleet.node.rights.FloorStore;
+import sandpaddle.fleet.node.rights.PoolCoordinator;
+import sandpaddle.fleet.node.rights.RightsManager;
 import sandpaddle.fleet.node.spread.EvidenceFlow;
-import sandpaddle.fleet.view.Shared;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.http.ConnectionBudget;
 import sandpaddle.net.Scheduler;
 import sandpaddle.query.FleetSide;
@@ -45,9 +45,9 @@
 
     private final TaskThread thread = new TaskThread("fleet");
     private final TcpLinks links;
-    private final Parts parts;
-    private final Course course;
-    private final LoopFetching fetching;
+    private final NodeComponents parts;
+    private final FleetTopology course;
+    private final QueryPathFetcher fetching;
     private final LoopSide side;
 
     /**
@@ -61,41 +61,44 @@
         MonotonicClock clock = new MonotonicClock();
         long incarnation = Math.max(1, System.currentTimeMillis() << 10 | seed & 1023);
         long now = clock.now();
-        Shared shared = Shared.fresh();
-        Queue<Heard> heard = new SpscArrayQueue<>(MOST_HEARD);
+        SharedState shared = SharedState.fresh();
+        Queue<LoopEvent> heard = new SpscArrayQueue<>(MOST_HEARD);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // for the loop's thread
-        FloorsOnDisk floors = settings.directory() == null ? null : new FloorsOnDisk(settings.directory(),
+        FloorStore floors = settings.directory() == null ? null : new FloorStore(settings.directory(),
                 settings.limits().floorKeep());
-        RightsKeeper rights = new RightsKeeper(name, incarnation, self.hall(), classes,
-                floors == null ? RightsKeeper.unwritten(settings.limits()) : settings.limits(),
+        RightsManager rights = new RightsManager(name, incarnation, self.hall(), classes,
+                floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(), shared, now);
         rights.ownFile(settings.agreed().limits());
-        PoolSide pools = new PoolSide(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
-        Ruling ruling = new Ruling();
+        PoolCoordinator pools =
+                new PoolCoordinator(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
+        CommittedConfig ruling = new CommittedConfig();
         ruling.offer(settings.agreed().text());
-        course = new Course(settings.agreed());
-        Reception reception = new Reception(course);
+        course = new FleetTopology(settings.agreed());
+        MessageDispatcher reception = new MessageDispatcher(course);
         links = new TcpLinks(new LinkSettings(settings.cluster(), self, incarnation, settings.links(),
                 LinkSettings.Bounds.USUAL, settings.routes()), settings.listen(), course::knows, reception, thread,
                 seed);
         EvidenceFlow evidence = new EvidenceFlow(self, incarnation, settings.verdicts(), settings.limits().drift(),
                 links, halls, classes.size(), now);
-        Agreement agreement = settings.directory() == null ? null
-                : Agreement.start(settings, name, links, clock, thread, seed);
+        VoterSetup agreement = settings.directory() == null ? null
+                : VoterSetup.start(settings, name, links, clock, thread, seed);
         VoterThread voter = agreement == null ? null : agreement.voter();
-        Leading leading = agreement == null ? null
-                : new Leading(name, voter, agreement.parts(), settings.limits(), pools.desk(), ruling,
+        FleetLeader leading = agreement == null ? null
+                : new FleetLeader(name, voter, agreement.parts(), settings.limits(), pools.desk(), ruling,
                         settings.voters());
-        fetching = new LoopFetching(classes, site, tasks, wake, seed);
+        fetching = new QueryPathFetcher(classes, site, tasks, wake, seed);
         OutageThread outage = !settings.outages().isOn() ? null : new OutageThread(settings.outages(),
-                new Itself(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links, fetching,
+                new LocalNode(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links,
+                fetching,
                 this::isBusy, seed);
-        side = new LoopSide(site, loop, clock, shared, new LoopSide.Wires(heard, tasks, wake),
+        side = new LoopSide(site, loop, clock, shared, new LoopSide.Channels(heard, tasks, wake),
                 outage == null ? null : outage::lookUp, pools.budget(),
                 settings.limits().surely(settings.limits().engineForget()), settings.limits().lease());
-        parts = new Parts(settings, self, clock, links, rights, floors, evidence, ruling, pools, voter, leading, outage,
+        parts = new NodeComponents(settings, self, clock, links, rights, floors, evidence, ruling, pools, voter,
+                leading, outage,
                 wake);
-        Rounds rounds = new Rounds(parts, course, reception, heard, thread, site);
+        PeriodicTasks rounds = new PeriodicTasks(parts, course, reception, heard, thread, site);
         new LimitBounds(settings.limits(), LINK_MOST_US).lines(settings.agreed().limits(),
                 settings.agreed().members().size()).forEach(line -> Logger.info("fleet: {}", line));
         Logger.info("fleet {}: {} of hall {} listens on {} for {} gateways", settings.cluster(), name, self.hall(),
--- a/gateway/src/main/java/sandpaddle/fleet/node/Course.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -10,39 +10,39 @@
 import org.tinylog.Logger;
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.node.agree.VoterThread;
-import sandpaddle.fleet.node.wire.News;
+import sandpaddle.fleet.node.wire.StatusMessage;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
  * By what this gateway goes: which file rules, who the members are, who votes; and so to whom it keeps links. A voter
  * reads it from what was agreed, all others hear it from the voters.
  */
-final class Course {
+final class FleetTopology {
     private static final int MOST_NEIGHBOURS = 8; // of the hall, to which links are kept for stored answers
 
     private final Map<String, Long> rulingOf = new HashMap<>(); // the version that a peer goes by
     private final Set<String> up = new HashSet<>();
     private volatile Set<String> known; // names that may link
-    private Parts parts;
-    private Agreed ownFile;
-    private Agreed followed = Agreed.NONE; // what rules, as a gateway without a vote has heard it
-    private News lastNews = new News(0, "", List.of(), 0, "");
+    private NodeComponents parts;
+    private FleetConfig ownFile;
+    private FleetConfig followed = FleetConfig.NONE; // what rules, as a gateway without a vote has heard it
+    private StatusMessage lastNews = new StatusMessage(0, "", List.of(), 0, "");
     private Map<String, String> hallOf = Map.of();
     private Set<String> votersSeen = Set.of();
 
-    Course(Agreed ownFile) {
+    FleetTopology(FleetConfig ownFile) {
         this.ownFile = ownFile;
-        known = names(ownFile, Agreed.NONE);
+        known = names(ownFile, FleetConfig.NONE);
     }
 
-    void begin(Parts all) {
+    void begin(NodeComponents all) {
         parts = all;
         rewire();
     }
 
-    private static Set<String> names(Agreed a, Agreed b) {
+    private static Set<String> names(FleetConfig a, FleetConfig b) {
         Set<String> all = new HashSet<>();
         a.members().forEach(m -> all.add(m.name()));
         b.members().forEach(m -> all.add(m.name()));
@@ -55,7 +55,7 @@
     }
 
     /** A new operator's file. */
-    void file(Agreed next) {
+    void file(FleetConfig next) {
         ownFile = next;
         parts.rights().ownFile(next.limits());
         parts.ruling().offer(next.text());
@@ -63,14 +63,14 @@
     }
 
     /** What rules as far as known; this gateway's own file before anything was heard. */
-    private Agreed ruled() {
-        Agreed agreed = parts.voter() != null && parts.ruling().agreed().version() >= followed.version()
+    private FleetConfig ruled() {
+        FleetConfig agreed = parts.voter() != null && parts.ruling().agreed().version() >= followed.version()
                 ? parts.ruling().agreed() : followed;
         return agreed.version() == 0 ? ownFile : agreed;
     }
 
     long rulingVersion() {
-        Agreed ruled = ruled();
+        FleetConfig ruled = ruled();
         return ruled == ownFile ? 0 : ruled.version();
     }
 
@@ -99,7 +99,7 @@
 
     /** Members, voters or the file have changed: who may link, and to whom this gateway keeps links. */
     void rewire() {
-        Agreed agreed = ruled();
+        FleetConfig agreed = ruled();
         parts.pools().rules(agreed);
         known = names(agreed, ownFile);
         List<String> voting = voters();
@@ -142,13 +142,13 @@
         rulingOf.put(peer, version);
     }
 
-    void heard(News news) throws FaultyMessageException {
+    void heard(StatusMessage news) throws FaultyMessageException {
         if (news.term() < lastNews.term()) {
             return;
         }
         boolean changed = !news.voters().equals(lastNews.voters());
         lastNews = news;
-        Agreed agreed = news.text().isEmpty() ? Agreed.NONE : news.agreed();
+        FleetConfig agreed = news.text().isEmpty() ? FleetConfig.NONE : news.agreed();
         if (agreed.version() > followed.version()) {
             followed = agreed;
             changed = true;
@@ -170,10 +170,11 @@
     /** As a voter, tells all that are linked. */
     void tellNews() {
         VoterThread.Status status = parts.voter().status();
-        Agreed agreed = parts.ruling().agreed();
+        FleetConfig agreed = parts.ruling().agreed();
         for (String peer : up) {
             boolean has = rulingOf.getOrDefault(peer, 0L) >= agreed.version();
-            parts.links().send(peer, Kind.NEWS, new News(status.term(), status.leader().orElse(""), status.voters(),
+            parts.links().send(peer, Kind.NEWS,
+                    new StatusMessage(status.term(), status.leader().orElse(""), status.voters(),
                     agreed.version(), has || agreed.version() == 0 ? "" : agreed.text()).encode());
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/Itself.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/LocalNode.java
@@ -7,5 +7,5 @@
  * What a gateway knows of itself: name, hall, the incarnation drawn at its start, its clock, the settings of its site,
  * and the classes' names by number.
  */
-public record Itself(String name, String hall, long incarnation, MonotonicClock clock, Gateway.Settings site,
+public record LocalNode(String name, String hall, long incarnation, MonotonicClock clock, Gateway.Settings site,
         List<String> classes) { }
--- a/gateway/src/main/java/sandpaddle/fleet/node/Reception.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -6,21 +6,21 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.wire.BeatMessage;
-import sandpaddle.fleet.node.wire.News;
+import sandpaddle.fleet.node.wire.HeartbeatMessage;
+import sandpaddle.fleet.node.wire.StatusMessage;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /** What comes over the links, handed to the part that it is for. A message that cannot be used is named and dropped. */
-final class Reception implements Links.Listener {
-    private final Course course;
-    private Parts parts;
-    private Rounds rounds;
+final class MessageDispatcher implements Links.Listener {
+    private final FleetTopology course;
+    private NodeComponents parts;
+    private PeriodicTasks rounds;
 
-    Reception(Course course) {
+    MessageDispatcher(FleetTopology course) {
         this.course = course;
     }
 
-    void begin(Parts all, Rounds its) {
+    void begin(NodeComponents all, PeriodicTasks its) {
         parts = all;
         rounds = its;
     }
@@ -45,11 +45,11 @@
                     parts.voter().received(from, payload);
                 }
             }
-            case BEAT -> beaten(now, from, BeatMessage.decode(payload));
-            case GRANT -> granted(BeatMessage.grant(payload));
+            case BEAT -> beaten(now, from, HeartbeatMessage.decode(payload));
+            case GRANT -> granted(HeartbeatMessage.grant(payload));
             case EVIDENCE -> parts.evidence().received(now, from, payload);
             case PROPOSAL -> parts.ruling().offer(new String(payload, StandardCharsets.US_ASCII));
-            case NEWS -> course.heard(News.decode(payload));
+            case NEWS -> course.heard(StatusMessage.decode(payload));
             case CONTENT -> {
                 if (parts.outage() != null && parts.self().hall().equals(course.hallOf(from))) {
                     parts.outage().received(from, payload);
@@ -59,7 +59,7 @@
         }
     }
 
-    void beaten(long now, String from, BeatMessage m) {
+    void beaten(long now, String from, HeartbeatMessage m) {
         course.goesBy(from, m.ruling());
         if (parts.leading() != null) {
             parts.leading().beat(now, from, m.beat());
--- a/gateway/src/main/java/sandpaddle/fleet/node/Parts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -4,12 +4,12 @@
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.node.agree.VoterThread;
-import sandpaddle.fleet.node.lead.Leading;
-import sandpaddle.fleet.node.lead.Ruling;
+import sandpaddle.fleet.node.lead.CommittedConfig;
+import sandpaddle.fleet.node.lead.FleetLeader;
 import sandpaddle.fleet.node.outage.OutageThread;
-import sandpaddle.fleet.node.rights.FloorsOnDisk;
-import sandpaddle.fleet.node.rights.PoolSide;
-import sandpaddle.fleet.node.rights.RightsKeeper;
+import sandpaddle.fleet.node.rights.FloorStore;
+import sandpaddle.fleet.node.rights.PoolCoordinator;
+import sandpaddle.fleet.node.rights.RightsManager;
 import sandpaddle.fleet.node.spread.EvidenceFlow;
 
 /**
@@ -17,8 +17,9 @@
  * directory, {@code floors} with them; {@code outage} is null where nothing is stored. {@code wake}: has the loop take
  * a turn.
  */
-record Parts(FleetSettings settings, Member self, MonotonicClock clock, Links links, RightsKeeper rights,
-        FloorsOnDisk floors, EvidenceFlow evidence, Ruling ruling, PoolSide pools, VoterThread voter, Leading leading,
+record NodeComponents(FleetSettings settings, Member self, MonotonicClock clock, Links links, RightsManager rights,
+        FloorStore floors, EvidenceFlow evidence, CommittedConfig ruling, PoolCoordinator pools, VoterThread voter,
+        FleetLeader leading,
         OutageThread outage, Runnable wake) {
 
     boolean isSelf(String name) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/Rounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -6,26 +6,27 @@
 import java.util.Set;
 import java.util.TreeSet;
 import sandpaddle.decide.Gateway;
-import sandpaddle.fleet.limit.hold.KeptFloor;
+import sandpaddle.fleet.limit.hold.SavedFloor;
 import sandpaddle.fleet.link.Kind;
-import sandpaddle.fleet.node.loop.Heard;
-import sandpaddle.fleet.node.wire.BeatMessage;
+import sandpaddle.fleet.node.loop.LoopEvent;
+import sandpaddle.fleet.node.wire.HeartbeatMessage;
 import sandpaddle.fleet.view.FleetView;
 
 /** What is done again and again on the fleet's thread: beats, evidence, and the leader's work. */
-final class Rounds {
+final class PeriodicTasks {
     private static final long NEWS_EVERY_US = 1_000_000;
 
-    private final Parts parts;
-    private final Course course;
-    private final Reception reception;
-    private final Queue<Heard> heard;
+    private final NodeComponents parts;
+    private final FleetTopology course;
+    private final MessageDispatcher reception;
+    private final Queue<LoopEvent> heard;
     private final TaskThread thread;
     private final Gateway.Settings site;
     private final Set<String> engines = new TreeSet<>();
     private long newsAt = Long.MIN_VALUE / 2;
 
-    Rounds(Parts parts, Course course, Reception reception, Queue<Heard> heard, TaskThread thread,
+    PeriodicTasks(NodeComponents parts, FleetTopology course, MessageDispatcher reception, Queue<LoopEvent> heard,
+            TaskThread thread,
             Gateway.Settings site) {
         this.parts = parts;
         this.course = course;
@@ -37,16 +38,17 @@
 
     /** Takes what the loop has told since. */
     private void drain() {
-        for (Heard h = heard.poll(); h != null; h = heard.poll()) {
+        for (LoopEvent h = heard.poll(); h != null; h = heard.poll()) {
             parts.evidence().heard(h);
             if (parts.outage() != null) {
                 parts.outage().heard(h);
             }
-            if (h instanceof Heard.Met m) {
+            if (h instanceof LoopEvent.TenantSeen m) {
                 parts.rights().met(m.tenant());
-            } else if (h instanceof Heard.Listed l) {
+            } else if (h instanceof LoopEvent.EngineListChanged l) {
                 listed(l.list());
-            } else if (h instanceof Heard.Ended e && e.rows() != null && site.classes().get(e.cls()).load()) {
+            } else if (h instanceof LoopEvent.AttemptEnded e && e.rows() != null && site.classes().get(e.cls())
+                    .load()) {
                 parts.evidence().loaded(e.now(), Long.toString(e.query().tableGroup()));
             }
         }
@@ -79,7 +81,8 @@
         drain();
         publish();
         long now = parts.clock().now();
-        BeatMessage message = new BeatMessage(course.rulingVersion(), course.fileVersion(), parts.rights().beat(now));
+        HeartbeatMessage message =
+                new HeartbeatMessage(course.rulingVersion(), course.fileVersion(), parts.rights().beat(now));
         byte[] bytes = message.encode();
         for (String v : course.votersSeen()) {
             if (parts.isSelf(v)) {
@@ -104,7 +107,7 @@
 
     /** So that a restart while cut off has its floors. The thread that waits for the disk writes them. */
     void keepFloors() {
-        List<KeptFloor> kept = parts.rights().holder().floors();
+        List<SavedFloor> kept = parts.rights().holder().floors();
         parts.voter().execute(() -> {
             if (parts.floors().write(kept)) {
                 thread.execute(() -> parts.rights().holder().floorsWritten(parts.clock().now(), kept));
@@ -123,7 +126,7 @@
             if (parts.isSelf(grant.member())) {
                 reception.granted(grant);
             } else {
-                parts.links().send(grant.member(), Kind.GRANT, BeatMessage.encode(grant));
+                parts.links().send(grant.member(), Kind.GRANT, HeartbeatMessage.encode(grant));
             }
         });
         if (parts.ruling().agreed().version() != ruledBefore || course.votersChanged()) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/Agreed.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -16,11 +16,11 @@
  * What the operator's file says for the whole fleet: the highest {@code version} rules, whoever has it. {@code pool}:
  * the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
  */
-public record Agreed(long version, List<Member> members, List<LimitSpec> limits, String pool, String schedule) {
+public record FleetConfig(long version, List<Member> members, List<LimitSpec> limits, String pool, String schedule) {
     /** The name of its text among those that the voters agree on. */
     public static final String NAME = "agreed";
     /** Before any file was read. */
-    public static final Agreed NONE = new Agreed(0, List.of(), List.of(), "", "");
+    public static final FleetConfig NONE = new FleetConfig(0, List.of(), List.of(), "", "");
     /** The longest pool policy or schedule, in bytes of UTF-8. */
     public static final int MOST_TEXT = 64 << 10;
 
@@ -41,7 +41,7 @@
     }
 
     /** Reads what {@link #text} wrote. */
-    public static Agreed of(String text) throws FaultyMessageException {
+    public static FleetConfig of(String text) throws FaultyMessageException {
         byte[] bytes;
         try {
             bytes = Base64.getDecoder().decode(text.getBytes(StandardCharsets.US_ASCII));
@@ -50,7 +50,7 @@
         }
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
-        Agreed agreed = new Agreed(in.number(1, Long.MAX_VALUE), in.list(MOST_MEMBERS, Agreed::member),
+        FleetConfig agreed = new FleetConfig(in.number(1, Long.MAX_VALUE), in.list(MOST_MEMBERS, FleetConfig::member),
                 in.list(CommandCodec.MOST_LIMITS, CommandCodec::spec), in.text(MOST_TEXT), in.text(MOST_TEXT));
         in.end();
         return agreed;
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/Directory.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterDirectory.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 import sandpaddle.fleet.FleetSettings;
 import sandpaddle.fleet.node.MonotonicClock;
-import sandpaddle.fleet.state.voter.Founding;
-import sandpaddle.fleet.store.State;
+import sandpaddle.fleet.state.voter.GroupBootstrap;
 import sandpaddle.fleet.store.StoreException;
+import sandpaddle.fleet.store.StoreState;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.store.disk.NioDisk;
 import sandpaddle.fleet.store.mv.MvVoterStore;
 
 /** A voter's directory on the operating system's disk. */
-public final class Directory {
-    private Directory() {
+public final class VoterDirectory {
+    private VoterDirectory() {
     }
 
     static VoterStore open(FleetSettings settings, String name, MonotonicClock clock) throws StoreException {
@@ -27,11 +27,11 @@
      */
     public static Optional<String> format(FleetSettings settings, String name) throws StoreException {
         try (VoterStore store = open(settings, name, new MonotonicClock())) {
-            State state = store.state();
+            StoreState state = store.state();
             if (!state.writable()) {
                 return Optional.of("takes no writes: " + state);
             }
-            return Founding.format(store, settings.cluster(), name, settings.founders());
+            return GroupBootstrap.format(store, settings.cluster(), name, settings.founders());
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/Agreement.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
@@ -8,30 +8,30 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.node.MonotonicClock;
-import sandpaddle.fleet.node.lead.Leading;
+import sandpaddle.fleet.node.lead.FleetLeader;
 import sandpaddle.fleet.state.machine.Machine;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
-import sandpaddle.fleet.state.machine.Policy;
+import sandpaddle.fleet.state.machine.VersionedTexts;
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.state.voter.Voter;
 
 /** The agreement of one gateway put together: its parts, its store, its thread. */
-public record Agreement(VoterThread voter, Leading.Parts parts) {
+public record VoterSetup(VoterThread voter, FleetLeader.Components parts) {
     private static final byte RIGHTS = 3; // its tag in the log, for ever
     private static final RaftSettings RAFT = RaftSettings.USUAL;
 
     /** Starts it on the settings' directory. */
-    public static Agreement start(FleetSettings settings, String name, Links links, MonotonicClock clock,
+    public static VoterSetup start(FleetSettings settings, String name, Links links, MonotonicClock clock,
             Executor fleet, long seed) {
         Membership membership = new Membership();
-        Policy policy = new Policy();
+        VersionedTexts policy = new VersionedTexts();
         RightsTable table = new RightsTable(settings.limits());
-        Part members = new Part(Membership.TAG, "members", membership);
-        Part policies = new Part(Policy.TAG, "policies", policy);
-        Part rights = new Part(RIGHTS, "rights", table);
+        MachinePart members = new MachinePart(Membership.TAG, "members", membership);
+        MachinePart policies = new MachinePart(VersionedTexts.TAG, "policies", policy);
+        MachinePart rights = new MachinePart(RIGHTS, "rights", table);
         Machine machine = new Machine(List.of(members, policies, rights), new Watching());
-        Voter.Around around = new Voter.Around() {
+        Voter.Callbacks around = new Voter.Callbacks() {
             @Override
             public void send(String to, byte[] message) {
                 links.send(to, Kind.RAFT, message);
@@ -43,13 +43,13 @@
             }
         };
         VoterThread voter = new VoterThread(new Voter.Settings(settings.cluster(), name, RAFT, members),
-                () -> Directory.open(settings, name, clock), machine, around, clock, fleet, seed);
-        return new Agreement(voter, new Leading.Parts(members, membership, policies, policy, rights, table));
+                () -> VoterDirectory.open(settings, name, clock), machine, around, clock, fleet, seed);
+        return new VoterSetup(voter, new FleetLeader.Components(members, membership, policies, policy, rights, table));
     }
 
     private static final class Watching implements Machine.Watcher {
         @Override
-        public void applied(long index, Part part, byte[] answer) {
+        public void applied(long index, MachinePart part, byte[] answer) {
             // who needs the state reads it
         }
 
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public void faulted(long index, Part part, RuntimeException how) {
+        public void faulted(long index, MachinePart part, RuntimeException how) {
             Logger.error(how, "fleet: part {} failed on command {}", part.name(), index);
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -40,7 +40,7 @@
     private final Voter.Settings settings;
     private final Opening opening;
     private final Machine machine;
-    private final Voter.Around around;
+    private final Voter.Callbacks around;
     private final MonotonicClock clock;
     private final Executor fleet;
     private final Random random;
@@ -54,7 +54,7 @@
     private volatile boolean closed;
 
     /** Starts the thread. */
-    public VoterThread(Voter.Settings settings, Opening opening, Machine machine, Voter.Around around,
+    public VoterThread(Voter.Settings settings, Opening opening, Machine machine, Voter.Callbacks around,
             MonotonicClock clock, Executor fleet, long seed) {
         this.settings = settings;
         this.opening = opening;
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/Ruling.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
@@ -2,28 +2,28 @@
 
 import java.util.Optional;
 import org.tinylog.Logger;
-import sandpaddle.fleet.node.agree.Agreed;
-import sandpaddle.fleet.state.machine.Policy;
+import sandpaddle.fleet.node.agree.FleetConfig;
+import sandpaddle.fleet.state.machine.VersionedTexts;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
  * What the operator's files say for the whole fleet: the highest version rules. A text that this version cannot read is
  * named once in the log; the one before goes on ruling here, so rights are moved by what both know.
  */
-public final class Ruling {
-    private Agreed agreed = Agreed.NONE;
+public final class CommittedConfig {
+    private FleetConfig agreed = FleetConfig.NONE;
     private long epoch; // of the text read last
     private String newest = ""; // the text of the highest version offered by any gateway
     private long newestVersion;
 
     /** The text that the voters agreed on, as of now; whether another one rules. */
-    boolean read(Optional<Policy.Text> text) {
+    boolean read(Optional<VersionedTexts.Text> text) {
         if (text.isEmpty() || text.get().epoch() == epoch) {
             return false;
         }
         epoch = text.get().epoch();
         try {
-            agreed = Agreed.of(text.get().text());
+            agreed = FleetConfig.of(text.get().text());
             return true;
         } catch (FaultyMessageException e) {
             Logger.error("fleet: what was agreed under epoch {} cannot be read here, version {} goes on: {}", epoch,
@@ -35,7 +35,7 @@
     /** A gateway offers its file's text. */
     public void offer(String text) {
         try {
-            Agreed offered = Agreed.of(text);
+            FleetConfig offered = FleetConfig.of(text);
             if (offered.version() > newestVersion) {
                 newestVersion = offered.version();
                 newest = text;
@@ -47,12 +47,12 @@
 
     /** The command that has a newer version ruled, if one is known. */
     Optional<byte[]> toPropose() {
-        return newestVersion > agreed.version() ? Optional.of(Policy.put(Agreed.NAME, epoch, newest))
+        return newestVersion > agreed.version() ? Optional.of(VersionedTexts.put(FleetConfig.NAME, epoch, newest))
                 : Optional.empty();
     }
 
     /** What rules. */
-    public Agreed agreed() {
+    public FleetConfig agreed() {
         return agreed;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/Leading.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -9,47 +9,48 @@
 import org.tinylog.Logger;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
-import sandpaddle.fleet.limit.allot.Allotter;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allot.AllocatorOutput;
+import sandpaddle.fleet.limit.allot.RightsAllocator;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.CommandCodec;
 import sandpaddle.fleet.limit.table.RightsTable;
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.member.Roster;
 import sandpaddle.fleet.member.VoterPlan;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.node.agree.VoterThread;
-import sandpaddle.fleet.node.pool.PoolDesk;
+import sandpaddle.fleet.node.pool.PoolAllocator;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.state.Consensus;
-import sandpaddle.fleet.state.machine.Answer;
+import sandpaddle.fleet.state.machine.CommandResult;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
-import sandpaddle.fleet.state.machine.Policy;
+import sandpaddle.fleet.state.machine.VersionedTexts;
 
 /**
  * What the leader does, on the fleet's thread: has the newest file ruled, brings members and limits in line with it,
  * hears beats, moves rights, and keeps the voters spread. All of it is proposals; a gateway that leads no more has
  * them refused.
  */
-public final class Leading {
+public final class FleetLeader {
     /** The replicated parts that this stands on. */
-    public record Parts(Part members, Membership membership, Part policies, Policy policy, Part rights,
+    public record Components(MachinePart members, Membership membership, MachinePart policies, VersionedTexts policy,
+            MachinePart rights,
             RightsTable table) { }
 
     private static final long LINE_UP_US = 200_000; // between two looks at whether members and limits are in line
     private static final long ANSWER_US = 1_000_000; // a proposal that was not answered is made again
 
     private final VoterThread voters;
-    private final Parts parts;
-    private final Allotter allotter;
-    private final Ruling ruling;
-    private final PoolDesk pools;
+    private final Components parts;
+    private final RightsAllocator allotter;
+    private final CommittedConfig ruling;
+    private final PoolAllocator pools;
     private final VoterPlan plan;
     private final String self;
-    private final Map<String, VoterPlan.Heard> heard = new HashMap<>();
+    private final Map<String, VoterPlan.LastHeard> heard = new HashMap<>();
     private long term;
     private long ledSince;
     private long changedAt = Long.MIN_VALUE / 2;
@@ -58,37 +59,38 @@
     private long pendingSince = Long.MIN_VALUE / 2;
     private int pending;
 
-    public Leading(String self, VoterThread voters, Parts parts, LimitSettings limits, PoolDesk pools, Ruling ruling,
+    public FleetLeader(String self, VoterThread voters, Components parts, LimitSettings limits, PoolAllocator pools,
+            CommittedConfig ruling,
             VoterPlan.Settings plan) {
         this.self = self;
         this.voters = voters;
         this.parts = parts;
         this.ruling = ruling;
         this.plan = new VoterPlan(plan);
-        allotter = new Allotter(limits, parts.table(), pools);
+        allotter = new RightsAllocator(limits, parts.table(), pools);
         this.pools = pools;
     }
 
     /** A gateway was heard. */
     public void heard(String member, long now) {
-        VoterPlan.Heard before = heard.get(member);
-        heard.put(member, new VoterPlan.Heard(now, before == null ? now : before.sinceUs()));
+        VoterPlan.LastHeard before = heard.get(member);
+        heard.put(member, new VoterPlan.LastHeard(now, before == null ? now : before.sinceUs()));
     }
 
     /** Its link is down. */
     public void lost(String member) {
-        VoterPlan.Heard before = heard.remove(member);
+        VoterPlan.LastHeard before = heard.remove(member);
         if (before != null) {
-            heard.put(member, new VoterPlan.Heard(before.lastUs(), Long.MAX_VALUE)); // up since never
+            heard.put(member, new VoterPlan.LastHeard(before.lastUs(), Long.MAX_VALUE)); // up since never
         }
     }
 
     /** Its link is up. */
     public void met(String member, long now) {
-        heard.put(member, new VoterPlan.Heard(now, now));
+        heard.put(member, new VoterPlan.LastHeard(now, now));
     }
 
-    public void beat(long now, String member, Beat beat) {
+    public void beat(long now, String member, Heartbeat beat) {
         heard(member, now);
         voters.read(() -> {
             allotter.beat(now, member, beat);
@@ -99,7 +101,7 @@
     /** To be called every few tens of milliseconds, with what conditions are judged by; grants go to {@code send}. */
     public void tick(long now, FleetState state, Consumer<Grant> send) {
         VoterThread.Status status = voters.status();
-        voters.read(() -> ruling.read(parts.policy().text(Agreed.NAME)));
+        voters.read(() -> ruling.read(parts.policy().text(FleetConfig.NAME)));
         if (!status.leads()) {
             if (term != 0) {
                 term = 0;
@@ -127,7 +129,7 @@
             linedUpAt = now;
             lineUp(now, status);
         }
-        Turn turn = voters.read(() -> allotter.tick(now));
+        AllocatorOutput turn = voters.read(() -> allotter.tick(now));
         turn.propose().forEach(c -> voters.propose(parts.rights().command(CommandCodec.write(c)), this::told));
         turn.grants().forEach(send);
     }
@@ -153,7 +155,7 @@
 
     private void told(Consensus.Outcome outcome) {
         if (outcome instanceof Consensus.Outcome.Done d) {
-            Answer answer = Answer.of(d.result());
+            CommandResult answer = CommandResult.of(d.result());
             if (!answer.taken()) {
                 Logger.debug("fleet: a command was refused: {}", answer.why());
             }
@@ -177,7 +179,7 @@
     private List<byte[]> missing() {
         List<byte[]> commands = new ArrayList<>();
         ruling.toPropose().ifPresent(c -> commands.add(parts.policies().command(c)));
-        Agreed agreed = ruling.agreed();
+        FleetConfig agreed = ruling.agreed();
         if (agreed.version() == 0) {
             return commands;
         }
@@ -217,7 +219,7 @@
         if (!roster.has(self)) {
             return;
         }
-        heard.put(self, new VoterPlan.Heard(now, ledSince));
+        heard.put(self, new VoterPlan.LastHeard(now, ledSince));
         plan.next(new VoterPlan.Situation(roster, status.voters(), self, Map.copyOf(heard), ledSince, changedAt), now)
                 .ifPresent(change -> {
                     changedAt = now;
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Allowing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -5,29 +5,30 @@
 import java.util.List;
 import java.util.Set;
 import sandpaddle.decide.Gateway;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Slot;
 
 /** What the rights of one moment mean for the module: allowances, less what lingers, and an honest pause. */
-final class Allowing {
+final class AllowanceCalculator {
     private static final int UNBOUNDED = Integer.MAX_VALUE;
     private static final int MOST_BARRED = 4096; // told one by one; the rest is found where an attempt would be written
 
     private static final Set<String> EVERY = Set.of("");
 
-    private final Buckets buckets;
-    private final Tenants tenants;
+    private final RateBuckets buckets;
+    private final TenantNumbers tenants;
     private final long leaseUs;
 
-    Allowing(Buckets buckets, Tenants tenants, long leaseUs) {
+    AllowanceCalculator(RateBuckets buckets, TenantNumbers tenants, long leaseUs) {
         this.buckets = buckets;
         this.tenants = tenants;
         this.leaseUs = leaseUs;
     }
 
     /** {@code lingering}: what counts there and is out no more as the module knows it. */
-    Gateway.Allowances of(FleetView view, Cells cells, Lingering lingering, Set<String> listed, long now) {
+    Gateway.Allowances of(FleetView view, AttemptCounters cells, OrphanedAttempts lingering, Set<String> listed,
+            long now) {
         List<Gateway.Allowance> all = new ArrayList<>();
         long[] lingers = lingering.bySlot(cells, view.slots().size());
         long pause = 0;
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Excess.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import sandpaddle.decide.Gateway;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Slot;
 import sandpaddle.query.FleetSide;
@@ -12,11 +12,12 @@
  * Which attempts are withdrawn when rights have lapsed: the latest to begin first, until the floors cover the rest.
  * What may not be repeated is left, for which rights outlive their lease.
  */
-final class Excess {
-    private Excess() {
+final class ExcessAttempts {
+    private ExcessAttempts() {
     }
 
-    static List<String> of(FleetView view, Cells cells, Tenants tenants, Gateway.Settings site, List<FleetSide.Out> out,
+    static List<String> of(FleetView view, AttemptCounters cells, TenantNumbers tenants, Gateway.Settings site,
+            List<FleetSide.Out> out,
             long now) {
         long[] over = new long[view.slots().size()];
         for (int i = 0; i < over.length; i++) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Listed.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ListedEngines.java
@@ -6,12 +6,12 @@
 import sandpaddle.decide.Gateway;
 
 /** The engines that the list names as up, and which of them stand in this gateway's hall. */
-final class Listed {
+final class ListedEngines {
     private final int zone;
     private final Set<String> up = new LinkedHashSet<>();
     private final Set<String> inside = new HashSet<>();
 
-    Listed(int zone) {
+    ListedEngines(int zone) {
         this.zone = zone;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Heard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopEvent.java
@@ -6,20 +6,20 @@
 import sandpaddle.query.ResultSet;
 
 /** What the loop tells the fleet's thread of a query; {@code now} is monotonic time (us). */
-public sealed interface Heard {
+public sealed interface LoopEvent {
     /** An attempt ended; {@code rows} where it was answered and answers are stored, else null. */
-    record Ended(long now, String engine, int cls, String tenant, Query query, Outcome outcome, long latencyUs,
-            ResultSet rows) implements Heard { }
+    record AttemptEnded(long now, String engine, int cls, String tenant, Query query, Outcome outcome, long latencyUs,
+            ResultSet rows) implements LoopEvent { }
 
     /** A probe ended. */
-    record Probed(long now, String engine, boolean answered) implements Heard { }
+    record ProbeEnded(long now, String engine, boolean answered) implements LoopEvent { }
 
     /** The engine list changed. */
-    record Listed(long now, Gateway.EngineList list) implements Heard { }
+    record EngineListChanged(long now, Gateway.EngineList list) implements LoopEvent { }
 
     /** A tenant was met for the first time. */
-    record Met(long now, String tenant) implements Heard { }
+    record TenantSeen(long now, String tenant) implements LoopEvent { }
 
     /** A query was taken: one that may be asked again when its hall is cut off. */
-    record Asked(long now, int cls, String tenant, Query query) implements Heard { }
+    record QueryReceived(long now, int cls, String tenant, Query query) implements LoopEvent { }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopSide.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopSide.java
@@ -10,9 +10,9 @@
 import sandpaddle.decide.Micros;
 import sandpaddle.fleet.node.MonotonicClock;
 import sandpaddle.fleet.verdict.watch.Outcome;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
-import sandpaddle.fleet.view.Shared;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.net.Scheduler;
 import sandpaddle.query.Answer;
 import sandpaddle.query.FleetSide;
@@ -33,26 +33,27 @@
      * What goes between the loop's thread and the fleet's: what was heard, tasks for the loop, and what has it take a
      * turn.
      */
-    public record Wires(Queue<Heard> heard, Queue<Runnable> tasks, Runnable wake) { }
+    public record Channels(Queue<LoopEvent> heard, Queue<Runnable> tasks, Runnable wake) { }
 
     private static final long REFRESH_US = 20_000; // between two looks at buckets that fill
 
     private final Gateway.Settings site;
     private final Scheduler loop;
     private final MonotonicClock clock;
-    private final Queue<Heard> heard; // bounded; what it does not take is lost, which costs evidence and nothing else
+    // bounded; what it does not take is lost, which costs evidence and nothing else
+    private final Queue<LoopEvent> heard;
     private final Stored stored;
     private final Runnable wake;
     private final Queue<Runnable> tasks; // from the fleet's threads, for the loop's
     private volatile long waiting;
     private volatile boolean storms;
-    private final Tenants tenants = new Tenants();
-    private final Cells cells;
-    private final Buckets buckets = new Buckets();
-    private final Lingering lingering;
-    private final Allowing allowing;
+    private final TenantNumbers tenants = new TenantNumbers();
+    private final AttemptCounters cells;
+    private final RateBuckets buckets = new RateBuckets();
+    private final OrphanedAttempts lingering;
+    private final AllowanceCalculator allowing;
     private final PoolBudget pools;
-    private final Listed listed;
+    private final ListedEngines listed;
     private FleetView view = FleetView.NOTHING;
     private boolean leased = true;
     private boolean stale = true; // what the module was told last may differ from what holds now
@@ -62,7 +63,7 @@
     private List<FleetView.Verdict> shown = List.of();
 
     /** {@code forgetUs}: after which an engine has dropped what nobody asks for; {@code leaseUs}: the longest pause. */
-    public LoopSide(Gateway.Settings site, Scheduler loop, MonotonicClock clock, Shared shared, Wires wires,
+    public LoopSide(Gateway.Settings site, Scheduler loop, MonotonicClock clock, SharedState shared, Channels wires,
             Stored stored, PoolBudget pools, long forgetUs, long leaseUs) {
         this.site = site;
         this.loop = loop;
@@ -72,10 +73,10 @@
         wake = wires.wake();
         this.stored = stored;
         this.pools = pools;
-        cells = new Cells(shared.views(), shared.usages(), site.classes().size());
-        lingering = new Lingering(forgetUs);
-        listed = new Listed(site.zone());
-        allowing = new Allowing(buckets, tenants, leaseUs);
+        cells = new AttemptCounters(shared.views(), shared.usages(), site.classes().size());
+        lingering = new OrphanedAttempts(forgetUs);
+        listed = new ListedEngines(site.zone());
+        allowing = new AllowanceCalculator(buckets, tenants, leaseUs);
         refresh();
     }
 
@@ -136,11 +137,11 @@
     @Override
     public int taken(int cls, Query query) {
         String counted = tenants.counted(query.tenant());
-        heard.offer(new Heard.Asked(clock.now(), cls, counted, query));
+        heard.offer(new LoopEvent.QueryReceived(clock.now(), cls, counted, query));
         cells.taken(cls, counted);
         if (tenants.hasGrown()) {
             stale = true;
-            heard.offer(new Heard.Met(clock.now(), counted));
+            heard.offer(new LoopEvent.TenantSeen(clock.now(), counted));
         }
         return tenants.number(counted);
     }
@@ -191,7 +192,8 @@
         }
         Outcome outcome = outcome(e.result());
         if (outcome != null) {
-            heard.offer(new Heard.Ended(now, e.engine(), e.cls(), tenant, e.query(), outcome, Micros.of(e.elapsed()),
+            heard.offer(new LoopEvent.AttemptEnded(now, e.engine(), e.cls(), tenant, e.query(), outcome,
+                    Micros.of(e.elapsed()),
                     e.rows()));
         }
     }
@@ -209,14 +211,14 @@
 
     @Override
     public void probed(String engine, Gateway.Result result) {
-        heard.offer(new Heard.Probed(clock.now(), engine, result == Gateway.Result.OK));
+        heard.offer(new LoopEvent.ProbeEnded(clock.now(), engine, result == Gateway.Result.OK));
     }
 
     @Override
     public void listed(Gateway.EngineList list) {
         listed.take(list);
         stale = true;
-        heard.offer(new Heard.Listed(clock.now(), list));
+        heard.offer(new LoopEvent.EngineListChanged(clock.now(), list));
     }
 
     @Override
@@ -250,6 +252,6 @@
 
     @Override
     public List<String> excess(List<Out> out) {
-        return Excess.of(view, cells, tenants, site, out, clock.now());
+        return ExcessAttempts.of(view, cells, tenants, site, out, clock.now());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Buckets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/RateBuckets.java
@@ -7,7 +7,7 @@
 import sandpaddle.fleet.view.Slot;
 
 /** The token buckets of those limits that bound what begins in a time, by limit; they outlive a new numbering. */
-final class Buckets {
+final class RateBuckets {
     private Map<String, TokenBucket> byLimit = new HashMap<>();
     private TokenBucket[] bySlot = new TokenBucket[0];
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/Tenants.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantNumbers.java
@@ -9,7 +9,7 @@
  * The tenants met here, each with the number that the module counts it by. Those past {@link #MOST} count as one, with
  * those that name no tenant: a flood of names must not cost more than a flood of queries.
  */
-final class Tenants {
+final class TenantNumbers {
     static final int MOST = 4096;
     /** The tenant of queries that name none, of those past the bound, and of names that no limit can have. */
     static final String OTHERS = "default";
@@ -18,7 +18,7 @@
     private final Map<String, String> named = new HashMap<>();
     private boolean grown;
 
-    Tenants() {
+    TenantNumbers() {
         numbers.put(OTHERS, 0);
         named.put("", OTHERS);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/HallAnswers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -9,14 +9,14 @@
 import sandpaddle.query.Answer;
 
 /** Words what was decided of a stored answer: rows with a note, or a refusal until the link is expected back. */
-final class HallAnswers {
+final class OutageResponses {
     private static final long SECOND_MS = 1000;
 
     private final RefusalPause pauses;
     private final SplittableRandom random;
     private long served, refused;
 
-    HallAnswers(RefusalPause pauses, long seed) {
+    OutageResponses(RefusalPause pauses, long seed) {
         this.pauses = pauses;
         random = new SplittableRandom(seed);
     }
