--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/HallKeeper.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -8,27 +8,27 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import sandpaddle.fleet.OutageSettings;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.fleet.content.ContentStore;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.StoredAnswer;
-import sandpaddle.fleet.content.copy.Copies;
-import sandpaddle.fleet.content.copy.CopyLinks;
-import sandpaddle.fleet.content.copy.CopySettings;
-import sandpaddle.fleet.content.copy.Message;
-import sandpaddle.fleet.content.copy.Out;
-import sandpaddle.fleet.content.copy.StoreShelf;
-import sandpaddle.fleet.content.serve.Changes;
+import sandpaddle.fleet.content.copy.AnswerReplication;
+import sandpaddle.fleet.content.copy.ContentReplicaStore;
+import sandpaddle.fleet.content.copy.OutgoingMessage;
+import sandpaddle.fleet.content.copy.ReplicationLinks;
+import sandpaddle.fleet.content.copy.ReplicationMessage;
+import sandpaddle.fleet.content.copy.ReplicationSettings;
+import sandpaddle.fleet.content.serve.DataChanges;
 import sandpaddle.fleet.content.serve.Decision;
 import sandpaddle.fleet.content.serve.RefusalPause;
+import sandpaddle.fleet.content.serve.ServeContext;
 import sandpaddle.fleet.content.serve.ServeRule;
-import sandpaddle.fleet.content.serve.Situation;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.node.Itself;
+import sandpaddle.fleet.node.LocalNode;
 import sandpaddle.fleet.node.MonotonicClock;
-import sandpaddle.fleet.node.loop.Heard;
+import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.outage.margin.Margins;
 import sandpaddle.fleet.outage.phase.Evidence;
 import sandpaddle.fleet.outage.phase.HallPhase;
@@ -38,9 +38,9 @@
 import sandpaddle.fleet.outage.plan.Budget;
 import sandpaddle.fleet.outage.plan.Catalogue;
 import sandpaddle.fleet.outage.plan.Fetch;
-import sandpaddle.fleet.outage.plan.Owners;
-import sandpaddle.fleet.outage.plan.Prefetch;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.plan.Prefetcher;
+import sandpaddle.fleet.outage.plan.ReplicaOwners;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.query.Answer;
 import sandpaddle.query.Query;
@@ -51,7 +51,7 @@
  * neighbour that owns it too, and while the hall is cut off answers from it. All calls come from the thread
  * {@code fleet-content}, which may wait for the disk.
  */
-public final class HallKeeper {
+public final class OutageService {
     private static final double NEWEST = 0.3; // of a day in the history of asks
     private static final long REPLAN_US = 30_000_000;
     private static final long WANTS_US = 60_000_000; // between two tellings of what is expected to be asked
@@ -64,29 +64,30 @@
 
     private final OutageSettings settings;
     private final String self;
-    private final Storable storable;
+    private final StorableClasses storable;
     private final MonotonicClock clock;
     private final long process;
-    private final Fetching fetching;
+    private final AnswerFetcher fetching;
     private final HallPhase phase;
     private final Margins margins;
     private final ContentStore store;
-    private final StoreShelf shelf;
-    private final CopyLinks links;
-    private final Copies copies;
-    private final Prefetch prefetch;
-    private final Changes changes;
-    private final HallAnswers answers;
+    private final ContentReplicaStore shelf;
+    private final ReplicationLinks links;
+    private final AnswerReplication copies;
+    private final Prefetcher prefetch;
+    private final DataChanges changes;
+    private final OutageResponses answers;
     private final Set<String> live = new TreeSet<>();
     private long wantsAt = Long.MIN_VALUE / 2;
     private long heardAt;
 
     /** {@code over}: carries copies to neighbours. */
-    public HallKeeper(OutageSettings settings, Itself itself, ContentStore store, Links over, Fetching fetching,
+    public OutageService(OutageSettings settings, LocalNode itself, ContentStore store, Links over,
+            AnswerFetcher fetching,
             long seed) {
         this.settings = settings;
         self = itself.name();
-        storable = new Storable(settings.maxAgeMs(), itself.classes(), itself.site());
+        storable = new StorableClasses(settings.maxAgeMs(), itself.classes(), itself.site());
         clock = itself.clock();
         process = itself.incarnation();
         this.store = store;
@@ -94,14 +95,14 @@
         margins = new Margins(settings.margins());
         phase = new HallPhase(itself.hall(), settings.schedule(), margins, settings.margins().mostMs(),
                 settings.phase());
-        shelf = new StoreShelf(store, process, settings.content().wallSlackMs());
-        copies = new Copies(CopySettings.DEFAULT, shelf, shelf::age, this::wanted);
-        links = new CopyLinks(over, copies);
-        changes = new Changes(process, settings.content().wallSlackMs() * 1000);
-        prefetch = new Prefetch(self, new Budget(settings.content().memoryBytes() / Owners.COPIES,
+        shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
+        copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
+        links = new ReplicationLinks(over, copies);
+        changes = new DataChanges(process, settings.content().wallSlackMs() * 1000);
+        prefetch = new Prefetcher(self, new Budget(settings.content().memoryBytes() / ReplicaOwners.COPIES,
                 settings.fillWorkUs(), 0.9, SAFETY_MS), REPLAN_US, new AskHistory(NEWEST),
                 new Catalogue(CATALOGUE, CATALOGUE_BYTES));
-        answers = new HallAnswers(new RefusalPause(1, Math.max(1, itself.site().limits().maxRetryAfterUs() / 1000),
+        answers = new OutageResponses(new RefusalPause(1, Math.max(1, itself.site().limits().maxRetryAfterUs() / 1000),
                 settings.phase().returningUs() / 1000), seed);
         live.add(self);
         heardAt = clock.now();
@@ -120,7 +121,7 @@
         before.stream().filter(n -> !live.contains(n)).forEach(copies::forget);
         if (!before.equals(live)) {
             for (ContentId id : store.ids()) { // what a dead one held has a new holder
-                Owners.afterChange(id, before, live, self).forEach(to -> copies.offer(to, id));
+                ReplicaOwners.afterChange(id, before, live, self).forEach(to -> copies.offer(to, id));
             }
         }
     }
@@ -138,15 +139,15 @@
         links.received(from, payload, clock.now());
     }
 
-    private void wanted(String from, Message.Want want) {
+    private void wanted(String from, ReplicationMessage.Want want) {
         prefetch.wanted(from, want.what(), want.asks());
     }
 
     /** What the loop heard. */
-    public void heard(Heard heard) {
-        if (heard instanceof Heard.Asked a && storable.repeats(a.cls()) && storable.maxAgeMs(a.cls()) > 0) {
+    public void heard(LoopEvent heard) {
+        if (heard instanceof LoopEvent.QueryReceived a && storable.repeats(a.cls()) && storable.maxAgeMs(a.cls()) > 0) {
             prefetch.asked(wall(), storable.key(a.cls(), a.query()).id().a());
-        } else if (heard instanceof Heard.Ended e && e.rows() != null) {
+        } else if (heard instanceof LoopEvent.AttemptEnded e && e.rows() != null) {
             if (storable.repeats(e.cls())) {
                 take(e.cls(), storable.key(e.cls(), e.query()), e.query().tableGroup(), e.rows(), e.now(),
                         e.latencyUs());
@@ -179,19 +180,21 @@
         long now = clock.now();
         long wall = wall();
         long askedWall = wall - (now - askedAt) / 1000;
-        Span ahead = ahead(now, wall).orElse(new Span(wall, wall + HOUR_MS));
-        StoredAnswer answer = new StoredAnswer(new Meta(c.key(), c.groups(), askedWall, askedAt, process, c.maxAgeMs(),
+        TimeRange ahead = ahead(now, wall).orElse(new TimeRange(wall, wall + HOUR_MS));
+        StoredAnswer answer =
+                new StoredAnswer(new AnswerMetadata(c.key(), c.groups(), askedWall, askedAt, process, c.maxAgeMs(),
                 prefetch.worth(c, askedWall, ahead)), rows);
         if (!store.put(answer, now, wall)) {
             return false;
         }
-        Owners.copyTo(c.key().id(), live, self).ifPresent(to -> copies.offer(to, c.key().id()));
+        ReplicaOwners.copyTo(c.key().id(), live, self).ifPresent(to -> copies.offer(to, c.key().id()));
         return true;
     }
 
     /** The outage that is expected, with the margins that were learnt. */
-    private Optional<Span> ahead(long now, long wall) {
-        return phase.lossAt().map(at -> new Span(at, Math.max(at + 1, phase.returnAt(now, wall, RETURN_LEAST_MS))));
+    private Optional<TimeRange> ahead(long now, long wall) {
+        return phase.lossAt()
+                .map(at -> new TimeRange(at, Math.max(at + 1, phase.returnAt(now, wall, RETURN_LEAST_MS))));
     }
 
     /** Time passes; {@code busy}: live traffic or a storm needs what filling would take. */
@@ -203,17 +206,18 @@
                 m.to(), m.why(), answers));
         phase.endings().forEach(margins::learn);
         shelf.at(now, wall);
-        Optional<Span> ahead = ahead(now, wall);
+        Optional<TimeRange> ahead = ahead(now, wall);
         Allowance allowance = busy ? Allowance.NONE : new Allowance(FETCHES,
                 settings.fillWorkUs() / Math.max(1, live.size()));
-        for (Fetch f : prefetch.turn(now, wall, new Prefetch.View(phase.phase(), ahead, live), allowance,
+        for (Fetch f : prefetch.turn(now, wall, new Prefetcher.View(phase.phase(), ahead, live), allowance,
                 store::askedAt)) {
             fetch(f);
         }
         if (ahead.isPresent() && phase.phase() != Phase.ISOLATED && now - wantsAt >= WANTS_US) {
             wantsAt = now;
-            List<Out> told = new ArrayList<>();
-            prefetch.wants(ahead.get(), live).forEach(w -> told.add(new Out(w.to(), new Message.Want(w.what(),
+            List<OutgoingMessage> told = new ArrayList<>();
+            prefetch.wants(ahead.get(), live)
+                    .forEach(w -> told.add(new OutgoingMessage(w.to(), new ReplicationMessage.Want(w.what(),
                     w.asks()))));
             links.send(told);
         }
@@ -246,7 +250,7 @@
         ContentKey key = storable.key(cls, q);
         Optional<StoredAnswer> found = storable.repeats(cls) && storable.maxAgeMs(cls) > 0 ? store.find(key)
                 : Optional.empty();
-        Situation s = new Situation(isIsolated(), now, wall, process, store.trusts(wall),
+        ServeContext s = new ServeContext(isIsolated(), now, wall, process, store.trusts(wall),
                 settings.content().wallSlackMs(), heardAt, settings.content().unheardMostMs());
         Decision d = ServeRule.decide(key, storable.repeats(cls), storable.maxAgeMs(cls), found, s, changes);
         answer.accept(answers.answer(d, isIsolated(), enginesInside && storable.repeats(cls), wall,
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -13,10 +13,10 @@
 import sandpaddle.fleet.content.disk.DiskTier;
 import sandpaddle.fleet.content.memory.MemoryTier;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.node.Itself;
+import sandpaddle.fleet.node.LocalNode;
 import sandpaddle.fleet.node.MonotonicClock;
 import sandpaddle.fleet.node.TaskThread;
-import sandpaddle.fleet.node.loop.Heard;
+import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.outage.phase.Evidence;
 import sandpaddle.fleet.verdict.HallLink;
 import sandpaddle.fleet.view.FleetView;
@@ -32,14 +32,14 @@
     private static final long TICK_US = 200_000;
 
     private final TaskThread thread = new TaskThread("fleet-content");
-    private final HallKeeper keeper;
+    private final OutageService keeper;
     private final MonotonicClock clock;
     private volatile FleetView.Isolation isolation = FleetView.Isolation.NONE;
     private volatile HallLink link;
     private volatile long heardOutsideAt;
 
     /** {@code directory}: of this gateway, null for none; {@code busy}: whether live traffic needs all there is. */
-    public OutageThread(OutageSettings settings, Itself self, Path directory, Links over, Fetching fetching,
+    public OutageThread(OutageSettings settings, LocalNode self, Path directory, Links over, AnswerFetcher fetching,
             BooleanSupplier busy, long seed) {
         clock = self.clock();
         heardOutsideAt = clock.now();
@@ -48,7 +48,7 @@
                 : Optional.of(DiskTier.open(new DirectoryFiles(directory.resolve("content")), new DiskSettings(
                         c.diskBytes(), c.segmentBytes(), c.entries(), DiskSettings.DEFAULT.filesMost(),
                         DiskSettings.DEFAULT.retryUs()), System.currentTimeMillis()));
-        keeper = new HallKeeper(settings, self,
+        keeper = new OutageService(settings, self,
                 new ContentStore(new MemoryTier(c.memoryBytes()), disk, c.flushUs()), over,
                 (key, work, done) -> fetching.fetch(key, work, rows -> thread.execute(() -> done.accept(rows))), seed);
         thread.begin();
@@ -80,8 +80,8 @@
         return isolation;
     }
 
-    public void heard(Heard heard) {
-        if (heard instanceof Heard.Asked || heard instanceof Heard.Ended) {
+    public void heard(LoopEvent heard) {
+        if (heard instanceof LoopEvent.QueryReceived || heard instanceof LoopEvent.AttemptEnded) {
             thread.execute(() -> keeper.heard(heard));
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/LoopFetching.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
@@ -14,7 +14,7 @@
 import sandpaddle.query.ResultSet;
 
 /** Fetches by the way of every query, under a trace of its own, and under the tenant of what is fetched ahead. */
-public final class LoopFetching implements Fetching {
+public final class QueryPathFetcher implements AnswerFetcher {
     /** The tenant that it counts as, for limits and pools. */
     public static final String TENANT = "prefetch";
 
@@ -25,7 +25,8 @@
     private final SplittableRandom random; // of the loop's thread
     private volatile QueryService service; // null until it is there
 
-    public LoopFetching(List<String> classes, Gateway.Settings site, Queue<Runnable> loop, Runnable wake, long seed) {
+    public QueryPathFetcher(List<String> classes, Gateway.Settings site, Queue<Runnable> loop, Runnable wake,
+            long seed) {
         this.classes = classes;
         this.site = site;
         this.loop = loop;
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/Storable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
@@ -10,7 +10,7 @@
 import sandpaddle.query.ResultSet;
 
 /** Which answers may be stored: those of classes that may be repeated and whose age is stated, by class's name. */
-record Storable(Map<String, Long> maxAge, List<String> classes, Gateway.Settings site) {
+record StorableClasses(Map<String, Long> maxAge, List<String> classes, Gateway.Settings site) {
 
     /** How old an answer of a class may be handed out; 0: it is never stored. */
     long maxAgeMs(int cls) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolDesk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -10,17 +10,17 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Claim;
+import sandpaddle.fleet.limit.allot.SlotDemand;
 import sandpaddle.fleet.limit.allot.Target;
-import sandpaddle.fleet.limit.allot.Targets;
+import sandpaddle.fleet.limit.allot.TargetPolicy;
 import sandpaddle.fleet.limit.table.CommandCodec;
 import sandpaddle.fleet.limit.table.LimitRow;
 import sandpaddle.fleet.limit.table.RightsTable;
 import sandpaddle.fleet.limit.table.SlotName;
-import sandpaddle.fleet.pool.model.Facts;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.solve.Allotment;
+import sandpaddle.fleet.pool.model.SolverInput;
+import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.Limit;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
@@ -29,7 +29,7 @@
  * these should be shared. It solves every {@value #EVERY_US} us at most, and only where demand, engines, gateways, the
  * policy or the fleet's state changed. What it says is a wish: that a budget is never exceeded rests on the table.
  */
-public final class PoolDesk implements Targets {
+public final class PoolAllocator implements TargetPolicy {
     static final long EVERY_US = 200_000;
     private static final long AGAIN_US = 1_000_000; // conditions such as the time of day change without a sign
     private static final int SPARE_PART = 4;
@@ -43,7 +43,7 @@
     private final Map<String, Map<SlotName, Integer>> demands = new TreeMap<>(); // by the limit of a kind
     private final Map<String, Long> amounts = new HashMap<>(); // what each budget left for tenants last
     private Known known = Known.NOTHING;
-    private Allotment allotment;
+    private Allocation allotment;
     private PoolTargets targets = PoolTargets.NONE;
     private boolean changed;
     private boolean isCut;
@@ -57,7 +57,8 @@
                 amounts.clear();
             }
             known = next;
-            demands.keySet().removeIf(l -> next.engines().stream().noneMatch(e -> l.equals(PoolIds.KIND + e.kind())));
+            demands.keySet().removeIf(l -> next.engines().stream()
+                    .noneMatch(e -> l.equals(PoolLimitIds.KIND + e.kind())));
             changed = true;
         }
     }
@@ -71,8 +72,8 @@
         changed = false;
         solvedAt = now;
         try {
-            Allotment next = PoolSolver.solve(known.policy().get(), facts(state), allotment == null
-                    ? Allotment.NONE : allotment);
+            Allocation next = PoolSolver.solve(known.policy().get(), facts(state), allotment == null
+                    ? Allocation.NONE : allotment);
             boolean other = allotment == null || !next.rows().equals(allotment.rows())
                     || !next.cells().equals(allotment.cells()) || !next.budgets().equals(allotment.budgets());
             if (other && (allotment == null || !next.unmet().equals(allotment.unmet()))) {
@@ -89,20 +90,21 @@
         }
     }
 
-    private Facts facts(FleetState state) {
-        List<Facts.Gateway> gateways = new ArrayList<>();
-        known.halls().forEach((name, hall) -> gateways.add(new Facts.Gateway(name, hall)));
-        List<Facts.Engine> engines = known.engines().stream().filter(PoolEngine::up)
-                .map(e -> new Facts.Engine(e.name(), e.kind(), false)).toList();
+    private SolverInput facts(FleetState state) {
+        List<SolverInput.Gateway> gateways = new ArrayList<>();
+        known.halls().forEach((name, hall) -> gateways.add(new SolverInput.Gateway(name, hall)));
+        List<SolverInput.Engine> engines = known.engines().stream().filter(PoolEngine::up)
+                .map(e -> new SolverInput.Engine(e.name(), e.kind(), false)).toList();
         boolean spare = hasSpare();
-        List<Facts.Demand> all = new ArrayList<>();
+        List<SolverInput.Demand> all = new ArrayList<>();
         demands.forEach((limit, of) -> of.forEach((slot, n) -> {
-            if (known.halls().containsKey(slot.member()) && all.size() < Facts.MOST_DEMANDS) {
-                all.add(new Facts.Demand(slot.sub(), "", slot.member(), limit.substring(PoolIds.KIND.length()),
-                        Math.min(Facts.MOST_CONNECTIONS, spare ? n + more(n) : n)));
+            if (known.halls().containsKey(slot.member()) && all.size() < SolverInput.MOST_DEMANDS) {
+                all.add(new SolverInput.Demand(slot.sub(), "", slot.member(),
+                        limit.substring(PoolLimitIds.KIND.length()),
+                        Math.min(SolverInput.MOST_CONNECTIONS, spare ? n + more(n) : n)));
             }
         }));
-        return new Facts(state, gateways, engines, all);
+        return new SolverInput(state, gateways, engines, all);
     }
 
     /** So that the next query needs no new right: one more, or a quarter. */
@@ -129,13 +131,14 @@
      */
     public List<LimitSpec> limits(RightsTable table, int others) {
         if (known.policy().isPresent() && (known.engines().isEmpty() || allotment == null)) {
-            return table.specs().values().stream().filter(s -> PoolIds.isPool(s.id())).toList();
+            return table.specs().values().stream().filter(s -> PoolLimitIds.isPool(s.id())).toList();
         }
         List<LimitSpec> specs = new ArrayList<>();
         int room = Math.max(0, CommandCodec.MOST_LIMITS - others);
         List<String> ids = known.policy().isEmpty() ? List.of()
-                : PoolIds.of(known.policy().get(), known.engines()).stream()
-                        .sorted((a, b) -> Boolean.compare(a.startsWith(PoolIds.ENGINE), b.startsWith(PoolIds.ENGINE)))
+                : PoolLimitIds.of(known.policy().get(), known.engines()).stream()
+                        .sorted((a, b) -> Boolean.compare(a.startsWith(PoolLimitIds.ENGINE),
+                        b.startsWith(PoolLimitIds.ENGINE)))
                         .toList();
         if (ids.size() > room && !isCut) {
             Logger.error("fleet: {} budgets of engines, kinds and the fleet, {} limits at most; nothing may run at the "
@@ -144,7 +147,7 @@
         isCut = ids.size() > room;
         for (String id : ids.subList(0, Math.min(room, ids.size()))) {
             LimitRow row = table.limits().get(id);
-            long amount = amounts.getOrDefault(id, (long) Facts.MOST_CONNECTIONS);
+            long amount = amounts.getOrDefault(id, (long) SolverInput.MOST_CONNECTIONS);
             specs.add(new LimitSpec(id, Scope.WHOLE, Unit.CONNECTIONS,
                     Math.max(amount, row == null ? 0 : row.floors()), 0));
         }
@@ -153,20 +156,20 @@
 
     @Override
     public boolean decide(LimitSpec limit) {
-        return PoolIds.isPool(limit.id());
+        return PoolLimitIds.isPool(limit.id());
     }
 
     @Override
-    public List<Target> targets(long now, LimitSpec limit, long amount, List<Claim> claims) {
-        if (limit.id().startsWith(PoolIds.KIND)) {
+    public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims) {
+        if (limit.id().startsWith(PoolLimitIds.KIND)) {
             Map<SlotName, Integer> asked = new TreeMap<>();
-            claims.forEach(c -> asked.put(c.slot(), (int) Math.min(Facts.MOST_CONNECTIONS,
+            claims.forEach(c -> asked.put(c.slot(), (int) Math.min(SolverInput.MOST_CONNECTIONS,
                     Math.ceil(c.demand() - FADED))));
             changed |= !asked.equals(demands.put(limit.id(), asked));
         }
         List<Target> wish = new ArrayList<>(claims.size());
         double sum = 0;
-        for (Claim claim : claims) {
+        for (SlotDemand claim : claims) {
             Target target = targets.of(limit.id(), claim.slot());
             sum += target.share();
             wish.add(target);
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolIds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
@@ -14,7 +14,7 @@
  * that a gateway knows what binds it before any leader has told: a budget whose condition does not hold is one
  * without bound.
  */
-final class PoolIds {
+final class PoolLimitIds {
     /** What the ids of all limits by a policy begin with. */
     static final String PREFIX = "pool/";
     static final String KIND = new Limit(Limit.Of.KIND, "").id();
@@ -22,7 +22,7 @@
     /** The one slot of a gateway in the limit of an engine, which all tenants share. */
     static final String ALL = "*";
 
-    private PoolIds() { }
+    private PoolLimitIds() { }
 
     static boolean isPool(String limit) {
         return limit.startsWith(PREFIX);
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
@@ -21,7 +21,7 @@
 public final class PoolSlots {
     static final int MOST = 16_384;
     /** What an attempt must have a slot of as soon as any policy divides. */
-    public static final Slot NEEDED = new Slot(PoolIds.KIND, "", -1, null, Slot.EACH, Slot.Counts.CONNECTIONS);
+    public static final Slot NEEDED = new Slot(PoolLimitIds.KIND, "", -1, null, Slot.EACH, Slot.Counts.CONNECTIONS);
 
     private Optional<Policy> policy = Optional.empty();
     private List<PoolEngine> engines = List.of();
@@ -50,7 +50,7 @@
     /** By limit; {@code limits}: the ids of all limits that the leader has told. None where no policy divides. */
     public Map<String, List<Slot>> of(Collection<String> limits) {
         Set<String> pools = new TreeSet<>();
-        limits.stream().filter(PoolIds::isPool).forEach(pools::add);
+        limits.stream().filter(PoolLimitIds::isPool).forEach(pools::add);
         if (slots == null || !pools.equals(given)) {
             given = pools;
             slots = make();
@@ -60,16 +60,16 @@
 
     private Map<String, List<Slot>> make() {
         Set<String> ids = new TreeSet<>(given);
-        policy.ifPresent(p -> ids.addAll(PoolIds.of(p, engines)));
+        policy.ifPresent(p -> ids.addAll(PoolLimitIds.of(p, engines)));
         Map<String, Set<String>> kinds = new TreeMap<>();
         Set<String> names = new TreeSet<>();
         for (PoolEngine e : engines) {
-            names.add(PoolIds.ENGINE + e.name());
-            kinds.computeIfAbsent(PoolIds.KIND + e.kind(), k -> new TreeSet<>()).add(e.name());
+            names.add(PoolLimitIds.ENGINE + e.name());
+            kinds.computeIfAbsent(PoolLimitIds.KIND + e.kind(), k -> new TreeSet<>()).add(e.name());
         }
         Set<String> named = policy.map(Policy::tenants).orElse(Set.of());
         Set<String> counted = new TreeSet<>();
-        int shared = (int) ids.stream().filter(id -> !id.startsWith(PoolIds.ENGINE)).count();
+        int shared = (int) ids.stream().filter(id -> !id.startsWith(PoolLimitIds.ENGINE)).count();
         for (String tenant : met) {
             if ((counted.size() + 1L) * shared <= MOST && named.contains(tenant)) {
                 counted.add(tenant);
@@ -79,7 +79,8 @@
         Map<String, List<Slot>> made = new LinkedHashMap<>();
         for (String id : ids) {
             if (names.contains(id)) {
-                made.put(id, List.of(new Slot(id, PoolIds.ALL, -1, null, id.substring(PoolIds.ENGINE.length()),
+                made.put(id, List.of(new Slot(id, PoolLimitIds.ALL, -1, null,
+                        id.substring(PoolLimitIds.ENGINE.length()),
                         Slot.Counts.CONNECTIONS)));
             } else if (id.equals(Limit.FLEET.id()) || kinds.containsKey(id)) {
                 Set<String> of = kinds.containsKey(id) ? Set.copyOf(kinds.get(id)) : null;
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.allot.Target;
 import sandpaddle.fleet.limit.table.SlotName;
-import sandpaddle.fleet.pool.solve.Allotment;
+import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.Limit;
 
 /** What one allotment means for every slot. Cost O(rows + cells); as many entries at most. */
@@ -34,12 +34,12 @@
 
     private PoolTargets() { }
 
-    PoolTargets(Allotment allotment, Iterable<PoolEngine> engines) {
-        for (Allotment.Row row : allotment.rows()) {
+    PoolTargets(Allocation allotment, Iterable<PoolEngine> engines) {
+        for (Allocation.Row row : allotment.rows()) {
             SlotName slot = new SlotName(row.gateway(), row.tenant());
             add(shared.computeIfAbsent(Limit.FLEET.id(), l -> new HashMap<>()).computeIfAbsent(slot, s -> new Sum()),
                     row);
-            add(shared.computeIfAbsent(PoolIds.KIND + row.kind(), l -> new HashMap<>())
+            add(shared.computeIfAbsent(PoolLimitIds.KIND + row.kind(), l -> new HashMap<>())
                     .computeIfAbsent(slot, s -> new Sum()), row);
             add(byKind.computeIfAbsent(row.kind(), k -> new TreeMap<>()).computeIfAbsent(row.gateway(),
                     g -> new Sum()), row);
@@ -47,23 +47,23 @@
         Set<String> bounded = new HashSet<>();
         allotment.budgets().forEach(room -> bounded.add(room.limit().id()));
         engines.forEach(e -> {
-            if (e.up() && !bounded.contains(PoolIds.ENGINE + e.name())) {
-                kindOf.put(PoolIds.ENGINE + e.name(), e.kind());
+            if (e.up() && !bounded.contains(PoolLimitIds.ENGINE + e.name())) {
+                kindOf.put(PoolLimitIds.ENGINE + e.name(), e.kind());
             }
         });
-        for (Allotment.Cell cell : allotment.cells()) {
+        for (Allocation.Cell cell : allotment.cells()) {
             Sum sum = byKind.getOrDefault(cell.kind(), Map.of()).get(cell.gateway());
             if (sum != null && sum.connections > 0) { // by the running sum, so that parts of one do not get lost
                 sum.passed += cell.connections();
                 long floor = Math.min(cell.connections(), sum.floor * sum.passed / sum.connections - sum.given);
                 sum.given += floor;
-                single.computeIfAbsent(PoolIds.ENGINE + cell.engine(), l -> new HashMap<>())
-                        .put(new SlotName(cell.gateway(), PoolIds.ALL), new Target(cell.connections(), floor));
+                single.computeIfAbsent(PoolLimitIds.ENGINE + cell.engine(), l -> new HashMap<>())
+                        .put(new SlotName(cell.gateway(), PoolLimitIds.ALL), new Target(cell.connections(), floor));
             }
         }
     }
 
-    private static void add(Sum sum, Allotment.Row row) {
+    private static void add(Sum sum, Allocation.Row row) {
         sum.connections += row.connections();
         sum.floor += row.floor();
     }
@@ -75,7 +75,7 @@
             Sum sum = byKind.getOrDefault(kind, Map.of()).get(slot.member());
             return sum == null ? NOTHING : sum.target();
         }
-        if (limit.startsWith(PoolIds.ENGINE)) {
+        if (limit.startsWith(PoolLimitIds.ENGINE)) {
             return single.getOrDefault(limit, Map.of()).getOrDefault(slot, NOTHING);
         }
         Sum sum = shared.getOrDefault(limit, Map.of()).get(slot);
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/Idle.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -12,19 +12,20 @@
 import sandpaddle.fleet.pool.model.Statement;
 
 /** What a good policy says and this version does not carry out; whoever wrote it is told when it comes to rule. */
-final class Idle {
-    private Idle() {
+final class UnsupportedStatements {
+    private UnsupportedStatements() {
     }
 
     /** A line for each of the first such statements, 3 for each kind of reason, in the order of the file. */
     static List<String> notes(Policy policy) {
         List<String> notes = new ArrayList<>();
-        policy.shares().stream().filter(Idle::isOfClass).sorted(Comparator.comparing(Statement::at)).limit(MOST)
+        policy.shares().stream().filter(UnsupportedStatements::isOfClass).sorted(Comparator.comparing(Statement::at))
+                .limit(MOST)
                 .forEach(s -> notes.add("line " + s.at().line() + ": " + s.of() + ": gateways tell demand by tenant, "
                         + "so what is said of classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
-                .filter(s -> s.when().stream().anyMatch(Idle::neverHolds))
+                .filter(s -> s.when().stream().anyMatch(UnsupportedStatements::neverHolds))
                 .sorted(Comparator.comparing(Statement::at)).limit(MOST)
                 .forEach(s -> notes.add("line " + s.at().line() + ": conditions on storm, recovery and outages do not "
                         + "hold in this version, so this statement has no effect"));
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorsOnDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.tinylog.Logger;
 import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.KeptFloor;
+import sandpaddle.fleet.limit.hold.SavedFloor;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
@@ -18,7 +18,7 @@
  * Written beside, synced and renamed: it is there whole, or as it was. What cannot be read, or is too old, counts as
  * not there.
  */
-public final class FloorsOnDisk {
+public final class FloorStore {
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
     private static final int MOST_BYTES = 8 << 20;
     private static final long NANOS = 1000;
@@ -29,7 +29,7 @@
     private boolean failed;
 
     /** {@code keepUs}: how old a file may be that is used. */
-    public FloorsOnDisk(Path directory, long keepUs) {
+    public FloorStore(Path directory, long keepUs) {
         file = directory.resolve("floors");
         this.keepUs = keepUs;
         boot = boot();
@@ -49,7 +49,7 @@
     }
 
     /** The floors of an earlier process that may be used now. */
-    public List<KeptFloor> read() {
+    public List<SavedFloor> read() {
         try {
             if (!Files.exists(file) || Files.size(file) > MOST_BYTES) {
                 return List.of();
@@ -62,7 +62,7 @@
     }
 
     /** Writes them; whether they are durable. Waits for the disk. */
-    public boolean write(List<KeptFloor> floors) {
+    public boolean write(List<SavedFloor> floors) {
         Path beside = file.resolveSibling("floors.new");
         try {
             Files.createDirectories(file.getParent());
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/Demand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import sandpaddle.fleet.limit.hold.Rights;
-import sandpaddle.fleet.limit.hold.Usage;
+import sandpaddle.fleet.limit.hold.UsageSource;
 import sandpaddle.fleet.view.Connections;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
@@ -14,7 +14,7 @@
  * What this gateway uses and would use, read from the loop's counters. A query that waits for an engine asks for it of
  * every limit that is not by engine; of an engine's limit it asks for its part, as it may go to any.
  */
-final class Demand implements Usage {
+final class MeasuredUsage implements UsageSource {
     private static final double WEIGHT = 0.2; // of a beat in a smoothed rate: some five beats matter
     private static final long THOUSANDTHS = 1000;
     private static final double SECOND_US = 1e6;
@@ -24,8 +24,8 @@
         private double perSecond;
     }
 
-    private final Numbering numbering;
-    private final Publication<sandpaddle.fleet.view.Usage> usages;
+    private final SlotNumbering numbering;
+    private final Publication<sandpaddle.fleet.view.SlotUsage> usages;
     private final Connections connections;
     private final Map<Rights.Key, Rate> rates = new HashMap<>();
     private long sampledAt;
@@ -35,7 +35,8 @@
     private FleetView view = FleetView.NOTHING;
     private long now;
 
-    Demand(Numbering numbering, Publication<sandpaddle.fleet.view.Usage> usages, Connections connections) {
+    MeasuredUsage(SlotNumbering numbering, Publication<sandpaddle.fleet.view.SlotUsage> usages,
+            Connections connections) {
         this.numbering = numbering;
         this.usages = usages;
         this.connections = connections;
@@ -54,8 +55,8 @@
     /** With each beat: how often queries came for limits that bound what begins in a time. */
     void sample(long at) {
         now = at;
-        sandpaddle.fleet.view.Usage usage = usages.current();
-        Numbering.Order order = numbering.order(usage.numbering()).orElse(null);
+        sandpaddle.fleet.view.SlotUsage usage = usages.current();
+        SlotNumbering.Order order = numbering.order(usage.numbering()).orElse(null);
         if (order == null) {
             return;
         }
@@ -77,7 +78,7 @@
 
     @Override
     public long used(String limit, String sub) {
-        sandpaddle.fleet.view.Usage usage = usages.current();
+        sandpaddle.fleet.view.SlotUsage usage = usages.current();
         Integer place = place(usage, limit, sub);
         long running = place == null ? 0 : usage.running(place);
         Integer mine = numbering.latest().places().get(new Rights.Key(limit, sub));
@@ -107,13 +108,13 @@
         return sum;
     }
 
-    private Integer place(sandpaddle.fleet.view.Usage usage, String limit, String sub) {
+    private Integer place(sandpaddle.fleet.view.SlotUsage usage, String limit, String sub) {
         return numbering.order(usage.numbering()).map(o -> o.places().get(new Rights.Key(limit, sub))).orElse(null);
     }
 
     @Override
     public long demand(String limit, String sub) {
-        sandpaddle.fleet.view.Usage usage = usages.current();
+        sandpaddle.fleet.view.SlotUsage usage = usages.current();
         Integer place = place(usage, limit, sub);
         if (place == null) {
             return 0;
@@ -132,8 +133,8 @@
     }
 
     /** The most that wait in any limit that is not by engine: each query waits once, in several of them. */
-    private long waitingInAll(sandpaddle.fleet.view.Usage usage) {
-        Numbering.Order order = numbering.order(usage.numbering()).orElseThrow();
+    private long waitingInAll(sandpaddle.fleet.view.SlotUsage usage) {
+        SlotNumbering.Order order = numbering.order(usage.numbering()).orElseThrow();
         long most = 0;
         for (int i = 0; i < order.slots().size(); i++) {
             most = order.slots().get(i).engine() == null ? Math.max(most, usage.waiting(i)) : most;
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolSide.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.Set;
 import sandpaddle.decide.Gateway;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.node.loop.PoolBudget;
-import sandpaddle.fleet.node.pool.PoolDesk;
+import sandpaddle.fleet.node.pool.ActivePoolPolicy;
+import sandpaddle.fleet.node.pool.PoolAllocator;
 import sandpaddle.fleet.node.pool.PoolEngine;
 import sandpaddle.fleet.node.pool.PoolEngines;
-import sandpaddle.fleet.node.pool.PoolRuling;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.Phase;
 import sandpaddle.fleet.pool.model.Policy;
@@ -23,22 +23,22 @@
 import sandpaddle.fleet.view.FleetView;
 
 /** The pool policy in one gateway, on the fleet's thread: who hears of it, and of the engines that it is about. */
-public final class PoolSide {
-    private final RightsKeeper rights;
+public final class PoolCoordinator {
+    private final RightsManager rights;
     private final PoolBudget budget;
     private final PoolEngines engines;
-    private final PoolRuling ruling = new PoolRuling();
-    private final PoolDesk desk = new PoolDesk();
+    private final ActivePoolPolicy ruling = new ActivePoolPolicy();
+    private final PoolAllocator desk = new PoolAllocator();
     private Map<String, String> halls = Map.of();
 
     /** {@code kinds}: of engines, their names by number. */
-    public PoolSide(RightsKeeper rights, PoolBudget budget, List<String> kinds) {
+    public PoolCoordinator(RightsManager rights, PoolBudget budget, List<String> kinds) {
         this.rights = rights;
         this.budget = budget;
         engines = new PoolEngines(kinds);
     }
 
-    public PoolDesk desk() {
+    public PoolAllocator desk() {
         return desk;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** What the fleet goes by now. */
-    public void rules(Agreed agreed) {
+    public void rules(FleetConfig agreed) {
         Map<String, String> next = new HashMap<>();
         agreed.members().forEach(m -> next.put(m.name(), m.hall()));
         halls = Map.copyOf(next);
@@ -62,7 +62,7 @@
 
     /** What conditions are judged by, once all that is known here was handed on. */
     public FleetState state(long now, List<FleetView.Verdict> verdicts, Set<String> isolated) {
-        desk.known(new PoolDesk.Known(ruling.policy(), engines.all(now), halls));
+        desk.known(new PoolAllocator.Known(ruling.policy(), engines.all(now), halls));
         return state(engines.all(now), verdicts, isolated);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsKeeper.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
@@ -11,27 +11,27 @@
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
-import sandpaddle.fleet.limit.hold.Holder;
-import sandpaddle.fleet.limit.hold.KeptFloor;
 import sandpaddle.fleet.limit.hold.Rights;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.hold.RightsHolder;
+import sandpaddle.fleet.limit.hold.SavedFloor;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.node.pool.PoolEngine;
 import sandpaddle.fleet.node.pool.PoolSlots;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
-import sandpaddle.fleet.view.Shared;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.fleet.view.Slot;
 
 /**
  * This gateway's rights on the fleet's thread: what it was given goes into the view, what the loop counted goes into
  * the next beat. The view is published before the counts are read, so that nothing starts on what is given back.
  */
-public final class RightsKeeper {
-    private final Holder holder;
-    private final Numbering numbering;
-    private final Demand demand;
+public final class RightsManager {
+    private final RightsHolder holder;
+    private final SlotNumbering numbering;
+    private final MeasuredUsage demand;
     private final String hall;
     private final List<String> classes;
     private final Publication<FleetView> views;
@@ -42,14 +42,14 @@
     private boolean behind; // by what this gateway could read, not by what rules
 
     /** {@code classes}: their names, by number. */
-    public RightsKeeper(String member, long incarnation, String hall, List<String> classes, LimitSettings settings,
-            List<KeptFloor> floors, Shared shared, long now) {
+    public RightsManager(String member, long incarnation, String hall, List<String> classes, LimitSettings settings,
+            List<SavedFloor> floors, SharedState shared, long now) {
         this.hall = hall;
         this.classes = classes;
         views = shared.views();
-        numbering = new Numbering(classes, hall);
-        demand = new Demand(numbering, shared.usages(), shared.connections());
-        holder = new Holder(member, incarnation, now, settings, demand, floors);
+        numbering = new SlotNumbering(classes, hall);
+        demand = new MeasuredUsage(numbering, shared.usages(), shared.connections());
+        holder = new RightsHolder(member, incarnation, now, settings, demand, floors);
     }
 
     /** Where no file keeps floors over a restart, one that is lowered is low at once: no older copy could raise it. */
@@ -58,7 +58,7 @@
                 s.drift(), s.floorShare(), s.band(), s.guards());
     }
 
-    public Holder holder() {
+    public RightsHolder holder() {
         return holder;
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** What to tell the leader; {@link #publish} comes before. */
-    public Beat beat(long now) {
+    public Heartbeat beat(long now) {
         demand.sample(now);
         return holder.beat(now);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/Numbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
@@ -19,7 +19,7 @@
  * The slots of this gateway in their order, by the limits in force. Former orders are remembered a while, since the
  * loop goes on counting by the one that it has seen last.
  */
-final class Numbering {
+final class SlotNumbering {
     private static final int REMEMBERED = 8;
 
     /** One order of slots. */
@@ -30,7 +30,7 @@
     private final ArrayDeque<Order> orders = new ArrayDeque<>(); // the latest first
     private List<Slot> each = List.of();
 
-    Numbering(List<String> classes, String hall) {
+    SlotNumbering(List<String> classes, String hall) {
         this.classes = classes;
         this.hall = hall;
         orders.add(new Order(0, List.of(), Map.of()));
--- a/gateway/src/main/java/sandpaddle/fleet/node/spread/EvidenceFlow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/spread/EvidenceFlow.java
@@ -12,7 +12,7 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.loop.Heard;
+import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.verdict.EngineVerdict;
 import sandpaddle.fleet.verdict.FleetVerdicts;
 import sandpaddle.fleet.verdict.HallLink;
@@ -30,7 +30,7 @@
  * it.
  */
 public final class EvidenceFlow {
-    private record Up(long incarnation, long openedAt) { }
+    private record OpenLink(long incarnation, long openedAt) { }
 
     private static final long MS = 1000;
     private static final double WEIGHT = 0.05; // of an answer in a class's usual time: some twenty matter
@@ -42,7 +42,7 @@
     private final Map<String, ListedEngine> listed = new HashMap<>();
     private final double[] usualUs;
     private Verdicts now = Verdicts.NONE;
-    private final Map<String, Up> peers = new TreeMap<>();
+    private final Map<String, OpenLink> peers = new TreeMap<>();
 
     /** {@code halls}: names of zones, by number; {@code life}: greater than that of any earlier start. */
     public EvidenceFlow(Member self, long life, VerdictSettings settings, double drift, Links links, List<String> halls,
@@ -64,7 +64,7 @@
 
     /** {@code openedAt}: a time before which the peer cannot have sent anything on this link. */
     public void up(String peer, long incarnation, long openedAt) {
-        peers.put(peer, new Up(incarnation, openedAt));
+        peers.put(peer, new OpenLink(incarnation, openedAt));
         verdicts.up(peer, incarnation, openedAt);
     }
 
@@ -73,25 +73,25 @@
     }
 
     /** What the loop heard. */
-    public void heard(Heard heard) {
-        if (heard instanceof Heard.Ended e) {
+    public void heard(LoopEvent heard) {
+        if (heard instanceof LoopEvent.AttemptEnded e) {
             double usual = usualUs[e.cls()];
             verdicts.watch().attempt(e.now(), e.engine(), e.outcome(), e.latencyUs(), (long) usual);
             if (e.outcome() == sandpaddle.fleet.verdict.watch.Outcome.GOOD) {
                 usualUs[e.cls()] += (usual == 0 ? 1 : WEIGHT) * (e.latencyUs() - usual);
             }
-        } else if (heard instanceof Heard.Probed p) {
+        } else if (heard instanceof LoopEvent.ProbeEnded p) {
             if (p.answered()) {
                 verdicts.watch().report(p.now(), p.engine());
             } else {
                 verdicts.watch().unreported(p.now(), p.engine());
             }
-        } else if (heard instanceof Heard.Listed l) {
+        } else if (heard instanceof LoopEvent.EngineListChanged l) {
             listed(l);
         }
     }
 
-    private void listed(Heard.Listed l) {
+    private void listed(LoopEvent.EngineListChanged l) {
         if (l.list().kind() != Gateway.ListKind.CHANGES) {
             listed.clear();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/BeatMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
@@ -1,14 +1,14 @@
 package sandpaddle.fleet.node.wire;
 
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.LimitCodec;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
 /** A gateway's beat: the version of what it goes by and of its own file, and the use of its rights. */
-public record BeatMessage(long ruling, long ownFile, Beat beat) {
+public record HeartbeatMessage(long ruling, long ownFile, Heartbeat beat) {
 
     public byte[] encode() {
         CborOut out = new CborOut().number(ruling).number(ownFile);
@@ -16,9 +16,9 @@
         return out.done();
     }
 
-    public static BeatMessage decode(byte[] bytes) throws FaultyMessageException {
+    public static HeartbeatMessage decode(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
-        BeatMessage m = new BeatMessage(in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
+        HeartbeatMessage m = new HeartbeatMessage(in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
                 LimitCodec.readBeat(in));
         in.end();
         return m;
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/News.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/StatusMessage.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sandpaddle.fleet.member.MemberName;
-import sandpaddle.fleet.node.agree.Agreed;
-import sandpaddle.fleet.state.machine.Policy;
+import sandpaddle.fleet.node.agree.FleetConfig;
+import sandpaddle.fleet.state.machine.VersionedTexts;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
@@ -12,24 +12,24 @@
  * What a voter tells the gateways that follow: who votes, who leads ("" where unknown), and the version of what rules;
  * {@code text}: that itself, or "" where the gateway has it.
  */
-public record News(long term, String leader, List<String> voters, long version, String text) {
+public record StatusMessage(long term, String leader, List<String> voters, long version, String text) {
     private static final int MOST_VOTERS = 16;
 
     public byte[] encode() {
         return new CborOut().number(term).text(leader).list(voters, CborOut::text).number(version).text(text).done();
     }
 
-    public static News decode(byte[] bytes) throws FaultyMessageException {
+    public static StatusMessage decode(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
-        News news = new News(in.number(0, Long.MAX_VALUE), in.text(MemberName.MOST_CHARS),
+        StatusMessage news = new StatusMessage(in.number(0, Long.MAX_VALUE), in.text(MemberName.MOST_CHARS),
                 in.list(MOST_VOTERS, i -> i.text(MemberName.MOST_CHARS)), in.number(0, Long.MAX_VALUE),
-                in.text(Policy.MOST_TEXT_BYTES));
+                in.text(VersionedTexts.MOST_TEXT_BYTES));
         in.end();
         return news;
     }
 
     /** The file that rules, where it came with it. */
-    public Agreed agreed() throws FaultyMessageException {
-        return Agreed.of(text);
+    public FleetConfig agreed() throws FaultyMessageException {
+        return FleetConfig.of(text);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
@@ -8,13 +8,13 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.Fetch;
-import sandpaddle.fleet.outage.plan.Filler;
 import sandpaddle.fleet.outage.plan.Plan;
+import sandpaddle.fleet.outage.plan.PlanExecutor;
 
 /**
  * What clients were handed out as stored in an outage is fetched anew after it, by what was asked most for its work,
- * as slowly as {@link Return#refresh} says. At most {@value #MOST} answers are remembered; of others the next ask
- * itself brings a fresh one.
+ * as slowly as {@link ReturnScheduler#refresh} says. At most {@value #MOST} answers are remembered; of others the next
+ * ask itself brings a fresh one.
  */
 public final class Refreshes {
     static final int MOST = 10_000;
@@ -26,7 +26,7 @@
     }
 
     private final Map<ContentId, Handed> handed = new LinkedHashMap<>();
-    private final Filler filler = new Filler();
+    private final PlanExecutor filler = new PlanExecutor();
 
     /** A stored answer was handed out. */
     public void handedOut(Candidate what) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Return.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/back/ReturnScheduler.java
@@ -11,11 +11,11 @@
  * a second that engines can do whose caches are filled, so that a cold engine is given nothing that it cannot do yet.
  * Clients come first: a refresh gets no more than its share, and nothing while live traffic or a storm needs it.
  */
-public final class Return {
+public final class ReturnScheduler {
     private final BackSettings settings;
     private final ReturnCalendar calendar;
 
-    public Return(BackSettings settings, SplittableRandom random) {
+    public ReturnScheduler(BackSettings settings, SplittableRandom random) {
         this.settings = settings;
         calendar = new ReturnCalendar(settings.slotUs(), settings.leastUs(), settings.mostUs(), random);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
@@ -11,9 +11,9 @@
 /**
  * How far outages stray from their plan, by hall and rule: the margin before is the quantile of how early earlier
  * ones began, the margin after that of how late they ended, each clipped to the settings. Exact quantiles over the
- * last {@value Ring#SIZE} windows: a sketch as KLL would save nothing at so few, and never forget. A missed window
- * moves no margin, nor does one in which the clock was set; an offset beyond the longest margin counts as that, so
- * that one strange window moves a quantile by one place and no further. At most {@value #RULES_MOST} rules of
+ * last {@value OffsetHistory#SIZE} windows: a sketch as KLL would save nothing at so few, and never forget. A missed
+ * window moves no margin, nor does one in which the clock was set; an offset beyond the longest margin counts as that,
+ * so that one strange window moves a quantile by one place and no further. At most {@value #RULES_MOST} rules of
  * {@code 2 * 8 * SIZE} bytes are known; the one not heard of for longest goes first.
  */
 public final class Margins {
@@ -22,19 +22,19 @@
     private static final int NAME_MOST = 64;
 
     private static final class Learnt {
-        private final Ring early = new Ring();
-        private final Ring late = new Ring();
+        private final OffsetHistory early = new OffsetHistory();
+        private final OffsetHistory late = new OffsetHistory();
         private long missed;
     }
 
-    private record Place(String hall, String rule) { }
+    private record RuleKey(String hall, String rule) { }
 
     private final MarginSettings settings;
-    private final Map<Place, Learnt> byRule = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<RuleKey, Learnt> byRule = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Place, Learnt> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<RuleKey, Learnt> eldest) {
             return size() > RULES_MOST;
         }
     };
@@ -44,9 +44,9 @@
     }
 
     /** Learns from a window that is over; one that several rules made teaches each of them. */
-    public void learn(Ending e) {
+    public void learn(WindowOutcome e) {
         for (String rule : e.rules()) {
-            Learnt l = byRule.computeIfAbsent(new Place(e.hall(), rule), p -> new Learnt());
+            Learnt l = byRule.computeIfAbsent(new RuleKey(e.hall(), rule), p -> new Learnt());
             if (e.doubtful()) {
                 continue;
             }
@@ -76,7 +76,7 @@
     private long most(String hall, Iterable<String> rules, ToLongFunction<Learnt> margin) {
         long most = settings.leastMs();
         for (String rule : rules) {
-            Learnt l = byRule.get(new Place(hall, rule));
+            Learnt l = byRule.get(new RuleKey(hall, rule));
             most = Math.max(most, settings.clip(l == null ? 0 : margin.applyAsLong(l)));
         }
         return most;
@@ -84,7 +84,7 @@
 
     /** Windows of a rule that passed without a loss. */
     public long missed(String hall, String rule) {
-        Learnt l = byRule.get(new Place(hall, rule));
+        Learnt l = byRule.get(new RuleKey(hall, rule));
         return l == null ? 0 : l.missed;
     }
 
@@ -97,7 +97,7 @@
         }).done();
     }
 
-    private static void offsets(CborOut out, Ring ring) {
+    private static void offsets(CborOut out, OffsetHistory ring) {
         long[] all = ring.oldestFirst();
         out.number(all.length);
         for (long v : all) {
@@ -109,8 +109,8 @@
     public void take(byte[] exported) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(exported);
         in.number(VERSION, VERSION);
-        List<Map.Entry<Place, Learnt>> all = in.list(RULES_MOST, i -> {
-            Place place = new Place(i.text(NAME_MOST), i.text(NAME_MOST));
+        List<Map.Entry<RuleKey, Learnt>> all = in.list(RULES_MOST, i -> {
+            RuleKey place = new RuleKey(i.text(NAME_MOST), i.text(NAME_MOST));
             Learnt l = new Learnt();
             l.missed = i.number(0, Long.MAX_VALUE);
             offsets(i, l.early);
@@ -122,8 +122,8 @@
         all.forEach(e -> byRule.put(e.getKey(), e.getValue()));
     }
 
-    private void offsets(CborIn in, Ring ring) throws CborIn.FaultyMessageException {
-        long count = in.number(0, Ring.SIZE);
+    private void offsets(CborIn in, OffsetHistory ring) throws CborIn.FaultyMessageException {
+        long count = in.number(0, OffsetHistory.SIZE);
         for (int i = 0; i < count; i++) {
             ring.add(clipped(in.number(Long.MIN_VALUE + 1, Long.MAX_VALUE)));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/Ring.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/OffsetHistory.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** The last few offsets (ms) of one rule, with exact quantiles. */
-final class Ring {
+final class OffsetHistory {
     /** A quarter's worth of weekly windows and a bit: older ones tell little about the next. */
     static final int SIZE = 16;
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Episode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Episode.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.outage.margin.Ending;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.margin.WindowOutcome;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 import sandpaddle.fleet.outage.schedule.Window;
 
 /**
@@ -57,14 +57,14 @@
     }
 
     /** How it went, once it is over: back, and so for the settling time, and past its planned end and margin. */
-    Optional<Ending> ended(long wall, long afterMs, long settleMs) {
-        Span planned = window.span();
+    Optional<WindowOutcome> ended(long wall, long afterMs, long settleMs) {
+        TimeRange planned = window.span();
         long over = lost ? Math.max(planned.to(), backAt + settleMs) : planned.to() + afterMs;
         if (!isBack || wall < over) {
             return Optional.empty();
         }
         Set<String> rules = new TreeSet<>(window.rules());
-        return Optional.of(new Ending(window.hall(), rules, !lost, doubtful, lossLate,
+        return Optional.of(new WindowOutcome(window.hall(), rules, !lost, doubtful, lossLate,
                 lost ? backAt - planned.to() : 0));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
-import sandpaddle.fleet.outage.margin.Ending;
 import sandpaddle.fleet.outage.margin.Margins;
+import sandpaddle.fleet.outage.margin.WindowOutcome;
 import sandpaddle.fleet.outage.schedule.Schedule;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 import sandpaddle.fleet.outage.schedule.Window;
 
 /**
@@ -25,7 +25,7 @@
     private final PhaseSettings settings;
     private final Margins margins;
     private final long marginMostMs;
-    private final Deque<Ending> endings = new ArrayDeque<>();
+    private final Deque<WindowOutcome> endings = new ArrayDeque<>();
     private Schedule schedule;
     private Phase phase = Phase.CONNECTED;
     private long since;
@@ -34,7 +34,7 @@
     private long lastWall;
     private long steps;
     private Episode episode;
-    private Span done; // the window that ended last, so that its margin does not begin it again
+    private TimeRange done; // the window that ended last, so that its margin does not begin it again
 
     /** {@code marginMostMs}: the longest margin that {@code margins} gives; windows so long past still count. */
     public HallPhase(String hall, Schedule schedule, Margins margins, long marginMostMs, PhaseSettings settings) {
@@ -70,23 +70,23 @@
     }
 
     /** Windows that ended since this was last asked, for {@link Margins#learn}. */
-    public List<Ending> endings() {
-        List<Ending> all = List.copyOf(endings);
+    public List<WindowOutcome> endings() {
+        List<WindowOutcome> all = List.copyOf(endings);
         endings.clear();
         return all;
     }
 
     /** One turn: monotonic time (us), wall clock (ms), what is known of the link; at most one move. */
-    public Optional<Move> turn(long now, long wall, Evidence evidence) {
+    public Optional<PhaseTransition> turn(long now, long wall, Evidence evidence) {
         noticeSteps(now, wall);
         follow(wall);
         boolean open = episode != null && wall >= earliestLoss();
-        Signs s = signs(now, wall, evidence, open);
+        PhaseInputs s = signs(now, wall, evidence, open);
         Phase next = phase.next(s);
         if (next == phase) {
             return Optional.empty();
         }
-        Move move = new Move(phase, next, why(next, open));
+        PhaseTransition move = new PhaseTransition(phase, next, why(next, open));
         if (next == Phase.ISOLATED && episode != null) {
             episode.lost(wall - (now - evidence.since()) / 1000);
         } else if (phase == Phase.ISOLATED && episode != null) {
@@ -97,12 +97,12 @@
         return Optional.of(move);
     }
 
-    private Signs signs(long now, long wall, Evidence evidence, boolean open) {
+    private PhaseInputs signs(long now, long wall, Evidence evidence, boolean open) {
         long lossHeld = open || phase == Phase.RETURNING ? settings.lossHeldUs() : settings.lossHeldUnannouncedUs();
         // one that was lost and is back early may be lost again until its planned end, and no longer
         boolean due = episode != null && (episode.hasLost() ? wall < episode.window().span().to()
                 : isDue(episode.window(), wall));
-        return new Signs(evidence.heldFor(Evidence.Link.UNREACHABLE, now, lossHeld),
+        return new PhaseInputs(evidence.heldFor(Evidence.Link.UNREACHABLE, now, lossHeld),
                 evidence.heldFor(Evidence.Link.REACHABLE, now, settings.returnHeldUs()),
                 due, due && wall >= earliestLoss() - settings.fillMs(), now - since, settings);
     }
@@ -169,7 +169,7 @@
             return;
         }
         if (phase == Phase.ISOLATED && episode.hasLost()) {
-            Span planned = episode.window().span();
+            TimeRange planned = episode.window().span();
             windows.stream().filter(w -> w.span().from() > planned.to() && w.span().from() <= wall
                     && wall < w.span().to()).findFirst().ifPresent(w -> {
                         episode.replan(w); // it lasted into the next: that one's end is what can be foreseen now
@@ -178,18 +178,20 @@
         }
     }
 
-    private static boolean overlap(Span a, Span b) {
+    private static boolean overlap(TimeRange a, TimeRange b) {
         return a.from() < b.to() && b.from() < a.to();
     }
 
-    private Move.Why why(Phase next, boolean open) {
+    private PhaseTransition.Why why(Phase next, boolean open) {
         return switch (next) {
-            case CONNECTED -> phase == Phase.RETURNING ? Move.Why.SETTLED : Move.Why.WINDOW_GONE;
-            case EXPECTING -> phase == Phase.FILLING ? Move.Why.WINDOW_LATER : Move.Why.WINDOW_NEARS;
-            case FILLING -> Move.Why.FILL_DUE;
-            case ISOLATED -> phase == Phase.RETURNING ? Move.Why.LOST_AGAIN : open ? Move.Why.LOST_EXPECTED
-                    : episode != null ? Move.Why.LOST_EARLY : Move.Why.LOST_UNANNOUNCED;
-            case RETURNING -> Move.Why.BACK;
+            case CONNECTED -> phase == Phase.RETURNING ? PhaseTransition.Why.SETTLED : PhaseTransition.Why.WINDOW_GONE;
+            case EXPECTING -> phase == Phase.FILLING ? PhaseTransition.Why.WINDOW_LATER
+                    : PhaseTransition.Why.WINDOW_NEARS;
+            case FILLING -> PhaseTransition.Why.FILL_DUE;
+            case ISOLATED -> phase == Phase.RETURNING ? PhaseTransition.Why.LOST_AGAIN : open
+                    ? PhaseTransition.Why.LOST_EXPECTED
+                    : episode != null ? PhaseTransition.Why.LOST_EARLY : PhaseTransition.Why.LOST_UNANNOUNCED;
+            case RETURNING -> PhaseTransition.Why.BACK;
         };
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -8,39 +8,39 @@
     /** The hall reaches the engines, and nothing else is expected soon. */
     CONNECTED {
         @Override
-        Phase next(Signs s) {
+        Phase next(PhaseInputs s) {
             return s.lost() ? ISOLATED : s.due() ? EXPECTING : CONNECTED;
         }
     },
     /** A window comes: rights are moved, the plan is made. */
     EXPECTING {
         @Override
-        Phase next(Signs s) {
+        Phase next(PhaseInputs s) {
             return s.lost() ? ISOLATED : !s.due() ? CONNECTED : s.filling() ? FILLING : EXPECTING;
         }
     },
     /** Results are fetched for the window; also while it is open and the loss has not come. */
     FILLING {
         @Override
-        Phase next(Signs s) {
+        Phase next(PhaseInputs s) {
             return s.lost() ? ISOLATED : !s.due() ? CONNECTED : s.filling() ? FILLING : EXPECTING;
         }
     },
     /** The engines cannot be reached; stored answers may be served. */
     ISOLATED {
         @Override
-        Phase next(Signs s) {
+        Phase next(PhaseInputs s) {
             return s.back() ? RETURNING : ISOLATED;
         }
     },
     /** The engines are back; clients and refreshes come back spread. */
     RETURNING {
         @Override
-        Phase next(Signs s) {
+        Phase next(PhaseInputs s) {
             return s.lost() ? ISOLATED : s.dwelt() >= s.settings().returningUs() ? CONNECTED : RETURNING;
         }
     };
 
     /** The phase that the signs lead to; this one where they lead nowhere else. */
-    abstract Phase next(Signs signs);
+    abstract Phase next(PhaseInputs signs);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Move.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.outage.phase;
 
 /** A hall's step from one phase to another, with why it was made: for the log, and for who acts on it. */
-public record Move(Phase from, Phase to, Why why) {
+public record PhaseTransition(Phase from, Phase to, Why why) {
     /** What led there. */
     public enum Why {
         /** A window is near enough. */
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/AskHistory.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/AskHistory.java
@@ -2,7 +2,7 @@
 
 import org.apache.datasketches.frequencies.ErrorType;
 import org.apache.datasketches.frequencies.LongsSketch;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * How often statements are asked by hour of the day (UTC): for each hour a frequent-items sketch (Anderson et al., "A
@@ -81,7 +81,7 @@
     }
 
     /** Asks expected in a time to come (wall, ms), of a day at most: a longer one counts as its first day. */
-    public double expected(long fingerprint, Span span) {
+    public double expected(long fingerprint, TimeRange span) {
         double sum = 0;
         long end = Math.min(span.to(), span.from() + HOURS * HOUR_MS);
         for (long t = span.from(); t < end;) {
@@ -124,7 +124,7 @@
     }
 
     /** The same as {@link #expected} for any statement and any part of one time, worked out at once. */
-    public Planner.Forecast forecast(Span span) {
+    public Planner.Forecast forecast(TimeRange span) {
         SpanForecast all = new SpanForecast(span, HOUR_MS, HOURS);
         for (int i = 0; i < HOURS; i++) {
             add(all, i, true, hours[i].today);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
@@ -9,7 +9,7 @@
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * What was learnt of answers that may be stored: whose they are, what they cost an engine and how large they are, as
@@ -109,7 +109,7 @@
     }
 
     /** Asks of this gateway's clients as {@code own} has them, with its neighbours' spread over the whole window. */
-    public Planner.Forecast forecast(Planner.Forecast own, Span window) {
+    public Planner.Forecast forecast(Planner.Forecast own, TimeRange window) {
         Map<Long, Double> others = new LinkedHashMap<>();
         byId.values().forEach(k -> others.merge(k.fingerprint,
                 k.neighbours.values().stream().mapToDouble(d -> d).sum(), Double::sum));
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Filler.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -13,7 +13,7 @@
  * at most {@value #BURST_US} us keeps a pause from being made up for in one burst. A fetch is begun at most
  * {@value #TRIES_MOST} times in one plan; what failed goes behind what has not been tried. Replanning keeps what runs.
  */
-public final class Filler {
+public final class PlanExecutor {
     static final long BURST_US = 1_000_000;
     static final int TRIES_MOST = 2;
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * Chooses what to store for an outage and when to fetch it. Chosen is by worth for what it takes of both budgets
@@ -20,7 +20,7 @@
 
     /** Asks of one statement expected in a time (wall, ms). */
     public interface Forecast {
-        double asks(long fingerprint, Span span);
+        double asks(long fingerprint, TimeRange span);
     }
 
     /** A copy at hand that is nearly as good as a fresh one is not fetched again: work is better spent on others. */
@@ -32,10 +32,10 @@
     }
 
     /** Plans at {@code wall} (ms) for an outage from {@code loss.from()}, the earliest loss, to {@code loss.to()}. */
-    public static Plan plan(long wall, Span loss, List<Candidate> candidates, Budget budget, Forecast forecast) {
+    public static Plan plan(long wall, TimeRange loss, List<Candidate> candidates, Budget budget, Forecast forecast) {
         long until = loss.from() - budget.safetyMs();
         boolean isLate = until - wall < budget.lateMs();
-        Span outage = isLate ? new Span(Math.max(loss.from(), wall), Math.max(loss.to(), wall + 1)) : loss;
+        TimeRange outage = isLate ? new TimeRange(Math.max(loss.from(), wall), Math.max(loss.to(), wall + 1)) : loss;
         double work = budget.work(isLate ? budget.lateMs() : until - wall);
         double atHand = 0;
         long bytes = budget.bytes();
@@ -55,7 +55,7 @@
         return new Plan(fetches, atHand + gained, all.size() - fetches.size());
     }
 
-    private static double has(Candidate c, Span outage, Forecast forecast) {
+    private static double has(Candidate c, TimeRange outage, Forecast forecast) {
         return c.storedAt() < 0 ? 0 : worth(c, c.storedAt(), outage, forecast);
     }
 
@@ -69,9 +69,9 @@
     }
 
     /** What a copy asked for at a time gives in the outage: asks that find it no older than it may be. */
-    static double worth(Candidate c, long askedAt, Span loss, Forecast forecast) {
+    static double worth(Candidate c, long askedAt, TimeRange loss, Forecast forecast) {
         long to = Math.min(loss.to(), askedAt + c.maxAgeMs());
-        return to <= loss.from() ? 0 : c.worthEach() * forecast.asks(c.fingerprint(), new Span(loss.from(), to));
+        return to <= loss.from() ? 0 : c.worthEach() * forecast.asks(c.fingerprint(), new TimeRange(loss.from(), to));
     }
 
     /** A refresh of a copy at hand takes no bytes beyond those that the copy has. */
@@ -113,7 +113,7 @@
     }
 
     /** Lays the chosen out backwards from {@code until}; returns the gain of what is worth fetching at its time. */
-    private static double lay(List<Choice> chosen, long until, Span loss, Budget budget, Forecast forecast,
+    private static double lay(List<Choice> chosen, long until, TimeRange loss, Budget budget, Forecast forecast,
             List<Fetch> fetches) {
         List<Choice> shortestFirst = new ArrayList<>(chosen);
         shortestFirst.sort(Comparator.comparingLong((Choice c) -> c.what.maxAgeMs())
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -8,16 +8,16 @@
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.outage.phase.Phase;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * Prefetching of one gateway: hears what is asked and what answers cost, and while its hall expects to be cut off says
- * which answers to fetch now. Every answer is fetched by one gateway of the hall, the first of its {@link Owners}; the
- * others tell that one how often they expect it to be asked. The plan is made anew every {@code replanUs}, so that it
- * follows what was fetched, what was not, and how near the loss is. A turn costs O(n log n) for n candidates when it
- * plans, and next to nothing otherwise.
+ * which answers to fetch now. Every answer is fetched by one gateway of the hall, the first of its {@link
+ * ReplicaOwners}; the others tell that one how often they expect it to be asked. The plan is made anew every {@code
+ * replanUs}, so that it follows what was fetched, what was not, and how near the loss is. A turn costs O(n log n) for n
+ * candidates when it plans, and next to nothing otherwise.
  */
-public final class Prefetch {
+public final class Prefetcher {
     /** Expectations told to neighbours at one time. */
     static final int WANTS_MOST = 2000;
 
@@ -25,23 +25,23 @@
     public record Want(String to, Candidate what, double asks) { }
 
     /** What surrounds a turn: the hall's phase, the expected outage (wall, ms), its live gateways, this one among. */
-    public record View(Phase phase, Optional<Span> outage, Collection<String> live) { }
+    public record View(Phase phase, Optional<TimeRange> outage, Collection<String> live) { }
 
     private final String self;
     private final Budget budget;
     private final long replanUs;
     private final AskHistory history;
     private final Catalogue catalogue;
-    private final Filler filler = new Filler();
+    private final PlanExecutor filler = new PlanExecutor();
     private Plan plan = Plan.EMPTY;
     private long plannedAt = Long.MIN_VALUE;
     private boolean heard; // expectations of neighbours, for the window that comes
 
     /**
-     * {@code budget}: of this gateway alone. Its bytes are the store's, divided by {@link Owners#COPIES}, since as
-     * much again comes from neighbours; its work is the hall's, divided by its gateways.
+     * {@code budget}: of this gateway alone. Its bytes are the store's, divided by {@link ReplicaOwners#COPIES}, since
+     * as much again comes from neighbours; its work is the hall's, divided by its gateways.
      */
-    public Prefetch(String self, Budget budget, long replanUs, AskHistory history, Catalogue catalogue) {
+    public Prefetcher(String self, Budget budget, long replanUs, AskHistory history, Catalogue catalogue) {
         this.self = self;
         this.budget = budget.late(replanUs / 1000);
         this.replanUs = replanUs;
@@ -90,10 +90,11 @@
     }
 
     private void replan(long wall, View view, ToLongFunction<ContentId> storedAt) {
-        Span outage = view.outage().get();
-        Span ahead = new Span(Math.max(outage.from(), wall), Math.max(outage.to(), Math.max(outage.from(), wall) + 1));
+        TimeRange outage = view.outage().get();
+        TimeRange ahead = new TimeRange(Math.max(outage.from(), wall),
+                Math.max(outage.to(), Math.max(outage.from(), wall) + 1));
         List<Candidate> mine = catalogue.candidates(storedAt).stream()
-                .filter(c -> Owners.asks(c.key().id(), view.live(), self)).toList();
+                .filter(c -> ReplicaOwners.asks(c.key().id(), view.live(), self)).toList();
         plan = Planner.plan(wall, ahead, mine, budget, catalogue.forecast(history.forecast(ahead), ahead));
         filler.plan(plan);
     }
@@ -104,12 +105,12 @@
     }
 
     /** What this gateway expects to be asked in an outage and another fetches, the likeliest first. */
-    public List<Want> wants(Span outage, Collection<String> live) {
+    public List<Want> wants(TimeRange outage, Collection<String> live) {
         Planner.Forecast forecast = history.forecast(outage);
         List<Want> wants = new ArrayList<>();
         for (Candidate c : catalogue.candidates(id -> -1)) {
             double asks = forecast.asks(c.fingerprint(), outage);
-            List<String> owners = Owners.of(c.key().id(), live);
+            List<String> owners = ReplicaOwners.of(c.key().id(), live);
             if (asks > 0 && !owners.isEmpty() && !owners.get(0).equals(self)) {
                 wants.add(new Want(owners.get(0), c, asks));
             }
@@ -119,7 +120,7 @@
     }
 
     /** What a copy asked for at a time (wall, ms) is worth in an outage: by it the store keeps and drops. */
-    public double worth(Candidate what, long askedWall, Span outage) {
+    public double worth(Candidate what, long askedWall, TimeRange outage) {
         return Planner.worth(what, askedWall, outage, history::expected);
     }
 
@@ -128,7 +129,7 @@
         return plan;
     }
 
-    public Filler filler() {
+    public PlanExecutor filler() {
         return filler;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Owners.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
@@ -12,10 +12,10 @@
  * each answer, and the first {@value #COPIES} hold it; the first of them asks the engine. When a gateway dies, only
  * what it held finds a new holder, and the one left copies it there. O(gateways) for an answer.
  */
-public final class Owners {
+public final class ReplicaOwners {
     public static final int COPIES = 2;
 
-    private Owners() {
+    private ReplicaOwners() {
     }
 
     /** The holders of an answer among the hall's live gateways, the one that asks first. */
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/SpanForecast.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/SpanForecast.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * Asks expected within one time, worked out once for all statements, so that a plan over many candidates costs a look
@@ -15,7 +15,7 @@
     private final int hours;
     private final Map<Long, double[]> rates = new HashMap<>();
 
-    SpanForecast(Span span, long hourMs, int hoursMost) {
+    SpanForecast(TimeRange span, long hourMs, int hoursMost) {
         this.hourMs = hourMs;
         first = Math.floorDiv(span.from(), hourMs);
         hours = (int) Math.min(hoursMost, Math.floorDiv(span.to() - 1, hourMs) - first + 1);
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public double asks(long fingerprint, Span span) {
+    public double asks(long fingerprint, TimeRange span) {
         double[] rate = rates.get(fingerprint);
         double sum = 0;
         for (int h = 0; rate != null && h < hours; h++) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
@@ -21,12 +21,13 @@
     }
 
     /** Whether an outage's floors are in force at a time (wall, ms); what it is past, the usual floors return. */
-    public static boolean isInForce(Leave leave, long wall, RightsSettings settings) {
+    public static boolean isInForce(PlannedOutage leave, long wall, RightsSettings settings) {
         return wall >= leave.lossAt() - settings.leadMs() && wall < leave.returnAt();
     }
 
     /** The halls whose shift is in force: by schedule, or because they are still cut off. */
-    public static Set<String> leaving(List<Leave> leaves, Set<String> cutOff, long wall, RightsSettings settings) {
+    public static Set<String> leaving(List<PlannedOutage> leaves, Set<String> cutOff, long wall,
+            RightsSettings settings) {
         Set<String> halls = new TreeSet<>();
         leaves.stream().filter(l -> isInForce(l, wall, settings)).forEach(l -> halls.add(l.hall()));
         // unannounced outages move nothing: who is cut off hears of no new floor
@@ -36,14 +37,14 @@
     }
 
     /** The floors of all gateways of one limit while some halls leave; the usual ones where none does. */
-    public static Map<String, Long> floors(long limit, List<Share> shares, Set<String> leaving, RightsSettings s) {
+    public static Map<String, Long> floors(long limit, List<FloorShare> shares, Set<String> leaving, RightsSettings s) {
         Map<String, Long> floors = new LinkedHashMap<>();
         shares.forEach(x -> floors.put(x.gateway(), x.floor()));
-        List<Share> going = shares.stream().filter(x -> leaving.contains(x.hall())).toList();
-        List<Share> staying = shares.stream().filter(x -> !leaving.contains(x.hall())).toList();
+        List<FloorShare> going = shares.stream().filter(x -> leaving.contains(x.hall())).toList();
+        List<FloorShare> staying = shares.stream().filter(x -> !leaving.contains(x.hall())).toList();
         long wanted = going.stream().mapToLong(x -> Math.max(0, x.need() - x.floor())).sum();
         long spare = staying.stream().mapToLong(x -> Math.max(0, x.floor() - s.leastEach())).sum();
-        long had = going.stream().mapToLong(Share::floor).sum();
+        long had = going.stream().mapToLong(FloorShare::floor).sum();
         long cap = Math.max(0, (long) Math.floor(limit * s.mostShare()) - had);
         // what is not reserved for anybody is not taken: the sum of floors stays what the limit was checked with
         long moved = Math.min(Math.min(wanted, spare), cap);
@@ -65,27 +66,27 @@
     }
 
     private interface Claim {
-        long of(Share share);
+        long of(FloorShare share);
     }
 
     /** Divides whole units in proportion to claims, none above its claim: largest remainder, ties by name. */
-    private static Map<String, Long> divide(long units, List<Share> shares, Claim claim) {
+    private static Map<String, Long> divide(long units, List<FloorShare> shares, Claim claim) {
         long sum = shares.stream().mapToLong(claim::of).sum();
         Map<String, Long> parts = new LinkedHashMap<>();
         Map<String, Double> rests = new HashMap<>();
         long left = units;
-        for (Share x : shares) {
+        for (FloorShare x : shares) {
             double exact = (double) units * claim.of(x) / sum;
             long part = Math.min(claim.of(x), (long) Math.floor(exact));
             parts.put(x.gateway(), part);
             rests.put(x.gateway(), exact - part);
             left -= part;
         }
-        List<Share> byRest = new ArrayList<>(shares);
-        byRest.sort(Comparator.comparingDouble((Share x) -> rests.get(x.gateway())).reversed()
-                .thenComparing(Share::gateway));
+        List<FloorShare> byRest = new ArrayList<>(shares);
+        byRest.sort(Comparator.comparingDouble((FloorShare x) -> rests.get(x.gateway())).reversed()
+                .thenComparing(FloorShare::gateway));
         while (left > 0) {
-            for (Share x : byRest) {
+            for (FloorShare x : byRest) {
                 if (left > 0 && parts.get(x.gateway()) < claim.of(x)) {
                     parts.merge(x.gateway(), 1L, Long::sum);
                     left--;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
@@ -22,12 +22,12 @@
     }
 
     /** Windows that meet the time asked for, by beginning. */
-    static List<Span> of(Rule rule, Span asked) {
+    static List<TimeRange> of(Rule rule, TimeRange asked) {
         if (!rule.recurs()) {
-            Span only = place(rule, rule.first());
+            TimeRange only = place(rule, rule.first());
             return only.meets(asked) ? List.of(only) : List.of();
         }
-        List<Span> found = new ArrayList<>();
+        List<TimeRange> found = new ArrayList<>();
         RecurrenceRuleIterator i = rule.parsed().iterator(floating(rule.first()));
         LocalDateTime from = local(asked.from()).minus(rule.length()).minusDays(SLACK_DAYS);
         if (from.isAfter(rule.first())) {
@@ -35,7 +35,7 @@
         }
         for (int n = 0; n < MOST && more(i); n++) {
             LocalDateTime begin = local(i.nextDateTime());
-            Span span = place(rule, begin);
+            TimeRange span = place(rule, begin);
             if (span.from() > asked.to()) {
                 break;
             }
@@ -55,9 +55,9 @@
         }
     }
 
-    private static Span place(Rule rule, LocalDateTime begin) {
+    private static TimeRange place(Rule rule, LocalDateTime begin) {
         long from = ZonedDateTime.of(begin, rule.zone()).toInstant().toEpochMilli();
-        return new Span(from, from + rule.length().toMillis());
+        return new TimeRange(from, from + rule.length().toMillis());
     }
 
     private static LocalDateTime local(long wall) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
@@ -23,7 +23,7 @@
     /** Without any rule. */
     public static final Schedule NONE = new Schedule(List.of());
 
-    private record Ahead(Span covered, List<Window> windows) { }
+    private record Ahead(TimeRange covered, List<Window> windows) { }
 
     private final List<Rule> rules;
     private final Map<String, Ahead> byHall = new HashMap<>(); // an entry a hall that a rule names
@@ -44,17 +44,17 @@
             if (rules.stream().noneMatch(r -> r.hall().equals(hall))) {
                 return List.of();
             }
-            known = expand(hall, new Span(wall - BEHIND_MS, wall + AHEAD_MS));
+            known = expand(hall, new TimeRange(wall - BEHIND_MS, wall + AHEAD_MS));
             byHall.put(hall, known);
         }
         return known.windows.stream().filter(w -> w.span().to() > wall && w.span().from() <= until).toList();
     }
 
-    private Ahead expand(String hall, Span asked) {
+    private Ahead expand(String hall, TimeRange asked) {
         List<Window> all = new ArrayList<>();
         for (Rule r : rules) {
             if (r.hall().equals(hall)) {
-                for (Span s : Expansion.of(r, asked)) {
+                for (TimeRange s : Expansion.of(r, asked)) {
                     all.add(new Window(hall, s, new TreeSet<>(List.of(r.name()))));
                 }
             }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
@@ -4,11 +4,11 @@
 import java.util.TreeSet;
 
 /** An expected outage of a hall: overlapping windows made one, with the names of the rules that it came from. */
-public record Window(String hall, Span span, SortedSet<String> rules) {
+public record Window(String hall, TimeRange span, SortedSet<String> rules) {
     Window with(Window other) {
         SortedSet<String> all = new TreeSet<>(rules);
         all.addAll(other.rules);
-        return new Window(hall, new Span(Math.min(span.from(), other.span.from()),
+        return new Window(hall, new TimeRange(Math.min(span.from(), other.span.from()),
                 Math.max(span.to(), other.span.to())), all);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PolicySeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
@@ -10,11 +10,11 @@
  * or cannot read it, goes on with the last one that it could, says so, and holds no more than the lesser of the floors
  * of both, since the fleet plans without it. It keeps the {@value #MOST_KEPT} texts read last.
  */
-public final class PolicySeat {
+public final class ActivePolicy {
     private static final int MOST_KEPT = 4;
 
     /** How the gateway stands to the version that rules. */
-    public enum Standing {
+    public enum Status {
         /** The fleet has agreed on none: no pool is limited. */
         NONE,
         /** This gateway goes by the version that rules. */
@@ -57,14 +57,14 @@
         });
     }
 
-    public Standing standing() {
+    public Status standing() {
         if (ruling.isEmpty()) {
-            return Standing.NONE;
+            return Status.NONE;
         }
         if (applied.equals(ruling)) {
-            return Standing.APPLIES;
+            return Status.APPLIES;
         }
-        return read.containsKey(ruling.get().hash()) ? Standing.UNREADABLE : Standing.MISSING;
+        return read.containsKey(ruling.get().hash()) ? Status.UNREADABLE : Status.MISSING;
     }
 
     /** The version that the fleet agreed on. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
@@ -13,7 +13,7 @@
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.PolicyFault;
 import sandpaddle.fleet.pool.model.PolicyFault.Severity;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
  * What comes of checking one policy.
@@ -37,7 +37,7 @@
             return check(in.readNBytes(Limits.MOST_BYTES + 1), known);
         } catch (IOException e) {
             FaultList faults = new FaultList();
-            faults.error(new Spot(1, 1), "a file that cannot be read: " + FaultList.shown(e.toString(), 300),
+            faults.error(new SourcePosition(1, 1), "a file that cannot be read: " + FaultList.shown(e.toString(), 300),
                     "a file that this process may read");
             return new PoolPolicyCheck(Optional.empty(), faults.list(), false, PolicyHash.of(new byte[0]));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.pool.lang.Draft;
-import sandpaddle.fleet.pool.lang.Draft.GroupDraft;
-import sandpaddle.fleet.pool.lang.Draft.Member;
+import sandpaddle.fleet.pool.lang.PolicyDraft;
+import sandpaddle.fleet.pool.lang.PolicyDraft.GroupDraft;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Member;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.Limits;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
  * Resolves groups to their tenants. Each group is visited once, and what all visits copy is bounded, so groups within
@@ -31,7 +31,7 @@
     }
 
     /** Every group with its tenants; members that are faulty are told and left out. */
-    static Map<String, Set<String>> resolve(Draft draft, FaultList faults) {
+    static Map<String, Set<String>> resolve(PolicyDraft draft, FaultList faults) {
         Groups groups = new Groups(faults);
         for (GroupDraft each : draft.groups) {
             groups.add(each);
@@ -64,7 +64,7 @@
         Set<Member> seen = new HashSet<>();
         int height = 1;
         for (Member member : group.members()) {
-            if (!seen.add(new Member(new Spot(1, 1), member.group(), member.name()))) {
+            if (!seen.add(new Member(new SourcePosition(1, 1), member.group(), member.name()))) {
                 faults.error(member.at(), "'" + member.name() + "' twice in a group", "once");
             } else if (!member.group()) {
                 tenant(member, tenants);
@@ -93,7 +93,7 @@
         GroupDraft inner = drafts.get(member.name());
         if (inner == null) {
             faults.error(member.at(), "the unknown group " + member.name(),
-                    Nearest.words("a group of this file", member.name(), drafts.keySet()));
+                    NameSuggestions.words("a group of this file", member.name(), drafts.keySet()));
             return 0;
         }
         if (open.contains(member.name())) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Nearest.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** Names near to one that is unknown, by edit distance, so that a slip of the pen is told with its remedy. */
-final class Nearest {
+final class NameSuggestions {
     private static final int MOST_SHOWN = 3;
     private static final int MOST_DISTANCE = 2;
 
-    private Nearest() { }
+    private NameSuggestions() { }
 
     /** What is allowed: in general, and the names that may have been meant. */
     static String words(String general, String unknown, Collection<String> names) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import sandpaddle.fleet.pool.lang.Draft;
-import sandpaddle.fleet.pool.lang.Draft.Mention;
-import sandpaddle.fleet.pool.lang.Draft.Subject;
+import sandpaddle.fleet.pool.lang.PolicyDraft;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Mention;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Subject;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Limits;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /** Tells names that nobody has, as far as the caller knows names, and groups that nothing uses. */
 final class NamesCheck {
@@ -27,7 +27,7 @@
     }
 
     /** @return all tenants that the draft names */
-    static Set<String> check(Draft draft, Map<String, Set<String>> groups, KnownNames known, FaultList faults) {
+    static Set<String> check(PolicyDraft draft, Map<String, Set<String>> groups, KnownNames known, FaultList faults) {
         NamesCheck check = new NamesCheck(faults, known, groups);
         Set<String> used = new HashSet<>();
         Set<String> tenants = new HashSet<>();
@@ -44,7 +44,7 @@
         }
         check.members(draft, used);
         if (tenants.size() > Limits.MOST_TENANTS) {
-            faults.error(new Spot(1, 1), tenants.size() + " tenants named",
+            faults.error(new SourcePosition(1, 1), tenants.size() + " tenants named",
                     Limits.MOST_TENANTS + " at most; others share 'default tenant'");
         }
         return tenants;
@@ -56,7 +56,7 @@
             case GROUP -> {
                 if (!groups.containsKey(mention.name())) {
                     faults.error(mention.at(), "the unknown group " + mention.name(),
-                            Nearest.words("a group of this file", mention.name(), groups.keySet()));
+                            NameSuggestions.words("a group of this file", mention.name(), groups.keySet()));
                 }
             }
             case CLASS -> known.classes().ifPresent(names -> unknown(mention, "class", names));
@@ -81,20 +81,20 @@
         if (tenants.isPresent() && !tenants.get().contains(mention.name())
                 && !mention.name().equals(Policy.DEFAULT_TENANT)) {
             faults.warning(mention.at(), "the unknown tenant \"" + FaultList.shown(mention.name()) + "\"",
-                    Nearest.words("a tenant that is known", mention.name(), tenants.get()));
+                    NameSuggestions.words("a tenant that is known", mention.name(), tenants.get()));
         }
     }
 
     private void unknown(Mention mention, String what, Collection<String> names) {
         if (!names.contains(mention.name())) {
             faults.error(mention.at(), "the unknown " + what + " \"" + FaultList.shown(mention.name()) + "\"",
-                    Nearest.words("a name that the fleet has", mention.name(), names));
+                    NameSuggestions.words("a name that the fleet has", mention.name(), names));
         }
     }
 
-    private void members(Draft draft, Set<String> used) {
-        for (Draft.GroupDraft group : draft.groups) {
-            for (Draft.Member member : group.members()) {
+    private void members(PolicyDraft draft, Set<String> used) {
+        for (PolicyDraft.GroupDraft group : draft.groups) {
+            for (PolicyDraft.Member member : group.members()) {
                 if (member.group()) {
                     used.add(member.name());
                 } else if (!faults.isFull()) {
@@ -102,7 +102,7 @@
                 }
             }
         }
-        for (Draft.GroupDraft group : draft.groups) {
+        for (PolicyDraft.GroupDraft group : draft.groups) {
             if (!used.contains(group.name())) {
                 faults.warning(group.at(), "group " + group.name() + ", which nothing uses",
                         "groups that a statement or another group names");
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/PolicyChecker.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/PolicyChecker.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sandpaddle.fleet.pool.lang.Draft;
+import sandpaddle.fleet.pool.lang.PolicyDraft;
 import sandpaddle.fleet.pool.lang.PolicyReader;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 import sandpaddle.fleet.pool.model.Statement.Borrow;
 import sandpaddle.fleet.pool.model.Statement.Budget;
@@ -30,7 +30,7 @@
 
     /** The policy; empty where it has an error. */
     public static Optional<Policy> check(byte[] file, KnownNames known, FaultList faults) {
-        Draft draft = PolicyReader.read(file, faults);
+        PolicyDraft draft = PolicyReader.read(file, faults);
         boolean readable = faults.errors() == 0;
         header(draft, readable, faults);
         Map<String, Set<String>> groups = Groups.resolve(draft, faults);
@@ -45,7 +45,8 @@
         }
         Policy policy = policy(draft, groups, tenants);
         if (policy.budgets().isEmpty() && readable) {
-            faults.warning(new Spot(1, 1), "a policy without a budget", "a budget, without which nothing is limited");
+            faults.warning(new SourcePosition(1, 1), "a policy without a budget",
+                    "a budget, without which nothing is limited");
         }
         if (readable && expansion.isPresent() && !faults.isFull()) {
             new ScenarioCheck(policy, expansion.get(), known, faults).check(draft.rules);
@@ -53,9 +54,9 @@
         return faults.errors() > 0 ? Optional.empty() : Optional.of(policy);
     }
 
-    private static void header(Draft draft, boolean readable, FaultList faults) {
+    private static void header(PolicyDraft draft, boolean readable, FaultList faults) {
         if (draft.headers.isEmpty() && readable) {
-            faults.error(new Spot(1, 1), "no statement that names the policy", "policy \"name\" version 1");
+            faults.error(new SourcePosition(1, 1), "no statement that names the policy", "policy \"name\" version 1");
         }
         for (int i = 1; i < draft.headers.size(); i++) {
             faults.error(draft.headers.get(i).at(), "a second name of the policy", "one, which line "
@@ -63,7 +64,7 @@
         }
     }
 
-    private static Policy policy(Draft draft, Map<String, Set<String>> groups, Set<String> tenants) {
+    private static Policy policy(PolicyDraft draft, Map<String, Set<String>> groups, Set<String> tenants) {
         List<Budget> budgets = new ArrayList<>();
         List<Reserve> reserves = new ArrayList<>();
         List<Borrow> borrows = new ArrayList<>();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
@@ -13,13 +13,13 @@
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.Selector;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 import sandpaddle.fleet.pool.model.Statement.Budget;
 import sandpaddle.fleet.pool.model.Statement.Scope;
 import sandpaddle.fleet.pool.model.Statement.Share;
-import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.pool.rule.Budgets;
+import sandpaddle.fleet.pool.rule.Capacity;
 
 /** Tells what cannot be kept in some state of the fleet: floors above ceilings or budgets, budgets without room. */
 final class ScenarioCheck {
@@ -49,7 +49,7 @@
         int each = rules.size() + expansion.keys().size() + 1;
         Scenarios scenarios = Scenarios.of(rules, Math.max(16, Math.min(MOST_STATES, MOST_STEPS / each)));
         if (!scenarios.complete()) {
-            faults.warning(new Spot(1, 1), "more combinations of conditions than are tried",
+            faults.warning(new SourcePosition(1, 1), "more combinations of conditions than are tried",
                     "fewer conditions; each was tried by itself, and all together");
         }
         scenarios.states().forEach(this::check);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/LineErrors.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/LineErrors.java
@@ -13,7 +13,7 @@
 import org.antlr.v4.runtime.misc.Interval;
 import org.antlr.v4.runtime.misc.IntervalSet;
 import sandpaddle.fleet.pool.model.FaultList;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
  * One fault a line: at the first token that cannot stand there the rest of the line is passed over. Nothing is
@@ -80,8 +80,8 @@
         }
     }
 
-    static Spot spot(Token token) {
-        return new Spot(token.getLine(), token.getCharPositionInLine() + 1);
+    static SourcePosition spot(Token token) {
+        return new SourcePosition(token.getLine(), token.getCharPositionInLine() + 1);
     }
 
     private static String found(Token token) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/Draft.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyDraft.java
@@ -2,25 +2,25 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 
 /** What stands in a policy file, read statement by statement, before anything was checked across statements. */
-public final class Draft {
+public final class PolicyDraft {
     /** The line that names the policy. */
-    public record Header(Spot at, String name, int version) { }
+    public record Header(SourcePosition at, String name, int version) { }
 
     /** A group as written. */
-    public record GroupDraft(Spot at, String name, List<Member> members) { }
+    public record GroupDraft(SourcePosition at, String name, List<Member> members) { }
 
     /** A tenant or another group within a group. */
-    public record Member(Spot at, boolean group, String name) { }
+    public record Member(SourcePosition at, boolean group, String name) { }
 
     /** What a name stands for. */
     public enum Subject { TENANT, GROUP, CLASS, HALL, GATEWAY, KIND, ENGINE }
 
     /** A name that a rule mentions. */
-    public record Mention(Spot at, Subject subject, String name) { }
+    public record Mention(SourcePosition at, Subject subject, String name) { }
 
     public final List<Header> headers = new ArrayList<>();
     public final List<GroupDraft> groups = new ArrayList<>();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
@@ -12,7 +12,7 @@
 import org.antlr.v4.runtime.Token;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.Limits;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
  * Reads the text of a policy into a draft, and tells every fault of a single statement. Each line is parsed by itself
@@ -22,9 +22,9 @@
     private PolicyReader() { }
 
     /** The statements that could be read; those with a fault are left out, and their faults told. */
-    public static Draft read(byte[] file, FaultList faults) {
-        Draft draft = new Draft();
-        Spot start = new Spot(1, 1);
+    public static PolicyDraft read(byte[] file, FaultList faults) {
+        PolicyDraft draft = new PolicyDraft();
+        SourcePosition start = new SourcePosition(1, 1);
         if (file.length > Limits.MOST_BYTES) {
             faults.error(start, "a file of " + file.length + " bytes", Limits.MOST_BYTES + " bytes at most");
             return draft;
@@ -46,12 +46,12 @@
         String before = to.toString();
         int line = 1 + (int) before.chars().filter(c -> c == '\n').count();
         String lastLine = before.substring(before.lastIndexOf('\n') + 1);
-        faults.error(new Spot(line, 1 + lastLine.codePointCount(0, lastLine.length())),
+        faults.error(new SourcePosition(line, 1 + lastLine.codePointCount(0, lastLine.length())),
                 String.format("a byte 0x%02x that is not UTF-8", file[from.position()]), "text in UTF-8");
         return Optional.empty();
     }
 
-    private static void read(String text, Draft draft, FaultList faults) {
+    private static void read(String text, PolicyDraft draft, FaultList faults) {
         PoolPolicyLexer lexer = new PoolPolicyLexer(CharStreams.fromString(text + "\n")); // so that each line ends
         lexer.removeErrorListeners();
         PoolPolicyParser parser = new PoolPolicyParser(new CommonTokenStream(lexer));
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import org.antlr.v4.runtime.tree.TerminalNode;
-import sandpaddle.fleet.pool.lang.Draft.Mention;
-import sandpaddle.fleet.pool.lang.Draft.Subject;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Mention;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Subject;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.SelectorContext;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.Selector;
@@ -15,11 +15,11 @@
 
 /** Turns the selections of a share statement into one selector, whose terms are one for each dimension. */
 final class SelectorReader {
-    private final Draft draft;
+    private final PolicyDraft draft;
     private final FaultList faults;
     private final Literals literals;
 
-    SelectorReader(Draft draft, FaultList faults, Literals literals) {
+    SelectorReader(PolicyDraft draft, FaultList faults, Literals literals) {
         this.draft = draft;
         this.faults = faults;
         this.literals = literals;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
@@ -7,8 +7,8 @@
 import java.util.OptionalInt;
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.tree.TerminalNode;
-import sandpaddle.fleet.pool.lang.Draft.Mention;
-import sandpaddle.fleet.pool.lang.Draft.Subject;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Mention;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Subject;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.BorrowContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.BudgetContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.ConditionContext;
@@ -25,17 +25,17 @@
 import sandpaddle.fleet.pool.model.Limits;
 import sandpaddle.fleet.pool.model.Phase;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 
 /** Turns one parsed statement into its part of the draft, and tells its faults of range. */
 final class StatementReader {
-    private final Draft draft;
+    private final PolicyDraft draft;
     private final FaultList faults;
     private final Literals literals;
     private final SelectorReader selectors;
 
-    StatementReader(Draft draft, FaultList faults) {
+    StatementReader(PolicyDraft draft, FaultList faults) {
         this.draft = draft;
         this.faults = faults;
         this.literals = new Literals(faults);
@@ -43,7 +43,7 @@
     }
 
     void read(StatementContext from) {
-        Spot at = LineErrors.spot(from.getStart());
+        SourcePosition at = LineErrors.spot(from.getStart());
         if (from.policy() != null) {
             header(at, from.policy());
         } else if (from.group() != null) {
@@ -53,26 +53,26 @@
         }
     }
 
-    private void header(Spot at, PolicyContext from) {
+    private void header(SourcePosition at, PolicyContext from) {
         int version = literals.whole(from.INT(0), 1, 1_000_000_000, "version");
         if (from.LANGUAGE() != null) {
             literals.whole(from.INT(1), Policy.LANGUAGE, Policy.LANGUAGE, "language");
         }
-        draft.headers.add(new Draft.Header(at, literals.name(from.STRING()), version));
+        draft.headers.add(new PolicyDraft.Header(at, literals.name(from.STRING()), version));
     }
 
-    private void group(Spot at, GroupContext from) {
-        List<Draft.Member> members = new ArrayList<>();
+    private void group(SourcePosition at, GroupContext from) {
+        List<PolicyDraft.Member> members = new ArrayList<>();
         for (MemberContext member : from.member()) {
-            Spot spot = LineErrors.spot(member.getStart());
+            SourcePosition spot = LineErrors.spot(member.getStart());
             boolean group = member.GROUP() != null;
-            members.add(new Draft.Member(spot, group,
+            members.add(new PolicyDraft.Member(spot, group,
                     group ? member.groupName().getText() : literals.name(member.STRING())));
         }
-        draft.groups.add(new Draft.GroupDraft(at, from.groupName().getText(), members));
+        draft.groups.add(new PolicyDraft.GroupDraft(at, from.groupName().getText(), members));
     }
 
-    private void rule(Spot at, List<Condition> when, RulingContext from) {
+    private void rule(SourcePosition at, List<Condition> when, RulingContext from) {
         if (from.budget() != null) {
             draft.rules.add(budget(at, when, from.budget()));
         } else if (from.reserve() != null) {
@@ -84,7 +84,7 @@
         }
     }
 
-    private Statement.Budget budget(Spot at, List<Condition> when, BudgetContext from) {
+    private Statement.Budget budget(SourcePosition at, List<Condition> when, BudgetContext from) {
         int connections = literals.whole(from.INT(), 1, Limits.MOST_CONNECTIONS, "a budget of");
         Statement.Scope scope = Statement.Scope.FLEET;
         String name = "";
@@ -103,7 +103,7 @@
         return new Statement.Budget(at, when, scope, name, connections);
     }
 
-    private Statement.Reserve reserve(Spot at, List<Condition> when, ReserveContext from) {
+    private Statement.Reserve reserve(SourcePosition at, List<Condition> when, ReserveContext from) {
         boolean percent = from.PERCENT() != null;
         int amount = percent ? literals.whole(from.INT(), 0, 99, "a reserve in percent of")
                 : literals.whole(from.INT(), 0, Limits.MOST_CONNECTIONS, "a reserve of");
@@ -111,7 +111,7 @@
                 from.CONTROL() != null ? Statement.Use.CONTROL : Statement.Use.RETURNING, percent, amount);
     }
 
-    private Statement.Borrow borrow(Spot at, List<Condition> when, BorrowContext from) {
+    private Statement.Borrow borrow(SourcePosition at, List<Condition> when, BorrowContext from) {
         if (from.IDLE() == null) {
             return new Statement.Borrow(at, when, false, Duration.ZERO);
         }
@@ -119,7 +119,7 @@
                 literals.duration(from.duration(), Duration.ofMillis(100), Duration.ofHours(1), "a time of"));
     }
 
-    private Statement.Share share(Spot at, List<Condition> when, ShareContext from) {
+    private Statement.Share share(SourcePosition at, List<Condition> when, ShareContext from) {
         OptionalInt weight = OptionalInt.empty();
         OptionalInt floor = OptionalInt.empty();
         OptionalInt ceiling = OptionalInt.empty();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/FaultList.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/FaultList.java
@@ -21,11 +21,11 @@
     private boolean full;
     private boolean cut;
 
-    public void error(Spot at, String found, String allowed) {
+    public void error(SourcePosition at, String found, String allowed) {
         add(new PolicyFault(at, Severity.ERROR, found, allowed));
     }
 
-    public void warning(Spot at, String found, String allowed) {
+    public void warning(SourcePosition at, String found, String allowed) {
         add(new PolicyFault(at, Severity.WARNING, found, allowed));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Facts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
@@ -10,7 +10,7 @@
  * What the solver divides by: the state, the gateways that take part, the engines that may be connected to, and what is
  * asked for. Bounds: {@value #MOST_GATEWAYS} gateways, {@value #MOST_ENGINES} engines, {@value #MOST_DEMANDS} demands.
  */
-public record Facts(FleetState state, List<Gateway> gateways, List<Engine> engines, List<Demand> demands) {
+public record SolverInput(FleetState state, List<Gateway> gateways, List<Engine> engines, List<Demand> demands) {
     public static final int MOST_GATEWAYS = 1_024;
     public static final int MOST_ENGINES = 4_096;
     public static final int MOST_DEMANDS = 262_144;
@@ -26,7 +26,7 @@
     public record Demand(String tenant, String className, String gateway, String kind, int connections) { }
 
     /** @throws IllegalArgumentException where a bound is passed, a name comes twice, or a gateway is unknown */
-    public Facts {
+    public SolverInput {
         gateways = List.copyOf(gateways);
         engines = List.copyOf(engines);
         demands = List.copyOf(demands);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Spot.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SourcePosition.java
@@ -1,9 +1,9 @@
 package sandpaddle.fleet.pool.model;
 
 /** Where something stands in a policy file; both count from 1, columns in Unicode characters. */
-public record Spot(int line, int column) implements Comparable<Spot> {
+public record SourcePosition(int line, int column) implements Comparable<SourcePosition> {
     @Override
-    public int compareTo(Spot other) {
+    public int compareTo(SourcePosition other) {
         return line != other.line ? Integer.compare(line, other.line) : Integer.compare(column, other.column);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Statement.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Statement.java
@@ -8,7 +8,7 @@
 /** A statement that rules while all its conditions hold. */
 public sealed interface Statement {
     /** Where it begins. */
-    Spot at();
+    SourcePosition at();
 
     /** All must hold; none: it always rules. */
     List<Condition> when();
@@ -30,19 +30,21 @@
     enum Scope { FLEET, KIND, EACH_OF_KIND, ENGINE }
 
     /** So many connections at most; {@code name}: of the kind or engine, empty for the fleet. */
-    record Budget(Spot at, List<Condition> when, Scope scope, String name, int connections) implements Statement { }
+    record Budget(SourcePosition at, List<Condition> when, Scope scope, String name, int connections)
+            implements Statement { }
 
     /** Whom a reserve is for. */
     enum Use { CONTROL, RETURNING }
 
     /** A part of every budget that no tenant gets: so many for each engine, or a percentage. */
-    record Reserve(Spot at, List<Condition> when, Use use, boolean percent, int amount) implements Statement { }
+    record Reserve(SourcePosition at, List<Condition> when, Use use, boolean percent, int amount)
+            implements Statement { }
 
     /** Whether what its owner leaves idle may be lent, and how soon it must be back. */
-    record Borrow(Spot at, List<Condition> when, boolean idle, Duration giveBack) implements Statement { }
+    record Borrow(SourcePosition at, List<Condition> when, boolean idle, Duration giveBack) implements Statement { }
 
     /** Weight of what is selected, in hundredths, and floor and ceiling of its connections. */
-    record Share(Spot at, List<Condition> when, Selector of, OptionalInt weight, OptionalInt floor,
+    record Share(SourcePosition at, List<Condition> when, Selector of, OptionalInt weight, OptionalInt floor,
             OptionalInt ceiling) implements Statement { }
 
     /** The greater takes precedence: the more specific selection, then more conditions, then the later one. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Allotment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Allocation.java
@@ -19,11 +19,11 @@
  * nothing is lent
  * @param steps what the division cost, in steps of heaps and passes
  */
-public record Allotment(List<Row> rows, List<Cell> cells, List<Room> budgets, List<Unmet> unmet,
+public record Allocation(List<Row> rows, List<Cell> cells, List<Room> budgets, List<Unmet> unmet,
         Optional<Duration> giveBack, long steps) {
     /** Nothing was divided yet. */
-    public static final Allotment NONE =
-            new Allotment(List.of(), List.of(), List.of(), List.of(), Optional.empty(), 0);
+    public static final Allocation NONE =
+            new Allocation(List.of(), List.of(), List.of(), List.of(), Optional.empty(), 0);
 
     /**
      * What a tenant may have on a gateway for a class, at engines of a kind.
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.TreeMap;
-import sandpaddle.fleet.pool.model.Facts;
-import sandpaddle.fleet.pool.model.Facts.Engine;
+import sandpaddle.fleet.pool.model.SolverInput;
+import sandpaddle.fleet.pool.model.SolverInput.Engine;
 import sandpaddle.fleet.pool.model.Statement.Budget;
 import sandpaddle.fleet.pool.model.Statement.Scope;
-import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.pool.rule.Budgets;
+import sandpaddle.fleet.pool.rule.Capacity;
 
 /**
  * What each budget leaves for tenants with the engines that are there now.
@@ -22,7 +22,7 @@
  */
 record Capacities(Optional<Capacity> fleet, Map<String, Capacity> kinds, Map<String, Map<String, Capacity>> engines,
         Map<String, Integer> counts) {
-    static Capacities of(Budgets budgets, Facts facts) {
+    static Capacities of(Budgets budgets, SolverInput facts) {
         Map<String, Integer> counts = new TreeMap<>();
         Map<String, Map<String, Capacity>> engines = new TreeMap<>();
         List<Engine> sorted = facts.engines().stream()
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import sandpaddle.fleet.pool.solve.Allotment.Unmet;
+import sandpaddle.fleet.pool.solve.Allocation.Unmet;
 import sandpaddle.fleet.pool.solve.Rows.Floor;
 
 /**
@@ -37,7 +37,7 @@
     }
 
     private int[] solve(Network net, int[] before, int[] ties) {
-        Filling.Shares shares = Filling.fill(net);
+        ProgressiveFilling.Shares shares = ProgressiveFilling.fill(net);
         steps += shares.steps();
         return Rounding.round(net, shares.value(), before, ties);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sandpaddle.fleet.pool.rule.Capacity;
-import sandpaddle.fleet.pool.solve.Allotment.Cell;
+import sandpaddle.fleet.pool.solve.Allocation.Cell;
 
 /**
  * Spreads what each gateway has at engines of a kind over those engines, none over its budget. Cells stay as they were
@@ -65,7 +65,7 @@
             ties[row] = Rows.tie(new Rows.Name(kind, gateways[row], "", ""));
         }
         Network net = new Network(weight, new int[rows], most, links, new long[] {whole});
-        return Rounding.round(net, Filling.fill(net).value(), new int[rows], ties);
+        return Rounding.round(net, ProgressiveFilling.fill(net).value(), new int[rows], ties);
     }
 
     private int[][] kept(String[] gateways, int[] sums, List<Cell> previous) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
-import sandpaddle.fleet.pool.model.Facts;
 import sandpaddle.fleet.pool.model.Policy;
+import sandpaddle.fleet.pool.model.SolverInput;
 import sandpaddle.fleet.pool.model.Statement.Borrow;
 import sandpaddle.fleet.pool.rule.Budgets;
 import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.pool.rule.Shares;
-import sandpaddle.fleet.pool.solve.Allotment.Cell;
-import sandpaddle.fleet.pool.solve.Allotment.Room;
-import sandpaddle.fleet.pool.solve.Allotment.Row;
+import sandpaddle.fleet.pool.solve.Allocation.Cell;
+import sandpaddle.fleet.pool.solve.Allocation.Room;
+import sandpaddle.fleet.pool.solve.Allocation.Row;
 
 /**
  * Divides the fleet's connections by a policy. Each demand (a tenant on a gateway, for a class, at a kind of engine) is
@@ -27,7 +27,7 @@
     private PoolSolver() { }
 
     /** The division in these circumstances; {@code previous} keeps what may as well stay where it is. */
-    public static Allotment solve(Policy policy, Facts facts, Allotment previous) {
+    public static Allocation solve(Policy policy, SolverInput facts, Allocation previous) {
         Budgets budgets = Budgets.at(policy, facts.state());
         Capacities capacities = Capacities.of(budgets, facts);
         Rows rows = new Rows(policy, Shares.at(policy, facts.state()), facts, capacities);
@@ -42,11 +42,11 @@
             divided.add(new Row(name.kind(), name.gateway(), name.tenant(), name.className(), result.whole()[i],
                     entitled.whole()[i], result.floors()[i]));
         }
-        return new Allotment(List.copyOf(divided), cells(capacities, divided, previous), rooms(capacities),
+        return new Allocation(List.copyOf(divided), cells(capacities, divided, previous), rooms(capacities),
                 result.unmet(), lent.map(Borrow::giveBack), result.steps() + (lent.isPresent() ? entitled.steps() : 0));
     }
 
-    private static int[] before(Rows rows, Allotment previous, ToIntFunction<Row> what) {
+    private static int[] before(Rows rows, Allocation previous, ToIntFunction<Row> what) {
         int[] had = new int[rows.names.size()];
         int at = 0;
         for (Row row : previous.rows()) { // both are in the order of names
@@ -74,7 +74,7 @@
         return most;
     }
 
-    private static List<Cell> cells(Capacities capacities, List<Row> rows, Allotment previous) {
+    private static List<Cell> cells(Capacities capacities, List<Row> rows, Allocation previous) {
         Map<String, TreeMap<String, Long>> wanted = new TreeMap<>();
         for (Row row : rows) {
             wanted.computeIfAbsent(row.kind(), k -> new TreeMap<>())
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Filling.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
@@ -7,7 +7,7 @@
  * that has no more for its weight. Instead of small steps the next event is taken from two heaps, of rows and of links:
  * O((n + m) k log(n + m)) for n rows of at most k links among m.
  */
-final class Filling {
+final class ProgressiveFilling {
     private static final byte HELD = 0;
     private static final byte RISING = 1;
     private static final byte DONE = 2;
@@ -24,7 +24,7 @@
     private double level;
     private long steps;
 
-    private Filling(Network net) {
+    private ProgressiveFilling(Network net) {
         this.net = net;
         int links = net.capacity().length;
         members = net.members();
@@ -41,7 +41,7 @@
     record Shares(double[] value, long steps) { }
 
     static Shares fill(Network net) {
-        Filling filling = new Filling(net);
+        ProgressiveFilling filling = new ProgressiveFilling(net);
         filling.run();
         return new Shares(filling.value,
                 filling.steps + filling.rowEvents.steps() + filling.linkEvents.steps());
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.TreeMap;
-import sandpaddle.fleet.pool.model.Facts;
-import sandpaddle.fleet.pool.model.Facts.Demand;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.Selector;
 import sandpaddle.fleet.pool.model.Selector.Form;
+import sandpaddle.fleet.pool.model.SolverInput;
+import sandpaddle.fleet.pool.model.SolverInput.Demand;
 import sandpaddle.fleet.pool.model.Statement.Share;
-import sandpaddle.fleet.pool.rule.Shares;
 import sandpaddle.fleet.pool.rule.ShareIndex;
+import sandpaddle.fleet.pool.rule.Shares;
 
 /** The rows among which connections are divided, with their rules, in an order that depends on their names only. */
 final class Rows {
@@ -44,11 +44,11 @@
     /** Families of floors whose sets do not overlap, in the order in which they are granted. */
     final List<List<Floor>> floors;
 
-    Rows(Policy policy, Shares shares, Facts facts, Capacities capacities) {
+    Rows(Policy policy, Shares shares, SolverInput facts, Capacities capacities) {
         TreeMap<Name, Integer> sums = new TreeMap<>();
         for (Demand d : facts.demands()) {
             sums.merge(new Name(d.kind(), d.gateway(), policy.counted(d.tenant()), d.className()), d.connections(),
-                    (a, b) -> Math.min(a + b, Facts.MOST_CONNECTIONS));
+                    (a, b) -> Math.min(a + b, SolverInput.MOST_CONNECTIONS));
         }
         names = List.copyOf(sums.keySet());
         demand = sums.values().stream().mapToInt(Integer::intValue).toArray();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sandpaddle.fleet.pool.solve.Allotment.Cell;
-import sandpaddle.fleet.pool.solve.Allotment.Row;
+import sandpaddle.fleet.pool.solve.Allocation.Cell;
+import sandpaddle.fleet.pool.solve.Allocation.Row;
 
 /**
  * What one slot of a limit is to have. In every limit the targets sum up to its capacity at most.
@@ -31,7 +31,7 @@
     }
 
     /** The targets of all limits, by slot. */
-    public static List<Target> of(Allotment allotment) {
+    public static List<Target> of(Allocation allotment) {
         Set<Limit> limits = new HashSet<>();
         allotment.budgets().forEach(room -> limits.add(room.limit()));
         Map<Slot, Target> targets = new TreeMap<>();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Moves.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/TransitionPlan.java
@@ -15,7 +15,7 @@
  * @param lowers to ask for now, by slot
  * @param raises to grant now, by slot
  */
-public record Moves(List<Move> lowers, List<Move> raises) {
+public record TransitionPlan(List<Move> lowers, List<Move> raises) {
     /** One slot from what it holds to another number; {@code to} is the compare-and-set's new value. */
     public record Move(Slot slot, int from, int to) { }
 
@@ -25,7 +25,8 @@
      *
      * @param present what slots hold at most as far as is known, lowers that are not confirmed not counted
      */
-    public static Moves plan(Map<Slot, Integer> present, Map<Slot, Integer> wanted, Map<Limit, Integer> capacities) {
+    public static TransitionPlan plan(Map<Slot, Integer> present, Map<Slot, Integer> wanted, Map<Limit,
+            Integer> capacities) {
         Map<Limit, Long> free = new HashMap<>();
         capacities.forEach((limit, capacity) -> free.put(limit, (long) capacity));
         List<Move> lowers = new ArrayList<>();
@@ -45,7 +46,7 @@
                 free.merge(slot.limit(), -room, Long::sum);
             }
         });
-        return new Moves(List.copyOf(lowers), List.copyOf(raises));
+        return new TransitionPlan(List.copyOf(lowers), List.copyOf(raises));
     }
 
     public boolean isEmpty() {
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/Claim.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/JoinRequest.java
@@ -13,7 +13,7 @@
  * @param former at most {@value #MOST_FORMER}
  * @param index of the last entry
  */
-public record Claim(Endpoint who, long life, List<Long> former, int term, long index) {
+public record JoinRequest(Endpoint who, long life, List<Long> former, int term, long index) {
     /** A peer that missed more openings than this refuses the voter, which then comes back under a new number. */
     public static final int MOST_FORMER = 64;
 
@@ -22,8 +22,8 @@
         out.list(former, CborOut::number).number(term).number(index);
     }
 
-    public static Claim read(Endpoint who, long life, CborIn in) throws FaultyMessageException {
-        return new Claim(who, life, in.list(MOST_FORMER, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)),
+    public static JoinRequest read(Endpoint who, long life, CborIn in) throws FaultyMessageException {
+        return new JoinRequest(who, life, in.list(MOST_FORMER, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)),
             (int) in.number(0, Integer.MAX_VALUE), in.number(0, Long.MAX_VALUE));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/OwnDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Restoring;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.wire.CborIn;
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /** What a gateway keeps on its disk about itself as a voter, and about the others. */
-public class OwnDisk {
+public class LocalVoterState {
     private static final String LIVES = "raft.lives";
     private static final String RETIRED = "raft.retired";
     private static final String FAULTS = "raft.faults";
@@ -25,16 +25,16 @@
     private final VoterStore store;
     private final String cluster;
     private final String name;
-    private Seen remembered;
+    private PeerIncarnations remembered;
 
-    public OwnDisk(VoterStore store, String cluster, String name) {
+    public LocalVoterState(VoterStore store, String cluster, String name) {
         this.store = store;
         this.cluster = cluster;
         this.name = name;
     }
 
     /** Under which endpoint this disk votes or voted; none on an empty one. */
-    public Optional<Endpoint> endpoint(Found found) throws StoreException {
+    public Optional<Endpoint> endpoint(RecoveredState found) throws StoreException {
         if (found.identity().isEmpty()) {
             return Optional.empty();
         }
@@ -51,18 +51,18 @@
     }
 
     /** Why this endpoint may not vote any more, as far as its own disk tells. */
-    public Optional<String> unfit(Endpoint self, Found found) throws StoreException {
+    public Optional<String> unfit(Endpoint self, RecoveredState found) throws StoreException {
         if (text(RETIRED).equals(self.toString())) {
             return Optional.of("it was refused or removed before");
         }
-        if (found.trusted() && !Restoring.isPrepared(store)) {
+        if (found.trusted() && !StateRestorer.isPrepared(store)) {
             return Optional.of("it was cut short when it took this number");
         }
         String faults = faults(found);
         return faults.isEmpty() || faults.equals(text(FAULTS)) ? Optional.empty() : Optional.of(faults);
     }
 
-    private static String faults(Found found) {
+    private static String faults(RecoveredState found) {
         String all = String.join("; ", found.faults());
         return all.substring(0, Math.min(MOST_TEXT / 4, all.length()));
     }
@@ -85,20 +85,20 @@
     }
 
     /** Draws a life for this opening; durable when it returns, so that no two openings ever claim the same. */
-    public Claim open(Endpoint self, Found found, Random random) throws StoreException {
+    public JoinRequest open(Endpoint self, RecoveredState found, Random random) throws StoreException {
         List<Long> former = lives();
         long life = random.nextLong();
         List<Long> all = new ArrayList<>(former);
         all.add(life);
-        int drop = Math.max(0, all.size() - Claim.MOST_FORMER);
+        int drop = Math.max(0, all.size() - JoinRequest.MOST_FORMER);
         store.put(LIVES, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
-        return new Claim(self, life, former, found.term(), found.lastIndex());
+        return new JoinRequest(self, life, former, found.term(), found.lastIndex());
     }
 
     private List<Long> lives() throws StoreException {
         Optional<byte[]> kept = store.get(LIVES);
         try {
-            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(Claim.MOST_FORMER,
+            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(JoinRequest.MOST_FORMER,
                 i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, LIVES + ": " + e.getMessage(), e);
@@ -110,12 +110,12 @@
      * what was once agreed or replaced, as any slow server's. The identity is written last, so that a crash before it
      * leaves the old endpoint, which is out of use.
      */
-    public void adopt(Endpoint self, List<Endpoint> first, Found found) throws StoreException {
+    public void adopt(Endpoint self, List<Endpoint> first, RecoveredState found) throws StoreException {
         Identity id = new Identity(cluster, name, self.toString());
         if (!found.trusted()) {
             store.identity(id); // empties it, and makes it take writes again
         }
-        Restoring.prepare(store, first, false);
+        StateRestorer.prepare(store, first, false);
         store.put(LIVES, new CborOut().list(List.<Long>of(), CborOut::number).done());
         store.put(FAULTS, new CborOut().text(faults(found)).done());
         if (found.trusted()) {
@@ -124,11 +124,11 @@
     }
 
     /** What is remembered; within one process that is more than what was written, also after the store failed. */
-    public Seen seen() throws StoreException {
+    public PeerIncarnations seen() throws StoreException {
         Optional<byte[]> kept = remembered == null ? store.get(SEEN) : Optional.empty();
         try {
             if (remembered == null) {
-                remembered = kept.isEmpty() ? new Seen() : Seen.read(kept.get());
+                remembered = kept.isEmpty() ? new PeerIncarnations() : PeerIncarnations.read(kept.get());
             }
             return remembered;
         } catch (FaultyMessageException e) {
@@ -137,7 +137,7 @@
     }
 
     /** Durable when it returns. */
-    public void keep(Seen seen) throws StoreException {
+    public void keep(PeerIncarnations seen) throws StoreException {
         store.put(SEEN, seen.write());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/Seen.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -17,21 +17,21 @@
  * that remembers is enough to refuse; whoever is refused comes back under a new number. Bound: {@value #MOST_NAMES}
  * names.
  */
-public class Seen {
+public class PeerIncarnations {
     /** Of names; the one not met for longest is forgotten for a new one. */
     public static final int MOST_NAMES = 64;
 
     /** The newest endpoint of a name: its life, and the highest term and index at that term that it told. */
-    private record Sight(int number, long life, int term, long index) { }
+    private record Sighting(int number, long life, int term, long index) { }
 
-    private final Map<String, Sight> sights = new LinkedHashMap<>();
+    private final Map<String, Sighting> sights = new LinkedHashMap<>();
 
     /** Why an endpoint may not take part, and the highest number known of its name. */
     public record Refusal(String why, int highest) { }
 
     /** Judges a claim; where it is good this life is the one that counts from now on, and to be made durable. */
-    public Optional<Refusal> judge(Claim c) {
-        Sight known = sights.get(c.who().name());
+    public Optional<Refusal> judge(JoinRequest c) {
+        Sighting known = sights.get(c.who().name());
         String why = known == null ? "" : fault(known, c);
         if (!why.isEmpty()) {
             return Optional.of(new Refusal(why, known.number()));
@@ -43,11 +43,11 @@
     }
 
     /** From now on this life is the one that counts. */
-    protected final void meet(Claim c) {
-        keep(c.who().name(), new Sight(c.who().number(), c.life(), c.term(), c.index()));
+    protected final void meet(JoinRequest c) {
+        keep(c.who().name(), new Sighting(c.who().number(), c.life(), c.term(), c.index()));
     }
 
-    private static String fault(Sight known, Claim c) {
+    private static String fault(Sighting known, JoinRequest c) {
         if (known.number() > c.who().number()) {
             return "the name votes as number " + known.number() + " since";
         }
@@ -66,13 +66,13 @@
 
     /** Whether messages of this life of an endpoint may be handed on. */
     public boolean admits(Endpoint who, long life) {
-        Sight known = sights.get(who.name());
+        Sighting known = sights.get(who.name());
         return known != null && known.number() == who.number() && known.life() == life;
     }
 
     /** Whether this endpoint was ever welcomed here. */
     public boolean met(Endpoint who) {
-        Sight known = sights.get(who.name());
+        Sighting known = sights.get(who.name());
         return known != null && known.number() == who.number();
     }
 
@@ -83,16 +83,17 @@
      * @return whether the term is new, so that this is worth a write to the disk
      */
     public boolean told(Endpoint who, int term, long index) {
-        Sight known = sights.get(who.name());
+        Sighting known = sights.get(who.name());
         if (known == null || known.number() != who.number() || term < known.term()) {
             return false;
         }
         boolean isNew = term > known.term();
-        keep(who.name(), new Sight(known.number(), known.life(), term, isNew ? index : Math.max(index, known.index())));
+        keep(who.name(), new Sighting(known.number(), known.life(), term, isNew ? index
+            : Math.max(index, known.index())));
         return isNew;
     }
 
-    private void keep(String name, Sight sight) {
+    private void keep(String name, Sighting sight) {
         sights.remove(name); // so that it stands last
         if (sights.size() >= MOST_NAMES) {
             sights.remove(sights.keySet().iterator().next());
@@ -105,12 +106,12 @@
             .number(e.getValue().life()).number(e.getValue().term()).number(e.getValue().index())).done();
     }
 
-    public static Seen read(byte[] kept) throws FaultyMessageException {
-        Seen seen = new Seen();
+    public static PeerIncarnations read(byte[] kept) throws FaultyMessageException {
+        PeerIncarnations seen = new PeerIncarnations();
         CborIn in = new CborIn(kept);
         List<Boolean> all = in.list(MOST_NAMES, i -> {
             String name = i.text(Endpoint.MOST_NAME_BYTES);
-            seen.sights.put(name, new Sight((int) i.number(1, Endpoint.MOST_NUMBER),
+            seen.sights.put(name, new Sighting((int) i.number(1, Endpoint.MOST_NUMBER),
                 i.number(Long.MIN_VALUE, Long.MAX_VALUE), (int) i.number(0, Integer.MAX_VALUE),
                 i.number(0, Long.MAX_VALUE)));
             return true;
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Answer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/CommandResult.java
@@ -7,7 +7,7 @@
  * What came of a command, in the result that its proposer gets: whether it was taken, and what the part returned or why
  * it was refused. A refusal changes nothing and is the same at every voter.
  */
-public record Answer(boolean taken, byte[] result, String why) {
+public record CommandResult(boolean taken, byte[] result, String why) {
     private static final byte TAKEN = 0;
     private static final byte REFUSED = 1;
 
@@ -31,12 +31,12 @@
     }
 
     /** Reads the result of a proposal. */
-    public static Answer of(byte[] bytes) {
+    public static CommandResult of(byte[] bytes) {
         if (bytes.length == 0 || bytes[0] != TAKEN && bytes[0] != REFUSED) {
-            return new Answer(false, new byte[0], "an answer that is none");
+            return new CommandResult(false, new byte[0], "an answer that is none");
         }
         byte[] rest = Arrays.copyOfRange(bytes, 1, bytes.length);
-        return bytes[0] == TAKEN ? new Answer(true, rest, "")
-            : new Answer(false, new byte[0], new String(rest, StandardCharsets.UTF_8));
+        return bytes[0] == TAKEN ? new CommandResult(true, rest, "")
+            : new CommandResult(false, new byte[0], new String(rest, StandardCharsets.UTF_8));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Machine.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/Machine.java
@@ -27,24 +27,24 @@
 
     /** Told what was applied, after it was; on the consensus's thread. */
     public interface Watcher {
-        void applied(long index, Part part, byte[] answer);
+        void applied(long index, MachinePart part, byte[] answer);
 
         /** The whole state was replaced, as of {@code index} or before. */
         void installed();
 
         /** A part threw, which it must not: it may differ from other gateways of another version from now on. */
-        void faulted(long index, Part part, RuntimeException how);
+        void faulted(long index, MachinePart part, RuntimeException how);
     }
 
-    private final TreeMap<Byte, Part> parts = new TreeMap<>();
+    private final TreeMap<Byte, MachinePart> parts = new TreeMap<>();
     private final TreeMap<Byte, byte[]> strangers = new TreeMap<>(); // snapshots of parts that this version lacks
     private final ReentrantLock lock = new ReentrantLock();
     private final Watcher watcher;
     private long applied;
 
-    public Machine(Collection<Part> parts, Watcher watcher) {
+    public Machine(Collection<MachinePart> parts, Watcher watcher) {
         this.watcher = watcher;
-        for (Part part : parts) {
+        for (MachinePart part : parts) {
             if (this.parts.put(part.tag(), part) != null || this.parts.size() > MOST_PARTS) {
                 throw new IllegalArgumentException("tag " + part.tag() + " is taken, or more than " + MOST_PARTS
                     + " parts");
@@ -69,10 +69,10 @@
 
     @Override
     public byte[] apply(long index, byte[] command) {
-        Part part = command.length == 0 ? null : parts.get(command[0]);
+        MachinePart part = command.length == 0 ? null : parts.get(command[0]);
         byte[] answer = read(() -> {
             applied = index;
-            return part == null ? Answer.refused(command.length == 0 ? "an empty command"
+            return part == null ? CommandResult.refused(command.length == 0 ? "an empty command"
                 : "no part has the tag " + command[0] + " in this version") : feed(part, index, command);
         });
         if (part != null) {
@@ -81,17 +81,17 @@
         return answer;
     }
 
-    private byte[] feed(Part part, long index, byte[] command) {
+    private byte[] feed(MachinePart part, long index, byte[] command) {
         try {
             byte[] result = part.state().apply(index, Arrays.copyOfRange(command, 1, command.length));
-            return part.state() instanceof Answering ? result : Answer.taken(result);
+            return part.state() instanceof Answering ? result : CommandResult.taken(result);
         } catch (RuntimeException e) {
             watcher.faulted(index, part, e);
-            return Answer.refused("part " + part.name() + " failed: " + e);
+            return CommandResult.refused("part " + part.name() + " failed: " + e);
         }
     }
 
-    /** A part whose results are {@link Answer}s already. */
+    /** A part whose results are {@link CommandResult}s already. */
     interface Answering extends Replicated { }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Part.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/MachinePart.java
@@ -4,10 +4,10 @@
 
 /**
  * A part of the machine: its tag (1 to 127) stands before each of its commands and never changes. Its {@code apply}
- * returns bytes of its own; a part of this package returns an {@link Answer} in them.
+ * returns bytes of its own; a part of this package returns an {@link CommandResult} in them.
  */
-public record Part(byte tag, String name, Replicated state) {
-    public Part {
+public record MachinePart(byte tag, String name, Replicated state) {
+    public MachinePart {
         if (tag < 1) {
             throw new IllegalArgumentException("tag " + tag + " of part " + name + " is not from 1 to 127");
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Membership.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/Membership.java
@@ -84,13 +84,13 @@
                 default -> number(in, what == ISSUE);
             };
         } catch (FaultyMessageException e) {
-            return Answer.refused("a command about members: " + e.getMessage());
+            return CommandResult.refused("a command about members: " + e.getMessage());
         }
     }
 
     private byte[] done() {
         epoch++;
-        return Answer.taken(new CborOut().number(epoch).done());
+        return CommandResult.taken(new CborOut().number(epoch).done());
     }
 
     private byte[] join(CborIn in) throws FaultyMessageException {
@@ -98,14 +98,14 @@
         in.end();
         Member there = members.get(asked.name());
         if (asked.equals(there)) {
-            return Answer.taken(new CborOut().number(epoch).done());
+            return CommandResult.taken(new CborOut().number(epoch).done());
         }
         if (there != null && !(there.host().equals(asked.host()) && there.port() == asked.port())) {
-            return Answer.refused("the name " + asked.name() + " belongs to the gateway at " + there.host() + ":"
+            return CommandResult.refused("the name " + asked.name() + " belongs to the gateway at " + there.host() + ":"
                 + there.port() + " in hall " + there.hall());
         }
         if (there == null && members.size() >= MOST_MEMBERS) {
-            return Answer.refused("the fleet has " + MOST_MEMBERS + " members already");
+            return CommandResult.refused("the fleet has " + MOST_MEMBERS + " members already");
         }
         members.put(asked.name(), asked);
         return done();
@@ -114,7 +114,7 @@
     private byte[] leave(CborIn in) throws FaultyMessageException {
         String name = in.text(MOST_TEXT);
         in.end();
-        return members.remove(name) == null ? Answer.refused("no member has the name " + name) : done();
+        return members.remove(name) == null ? CommandResult.refused("no member has the name " + name) : done();
     }
 
     private byte[] number(CborIn in, boolean issues) throws FaultyMessageException {
@@ -123,11 +123,11 @@
         in.end();
         Numbers before = numbers(name);
         if (issues && number <= before.issued()) {
-            return Answer.refused("number " + number + " of " + name + " is not above " + before.issued()
+            return CommandResult.refused("number " + number + " of " + name + " is not above " + before.issued()
                 + ", handed out before");
         }
         if (!numbers.containsKey(name) && numbers.size() >= MOST_MEMBERS && !forgetOne()) {
-            return Answer.refused("numbers of " + MOST_MEMBERS + " names are kept already");
+            return CommandResult.refused("numbers of " + MOST_MEMBERS + " names are kept already");
         }
         numbers.put(name, issues ? new Numbers(number, before.retired())
             : new Numbers(Math.max(before.issued(), number), Math.max(before.retired(), number)));
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Policy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/VersionedTexts.java
@@ -15,7 +15,7 @@
  * and reads again (compare and set). A text is kept as it came: whether a gateway can read it is that gateway's matter,
  * which keeps the one before and says so. Bounds: {@value #MOST_NAMES} names, {@value #MOST_TEXT_BYTES} bytes a text.
  */
-public final class Policy implements Machine.Answering {
+public final class VersionedTexts implements Machine.Answering {
     public static final byte TAG = 2;
     public static final int MOST_NAMES = 16;
     public static final int MOST_TEXT_BYTES = 256 << 10;
@@ -50,15 +50,15 @@
             in.end();
             long now = text(name).map(Text::epoch).orElse(0L);
             if (now != replaces) {
-                return Answer.refused("the text " + name + " has epoch " + now + " now, not " + replaces);
+                return CommandResult.refused("the text " + name + " has epoch " + now + " now, not " + replaces);
             }
             if (now == 0 && texts.size() >= MOST_NAMES) {
-                return Answer.refused("there are " + MOST_NAMES + " texts already");
+                return CommandResult.refused("there are " + MOST_NAMES + " texts already");
             }
             texts.put(name, new Text(now + 1, text));
-            return Answer.taken(new CborOut().number(now + 1).done());
+            return CommandResult.taken(new CborOut().number(now + 1).done());
         } catch (FaultyMessageException e) {
-            return Answer.refused("a versioned text: " + e.getMessage());
+            return CommandResult.refused("a versioned text: " + e.getMessage());
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Parts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/CommonCodec.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /** What messages and the store have in common: members, entries, chunks of snapshots. */
-final class Parts {
+final class CommonCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     /** Voters and learners of one group: five voters while they are replaced one by one, and some room. */
@@ -33,7 +33,7 @@
     private static final int COMMAND = 1;
     private static final int MEMBERS = 2;
 
-    private Parts() { }
+    private CommonCodec() { }
 
     static void members(CborOut out, Collection<RaftEndpoint> members) {
         out.list(members, (o, m) -> o.text(m.toString()));
@@ -81,14 +81,14 @@
     }
 
     static void operation(CborOut out, Object operation) {
-        if (operation instanceof Op.Command command) {
+        if (operation instanceof LogOperation.Command command) {
             out.number(COMMAND).bytes(command.bytes());
         } else if (operation instanceof UpdateRaftGroupMembersOp op) {
             out.number(MEMBERS);
             members(out, op.getMembers());
             members(out, op.getVotingMembers());
             out.text(op.getEndpoint().toString()).number(op.getMode().ordinal());
-        } else if (operation instanceof Op.NewTerm) {
+        } else if (operation instanceof LogOperation.NewTerm) {
             out.number(NEW_TERM);
         } else {
             throw new IllegalArgumentException("no operation of this log: " + operation);
@@ -98,7 +98,7 @@
     static Object operation(CborIn in) throws FaultyMessageException {
         switch ((int) in.number(NEW_TERM, MEMBERS)) {
             case COMMAND:
-                return new Op.Command(in.bytes(MOST_COMMAND_BYTES));
+                return new LogOperation.Command(in.bytes(MOST_COMMAND_BYTES));
             case MEMBERS:
                 Collection<RaftEndpoint> members = members(in);
                 Collection<RaftEndpoint> voting = members(in);
@@ -108,7 +108,7 @@
                 return MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(members).setVotingMembers(voting)
                     .setEndpoint(changed).setMode(mode).build();
             default:
-                return new Op.NewTerm();
+                return new LogOperation.NewTerm();
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/DurableLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/DurableLog.java
@@ -76,7 +76,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws StoreException {
         CborOut out = new CborOut();
-        Parts.view(out, members);
+        CommonCodec.view(out, members);
         write(() -> store.put(INITIAL, out.done()));
     }
 
@@ -89,7 +89,7 @@
     public void persistLogEntries(List<LogEntry> entries) throws StoreException {
         for (LogEntry entry : entries) {
             CborOut out = new CborOut();
-            Parts.operation(out, entry.getOperation());
+            CommonCodec.operation(out, entry.getOperation());
             write(() -> store.append(entry.getIndex(), entry.getTerm(), out.done()));
             terms.put(entry.getIndex(), entry.getTerm());
         }
@@ -98,7 +98,7 @@
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws StoreException {
         CborOut out = new CborOut();
-        Parts.chunk(out, chunk);
+        CommonCodec.chunk(out, chunk);
         write(() -> store.snapshotChunk(chunk.getIndex(), chunk.getTerm(), chunk.getSnapshotChunkIndex(),
             chunk.getSnapshotChunkCount(), out.done()));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Inbound.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/Inbound.java
@@ -14,14 +14,14 @@
 final class Inbound {
     private Inbound() { }
 
-    static Life.Told told(RaftMessage message) {
+    static RaftIncarnation.SenderProgress told(RaftMessage message) {
         if (message instanceof PreVoteRequest || message instanceof PreVoteResponse) {
-            return new Life.Told(0, 0); // they name a term that is on no disk yet
+            return new RaftIncarnation.SenderProgress(0, 0); // they name a term that is on no disk yet
         }
         long index = message instanceof AppendEntriesSuccessResponse r ? r.getLastLogIndex()
             : message instanceof AppendEntriesRequest r ? r.getCommitIndex() // flushed in the turn that sent it
             : 0;
-        return new Life.Told(message.getTerm(), index);
+        return new RaftIncarnation.SenderProgress(message.getTerm(), index);
     }
 
     static boolean isFromLeader(RaftMessage m) {
@@ -35,7 +35,7 @@
 
     /** The answer of a follower whose log is known to match up to {@code end}, in the place of one that denies it. */
     static RaftMessage matches(AppendEntriesFailureResponse no, long end) {
-        return Parts.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(no.getGroupId())
+        return CommonCodec.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(no.getGroupId())
             .setSender(no.getSender()).setTerm(no.getTerm()).setLastLogIndex(end)
             .setQuerySequenceNumber(no.getQuerySequenceNumber())
             .setFlowControlSequenceNumber(no.getFlowControlSequenceNumber()).build();
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Rounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
@@ -13,7 +13,7 @@
  * <p>MicroRaft counts a question that comes while a round is under way as part of that round, whose answers may be
  * older than the question. So one round is under way at a time, and who asks meanwhile waits for the next.
  */
-public final class Rounds {
+public final class LeadershipCheck {
     /** Callers that wait; further ones are told no. */
     public static final int MOST_WAITING = 10_000;
 
@@ -22,7 +22,7 @@
     private boolean underWay;
 
     /** Asks in the next round of {@code life}. */
-    public void ask(Life life, Consumer<Boolean> leads) {
+    public void ask(RaftIncarnation life, Consumer<Boolean> leads) {
         if (!life.isLeader() || waiting.size() >= MOST_WAITING) {
             leads.accept(false);
             return;
@@ -31,7 +31,7 @@
         start(life);
     }
 
-    private void start(Life life) {
+    private void start(RaftIncarnation life) {
         if (underWay || waiting.isEmpty()) {
             return;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageIn.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageReader.java
@@ -9,48 +9,53 @@
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** Reads what {@link MessageOut} wrote, or what anybody sent: checked for type, range and order of entries. */
-final class MessageIn {
+/** Reads what {@link MessageWriter} wrote, or what anybody sent: checked for type, range and order of entries. */
+final class MessageReader {
     private final Object group;
     private final RaftEndpoint sender;
     private final CborIn in;
     private int term;
 
-    private MessageIn(Object group, RaftEndpoint sender, CborIn in) {
+    private MessageReader(Object group, RaftEndpoint sender, CborIn in) {
         this.group = group;
         this.sender = sender;
         this.in = in;
     }
 
     static RaftMessage read(Object group, RaftEndpoint sender, CborIn in) throws FaultyMessageException {
-        return new MessageIn(group, sender, in).read();
+        return new MessageReader(group, sender, in).read();
     }
 
     private RaftMessage read() throws FaultyMessageException {
-        int type = (int) in.number(MessageOut.PRE_VOTE, MessageOut.ELECT);
+        int type = (int) in.number(MessageWriter.PRE_VOTE, MessageWriter.ELECT);
         term = term();
         RaftMessage message = switch (type) {
-            case MessageOut.PRE_VOTE -> Parts.MODEL.createPreVoteRequestBuilder().setGroupId(group).setSender(sender)
+            case MessageWriter.PRE_VOTE -> CommonCodec.MODEL.createPreVoteRequestBuilder().setGroupId(group)
+                    .setSender(sender)
                 .setTerm(term).setLastLogTerm(term()).setLastLogIndex(index()).build();
-            case MessageOut.PRE_VOTE_ANSWER -> Parts.MODEL.createPreVoteResponseBuilder().setGroupId(group)
+            case MessageWriter.PRE_VOTE_ANSWER -> CommonCodec.MODEL.createPreVoteResponseBuilder().setGroupId(group)
                 .setSender(sender).setTerm(term).setGranted(in.flag()).build();
-            case MessageOut.VOTE -> Parts.MODEL.createVoteRequestBuilder().setGroupId(group).setSender(sender)
+            case MessageWriter.VOTE -> CommonCodec.MODEL.createVoteRequestBuilder().setGroupId(group).setSender(sender)
                 .setTerm(term).setLastLogTerm(term()).setLastLogIndex(index()).setSticky(in.flag()).build();
-            case MessageOut.VOTE_ANSWER -> Parts.MODEL.createVoteResponseBuilder().setGroupId(group).setSender(sender)
+            case MessageWriter.VOTE_ANSWER -> CommonCodec.MODEL.createVoteResponseBuilder().setGroupId(group)
+                    .setSender(sender)
                 .setTerm(term).setGranted(in.flag()).build();
-            case MessageOut.APPEND -> append();
-            case MessageOut.APPENDED -> Parts.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(group)
+            case MessageWriter.APPEND -> append();
+            case MessageWriter.APPENDED -> CommonCodec.MODEL.createAppendEntriesSuccessResponseBuilder()
+                    .setGroupId(group)
                 .setSender(sender).setTerm(term).setLastLogIndex(index()).setQuerySequenceNumber(index())
                 .setFlowControlSequenceNumber(index()).build();
-            case MessageOut.NOT_APPENDED -> Parts.MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(group)
+            case MessageWriter.NOT_APPENDED -> CommonCodec.MODEL.createAppendEntriesFailureResponseBuilder()
+                    .setGroupId(group)
                 .setSender(sender).setTerm(term).setExpectedNextIndex(index()).setQuerySequenceNumber(index())
                 .setFlowControlSequenceNumber(index()).build();
-            case MessageOut.SNAPSHOT -> snapshot();
-            case MessageOut.SNAPSHOT_ANSWER -> Parts.MODEL.createInstallSnapshotResponseBuilder().setGroupId(group)
+            case MessageWriter.SNAPSHOT -> snapshot();
+            case MessageWriter.SNAPSHOT_ANSWER -> CommonCodec.MODEL.createInstallSnapshotResponseBuilder()
+                    .setGroupId(group)
                 .setSender(sender).setTerm(term).setSnapshotIndex(index())
-                .setRequestedSnapshotChunkIndex((int) in.number(0, Parts.MOST_CHUNKS))
+                .setRequestedSnapshotChunkIndex((int) in.number(0, CommonCodec.MOST_CHUNKS))
                 .setQuerySequenceNumber(index()).setFlowControlSequenceNumber(index()).build();
-            default -> Parts.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender)
+            default -> CommonCodec.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender)
                 .setTerm(term).setLastLogTerm(term()).setLastLogIndex(index()).build();
         };
         in.end();
@@ -62,7 +67,7 @@
     }
 
     private long index() throws FaultyMessageException {
-        return in.number(0, Parts.MOST_INDEX);
+        return in.number(0, CommonCodec.MOST_INDEX);
     }
 
     private RaftMessage append() throws FaultyMessageException {
@@ -71,7 +76,7 @@
         long committed = index();
         long query = index();
         long flow = index();
-        List<LogEntry> entries = in.list(MessageOut.MOST_ENTRIES, Parts::entry);
+        List<LogEntry> entries = in.list(MessageWriter.MOST_ENTRIES, CommonCodec::entry);
         long next = before;
         int last = beforeTerm;
         for (LogEntry e : entries) {
@@ -81,7 +86,7 @@
             }
             last = e.getTerm();
         }
-        return Parts.MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
+        return CommonCodec.MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
             .setPreviousLogTerm(beforeTerm).setPreviousLogIndex(before).setCommitIndex(committed)
             .setQuerySequenceNumber(query).setFlowControlSequenceNumber(flow).setLogEntries(entries).build();
     }
@@ -90,16 +95,16 @@
         boolean leader = in.flag();
         int snapshotTerm = term();
         long snapshotIndex = index();
-        int chunks = (int) in.number(1, Parts.MOST_CHUNKS);
-        SnapshotChunk chunk = in.flag() ? Parts.chunk(in) : null;
+        int chunks = (int) in.number(1, CommonCodec.MOST_CHUNKS);
+        SnapshotChunk chunk = in.flag() ? CommonCodec.chunk(in) : null;
         if (chunk != null && (chunk.getIndex() != snapshotIndex || chunk.getSnapshotChunkCount() != chunks)) {
             throw in.wrong("ends a chunk of another snapshot");
         }
-        Collection<RaftEndpoint> holders = Parts.members(in);
-        return Parts.MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
+        Collection<RaftEndpoint> holders = CommonCodec.members(in);
+        return CommonCodec.MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
             .setSenderLeader(leader).setSnapshotTerm(snapshotTerm).setSnapshotIndex(snapshotIndex)
             .setTotalSnapshotChunkCount(chunks).setSnapshotChunk(chunk).setSnapshottedMembers(holders)
-            .setGroupMembersView(Parts.view(in)).setQuerySequenceNumber(index())
+            .setGroupMembersView(CommonCodec.view(in)).setQuerySequenceNumber(index())
             .setFlowControlSequenceNumber(index()).build();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageOut.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageWriter.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import sandpaddle.fleet.wire.CborOut;
 
-/** Writes MicroRaft's messages; {@link MessageIn} reads them. */
-final class MessageOut {
+/** Writes MicroRaft's messages; {@link MessageReader} reads them. */
+final class MessageWriter {
     static final int PRE_VOTE = 1;
     static final int PRE_VOTE_ANSWER = 2;
     static final int VOTE = 3;
@@ -33,13 +33,13 @@
     /** An entry that fits alone always goes; more go while they are shorter in sum. */
     static final int MOST_BATCH_BYTES = 256 << 10;
 
-    private MessageOut() { }
+    private MessageWriter() { }
 
     static void write(CborOut out, RaftMessage m) {
         if (m instanceof AppendEntriesRequest r) {
             head(out, APPEND, m).number(r.getPreviousLogTerm()).number(r.getPreviousLogIndex())
                 .number(r.getCommitIndex()).number(r.getQuerySequenceNumber())
-                .number(r.getFlowControlSequenceNumber()).list(fitting(r.getLogEntries()), Parts::entry);
+                .number(r.getFlowControlSequenceNumber()).list(fitting(r.getLogEntries()), CommonCodec::entry);
         } else if (m instanceof AppendEntriesSuccessResponse r) {
             head(out, APPENDED, m).number(r.getLastLogIndex()).number(r.getQuerySequenceNumber())
                 .number(r.getFlowControlSequenceNumber());
@@ -77,7 +77,7 @@
     private static List<LogEntry> fitting(List<LogEntry> entries) {
         int bytes = 0;
         for (int i = 0; i < entries.size(); i++) {
-            bytes += entries.get(i).getOperation() instanceof Op.Command c ? c.bytes().length + 32 : 1024;
+            bytes += entries.get(i).getOperation() instanceof LogOperation.Command c ? c.bytes().length + 32 : 1024;
             if (i > 0 && (bytes > MOST_BATCH_BYTES || i >= MOST_ENTRIES)) {
                 return entries.subList(0, i);
             }
@@ -89,10 +89,10 @@
         out.flag(r.isSenderLeader()).number(r.getSnapshotTerm()).number(r.getSnapshotIndex())
             .number(r.getTotalSnapshotChunkCount()).flag(r.getSnapshotChunk() != null);
         if (r.getSnapshotChunk() != null) {
-            Parts.chunk(out, r.getSnapshotChunk());
+            CommonCodec.chunk(out, r.getSnapshotChunk());
         }
-        Parts.members(out, r.getSnapshottedMembers());
-        Parts.view(out, r.getGroupMembersView());
+        CommonCodec.members(out, r.getSnapshottedMembers());
+        CommonCodec.view(out, r.getGroupMembersView());
         out.number(r.getQuerySequenceNumber()).number(r.getFlowControlSequenceNumber());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Life.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.wire.CborIn;
@@ -32,12 +32,12 @@
  * One life of a MicroRaft node: from a store's contents until the first failed write, or until it is told to end. Six
  * weaknesses of MicroRaft 0.7 are made up for here. It goes on after a failed write: a life says nothing after one. It
  * takes answers of earlier terms as of this one, and would count entries as stored that were cut off since: those are
- * dropped. Followers do not know what their snapshots stand for: {@link Repair}. A term that is behind may stay so:
- * {@link Catching}. A question that joins a running round is answered by the round's older answers: {@link Rounds}.
- * Who asked for pre-votes and then heard a leader of the same term never gives that leader up: such a life starts again
- * from its store when it hears nothing any more.
+ * dropped. Followers do not know what their snapshots stand for: {@link SnapshotRepair}. A term that is behind may stay
+ * so: {@link TermCatchUp}. A question that joins a running round is answered by the round's older answers: {@link
+ * LeadershipCheck}. Who asked for pre-votes and then heard a leader of the same term never gives that leader up: such a
+ * life starts again from its store when it hears nothing any more.
  */
-public final class Life implements Transport {
+public final class RaftIncarnation implements Transport {
     /** Where messages go. */
     public interface Sender {
         /** {@code message} adds itself to what stands before it. */
@@ -47,7 +47,7 @@
     private final Sender sender;
     private final String group;
     private final DurableLog log;
-    private final Turns turns;
+    private final TurnExecutor turns;
     private final RaftNode node;
     private final long silentUs; // MicroRaft gives up a leader before this, where it does
     private long heardUs; // from a leader of the present term
@@ -61,17 +61,18 @@
      *
      * @throws StoreException where it cannot be read as a voter's state
      */
-    public Life(String group, Endpoint self, VoterStore store, Found found, Commands commands, Sender sender,
+    public RaftIncarnation(String group, Endpoint self, VoterStore store, RecoveredState found, Commands commands,
+            Sender sender,
             RaftSettings settings, Random random, long now) throws StoreException {
         this.group = group;
         this.sender = sender;
         this.log = new DurableLog(store, found.entries());
-        this.turns = new Turns(now);
+        this.turns = new TurnExecutor(now);
         this.heardUs = now;
         this.silentUs = (settings.silentS() + settings.heartbeatS()) * 1_000_000L;
-        this.node = RaftNode.newBuilder().setGroupId(group).setRestoredState(Restoring.restore(store, found, self))
+        this.node = RaftNode.newBuilder().setGroupId(group).setRestoredState(StateRestorer.restore(store, found, self))
             .setConfig(settings.config()).setExecutor(turns).setTransport(this).setStateMachine(commands).setStore(log)
-            .setModelFactory(Parts.MODEL).setRandom(random).setClock(turns.clock()).build();
+            .setModelFactory(CommonCodec.MODEL).setRandom(random).setClock(turns.clock()).build();
     }
 
     public void start() {
@@ -126,7 +127,7 @@
         }
         RaftMessage said = have >= 0 && message instanceof AppendEntriesFailureResponse no && no.getTerm() == term()
             ? Inbound.matches(no, have) : message;
-        sender.send((Endpoint) to, out -> MessageOut.write(out, said));
+        sender.send((Endpoint) to, out -> MessageWriter.write(out, said));
     }
 
     @Override
@@ -135,12 +136,12 @@
     }
 
     /** What a message told of its sender: its term, and up to where its log is durable; 0 where it does not say. */
-    public record Told(int term, long index) { }
+    public record SenderProgress(int term, long index) { }
 
     /** Takes a peer's message at {@code now}. */
-    public Told received(Endpoint from, CborIn in, long now) throws FaultyMessageException {
-        RaftMessage message = MessageIn.read(group, from, in);
-        Told told = Inbound.told(message);
+    public SenderProgress received(Endpoint from, CborIn in, long now) throws FaultyMessageException {
+        RaftMessage message = MessageReader.read(group, from, in);
+        SenderProgress told = Inbound.told(message);
         if (isOver()) {
             return told;
         }
@@ -157,14 +158,14 @@
 
     private void hand(RaftMessage message) {
         if (!(message instanceof AppendEntriesRequest request)) {
-            RaftMessage taken = Catching.up(message, term()).map(RaftMessage.class::cast).orElse(message);
+            RaftMessage taken = TermCatchUp.up(message, term()).map(RaftMessage.class::cast).orElse(message);
             turns.directly(() -> node.handle(taken));
             return;
         }
         long before = request.getPreviousLogIndex();
-        Repair.Way way = before == 0 || log.terms().containsKey(before) ? new Repair.Way.AsIs()
-            : Repair.way(request, log.terms(), stats(), term());
-        if (way instanceof Repair.Way.Conflict conflict) {
+        SnapshotRepair.Action way = before == 0 || log.terms().containsKey(before) ? new SnapshotRepair.Action.AsIs()
+            : SnapshotRepair.way(request, log.terms(), stats(), term());
+        if (way instanceof SnapshotRepair.Action.Conflict conflict) {
             try {
                 log.cutFrom(conflict.index());
                 startAgain = true;
@@ -173,8 +174,8 @@
             }
             return;
         }
-        have = way instanceof Repair.Way.Have h ? h.end() : -1;
-        turns.directly(() -> node.handle(way instanceof Repair.Way.Cut cut ? cut.rest() : message));
+        have = way instanceof SnapshotRepair.Action.Have h ? h.end() : -1;
+        turns.directly(() -> node.handle(way instanceof SnapshotRepair.Action.Cut cut ? cut.rest() : message));
         have = -1;
     }
 
@@ -218,12 +219,12 @@
     }
 
     public void replicate(byte[] command, BiConsumer<Ordered<Object>, Throwable> done) {
-        node.replicate(new Op.Command(command)).whenComplete(done);
+        node.replicate(new LogOperation.Command(command)).whenComplete(done);
     }
 
-    /** A round among the voters; see {@link Rounds}. */
+    /** A round among the voters; see {@link LeadershipCheck}. */
     void ask(BiConsumer<Ordered<Object>, Throwable> done) {
-        CompletableFuture<Ordered<Object>> round = node.query(new Op.Question(), QueryPolicy.LINEARIZABLE,
+        CompletableFuture<Ordered<Object>> round = node.query(new LogOperation.Question(), QueryPolicy.LINEARIZABLE,
             Optional.empty(), Optional.<Duration>empty());
         round.whenComplete(done);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Repair.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/SnapshotRepair.java
@@ -12,35 +12,35 @@
  * goes back nor on. After one lost answer such a follower never gets another entry. But what a snapshot stands for is
  * committed, so every leader has the same there: the message may be cut to what comes after, or be answered at once.
  */
-final class Repair {
+final class SnapshotRepair {
     /** What to do with a message. */
-    sealed interface Way {
+    sealed interface Action {
         /** Hand it on as it came. */
-        record AsIs() implements Way { }
+        record AsIs() implements Action { }
 
         /** Hand this on instead. */
-        record Cut(AppendEntriesRequest rest) implements Way { }
+        record Cut(AppendEntriesRequest rest) implements Action { }
 
         /** Hand it on, and where it is answered as not matching, say that all up to {@code end} is there. */
-        record Have(long end) implements Way { }
+        record Have(long end) implements Action { }
 
         /** The entries from {@code index} are another leader's and not committed: cut them off, and start again. */
-        record Conflict(long index) implements Way { }
+        record Conflict(long index) implements Action { }
     }
 
-    private Repair() { }
+    private SnapshotRepair() { }
 
     /** {@code kept}: terms of the entries that the log has, by index; {@code term}: this follower's. */
-    static Way way(AppendEntriesRequest m, NavigableMap<Long, Integer> kept, RaftLogStats log, int term) {
+    static Action way(AppendEntriesRequest m, NavigableMap<Long, Integer> kept, RaftLogStats log, int term) {
         long before = m.getPreviousLogIndex();
         long last = log.getLastLogOrSnapshotIndex();
         long snapshot = log.getLastSnapshotIndex();
         if (m.getTerm() != term || before == 0 || before >= last || kept.containsKey(before) || before > snapshot) {
-            return new Way.AsIs();
+            return new Action.AsIs();
         }
         long end = before + m.getLogEntries().size();
         if (end <= snapshot) {
-            return new Way.Have(end);
+            return new Action.Have(end);
         }
         if (last == snapshot) {
             return cut(m, snapshot, log.getLastSnapshotTerm());
@@ -51,12 +51,12 @@
         long first = snapshot + 1;
         LogEntry theirs = m.getLogEntries().get((int) (first - before - 1));
         return kept.get(first) != null && kept.get(first) == theirs.getTerm() ? cut(m, first, theirs.getTerm())
-            : new Way.Conflict(first);
+            : new Action.Conflict(first);
     }
 
-    private static Way cut(AppendEntriesRequest m, long at, int term) {
+    private static Action cut(AppendEntriesRequest m, long at, int term) {
         List<LogEntry> rest = m.getLogEntries().subList((int) (at - m.getPreviousLogIndex()), m.getLogEntries().size());
-        return new Way.Cut(Parts.MODEL.createAppendEntriesRequestBuilder().setGroupId(m.getGroupId())
+        return new Action.Cut(CommonCodec.MODEL.createAppendEntriesRequestBuilder().setGroupId(m.getGroupId())
             .setSender(m.getSender()).setTerm(m.getTerm()).setPreviousLogTerm(term).setPreviousLogIndex(at)
             .setCommitIndex(m.getCommitIndex()).setQuerySequenceNumber(m.getQuerySequenceNumber())
             .setFlowControlSequenceNumber(m.getFlowControlSequenceNumber()).setLogEntries(rest).build());
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Restoring.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import sandpaddle.fleet.store.Entry;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.Snapshot;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
@@ -20,14 +20,14 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /** From what the store has to what MicroRaft starts with. */
-public final class Restoring {
-    private Restoring() { }
+public final class StateRestorer {
+    private StateRestorer() { }
 
     /** Makes the store one of a group that began with these voters; its identity is to be written after. */
     public static void prepare(VoterStore store, Collection<Endpoint> first, boolean votes) throws StoreException {
         CborOut out = new CborOut();
         List<RaftEndpoint> members = new ArrayList<>(first);
-        Parts.view(out, Parts.view(0, members, members));
+        CommonCodec.view(out, CommonCodec.view(0, members, members));
         store.put(DurableLog.INITIAL, out.done());
         store.put(DurableLog.VOTING, new CborOut().flag(votes).done());
     }
@@ -41,7 +41,7 @@
     public static Collection<RaftEndpoint> first(VoterStore store) throws StoreException {
         Optional<byte[]> kept = store.get(DurableLog.INITIAL);
         try {
-            return Parts.view(new CborIn(kept.orElseThrow(() -> new StoreException(StoreException.Kind.CORRUPT,
+            return CommonCodec.view(new CborIn(kept.orElseThrow(() -> new StoreException(StoreException.Kind.CORRUPT,
                 "the store has an identity but no " + DurableLog.INITIAL)))).getVotingMembers();
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, DurableLog.INITIAL + ": " + e.getMessage(), e);
@@ -49,7 +49,7 @@
     }
 
     /** Who voted when this was last written: by the group's beginning, its snapshot and its log. */
-    public static Members members(VoterStore store, Found found) throws StoreException {
+    public static Members members(VoterStore store, RecoveredState found) throws StoreException {
         RestoredRaftState state = restore(store, found, new Endpoint("unknown", 1));
         Collection<RaftEndpoint> members = state.getInitialGroupMembers().getVotingMembers();
         long at = 0;
@@ -67,21 +67,23 @@
         return new Members(at, voting, voting);
     }
 
-    static RestoredRaftState restore(VoterStore store, Found found, Endpoint self) throws StoreException {
+    static RestoredRaftState restore(VoterStore store, RecoveredState found, Endpoint self) throws StoreException {
         Collection<RaftEndpoint> first = first(store);
         try {
             boolean votes = new CborIn(store.get(DurableLog.VOTING).orElseThrow(() -> new StoreException(
                 StoreException.Kind.CORRUPT, "the store has an identity but no " + DurableLog.VOTING))).flag();
             List<LogEntry> entries = new ArrayList<>();
             for (Entry e : found.entries()) {
-                entries.add(Parts.MODEL.createLogEntryBuilder().setIndex(e.index()).setTerm(e.term())
-                    .setOperation(Parts.operation(new CborIn(e.data()))).build());
+                entries.add(CommonCodec.MODEL.createLogEntryBuilder().setIndex(e.index()).setTerm(e.term())
+                    .setOperation(CommonCodec.operation(new CborIn(e.data()))).build());
             }
             RaftEndpoint vote = found.vote().map(Endpoint::of).orElse(null);
             return new RestoredRaftState(
-                Parts.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(self).setVoting(votes).build(),
-                Parts.view(0, first, first),
-                Parts.MODEL.createRaftTermPersistentStateBuilder().setTerm(found.term()).setVotedFor(vote).build(),
+                CommonCodec.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(self).setVoting(votes)
+                .build(),
+                CommonCodec.view(0, first, first),
+                CommonCodec.MODEL.createRaftTermPersistentStateBuilder().setTerm(found.term()).setVotedFor(vote)
+                .build(),
                 found.snapshot().isPresent() ? snapshot(found.snapshot().get()) : null, entries);
         } catch (FaultyMessageException | IllegalArgumentException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, "what was stored cannot be read: " + e.getMessage(),
@@ -92,10 +94,10 @@
     private static SnapshotEntry snapshot(Snapshot stored) throws FaultyMessageException {
         List<SnapshotChunk> chunks = new ArrayList<>();
         for (byte[] data : stored.chunks()) {
-            chunks.add(Parts.chunk(new CborIn(data)));
+            chunks.add(CommonCodec.chunk(new CborIn(data)));
         }
         RaftGroupMembersView view = chunks.get(0).getGroupMembersView();
-        return Parts.MODEL.createSnapshotEntryBuilder().setIndex(stored.index()).setTerm(stored.term())
+        return CommonCodec.MODEL.createSnapshotEntryBuilder().setIndex(stored.index()).setTerm(stored.term())
             .setSnapshotChunks(chunks).setGroupMembersView(view).build();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Catching.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TermCatchUp.java
@@ -12,8 +12,8 @@
  * So such a refusal is turned into a request for a vote of that term, with a log that nobody votes for: all that comes
  * of it is the later term, as Raft has it for any message.
  */
-final class Catching {
-    private Catching() { }
+final class TermCatchUp {
+    private TermCatchUp() { }
 
     /**
      * What to hand on in the place of {@code message}. MicroRaft answers with the term that was asked for, which is one
@@ -23,7 +23,8 @@
         if (!(message instanceof PreVoteResponse r) || r.isGranted() || r.getTerm() <= term + 1) {
             return Optional.empty();
         }
-        return Optional.of(Parts.MODEL.createVoteRequestBuilder().setGroupId(r.getGroupId()).setSender(r.getSender())
+        return Optional.of(CommonCodec.MODEL.createVoteRequestBuilder().setGroupId(r.getGroupId())
+                .setSender(r.getSender())
             .setTerm(r.getTerm()).setLastLogTerm(-1).setLastLogIndex(0).setSticky(false).build());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Turns.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
@@ -14,7 +14,7 @@
  * What MicroRaft wants run, in turns that the caller takes: it has no thread and no clock of its own. Tasks put off by
  * {@code submit} run after all others of a turn, so that one flush covers all entries of the turn.
  */
-final class Turns implements RaftNodeExecutor {
+final class TurnExecutor implements RaftNodeExecutor {
     /** Tasks of one turn; the rest waits for the next, so that a turn always ends. */
     static final int MOST_TASKS = 10_000;
 
@@ -32,7 +32,7 @@
     private long number;
     private boolean direct;
 
-    Turns(long now) {
+    TurnExecutor(long now) {
         this.now = now;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Admission.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Admission.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
-import sandpaddle.fleet.state.admit.Claim;
-import sandpaddle.fleet.state.admit.OwnDisk;
-import sandpaddle.fleet.state.admit.Seen;
+import sandpaddle.fleet.state.admit.JoinRequest;
+import sandpaddle.fleet.state.admit.LocalVoterState;
+import sandpaddle.fleet.state.admit.PeerIncarnations;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
 import sandpaddle.fleet.state.raft.Members;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
 import sandpaddle.fleet.store.StoreException;
 
 /**
@@ -24,9 +24,9 @@
     /** For the answers of those that are slower than a majority. */
     private static final long GRACE_US = 1_200_000;
 
-    private final OwnDisk disk;
-    private final Seen seen;
-    private final Claim claim;
+    private final LocalVoterState disk;
+    private final PeerIncarnations seen;
+    private final JoinRequest claim;
     private final Predicate<Endpoint> retired;
     private final Set<Endpoint> welcomed = new LinkedHashSet<>();
     private List<Endpoint> others;
@@ -34,7 +34,7 @@
     private final long since;
     private long askAt;
 
-    Admission(OwnDisk disk, Claim claim, Members members, Predicate<Endpoint> retired, long now)
+    Admission(LocalVoterState disk, JoinRequest claim, Members members, Predicate<Endpoint> retired, long now)
             throws StoreException {
         this.since = now;
         this.disk = disk;
@@ -51,7 +51,7 @@
         return rest;
     }
 
-    Claim claim() {
+    JoinRequest claim() {
         return claim;
     }
 
@@ -92,12 +92,13 @@
     }
 
     /** Judges another's claim; a welcome is durable when it returns. */
-    Optional<Seen.Refusal> judge(Claim theirs) throws StoreException {
+    Optional<PeerIncarnations.Refusal> judge(JoinRequest theirs) throws StoreException {
         if (retired.test(theirs.who())) {
-            return Optional.of(new Seen.Refusal("the fleet has taken it out of use", theirs.who().number()));
+            return Optional.of(new PeerIncarnations.Refusal("the fleet has taken it out of use", theirs.who()
+                    .number()));
         }
         boolean known = seen.admits(theirs.who(), theirs.life());
-        Optional<Seen.Refusal> refusal = seen.judge(theirs);
+        Optional<PeerIncarnations.Refusal> refusal = seen.judge(theirs);
         if (refusal.isEmpty() && !known) {
             disk.keep(seen);
             welcomed.remove(theirs.who()); // its disk may not remember that it welcomed this one
@@ -120,7 +121,7 @@
     }
 
     /** An admitted voter told this much of itself. */
-    void told(Endpoint who, Life.Told told) throws StoreException {
+    void told(Endpoint who, RaftIncarnation.SenderProgress told) throws StoreException {
         if (seen.told(who, told.term(), told.index())) {
             disk.keep(seen);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
@@ -11,12 +11,12 @@
  * endpoint. A message for an endpoint that this gateway was once, or from a life that is over, is thereby never taken
  * for one of now.
  */
-record Envelope(What what, Optional<Endpoint> from, long life, Endpoint to) {
+record Envelope(Type what, Optional<Endpoint> from, long life, Endpoint to) {
     /** Raised with any change of a message's form; another version is refused by the links already. */
     static final int VERSION = 1;
 
     /** The position is the number on the wire. */
-    enum What {
+    enum Type {
         /** A message of MicroRaft. */
         RAFT,
         /** A claim: may I take part? */
@@ -39,12 +39,12 @@
     /** Reads the head, and checks that it comes from whom the link says. */
     static Envelope read(String sender, CborIn in) throws FaultyMessageException {
         in.number(VERSION, VERSION);
-        What what = What.values()[(int) in.number(0, What.values().length - 1)];
+        Type what = Type.values()[(int) in.number(0, Type.values().length - 1)];
         Optional<Endpoint> from = endpoint(in);
         if (from.isPresent() && !from.get().name().equals(sender)) {
             throw in.wrong("is " + from.get() + ", but comes from " + sender);
         }
-        if (from.isEmpty() && what != What.STRANGER) {
+        if (from.isEmpty() && what != Type.STRANGER) {
             throw in.wrong("names no sender");
         }
         long life = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Founding.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/GroupBootstrap.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Optional;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Restoring;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
@@ -15,8 +15,8 @@
  * {@code kafka-storage format}. A gateway that finds its store empty never founds by itself: it cannot tell a first
  * start from a lost disk, and two groups under one name would each give out the whole of a limit.
  */
-public final class Founding {
-    private Founding() { }
+public final class GroupBootstrap {
+    private GroupBootstrap() { }
 
     /**
      * Writes the identity of the founder {@code name} into an empty store; durable when it returns.
@@ -33,7 +33,7 @@
         if (!founders.contains(name)) {
             return Optional.of(name + " is none of the founders " + founders);
         }
-        Found found = store.found();
+        RecoveredState found = store.found();
         if (found.identity().isPresent() || found.lastIndex() > 0 || found.term() > 0) {
             return Optional.of("the store is not empty: it belongs to " + found.identity().map(Identity::endpoint)
                 .orElse("nobody") + ", with term " + found.term() + " and entries up to " + found.lastIndex());
@@ -47,7 +47,7 @@
         } catch (IllegalArgumentException e) {
             return Optional.of(e.getMessage());
         }
-        Restoring.prepare(store, first, true);
+        StateRestorer.prepare(store, first, true);
         store.identity(new Identity(cluster, name, new Endpoint(name, 1).toString()));
         return Optional.empty();
     }
