--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Changer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
@@ -14,14 +14,14 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import sandpaddle.fleet.state.Consensus.Outcome;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
 import sandpaddle.fleet.state.raft.Members;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
 
 /** Carries out {@link VoterChange}'s steps while this gateway leads: one at a time, the next when one has ended. */
-final class Changer {
+final class MembershipChanger {
     /** Between two looks at what is to be done. */
     static final long EVERY_US = 200_000;
     /** A change that takes longer is given up; its outcome is unknown, and what was done stays. */
@@ -29,10 +29,10 @@
     /** Endpoints that say that they are none; more than a group can have. */
     static final int MOST_STRANGERS = 32;
 
-    private record Asked(List<String> names, long since, Consumer<Outcome> outcome) { }
+    private record PendingChange(List<String> names, long since, Consumer<Outcome> outcome) { }
 
     /** What this stands on. */
-    interface Around {
+    interface Callbacks {
         void invite(Endpoint who, List<Endpoint> voters);
 
         boolean met(Endpoint who);
@@ -43,14 +43,14 @@
     }
 
     private final Endpoint self;
-    private final Part membership;
-    private final Around around;
+    private final MachinePart membership;
+    private final Callbacks around;
     private final Set<Endpoint> strangers = new LinkedHashSet<>();
-    private Optional<Asked> asked = Optional.empty();
+    private Optional<PendingChange> asked = Optional.empty();
     private boolean busy;
     private long lookAt;
 
-    Changer(Endpoint self, Part membership, Around around) {
+    MembershipChanger(Endpoint self, MachinePart membership, Callbacks around) {
         this.self = self;
         this.membership = membership;
         this.around = around;
@@ -68,7 +68,7 @@
             outcome.accept(new Outcome.Unknown("another change of the voters is under way"));
             return;
         }
-        asked = Optional.of(new Asked(List.copyOf(names), now, outcome));
+        asked = Optional.of(new PendingChange(List.copyOf(names), now, outcome));
     }
 
     /** This gateway leads no more, or never did. */
@@ -78,7 +78,7 @@
     }
 
     private void finish(Outcome how) {
-        Optional<Asked> was = asked;
+        Optional<PendingChange> was = asked;
         asked = Optional.empty();
         was.ifPresent(a -> a.outcome().accept(how));
     }
@@ -87,7 +87,7 @@
         return lookAt;
     }
 
-    void step(Life life, long now) {
+    void step(RaftIncarnation life, long now) {
         if (busy || now < lookAt) {
             return;
         }
@@ -112,8 +112,8 @@
         });
     }
 
-    private void act(Life life, Members members, RaftNodeReport report) {
-        List<String> wanted = asked.map(Asked::names)
+    private void act(RaftIncarnation life, Members members, RaftNodeReport report) {
+        List<String> wanted = asked.map(PendingChange::names)
             .orElseGet(() -> new ArrayList<>(new LinkedHashSet<>(names(members.voting()))));
         Function<String, Membership.Numbers> numbers = around::numbers;
         Set<Endpoint> met = wanted.stream().map(n -> new Endpoint(n, numbers.apply(n).issued()))
@@ -131,7 +131,7 @@
         return endpoints.stream().map(Endpoint::name).toList();
     }
 
-    private void take(Life life, Members members, VoterChange.Step step) {
+    private void take(RaftIncarnation life, Members members, VoterChange.Step step) {
         if (step instanceof VoterChange.Step.Issue issue) {
             replicate(life, Membership.issue(issue.name(), issue.number()));
         } else if (step instanceof VoterChange.Step.Invite invite) {
@@ -146,7 +146,7 @@
         }
     }
 
-    private void change(Life life, Members members, VoterChange.Step.Change change) {
+    private void change(RaftIncarnation life, Members members, VoterChange.Step.Change change) {
         busy = true;
         around.said("changes the voters " + members.voting() + ": " + change.mode() + " " + change.who());
         life.change(change.who(), change.mode(), members.index(), (done, failure) -> {
@@ -158,7 +158,7 @@
         });
     }
 
-    private void replicate(Life life, byte[] command) {
+    private void replicate(RaftIncarnation life, byte[] command) {
         busy = true;
         life.replicate(membership.command(command), (done, failure) -> busy = false);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import sandpaddle.fleet.state.Consensus.Outcome;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
 
 /** Proposals that have no outcome yet; each gets one, also where MicroRaft forgets it when its store failed. */
 final class Proposals {
@@ -28,7 +28,7 @@
 
     private final Set<Open> open = new LinkedHashSet<>();
 
-    void propose(Life life, byte[] command, Consumer<Outcome> outcome) {
+    void propose(RaftIncarnation life, byte[] command, Consumer<Outcome> outcome) {
         if (open.size() >= MOST) {
             outcome.accept(new Outcome.NotLeader(Optional.empty()));
             return;
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 import sandpaddle.fleet.state.Consensus;
 import sandpaddle.fleet.state.Replicated;
-import sandpaddle.fleet.state.admit.OwnDisk;
-import sandpaddle.fleet.state.machine.Part;
+import sandpaddle.fleet.state.admit.LocalVoterState;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.raft.Commands;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.store.VoterStore;
 
@@ -38,7 +38,7 @@
     }
 
     /** Where messages and log lines go. */
-    public interface Around {
+    public interface Callbacks {
         void send(String to, byte[] message);
 
         /** A line for the log; at most a few for each event. */
@@ -46,11 +46,11 @@
     }
 
     /** {@code numbers}: the part that hands out endpoint numbers, one of the machine's. */
-    public record Settings(String cluster, String name, RaftSettings raft, Part membership) { }
+    public record Settings(String cluster, String name, RaftSettings raft, MachinePart membership) { }
 
     private static final long PROBE_EVERY_US = 100_000;
 
-    private final Standing standing;
+    private final VoterState standing;
     private boolean led;
     private long now;
     private long probeAt;
@@ -58,15 +58,17 @@
     private long highestTerm;
 
     /** Opens the store; {@code machine} is in its first state and changed only by this from now on. */
-    public Voter(Settings settings, VoterStore store, Replicated machine, Around around, Random random, long now) {
-        this(settings, store, new OwnDisk(store, settings.cluster(), settings.name()), machine, around, random, now);
+    public Voter(Settings settings, VoterStore store, Replicated machine, Callbacks around, Random random, long now) {
+        this(settings, store, new LocalVoterState(store, settings.cluster(), settings.name()), machine, around, random,
+                now);
     }
 
     /** The same with another memory of who was met; tests show with one what happens without it. */
-    public Voter(Settings settings, VoterStore store, OwnDisk disk, Replicated machine, Around around, Random random,
+    public Voter(Settings settings, VoterStore store, LocalVoterState disk, Replicated machine, Callbacks around,
+            Random random,
             long now) {
         this.now = now;
-        this.standing = new Standing(settings, store, disk, machine, around, random);
+        this.standing = new VoterState(settings, store, disk, machine, around, random);
         standing.open(now);
     }
 
@@ -98,13 +100,13 @@
             membersAt = -1;
             return;
         }
-        Life life = standing.life().orElseThrow();
+        RaftIncarnation life = standing.life().orElseThrow();
         highestTerm = Math.max(highestTerm, life.term());
         if (life.effectiveIndex() != membersAt) {
             membersAt = life.effectiveIndex();
             standing.admission().orElseThrow().members(life.effective());
         }
-        Changer changer = standing.changer().orElseThrow();
+        MembershipChanger changer = standing.changer().orElseThrow();
         if (life.isLeader()) {
             changer.step(life, now);
             life.run(now);
@@ -117,7 +119,7 @@
     /** When to call {@link #step} again (us). */
     public long next() {
         long next = Math.min(probeAt, standing.admission().map(Admission::next).orElse(Long.MAX_VALUE));
-        return Math.min(next, standing.life().map(Life::next).orElse(Long.MAX_VALUE));
+        return Math.min(next, standing.life().map(RaftIncarnation::next).orElse(Long.MAX_VALUE));
     }
 
     /** Ends it for good: leaves the store as it is. */
@@ -144,7 +146,7 @@
         return standing.door().malformed();
     }
 
-    Optional<Life> life() {
+    Optional<RaftIncarnation> life() {
         return standing.life();
     }
 
@@ -180,7 +182,7 @@
 
     @Override
     public boolean isLeader() {
-        return standing.life().map(Life::isLeader).orElse(false);
+        return standing.life().map(RaftIncarnation::isLeader).orElse(false);
     }
 
     @Override
@@ -190,7 +192,7 @@
 
     @Override
     public Optional<String> leader() {
-        return standing.life().flatMap(Life::leader).map(Endpoint::name);
+        return standing.life().flatMap(RaftIncarnation::leader).map(Endpoint::name);
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Standing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -4,42 +4,43 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.state.Replicated;
-import sandpaddle.fleet.state.admit.Claim;
-import sandpaddle.fleet.state.admit.OwnDisk;
+import sandpaddle.fleet.state.admit.JoinRequest;
+import sandpaddle.fleet.state.admit.LocalVoterState;
 import sandpaddle.fleet.state.machine.Membership;
 import sandpaddle.fleet.state.raft.Commands;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
+import sandpaddle.fleet.state.raft.LeadershipCheck;
 import sandpaddle.fleet.state.raft.Members;
-import sandpaddle.fleet.state.raft.Restoring;
-import sandpaddle.fleet.state.raft.Rounds;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.state.voter.Voter.Phase;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
 /** How a gateway stands to the group: its phase, its endpoint, and the life of Raft that it has while it takes part. */
-final class Standing {
+final class VoterState {
     private final Voter.Settings settings;
     private final VoterStore store;
-    private final OwnDisk disk;
+    private final LocalVoterState disk;
     private final Replicated machine;
     private final byte[] initial;
-    private final Voter.Around around;
+    private final Voter.Callbacks around;
     private final Random random;
-    private final Rounds rounds = new Rounds();
+    private final LeadershipCheck rounds = new LeadershipCheck();
     private final Proposals proposals = new Proposals();
-    private final Door door;
+    private final VoterTransport door;
 
     private Phase phase = Phase.FAILED;
     private String failure = "";
     private Optional<Endpoint> self = Optional.empty();
     private Optional<Admission> admission = Optional.empty();
-    private Optional<Life> life = Optional.empty();
-    private Optional<Changer> changer = Optional.empty();
+    private Optional<RaftIncarnation> life = Optional.empty();
+    private Optional<MembershipChanger> changer = Optional.empty();
     private long now;
 
-    Standing(Voter.Settings settings, VoterStore store, OwnDisk disk, Replicated machine, Voter.Around around,
+    VoterState(Voter.Settings settings, VoterStore store, LocalVoterState disk, Replicated machine,
+        Voter.Callbacks around,
             Random random) {
         this.settings = settings;
         this.store = store;
@@ -48,7 +49,7 @@
         this.initial = machine.snapshot();
         this.around = around;
         this.random = random;
-        this.door = new Door(this, around);
+        this.door = new VoterTransport(this, around);
     }
 
     /** Looks at the disk, and asks to take part where it says that this gateway votes. */
@@ -59,7 +60,7 @@
             return;
         }
         try {
-            Found found = store.found();
+            RecoveredState found = store.found();
             self = disk.endpoint(found);
             Optional<String> unfit = self.isEmpty() ? Optional.empty() : disk.unfit(self.get(), found);
             if (self.isEmpty()) {
@@ -67,7 +68,7 @@
             } else if (unfit.isPresent()) {
                 retire(unfit.get());
             } else {
-                ask(found, Restoring.members(store, found));
+                ask(found, StateRestorer.members(store, found));
             }
             failure = "";
         } catch (StoreException e) {
@@ -75,8 +76,8 @@
         }
     }
 
-    private void ask(Found found, Members members) throws StoreException {
-        Claim claim = disk.open(self.orElseThrow(), found, random);
+    private void ask(RecoveredState found, Members members) throws StoreException {
+        JoinRequest claim = disk.open(self.orElseThrow(), found, random);
         admission = Optional.of(new Admission(disk, claim, members,
             e -> numbers(e.name()).retired() >= e.number(), now));
         phase = Phase.ASKING;
@@ -95,9 +96,10 @@
     private void begin() throws StoreException {
         Endpoint me = self.orElseThrow();
         machine.install(initial); // what the log has is applied again from the snapshot on
-        life = Optional.of(new Life(settings.cluster(), me, store, store.found(), new Commands(machine), door::raft,
+        life = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.found(), new Commands(machine),
+        door::raft,
             settings.raft(), random, now));
-        changer = Optional.of(new Changer(me, settings.membership(), door));
+        changer = Optional.of(new MembershipChanger(me, settings.membership(), door));
         phase = Phase.VOTING;
         life.get().start();
     }
@@ -107,7 +109,7 @@
         if (life.isEmpty()) {
             return false;
         }
-        Life l = life.get();
+        RaftIncarnation l = life.get();
         if (l.startsAgain()) {
             startAgain(l);
         } else if (l.fault().isPresent()) {
@@ -121,7 +123,7 @@
         return life.isPresent();
     }
 
-    private void startAgain(Life old) {
+    private void startAgain(RaftIncarnation old) {
         changer.ifPresent(c -> c.end(Optional.empty()));
         old.end();
         proposals.end("this gateway follows another leader");
@@ -214,7 +216,7 @@
         return self;
     }
 
-    Optional<Life> life() {
+    Optional<RaftIncarnation> life() {
         return life;
     }
 
@@ -222,11 +224,11 @@
         return admission;
     }
 
-    Optional<Changer> changer() {
+    Optional<MembershipChanger> changer() {
         return changer;
     }
 
-    Rounds rounds() {
+    LeadershipCheck rounds() {
         return rounds;
     }
 
@@ -234,7 +236,7 @@
         return proposals;
     }
 
-    Door door() {
+    VoterTransport door() {
         return door;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Door.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 import java.util.Optional;
-import sandpaddle.fleet.state.admit.Claim;
-import sandpaddle.fleet.state.admit.Seen;
+import sandpaddle.fleet.state.admit.JoinRequest;
+import sandpaddle.fleet.state.admit.PeerIncarnations;
 import sandpaddle.fleet.state.machine.Membership;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
 import sandpaddle.fleet.state.raft.Members;
-import sandpaddle.fleet.state.raft.Restoring;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
 /** What comes in from and goes out to other gateways: only admitted lives of endpoints reach Raft. */
-final class Door implements Changer.Around {
+final class VoterTransport implements MembershipChanger.Callbacks {
     private static final int MOST_WHY = 500;
     private static final int MOST_MEMBERS = 16;
     /** Faulty messages that are told one by one; after that only each thousandth is. */
     private static final int MOST_TOLD = 10;
 
-    private final Standing voter;
-    private final Voter.Around around;
+    private final VoterState voter;
+    private final Voter.Callbacks around;
     private long malformed;
 
-    Door(Standing voter, Voter.Around around) {
+    VoterTransport(VoterState voter, Voter.Callbacks around) {
         this.voter = voter;
         this.around = around;
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    private static void stranger(Changer changer, Envelope e, String from) {
+    private static void stranger(MembershipChanger changer, Envelope e, String from) {
         if (e.to().name().equals(from)) {
             changer.stranger(e.to());
         }
@@ -67,13 +67,13 @@
 
     private void raft(Envelope e, String from, CborIn in, long now) throws FaultyMessageException, StoreException {
         if (isAnother(e.to())) {
-            send(from, new Envelope(Envelope.What.STRANGER, Optional.empty(), 0, e.to()).open());
+            send(from, new Envelope(Envelope.Type.STRANGER, Optional.empty(), 0, e.to()).open());
             return;
         }
         if (voter.life().isEmpty() || !voter.admission().orElseThrow().admits(e.from().orElseThrow(), e.life())) {
             return; // it will ask, or has been refused
         }
-        Life.Told told = voter.life().get().received(e.from().get(), in, now);
+        RaftIncarnation.SenderProgress told = voter.life().get().received(e.from().get(), in, now);
         voter.admission().orElseThrow().told(e.from().get(), told);
     }
 
@@ -88,25 +88,25 @@
 
     private void asked(Envelope e, CborIn in) throws FaultyMessageException, StoreException {
         Endpoint who = e.from().orElseThrow();
-        Claim claim = Claim.read(who, e.life(), in);
+        JoinRequest claim = JoinRequest.read(who, e.life(), in);
         in.end();
         if (voter.admission().isEmpty() || !e.to().name().equals(voter.name())) {
             return; // who does not take part remembers nothing that another could rely on
         }
-        Optional<Seen.Refusal> refusal = voter.admission().get().judge(claim);
+        Optional<PeerIncarnations.Refusal> refusal = voter.admission().get().judge(claim);
         if (refusal.isPresent()) {
             around.said("refuses " + who + ": " + refusal.get().why());
-            send(who.name(), mine(Envelope.What.REFUSE, who).open().number(e.life()).text(refusal.get().why())
+            send(who.name(), mine(Envelope.Type.REFUSE, who).open().number(e.life()).text(refusal.get().why())
                 .number(refusal.get().highest()));
             return;
         }
         long index = voter.life().map(l -> l.effective().index()).orElse(0L);
         List<Endpoint> members = voter.life().map(l -> l.effective().voting()).orElse(List.of());
-        send(who.name(), mine(Envelope.What.WELCOME, who).open().number(e.life()).number(index)
+        send(who.name(), mine(Envelope.Type.WELCOME, who).open().number(e.life()).number(index)
             .list(members, (o, m) -> o.text(m.toString())));
     }
 
-    private Envelope mine(Envelope.What what, Endpoint to) {
+    private Envelope mine(Envelope.Type what, Endpoint to) {
         long life = voter.admission().map(a -> a.claim().life()).orElse(0L);
         return new Envelope(what, voter.self(), life, to);
     }
@@ -155,15 +155,15 @@
         around.send(to, message.done());
     }
 
-    /** A message of Raft, as {@link Life} has begun it. */
+    /** A message of Raft, as {@link RaftIncarnation} has begun it. */
     void raft(Endpoint to, java.util.function.Consumer<CborOut> message) {
-        CborOut out = mine(Envelope.What.RAFT, to).open();
+        CborOut out = mine(Envelope.Type.RAFT, to).open();
         message.accept(out);
         send(to.name(), out);
     }
 
     void ask(Endpoint who) {
-        CborOut out = mine(Envelope.What.ASK, who).open();
+        CborOut out = mine(Envelope.Type.ASK, who).open();
         voter.admission().orElseThrow().claim().write(out);
         send(who.name(), out);
     }
@@ -171,8 +171,8 @@
     @Override
     public void invite(Endpoint who, List<Endpoint> voters) {
         try {
-            CborOut out = mine(Envelope.What.INVITE, who).open()
-                .list(Restoring.first(voter.store()), (o, m) -> o.text(m.toString()))
+            CborOut out = mine(Envelope.Type.INVITE, who).open()
+                .list(StateRestorer.first(voter.store()), (o, m) -> o.text(m.toString()))
                 .list(voters, (o, m) -> o.text(m.toString()));
             around.said("invites " + who + " to vote");
             send(who.name(), out);
--- a/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.store;
 
-import sandpaddle.fleet.store.State.Condition;
+import sandpaddle.fleet.store.StoreState.Condition;
 
 /**
  * Judges a disk by what it did: when to probe it after a failure, whether it may be used again, and whether its syncs
@@ -70,14 +70,14 @@
     }
 
     /** To be asked again as time passes: SLOW ends by itself. */
-    public State state(long now) {
+    public StoreState state(long now) {
         if (!back) {
-            return new State(condition, why);
+            return new StoreState(condition, why);
         }
         if (slow && now - slowAt >= SLOW_MEMORY * settings.probeUs()) {
             slow = false;
         }
-        return slow ? new State(Condition.SLOW, "a sync took " + slowTook / 1000 + " ms, more than "
-                + settings.slowFsyncUs() / 1000 + " ms") : State.WORKING;
+        return slow ? new StoreState(Condition.SLOW, "a sync took " + slowTook / 1000 + " ms, more than "
+                + settings.slowFsyncUs() / 1000 + " ms") : StoreState.WORKING;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/Found.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/RecoveredState.java
@@ -16,11 +16,12 @@
  * @param faults what could not be trusted and was set aside, one sentence each: not empty means that acknowledged
  *     things may be missing, so this endpoint may not vote again under its old name
  */
-public record Found(Optional<Identity> identity, long generation, long flushes, int term, Optional<String> vote,
+public record RecoveredState(Optional<Identity> identity, long generation, long flushes, int term,
+        Optional<String> vote,
         Optional<Snapshot> snapshot, List<Entry> entries, List<String> faults) {
     /** Of a directory that could not be opened yet. */
-    public static final Found NOTHING =
-        new Found(Optional.empty(), 0, 0, 0, Optional.empty(), Optional.empty(), List.of(), List.of());
+    public static final RecoveredState NOTHING =
+        new RecoveredState(Optional.empty(), 0, 0, 0, Optional.empty(), Optional.empty(), List.of(), List.of());
 
     /** Whether everything acknowledged before is here, as far as this directory can tell. */
     public boolean trusted() {
--- a/gateway/src/main/java/sandpaddle/fleet/store/State.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/StoreState.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.store;
 
 /** How the store fares. {@code why}: a sentence for the log, empty while it is working. */
-public record State(Condition condition, String why) {
+public record StoreState(Condition condition, String why) {
     /** What can be asked of the store. */
     public enum Condition {
         WORKING, FULL, READ_ONLY, FAILING,
@@ -10,7 +10,7 @@
         CLOSED
     }
 
-    static final State WORKING = new State(Condition.WORKING, "");
+    static final StoreState WORKING = new StoreState(Condition.WORKING, "");
 
     /** Whether writes are taken; while not, the gateway neither votes nor acknowledges. */
     public boolean writable() {
--- a/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
@@ -10,8 +10,8 @@
  * others, 2020) adds: after a failed sync nothing in memory is trusted, and the files are opened again.
  *
  * <p>After any {@link StoreException} of a write the store takes no more writes until {@link #retry} has opened it
- * again. That shows by a higher {@link Found#generation}, and what was not durable is gone: the consensus starts anew
- * from {@link #found}. One thread writes; {@link #state} may be asked from any.
+ * again. That shows by a higher {@link RecoveredState#generation}, and what was not durable is gone: the consensus
+ * starts anew from {@link #found}. One thread writes; {@link #state} may be asked from any.
  */
 public interface VoterStore extends Closeable {
     /** Of one entry, one chunk of a snapshot, and one named value (bytes). */
@@ -24,7 +24,7 @@
     int MOST_NAMES = 256;
 
     /** What is durable now; entries are read afresh at each call, so that the store holds no second copy. */
-    Found found() throws StoreException;
+    RecoveredState found() throws StoreException;
 
     /**
      * Says whose store it is; durable when it returns. Another cluster or member is refused. A store that is not
@@ -61,7 +61,7 @@
 
     Optional<byte[]> get(String key) throws StoreException;
 
-    State state();
+    StoreState state();
 
     /**
      * To be called now and then (every 100 ms or so, also while working): probes a failed disk when it is time to, and
@@ -69,7 +69,7 @@
      *
      * @param now monotonic time (us)
      */
-    State retry(long now);
+    StoreState retry(long now);
 
     /** Frees the directory; what was not flushed is gone. */
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskSession.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskSession.java
@@ -5,10 +5,10 @@
 import java.nio.ByteBuffer;
 import java.util.function.LongSupplier;
 import sandpaddle.fleet.store.DiskWatch;
-import sandpaddle.fleet.store.State;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.StoreException.Kind;
 import sandpaddle.fleet.store.StoreSettings;
+import sandpaddle.fleet.store.StoreState;
 import sandpaddle.fleet.store.disk.Disk;
 import sandpaddle.fleet.store.disk.DiskFile;
 
@@ -28,7 +28,7 @@
     private Opening opening; // null while the disk fails
     private VoterContent content;
     private boolean closed;
-    private volatile State state;
+    private volatile StoreState state;
 
     DiskSession(Disk disk, String cluster, String member, StoreSettings settings, LongSupplier clock) {
         this.disk = disk;
@@ -160,7 +160,7 @@
         content = new VoterContent(opening.content(), settings.mostBytes());
     }
 
-    State retry(long now) {
+    StoreState retry(long now) {
         if (closed) {
             return state;
         }
@@ -178,12 +178,13 @@
     void close() {
         closed = true;
         letGo();
-        state = new State(State.Condition.CLOSED, "closed");
+        state = new StoreState(StoreState.Condition.CLOSED, "closed");
         if (lock != null) {
             try {
                 lock.close();
             } catch (IOException e) {
-                state = new State(State.Condition.CLOSED, "closed, but its lock may still be held: " + e.getMessage());
+                state = new StoreState(StoreState.Condition.CLOSED, "closed, but its lock may still be held: "
+                        + e.getMessage());
             }
             lock = null;
         }
@@ -197,7 +198,7 @@
         return content;
     }
 
-    State state() {
+    StoreState state() {
         return state;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/Digest.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/MultisetHash.java
@@ -9,7 +9,7 @@
  * a hash of each (an incremental multiset hash, Clarke and others, 2003, in its additive form). It finds what chance
  * does to a file: the odds of a garbled set with the same sum are about 2^-64. It is no guard against an adversary.
  */
-final class Digest {
+final class MultisetHash {
     private long sum;
 
     long sum() {
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/MvVoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/MvVoterStore.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import sandpaddle.fleet.store.Found;
 import sandpaddle.fleet.store.Identity;
-import sandpaddle.fleet.store.State;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.StoreException.Kind;
 import sandpaddle.fleet.store.StoreSettings;
+import sandpaddle.fleet.store.StoreState;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.store.disk.Disk;
 
@@ -64,9 +64,9 @@
     }
 
     @Override
-    public Found found() throws StoreException {
-        if (!session.isOpen() && session.state().condition() != State.Condition.CLOSED) {
-            return Found.NOTHING;
+    public RecoveredState found() throws StoreException {
+        if (!session.isOpen() && session.state().condition() != StoreState.Condition.CLOSED) {
+            return RecoveredState.NOTHING;
         }
         return session.ask(() -> session.content().found(session.opening().slot()));
     }
@@ -150,14 +150,14 @@
     }
 
     @Override
-    public State state() {
+    public StoreState state() {
         return session.state();
     }
 
     @Override
-    public State retry(long now) {
+    public StoreState retry(long now) {
         boolean down = !session.isOpen();
-        State state = session.retry(now);
+        StoreState state = session.retry(now);
         staged = staged && !down; // what was staged went with the files
         return state;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/SealedFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/SealedFile.java
@@ -12,11 +12,11 @@
 import sandpaddle.fleet.store.disk.DiskFile;
 
 /**
- * One file of MVStore with a seal in each version: how many flushes came before, and a {@link Digest} of all records.
- * MVStore sums only the ends of a chunk, so a chunk whose middle a crash lost would pass; the seal finds that. A file
- * is written by one opening of the store only: the next reads it and writes another, so nothing is ever added behind
- * an end that may be torn, nor on what the page cache shows after a failed sync. Reading costs the time of its content,
- * which the store's bounds limit; a flush costs one write per changed page and one sync.
+ * One file of MVStore with a seal in each version: how many flushes came before, and a {@link MultisetHash} of all
+ * records. MVStore sums only the ends of a chunk, so a chunk whose middle a crash lost would pass; the seal finds that.
+ * A file is written by one opening of the store only: the next reads it and writes another, so nothing is ever added
+ * behind an end that may be torn, nor on what the page cache shows after a failed sync. Reading costs the time of its
+ * content, which the store's bounds limit; a flush costs one write per changed page and one sync.
  */
 final class SealedFile implements AutoCloseable {
     /** The maps of a file; the position is part of the digest and never changes. */
@@ -31,7 +31,7 @@
     private final DiskFileChannel channel;
     private final MVStore store;
     private final Map<Part, MVMap<Long, byte[]>> maps = new EnumMap<>(Part.class);
-    private final Digest digest = new Digest();
+    private final MultisetHash digest = new MultisetHash();
     private long flushes, bytes;
 
     private SealedFile(DiskFile file, boolean readOnly, int mostValue) throws IOException {
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import sandpaddle.fleet.store.Entry;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.Snapshot;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
@@ -140,7 +140,7 @@
         return Optional.of(Arrays.copyOfRange(value, from, value.length));
     }
 
-    Found found(Slots.Slot slot) throws IOException {
+    RecoveredState found(Slots.Slot slot) throws IOException {
         byte[] state = file.get(Part.STATE, TERM);
         int term = state == null ? 0 : ByteBuffer.wrap(state).getInt();
         Optional<String> vote = state == null || state[Integer.BYTES] == 0 ? Optional.empty()
@@ -155,7 +155,7 @@
                         Arrays.copyOfRange(value, Integer.BYTES, value.length)));
             }
         });
-        return new Found(slot.identity(), slot.generation(), file.flushes(), term, vote, snapshot, entries,
+        return new RecoveredState(slot.identity(), slot.generation(), file.flushes(), term, vote, snapshot, entries,
                 slot.fault().isEmpty() ? List.of() : List.of(slot.fault()));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
@@ -9,7 +9,7 @@
 import sandpaddle.fleet.verdict.evidence.Batch;
 import sandpaddle.fleet.verdict.evidence.Evidence;
 import sandpaddle.fleet.verdict.evidence.EvidenceBook;
-import sandpaddle.fleet.verdict.evidence.Spread;
+import sandpaddle.fleet.verdict.evidence.EvidenceDissemination;
 import sandpaddle.fleet.verdict.judge.Judge;
 import sandpaddle.fleet.verdict.watch.ListedEngine;
 import sandpaddle.fleet.verdict.watch.Watch;
@@ -26,7 +26,7 @@
     private final String self;
     private final VerdictSettings settings;
     private final EvidenceBook book;
-    private final Spread spread;
+    private final EvidenceDissemination spread;
     private final Judge judge;
     private final Watch watch;
     private Verdicts verdicts = Verdicts.NONE;
@@ -41,7 +41,7 @@
         this.self = self;
         this.settings = settings;
         book = new EvidenceBook(settings);
-        spread = new Spread(self, settings, drift, book);
+        spread = new EvidenceDissemination(self, settings, drift, book);
         judge = new Judge(self, settings, book);
         watch = new Watch(self, hall, life, settings, now);
         roster(Map.of(self, hall), Set.of());
@@ -85,7 +85,7 @@
 
     /** The verdicts that count for the decision module. */
     public List<EngineVerdict> effect(long now) {
-        return Effect.of(verdicts, watch, self, now);
+        return VerdictEffect.of(verdicts, watch, self, now);
     }
 
     /** When the last load on a data group ended as far as known, never earlier than it did. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/Effect.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictEffect.java
@@ -9,11 +9,11 @@
  * What the engine list says (cold, draining) and doubt about this gateway itself know no such exception: who stands
  * still cannot vouch for an engine.
  */
-public final class Effect {
+public final class VerdictEffect {
     /** Own good answers that outweigh the fleet: two may be luck at an engine that fails half. */
     public static final int OWN_GOOD = 3;
 
-    private Effect() {
+    private VerdictEffect() {
     }
 
     /** The verdicts that count here now. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
@@ -38,7 +38,7 @@
 
     private final VerdictSettings settings;
     private final NavigableMap<Subject, NavigableMap<String, Entry>> bySubject = new TreeMap<>();
-    private final Map<String, Shelf> shelves = new HashMap<>();
+    private final Map<String, ReporterEvidence> shelves = new HashMap<>();
     private final NavigableMap<Long, Entry> urgent = new TreeMap<>();
     private final NavigableMap<Long, Entry> calm = new TreeMap<>();
     private Set<String> members = Set.of();
@@ -77,7 +77,8 @@
             }
             return Put.KNOWN;
         }
-        Shelf shelf = shelves.computeIfAbsent(e.teller(), t -> new Shelf(settings.perTellerMost()));
+        ReporterEvidence shelf =
+                shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.perTellerMost()));
         if (shelf.isOfOldLife(e)) {
             return Put.OLD_LIFE;
         }
@@ -111,7 +112,7 @@
             if (oldest.evidence.subject().topic().lasts()) {
                 standForAll(oldest.evidence);
             }
-            Shelf shelf = shelves.get(e.teller());
+            ReporterEvidence shelf = shelves.get(e.teller());
             oldest = shelf == null ? null : shelf.overBound(e.subject().topic().lasts());
         }
         return stays;
@@ -132,7 +133,7 @@
     private void add(Entry entry) {
         Evidence e = entry.evidence;
         bySubject.computeIfAbsent(e.subject(), s -> new TreeMap<>()).put(e.teller(), entry);
-        shelves.computeIfAbsent(e.teller(), t -> new Shelf(settings.perTellerMost())).add(entry);
+        shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.perTellerMost())).add(entry);
         (e.finding().isUrgent() ? urgent : calm).put(entry.version, entry);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Spread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -17,7 +17,7 @@
  * <p>Cost: each piece goes to each gateway once from each voter that did not get it from there. Bound: one place in the
  * line of changes for each peer with a link, at most {@code membersMost}; batches of at most {@link #PIECES_MOST}.
  */
-public final class Spread {
+public final class EvidenceDissemination {
     /** Pieces in one batch at most. */
     public static final int PIECES_MOST = 200;
     /** A batch without a piece goes this often, so that the time underway stays known: a sixth of the lease. */
@@ -27,13 +27,13 @@
     private final VerdictSettings settings;
     private final double drift;
     private final EvidenceBook book;
-    private final Map<String, Outlet> outlets = new TreeMap<>();
+    private final Map<String, PeerCursor> outlets = new TreeMap<>();
     private final Map<String, Long> lives = new TreeMap<>();
     private Set<String> voters = Set.of();
     private Map<String, String> halls = Map.of();
 
     /** {@code drift}: by how much two monotonic clocks differ at most, as a part. */
-    public Spread(String self, VerdictSettings settings, double drift, EvidenceBook book) {
+    public EvidenceDissemination(String self, VerdictSettings settings, double drift, EvidenceBook book) {
         this.self = self;
         this.settings = settings;
         this.drift = drift;
@@ -56,7 +56,7 @@
         if (!halls.containsKey(peer)) {
             return; // a stranger gets nothing, and its place would not be bounded
         }
-        Outlet outlet = outlets.computeIfAbsent(peer, p -> new Outlet(new Underway(drift, openedAt)));
+        PeerCursor outlet = outlets.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedAt)));
         outlet.underway.up(openedAt);
         Long before = lives.put(peer, incarnation);
         boolean isSameLife = before != null && before == incarnation;
@@ -70,7 +70,7 @@
 
     /** What to send to a peer now, if anything: to be asked every {@code evidenceUs}. */
     public Optional<Batch> next(long now, String peer) {
-        Outlet outlet = outlets.get(peer);
+        PeerCursor outlet = outlets.get(peer);
         if (outlet == null) {
             return Optional.empty();
         }
@@ -100,7 +100,7 @@
 
     /** The batch was queued on the link; one that was not is built anew the next time. */
     public void sent(String peer, Batch batch) {
-        Outlet outlet = outlets.get(peer);
+        PeerCursor outlet = outlets.get(peer);
         if (outlet != null) {
             outlet.sent(batch);
         }
@@ -108,7 +108,7 @@
 
     /** Merges a peer's batch into the book; the number of pieces that were new. */
     public int received(long now, String peer, Batch batch) {
-        Outlet outlet = outlets.get(peer);
+        PeerCursor outlet = outlets.get(peer);
         if (outlet == null) {
             return 0;
         }
@@ -116,7 +116,7 @@
         outlet.underway.heard(now, batch.stampUs());
         outlet.heard(batch);
         int changed = 0;
-        for (Told told : batch.told()) {
+        for (EvidenceMessage told : batch.told()) {
             // Nobody knows better what this gateway says, but for loads that it ran before it started again.
             boolean isOwn = told.teller().equals(self) && !told.subject().topic().lasts();
             if (!isOwn && book.put(told.at(now, underway, drift), peer, now) == EvidenceBook.Put.CHANGED) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Told.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceMessage.java
@@ -4,12 +4,14 @@
  * A piece of evidence as a message has it: ages instead of times, since no two gateways' clocks agree. Ages are in
  * microseconds as of the sending.
  */
-public record Told(Subject subject, String teller, long life, long seq, Finding finding, long incarnation, int strength,
+public record EvidenceMessage(Subject subject, String teller, long life, long seq, Finding finding, long incarnation,
+        int strength,
         double amount, long sinceAgeUs, long madeAgeUs) {
 
     /** What is sent of a piece at a time. */
-    static Told of(Evidence e, long now) {
-        return new Told(e.subject(), e.teller(), e.life(), e.seq(), e.finding(), e.incarnation(), e.strength(),
+    static EvidenceMessage of(Evidence e, long now) {
+        return new EvidenceMessage(e.subject(), e.teller(), e.life(), e.seq(), e.finding(), e.incarnation(),
+                e.strength(),
                 e.amount(), Math.max(0, now - e.sinceUs()), Math.max(0, now - e.madeUs()));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Outlet.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
@@ -10,14 +10,14 @@
  * What one peer has got of this gateway's book: two places in its lines of changes, one for what protects queries now,
  * one for the rest. Sending moves a place on; a lost link puts it back to what the peer acknowledged.
  */
-final class Outlet {
+final class PeerCursor {
     private long urgentSent, calmSent;
     private long urgentAcked, calmAcked;
     private long urgentGot, calmGot; // of the peer's own lines
-    final Underway underway;
+    final TransitTime underway;
     long sentAt = Long.MIN_VALUE / 2;
 
-    Outlet(Underway underway) {
+    PeerCursor(TransitTime underway) {
         this.underway = underway;
     }
 
@@ -36,21 +36,21 @@
 
     /** What the peer lacks and should hear, urgent first, at most so many pieces. */
     Batch next(long now, EvidenceBook book, Predicate<Entry> forPeer, int most) {
-        List<Told> told = new ArrayList<>();
+        List<EvidenceMessage> told = new ArrayList<>();
         long urgentTo = take(book.lane(true), urgentSent, forPeer, now, book.leaseUs(), most, told);
         long calmTo = take(book.lane(false), calmSent, forPeer, now, book.leaseUs(), most, told);
         return new Batch(now, underway.echoUs(), underway.heldUs(now), urgentTo, calmTo, urgentGot, calmGot, told);
     }
 
     private static long take(NavigableMap<Long, Entry> lane, long from, Predicate<Entry> forPeer, long now,
-            long leaseUs, int most, List<Told> told) {
+            long leaseUs, int most, List<EvidenceMessage> told) {
         long to = from;
         for (Entry e : lane.tailMap(from, false).values()) {
             if (forPeer.test(e) && !e.evidence().isOver(now, leaseUs)) {
                 if (told.size() >= most) {
                     break;
                 }
-                told.add(Told.of(e.evidence(), now));
+                told.add(EvidenceMessage.of(e.evidence(), now));
             }
             to = e.version();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Shelf.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
@@ -7,7 +7,7 @@
 import sandpaddle.fleet.verdict.evidence.EvidenceBook.Entry;
 
 /** One teller's pieces from old to new: those with a lease, and those that last; at most so many of each. */
-final class Shelf {
+final class ReporterEvidence {
     private static final Comparator<Entry> BY_AGE = Comparator.<Entry>comparingLong(e -> e.evidence().life())
             .thenComparingLong(e -> e.evidence().seq()).thenComparing(e -> e.evidence().subject());
 
@@ -15,7 +15,7 @@
     private final TreeSet<Entry> leased = new TreeSet<>(BY_AGE);
     private final TreeSet<Entry> lasting = new TreeSet<>(BY_AGE);
 
-    Shelf(int most) {
+    ReporterEvidence(int most) {
         this.most = most;
     }
 
@@ -56,7 +56,7 @@
         }
         Entry first = its.first();
         if (!isForAll(first)) {
-            return its.stream().anyMatch(Shelf::isForAll) && its.size() == most + 1 ? null : first;
+            return its.stream().anyMatch(ReporterEvidence::isForAll) && its.size() == most + 1 ? null : first;
         }
         return its.size() <= most + 1 ? null : its.higher(first);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Underway.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
@@ -6,13 +6,13 @@
  * stamp, less the holding, is the time underway of both messages. Before an echo came, a message is no older than the
  * link that it came on.
  */
-final class Underway {
+final class TransitTime {
     private final double drift;
     private long upAt;
     private long heardStampUs = Batch.NO_ECHO;
     private long heardAt;
 
-    Underway(double drift, long upAt) {
+    TransitTime(double drift, long upAt) {
         this.drift = drift;
         this.upAt = upAt;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Condemned.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/CondemnedEngines.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import sandpaddle.fleet.verdict.VerdictSettings;
-import sandpaddle.fleet.verdict.judge.Voices.Opinion;
+import sandpaddle.fleet.verdict.judge.EngineVotes.Opinion;
 
 /**
  * Which engines are condemned: the worst by evidence, at most {@code condemnedMost} of those listed (at least one where
@@ -16,7 +16,7 @@
  * reasons go: {@code holdUs}, doubled with each further time, but never past the lease of its last evidence. Bound: a
  * few figures for each listed engine.
  */
-final class Condemned {
+final class CondemnedEngines {
     private static final int DOUBLINGS_MOST = 10;
 
     private static final class Case {
@@ -32,7 +32,7 @@
     private final Set<Guard> guards;
     private final Map<String, Case> cases = new TreeMap<>();
 
-    Condemned(VerdictSettings settings, Set<Guard> guards) {
+    CondemnedEngines(VerdictSettings settings, Set<Guard> guards) {
         this.settings = settings;
         this.guards = guards;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Voices.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -19,17 +19,17 @@
  * hall). Otherwise each hall that speaks against it has lost its link to it. One gateway alone can do neither for
  * others, as long as its hall has another with fresh traffic; a fleet of one gateway gives no verdict.
  */
-final class Voices {
+final class EngineVotes {
     private static final int STRENGTH_MOST = 50; // of one teller: so that nobody outweighs all others by a figure
 
     /** Against an engine: as a whole, or by halls whose link to it is down. */
     record Opinion(EngineVerdict.Kind kind, Set<String> links, int tellers, int strength, long sinceUs, long madeUs) { }
 
     private final VerdictSettings settings;
-    private final Roster roster;
+    private final HallRoster roster;
     private final Set<Guard> guards;
 
-    Voices(VerdictSettings settings, Roster roster, Set<Guard> guards) {
+    EngineVotes(VerdictSettings settings, HallRoster roster, Set<Guard> guards) {
         this.settings = settings;
         this.roster = roster;
         this.guards = guards;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Roster.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/HallRoster.java
@@ -5,8 +5,8 @@
 import java.util.TreeSet;
 
 /** The fleet's gateways and their halls, as agreed: no message can say that a gateway stands elsewhere. */
-record Roster(String self, Map<String, String> hallOf) {
-    Roster {
+record HallRoster(String self, Map<String, String> hallOf) {
+    HallRoster {
         hallOf = new TreeMap<>(hallOf);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/HallRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/HallRule.java
@@ -23,7 +23,7 @@
     }
 
     /** {@code selves}, {@code reaches}: by gateway, what it says of itself and of the engines that it reaches. */
-    Map<String, HallLink> evaluate(long now, Roster roster, Map<String, Evidence> selves,
+    Map<String, HallLink> evaluate(long now, HallRoster roster, Map<String, Evidence> selves,
             Map<String, Evidence> reaches) {
         states.keySet().retainAll(roster.halls());
         endedAt.keySet().retainAll(roster.halls());
@@ -40,7 +40,7 @@
         return Map.copyOf(states);
     }
 
-    private HallLink found(long now, String hall, Roster roster, Map<String, Evidence> selves,
+    private HallLink found(long now, String hall, HallRoster roster, Map<String, Evidence> selves,
             Map<String, Evidence> reaches) {
         int live = 0;
         int without = 0;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 import sandpaddle.fleet.verdict.evidence.Subject;
 import sandpaddle.fleet.verdict.evidence.Topic;
-import sandpaddle.fleet.verdict.judge.Voices.Opinion;
+import sandpaddle.fleet.verdict.judge.EngineVotes.Opinion;
 
 /**
  * Verdicts from evidence. Each gateway judges for itself from its own book, so nobody is asked and nothing waits for a
@@ -28,11 +28,11 @@
     private final VerdictSettings settings;
     private final EvidenceBook book;
     private final Set<Guard> guards;
-    private final Condemned condemned;
+    private final CondemnedEngines condemned;
     private final ListRule list;
     private final HallRule halls;
     private final TenantRule tenants = new TenantRule();
-    private Roster roster;
+    private HallRoster roster;
     private Map<String, Long> listed = Map.of();
     private Map<String, Double> shares = Map.of();
     private final Map<String, Long> starts = new TreeMap<>();
@@ -45,15 +45,15 @@
         this.settings = settings;
         this.book = book;
         this.guards = guards;
-        roster = new Roster(self, Map.of());
-        condemned = new Condemned(settings, guards);
+        roster = new HallRoster(self, Map.of());
+        condemned = new CondemnedEngines(settings, guards);
         list = new ListRule(settings, guards);
         halls = new HallRule(settings);
     }
 
     /** The agreed roster: each gateway's hall, this one's too. */
     public void roster(Map<String, String> hallOf) {
-        roster = new Roster(roster.self(), hallOf);
+        roster = new HallRoster(roster.self(), hallOf);
     }
 
     /** The starts of the engines that this gateway's list has. */
@@ -85,7 +85,7 @@
         condemned.choose(listed.size(), closed, spared);
         for (String engine : closed) {
             Opinion o = condemned.opinion(engine);
-            boolean tries = Testers.of(engine, well, roster, settings.testers()).contains(roster.self());
+            boolean tries = ProbeAssignment.of(engine, well, roster, settings.testers()).contains(roster.self());
             verdicts.add(new EngineVerdict(engine, o.kind(), starts.get(engine), o.sinceUs(),
                     condemned.untilUs(engine), tries));
         }
@@ -114,7 +114,7 @@
         List<Evidence> voices = all.stream()
                 .filter(v -> v.incarnation() == start || !guards.contains(Guard.INCARNATION))
                 .filter(v -> !doubting.contains(v.teller()) || !guards.contains(Guard.DOUBT)).toList();
-        Opinion opinion = new Voices(settings, roster, guards).weigh(voices, condemned.isStanding(engine));
+        Opinion opinion = new EngineVotes(settings, roster, guards).weigh(voices, condemned.isStanding(engine));
         boolean isLink = opinion != null && opinion.kind() == EngineVerdict.Kind.LINK;
         if (isLink) {
             links.put(engine, opinion);
@@ -151,7 +151,7 @@
                 continue;
             }
             room--;
-            boolean tries = Testers.of(e.getKey(), near, roster, settings.testers()).contains(roster.self());
+            boolean tries = ProbeAssignment.of(e.getKey(), near, roster, settings.testers()).contains(roster.self());
             verdicts.add(new EngineVerdict(e.getKey(), EngineVerdict.Kind.LINK, starts.get(e.getKey()),
                     e.getValue().sinceUs(), e.getValue().madeUs() + settings.leaseUs(), tries));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Testers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
@@ -12,11 +12,11 @@
  * 1998) over the gateways that live and do not doubt themselves, the first of two halls where there are two. All agree
  * as far as they hear the same; where they do not, one more tries.
  */
-final class Testers {
-    private Testers() {
+final class ProbeAssignment {
+    private ProbeAssignment() {
     }
 
-    static Set<String> of(String engine, Collection<String> live, Roster roster, int most) {
+    static Set<String> of(String engine, Collection<String> live, HallRoster roster, int most) {
         List<String> byWeight = new ArrayList<>(live);
         byWeight.sort(Comparator.<String>comparingLong(g -> weight(engine, g)).thenComparing(g -> g));
         Set<String> chosen = new HashSet<>();
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Teller.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
@@ -12,7 +12,7 @@
  * Makes pieces of what is found, and says again only what must be: a new finding at once, a growing one while it is
  * weak, one that goes on three times a lease. Bound: the latest piece on each subject, those with a lease for as long.
  */
-final class Teller {
+final class EvidenceReporter {
     private final String self;
     private final long life;
     private final long leaseUs;
@@ -23,7 +23,7 @@
     private List<Evidence> out = new ArrayList<>();
     private long seq;
 
-    Teller(String self, long life, long leaseUs, long renewUs, int strengthLeast) {
+    EvidenceReporter(String self, long life, long leaseUs, long renewUs, int strengthLeast) {
         this.self = self;
         this.life = life;
         this.leaseUs = leaseUs;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListWatch.java
@@ -37,7 +37,7 @@
         }
     }
 
-    void tell(long now, Map<String, EngineWatch> engines, Teller teller) {
+    void tell(long now, Map<String, EngineWatch> engines, EvidenceReporter teller) {
         startSeen.keySet().retainAll(engines.keySet());
         drainSeen.keySet().retainAll(engines.keySet());
         drainOver.keySet().retainAll(engines.keySet());
@@ -49,7 +49,7 @@
     }
 
     private void tell(long now, Map<String, Long> seen, Topic topic, Finding finding, Map<String, EngineWatch> engines,
-            Teller teller) {
+            EvidenceReporter teller) {
         seen.forEach((name, at) -> {
             if (now - at < announceUs) {
                 long start = engines.get(name).listed.startedUs();
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
@@ -26,7 +26,7 @@
     private final String self;
     private final String hall;
     private final VerdictSettings settings;
-    private final Teller teller;
+    private final EvidenceReporter teller;
     private final SelfDoubt doubt;
     private final ReachWatch reach;
     private final ListWatch list;
@@ -41,7 +41,7 @@
         this.self = self;
         this.hall = hall;
         this.settings = settings;
-        teller = new Teller(self, life, settings.leaseUs(), settings.renewUs(), settings.strengthLeast());
+        teller = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.strengthLeast());
         doubt = new SelfDoubt(settings.evidenceUs(), now);
         reach = new ReachWatch(settings.leaseUs());
         list = new ListWatch(settings.announceUs());
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
@@ -1,18 +1,18 @@
 package sandpaddle.fleet.verdict.wire;
 
 import sandpaddle.fleet.verdict.evidence.Batch;
+import sandpaddle.fleet.verdict.evidence.EvidenceDissemination;
+import sandpaddle.fleet.verdict.evidence.EvidenceMessage;
 import sandpaddle.fleet.verdict.evidence.Finding;
-import sandpaddle.fleet.verdict.evidence.Spread;
 import sandpaddle.fleet.verdict.evidence.Subject;
-import sandpaddle.fleet.verdict.evidence.Told;
 import sandpaddle.fleet.verdict.evidence.Topic;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * A batch of evidence as a message, first its form's version. Bounds: {@link Spread#PIECES_MOST} pieces, names of
- * {@link #NAME_MOST} bytes, so a message is under 80 kB; what is outside is a fault that names the value.
+ * A batch of evidence as a message, first its form's version. Bounds: {@link EvidenceDissemination#PIECES_MOST} pieces,
+ * names of {@link #NAME_MOST} bytes, so a message is under 80 kB; what is outside is a fault that names the value.
  */
 public final class EvidenceCodec {
     /** Of the message's form; a newer one is refused by its number. */
@@ -32,7 +32,7 @@
                 .number(batch.calmAck()).list(batch.told(), EvidenceCodec::told).done();
     }
 
-    private static void told(CborOut out, Told t) {
+    private static void told(CborOut out, EvidenceMessage t) {
         out.number(t.subject().topic().ordinal()).text(t.subject().name()).text(t.teller()).number(t.life())
                 .number(t.seq()).number(t.finding().ordinal()).number(t.incarnation()).number(t.strength())
                 .real(t.amount()).number(t.sinceAgeUs()).number(t.madeAgeUs());
@@ -49,12 +49,12 @@
         long held = in.number(0, Long.MAX_VALUE);
         Batch batch = new Batch(stamp, echo, held, in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
                 in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
-                in.list(Spread.PIECES_MOST, EvidenceCodec::told));
+                in.list(EvidenceDissemination.PIECES_MOST, EvidenceCodec::told));
         in.end();
         return batch;
     }
 
-    private static Told told(CborIn in) throws FaultyMessageException {
+    private static EvidenceMessage told(CborIn in) throws FaultyMessageException {
         Topic topic = TOPICS[(int) in.number(0, TOPICS.length - 1)];
         Subject subject = new Subject(topic, in.text(NAME_MOST));
         String teller = in.text(NAME_MOST);
@@ -71,7 +71,7 @@
             throw in.wrong("is " + amount + ", less than 0");
         }
         long sinceAge = in.number(0, Long.MAX_VALUE / 4); // so that no sum of ages overflows
-        return new Told(subject, teller, life, seq, finding, incarnation, strength, amount, sinceAge,
+        return new EvidenceMessage(subject, teller, life, seq, finding, incarnation, strength, amount, sinceAge,
                 in.number(0, Long.MAX_VALUE / 4));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/view/Cell.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounter.java
@@ -3,7 +3,7 @@
 /**
  * Attempts of one class and tenant at one engine ("" while they wait for one): how many, and the slots they count in.
  */
-final class Cell {
+final class AttemptCounter {
     final int cls;
     final String tenant;
     final String engine;
@@ -12,7 +12,7 @@
     long running;
     long waiting;
 
-    Cell(int cls, String tenant, String engine) {
+    AttemptCounter(int cls, String tenant, String engine) {
         this.cls = cls;
         this.tenant = tenant;
         this.engine = engine;
--- a/gateway/src/main/java/sandpaddle/fleet/view/Cells.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
@@ -11,18 +11,18 @@
  * and no attempt starts on rights that were given back. Nothing is allocated once an engine, tenant and class have met;
  * bounded by {@link #MOST} of them, past which those that are idle are forgotten.
  */
-public final class Cells {
+public final class AttemptCounters {
     static final int MOST = 1 << 15;
 
     private final Publication<FleetView> views;
-    private final Publication<Usage> usages;
+    private final Publication<SlotUsage> usages;
     private final int classes;
-    private final Map<String, Map<String, Cell[]>> byEngine = new HashMap<>();
+    private final Map<String, Map<String, AttemptCounter[]>> byEngine = new HashMap<>();
     private FleetView view = FleetView.NOTHING;
-    private Usage usage = new Usage(0, 0);
+    private SlotUsage usage = new SlotUsage(0, 0);
     private int cells;
 
-    public Cells(Publication<FleetView> views, Publication<Usage> usages, int classes) {
+    public AttemptCounters(Publication<FleetView> views, Publication<SlotUsage> usages, int classes) {
         this.views = views;
         this.usages = usages;
         this.classes = classes;
@@ -32,7 +32,7 @@
     public FleetView adopt() {
         FleetView next = views.current();
         if (next.numbering() != view.numbering()) {
-            Usage fresh = new Usage(next.numbering(), next.slots().size());
+            SlotUsage fresh = new SlotUsage(next.numbering(), next.slots().size());
             each(c -> {
                 c.match(next);
                 fresh.addRunning(c.slots, c.running);
@@ -45,9 +45,9 @@
         return next;
     }
 
-    private void each(Consumer<Cell> what) {
+    private void each(Consumer<AttemptCounter> what) {
         byEngine.values().forEach(t -> t.values().forEach(row -> {
-            for (Cell c : row) {
+            for (AttemptCounter c : row) {
                 if (c != null) {
                     what.accept(c);
                 }
@@ -55,13 +55,13 @@
         }));
     }
 
-    private Cell cell(int cls, String tenant, String engine) {
-        Map<String, Cell[]> byTenant = byEngine.get(engine);
-        Cell[] row = byTenant == null ? null : byTenant.get(tenant);
+    private AttemptCounter cell(int cls, String tenant, String engine) {
+        Map<String, AttemptCounter[]> byTenant = byEngine.get(engine);
+        AttemptCounter[] row = byTenant == null ? null : byTenant.get(tenant);
         return row != null && row[cls] != null ? row[cls] : make(cls, tenant, engine);
     }
 
-    private Cell make(int cls, String tenant, String engine) {
+    private AttemptCounter make(int cls, String tenant, String engine) {
         if (cells >= MOST) {
             byEngine.values().removeIf(t -> {
                 t.values().removeIf(this::isIdle);
@@ -70,15 +70,16 @@
             cells = 0;
             each(c -> cells++);
         }
-        Cell c = new Cell(cls, tenant, engine);
+        AttemptCounter c = new AttemptCounter(cls, tenant, engine);
         c.match(view);
-        byEngine.computeIfAbsent(engine, e -> new HashMap<>()).computeIfAbsent(tenant, t -> new Cell[classes])[cls] = c;
+        byEngine.computeIfAbsent(engine, e -> new HashMap<>())
+                .computeIfAbsent(tenant, t -> new AttemptCounter[classes])[cls] = c;
         cells++;
         return c;
     }
 
-    private boolean isIdle(Cell[] row) {
-        for (Cell c : row) {
+    private boolean isIdle(AttemptCounter[] row) {
+        for (AttemptCounter c : row) {
             if (c != null && !c.isIdle()) {
                 return false;
             }
@@ -92,7 +93,7 @@
      * @return whether they do; where not, nothing is counted
      */
     public boolean begin(int cls, String tenant, String engine, long nowUs) {
-        Cell c = cell(cls, tenant, engine);
+        AttemptCounter c = cell(cls, tenant, engine);
         c.running++;
         usage.addRunning(c.slots, 1);
         VarHandle.fullFence();
@@ -103,7 +104,7 @@
         return false;
     }
 
-    private boolean covered(Cell c, long nowUs) {
+    private boolean covered(AttemptCounter c, long nowUs) {
         FleetView now = views.current();
         if (now.numbering() != view.numbering()) {
             return false; // its slots are other ones: the next turn counts by them
@@ -118,14 +119,14 @@
 
     /** An attempt has ended, and its engine runs it no more. */
     public void end(int cls, String tenant, String engine) {
-        Cell c = cell(cls, tenant, engine);
+        AttemptCounter c = cell(cls, tenant, engine);
         c.running--;
         usage.addRunning(c.slots, -1);
     }
 
     /** A query begins (1) or ends (-1) to wait for an engine. */
     public void waits(int cls, String tenant, int more) {
-        Cell c = cell(cls, tenant, "");
+        AttemptCounter c = cell(cls, tenant, "");
         c.waiting += more;
         usage.addWaiting(c.slots, more);
     }
--- /dev/null
+++ b/gateway/src/main/java/sandpaddle/fleet/view/SharedState.java
@@ -0,0 +1,14 @@
+package sandpaddle.fleet.view;
+
+/**
+ * What the loop's thread and the fleet's share: the view, written by the fleet's; the counts and the connections open
+ * to engines, written by the loop's.
+ */
+public record SharedState(Publication<FleetView> views, Publication<SlotUsage> usages, Connections connections) {
+
+    /** Before anything was heard or counted. */
+    public static SharedState fresh() {
+        return new SharedState(new Publication<>(FleetView.NOTHING), new Publication<>(new SlotUsage(0, 0)),
+                new Connections());
+    }
+}
--- a/gateway/src/main/java/sandpaddle/fleet/view/Usage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/SlotUsage.java
@@ -4,13 +4,13 @@
  * What this gateway uses of each slot of one numbering: written by the loop's thread, read by the fleet's. {@code
  * waiting} are queries held that would use it; {@code taken} and {@code starts} only grow.
  */
-public final class Usage {
+public final class SlotUsage {
     private final long numbering;
     private final PaddedCounters running;
     private final PaddedCounters waiting;
     private final PaddedCounters taken;
 
-    public Usage(long numbering, int slots) {
+    public SlotUsage(long numbering, int slots) {
         this.numbering = numbering;
         running = new PaddedCounters(slots);
         waiting = new PaddedCounters(slots);
--- a/gateway/src/main/java/sandpaddle/storm/FleetView.java
+++ b/gateway/src/main/java/sandpaddle/storm/FleetCapacity.java
@@ -10,7 +10,7 @@
  * ones at the least that the rules let them have by then. Guards against a stale list: an engine that {@value
  * #DEAD_AFTER} times in a row could not be reached counts for nothing until it answers or is listed as started anew.
  */
-final class FleetView {
+final class FleetCapacity {
     static final int DEAD_AFTER = 2;
     private static final double FORGET_US = 300e6; // time constant in which a fleet that shrank becomes the usual one
 
@@ -26,7 +26,7 @@
     private double usualCores;
     private long at;
 
-    FleetView(Gateway.Settings settings, long now) {
+    FleetCapacity(Gateway.Settings settings, long now) {
         this.settings = settings;
         at = now;
     }
--- a/gateway/src/main/java/sandpaddle/storm/HonourEstimate.java
+++ b/gateway/src/main/java/sandpaddle/storm/PauseComplianceEstimate.java
@@ -5,7 +5,7 @@
  * those waits as long as it was told. Shares are of about the last ten seconds, drawn towards a middling prior while
  * little has been seen.
  */
-final class HonourEstimate {
+final class PauseComplianceEstimate {
     private static final long SPAN_US = 10_000_000;
     private static final double PRIOR = 10; // cases that the prior weighs as much as
     private static final double PRIOR_HONOURS = 0.6;
@@ -16,7 +16,7 @@
 
     private final DecayingRate honoured, early, sentAway, returned;
 
-    HonourEstimate(long now) {
+    PauseComplianceEstimate(long now) {
         honoured = new DecayingRate(SPAN_US, now);
         early = new DecayingRate(SPAN_US, now);
         sentAway = new DecayingRate(SPAN_US, now);
--- a/gateway/src/main/java/sandpaddle/storm/Phase.java
+++ b/gateway/src/main/java/sandpaddle/storm/Phase.java
@@ -13,7 +13,7 @@
          * many of them are refused.
          */
         @Override
-        Phase next(Signs s, StormSettings.Detection d) {
+        Phase next(StormSignals s, StormSettings.Detection d) {
             boolean distress = s.badShare() >= d.badShare();
             boolean returning = s.returnShare() >= d.returnShare() && s.returnsMakeTheExcess();
             boolean outage = s.answeringPart() <= OUTAGE && s.badShare() >= HALF;
@@ -24,7 +24,7 @@
     STORM {
         /** Once engines answer again the ramp begins; without any traffic there is nothing to damp. */
         @Override
-        Phase next(Signs s, StormSettings.Detection d) {
+        Phase next(StormSignals s, StormSettings.Detection d) {
             if (s.answeringPart() > 0 && s.goodShare() >= ANSWERS_AGAIN) {
                 return RECOVERING;
             }
@@ -34,7 +34,7 @@
     /** Engines answer, and what is admitted grows with what they can do. */
     RECOVERING {
         @Override
-        Phase next(Signs s, StormSettings.Detection d) {
+        Phase next(StormSignals s, StormSettings.Detection d) {
             if (s.answeringPart() == 0 || s.goodShare() < ANSWERS_NO_MORE && !s.isQuiet()) {
                 return STORM; // a second outage
             }
@@ -48,5 +48,5 @@
     private static final double ANSWERS_NO_MORE = 0.01;
 
     /** The state that the signs point to; this one where they point nowhere else. */
-    abstract Phase next(Signs signs, StormSettings.Detection detection);
+    abstract Phase next(StormSignals signs, StormSettings.Detection detection);
 }
--- a/gateway/src/main/java/sandpaddle/storm/Storm.java
+++ b/gateway/src/main/java/sandpaddle/storm/Storm.java
@@ -52,17 +52,18 @@
     }
 
     /** A change of state, with the signs and the figures that it came with. */
-    public record Change(Phase from, Phase to, Signs signs, double capacityCores, double admittedPerS, double honours,
+    public record Change(Phase from, Phase to, StormSignals signs, double capacityCores, double admittedPerS,
+            double honours,
             double returns) { }
 
     private final Gateway.Settings site;
     private final SplittableRandom random;
     private final ReturnTable table;
     private final StormDetector detector;
-    private final FleetView fleet;
+    private final FleetCapacity fleet;
     private final Admission admission;
     private final ConnectionGate gate;
-    private final HonourEstimate honour;
+    private final PauseComplianceEstimate honour;
     private final DecayingRate unplanned; // work of first tries and of those that come early (us)
     private StormSettings settings;
     private ReturnCalendar calendar;
@@ -74,10 +75,10 @@
         random = new SplittableRandom(seed);
         table = new ReturnTable(settings.detection().entries(), settings.detection().memoryUs());
         detector = new StormDetector(settings.detection(), now);
-        fleet = new FleetView(site, now);
+        fleet = new FleetCapacity(site, now);
         admission = new Admission(site, settings.recovery(), now);
         gate = new ConnectionGate(settings.connections(), now);
-        honour = new HonourEstimate(now);
+        honour = new PauseComplianceEstimate(now);
         unplanned = new DecayingRate(BACKGROUND_US, now);
         calendar = calendar(settings);
         tickedAt = now;
@@ -112,7 +113,7 @@
         if (back != null) {
             honour.returned(now, back);
         }
-        if (back == null || back.backAt() == 0 || HonourEstimate.isEarly(now, back)) {
+        if (back == null || back.backAt() == 0 || PauseComplianceEstimate.isEarly(now, back)) {
             unplanned.add(now, work);
         }
         boolean yields = false;
@@ -253,7 +254,7 @@
     }
 
     /** {@code admittedPerS} in microseconds of work a second; counts are since the start. */
-    public record Figures(Phase phase, Signs signs, double capacityCores, double admittedPerS, double waitingUs,
+    public record Figures(Phase phase, StormSignals signs, double capacityCores, double admittedPerS, double waitingUs,
             long turnedAway, long connectionsTurnedAway, int remembered, int rememberedMost, long forgotten,
             double honours, double returns) { }
 }
--- a/gateway/src/main/java/sandpaddle/storm/StormDetector.java
+++ b/gateway/src/main/java/sandpaddle/storm/StormDetector.java
@@ -13,7 +13,7 @@
     private static final int TO_RAMP = 3; // part of the time towards a storm
 
     /** A change of state, with the signs that made it. */
-    record Change(Phase from, Phase to, Signs signs) { }
+    record Change(Phase from, Phase to, StormSignals signs) { }
 
     private StormSettings.Detection settings;
     private final DecayingRate firsts, returns, good, bad, connections;
@@ -58,8 +58,8 @@
         return usualConnections;
     }
 
-    Signs signs(long now, double answeringPart) {
-        return new Signs(firsts.perSecond(now), returns.perSecond(now), good.perSecond(now), bad.perSecond(now),
+    StormSignals signs(long now, double answeringPart) {
+        return new StormSignals(firsts.perSecond(now), returns.perSecond(now), good.perSecond(now), bad.perSecond(now),
                 connections.perSecond(now), calmSeenUs >= KNOWN_US ? usualFirsts : Double.NaN, answeringPart);
     }
 
@@ -67,7 +67,7 @@
     Change evaluate(long now, double answeringPart) {
         long elapsed = now - evaluatedAt;
         evaluatedAt = now;
-        Signs s = signs(now, answeringPart);
+        StormSignals s = signs(now, answeringPart);
         Phase next = phase.next(s, settings);
         if (next != pointed || elapsed > STALL_US) {
             pointed = next;
@@ -94,7 +94,7 @@
     }
 
     /** The usual is what calm shows; in a storm it stands still. */
-    private void learn(Signs s, long elapsed) {
+    private void learn(StormSignals s, long elapsed) {
         if (phase == Phase.CALM && elapsed > 0) {
             calmSeenUs += elapsed;
             double weight = elapsed / Math.min(USUAL_US, calmSeenUs);
--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -28,7 +28,7 @@
             Map.entry("decide.View.SHARES", "private, asked only whether it holds a value"),
             Map.entry("codec.HttpWriter.LAST_CHUNK", "private, only copied from"),
             Map.entry("codec.Deflation.GZIP_HEAD", "private, only copied from"),
-            Map.entry("fleet.link.queue.Outbox.PERCENT", "private, only read by place"),
+            Map.entry("fleet.link.queue.SendQueue.PERCENT", "private, only read by place"),
             Map.entry("fleet.verdict.wire.EvidenceCodec.TOPICS", "private, only read by place"),
             Map.entry("fleet.verdict.wire.EvidenceCodec.FINDINGS", "private, only read by place"),
             Map.entry("config.Json.FACTORY", "the library's table of keys it has read"),
@@ -41,7 +41,7 @@
             Map.entry("fleet.store.mv.DiskPath.NUMBER", "the numbers of those"),
             Map.entry("fleet.node.pool.PoolTargets.NONE", "maps that only its constructor fills: empty"),
             Map.entry("fleet.outage.schedule.Schedule.NONE", "remembers halls that a rule names: none"),
-            Map.entry("fleet.state.raft.Parts.MODEL", "the library's, without state"));
+            Map.entry("fleet.state.raft.CommonCodec.MODEL", "the library's, without state"));
     private static final Set<String> PLAIN = Set.of("java.lang.String", "java.lang.Class", "java.lang.Object",
             "java.util.regex.Pattern", "java.math.BigDecimal", "java.math.BigInteger",
             "java.time.format.DateTimeFormatter");
--- a/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sandpaddle.fleet.content.copy.StoreShelf;
+import sandpaddle.fleet.content.copy.ContentReplicaStore;
 import sandpaddle.fleet.content.disk.DirectoryFiles;
 import sandpaddle.fleet.content.disk.DiskSettings;
 import sandpaddle.fleet.content.disk.DiskTier;
@@ -70,14 +70,14 @@
 
     @Test
     void aCopyIsOfThisProcessAndAsOldAsItWasThere() {
-        StoreShelf there = new StoreShelf(store(100_000), Stored.PROCESS, 2000);
+        ContentReplicaStore there = new ContentReplicaStore(store(100_000), Stored.PROCESS, 2000);
         there.at(WALL * 1000, WALL);
         there.take(Stored.answer(1, WALL, 1, 2), 0);
         there.at((WALL + 5000) * 1000, WALL - 90_000); // its wall clock was set back
         StoredAnswer a = there.find(Stored.key(1).id()).orElseThrow();
         assertEquals(5000, there.age(a));
         ContentStore store = new ContentStore(new MemoryTier(100_000), Optional.empty(), 0);
-        StoreShelf here = new StoreShelf(store, 99, 2000);
+        ContentReplicaStore here = new ContentReplicaStore(store, 99, 2000);
         here.at(70_000_000, WALL - 1000);
         assertTrue(here.take(a, there.age(a)));
         here.at(71_000_000, WALL - 1000);
@@ -89,7 +89,7 @@
     void whatAnEarlierProcessStoredIsNotOfferedByAClockThatWasSetBack() {
         ContentStore store = store(100_000);
         store.put(Stored.answer(1, WALL, 1, 2), 0, WALL);
-        StoreShelf next = new StoreShelf(store, 99, 2000);
+        ContentReplicaStore next = new ContentReplicaStore(store, 99, 2000);
         next.at(0, WALL - 60_000);
         assertTrue(next.find(Stored.key(1).id()).isEmpty());
         next.at(0, WALL + 60_000);
@@ -99,10 +99,10 @@
     @Test
     void whatIsBeyondTheBoundsOfOneAnswerIsNotTaken() {
         ContentStore store = store(100_000);
-        Meta m = Stored.answer(1, WALL, 1, 1).meta();
+        AnswerMetadata m = Stored.answer(1, WALL, 1, 1).meta();
         assertFalse(store.put(new StoredAnswer(m, new ResultSet(List.of(new byte[] {'a', '\n'}))), 0, WALL));
         ContentKey half = new ContentKey("t\ud800", "u", "c", new byte[1]);
-        assertFalse(store.put(new StoredAnswer(new Meta(half, Set.of(), WALL, 0, 0, 1000, 1),
+        assertFalse(store.put(new StoredAnswer(new AnswerMetadata(half, Set.of(), WALL, 0, 0, 1000, 1),
                 new ResultSet(List.of())), 0, WALL));
         ContentKey large = new ContentKey("t", "u", "c", new byte[ContentKey.STATEMENT_MOST + 1]);
         assertFalse(large.isStorable());
--- a/gateway/src/test/java/sandpaddle/fleet/content/Stored.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/Stored.java
@@ -17,7 +17,9 @@
     }
 
     public static StoredAnswer answer(int n, long askedWall, double worth, int rows) {
-        Meta meta = new Meta(key(n), Set.of((long) n % 5), askedWall, askedWall * 1000, PROCESS, 3_600_000, worth);
+        AnswerMetadata meta =
+                new AnswerMetadata(key(n), Set.of((long) n % 5), askedWall, askedWall * 1000, PROCESS, 3_600_000,
+                worth);
         byte[] page = ("row\t" + n + "\tx\n").repeat(rows).getBytes(StandardCharsets.UTF_8);
         return new StoredAnswer(meta, new ResultSet(List.of(page)));
     }
--- a/gateway/src/test/java/sandpaddle/fleet/content/copy/CopiesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/copy/AnswerReplicationProperties.java
@@ -16,16 +16,16 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.Stored;
 import sandpaddle.fleet.content.StoredAnswer;
-import sandpaddle.fleet.outage.plan.Owners;
+import sandpaddle.fleet.outage.plan.ReplicaOwners;
 
 /** Gateways of a hall over links that lose, repeat and reorder messages, in virtual time. */
-class CopiesProperties {
-    private static final CopySettings SETTINGS = new CopySettings(4, 1000, 3, 2_000_000, 1_000_000, 3);
+class AnswerReplicationProperties {
+    private static final ReplicationSettings SETTINGS = new ReplicationSettings(4, 1000, 3, 2_000_000, 1_000_000, 3);
 
     /** One gateway: its shelf and its copies. */
-    private static final class Node implements Shelf {
+    private static final class Node implements ReplicaStore {
         private final Map<ContentId, StoredAnswer> held = new HashMap<>();
-        private final Copies copies = new Copies(SETTINGS, this, a -> 100, (from, want) -> { });
+        private final AnswerReplication copies = new AnswerReplication(SETTINGS, this, a -> 100, (from, want) -> { });
         private int taken;
         private long ageTold;
 
@@ -52,7 +52,7 @@
         }
     }
 
-    private record Flight(String from, String to, Message message) { }
+    private record Flight(String from, String to, ReplicationMessage message) { }
 
     private final Map<String, Node> nodes = new TreeMap<>();
     private final List<Flight> flights = new ArrayList<>();
@@ -67,8 +67,8 @@
         nodes.forEach((n, node) -> nodes.keySet().stream().filter(o -> !o.equals(n)).forEach(node.copies::up));
     }
 
-    private void send(String from, List<Out> out) {
-        for (Out o : out) {
+    private void send(String from, List<OutgoingMessage> out) {
+        for (OutgoingMessage o : out) {
             for (int copies = random.nextDouble() < loss ? random.nextInt(3) : 1; copies > 0; copies--) {
                 flights.add(random.nextInt(flights.size() + 1), new Flight(from, o.to(), o.message()));
             }
@@ -141,7 +141,7 @@
             send("a", nodes.get("a").copies.tick(now));
             while (!flights.isEmpty()) {
                 Flight f = flights.remove(0);
-                parts += f.message instanceof Message.Chunk ? 1 : 0;
+                parts += f.message instanceof ReplicationMessage.Chunk ? 1 : 0;
                 send(f.to, nodes.get(f.to).copies.received(f.from, f.message, now));
             }
         }
@@ -169,8 +169,8 @@
         ContentId other = Stored.key(2).id();
         for (int crc : new int[] {0, StoredAnswer.crc(body)}) { // a wrong checksum, then a wrong name
             ContentId id = crc == 0 ? Stored.key(1).id() : other;
-            b.copies.received("x", new Message.Offer(id, 50, 0, body.length, crc), now);
-            assertEquals(List.of(), b.copies.received("x", new Message.Chunk(id, crc, 0, body), now));
+            b.copies.received("x", new ReplicationMessage.Offer(id, 50, 0, body.length, crc), now);
+            assertEquals(List.of(), b.copies.received("x", new ReplicationMessage.Chunk(id, crc, 0, body), now));
         }
         assertEquals(0, b.taken);
         assertEquals(2, b.copies.broken());
@@ -187,9 +187,9 @@
             for (int i = 0; i < 100; i++) {
                 StoredAnswer a = Stored.answer(i, 50, 1, 5);
                 ContentId id = a.meta().key().id();
-                String asker = Owners.of(id, live).get(0);
+                String asker = ReplicaOwners.of(id, live).get(0);
                 nodes.get(asker).store(a);
-                nodes.get(asker).copies.offer(Owners.copyTo(id, live, asker).orElseThrow(), id);
+                nodes.get(asker).copies.offer(ReplicaOwners.copyTo(id, live, asker).orElseThrow(), id);
             }
             for (int i = 0; i < 100; i++) {
                 step();
@@ -199,7 +199,7 @@
             nodes.forEach((name, node) -> {
                 node.copies.down(dead);
                 node.copies.forget(dead);
-                List.copyOf(node.held.keySet()).forEach(id -> Owners.afterChange(id, live, left, name)
+                List.copyOf(node.held.keySet()).forEach(id -> ReplicaOwners.afterChange(id, live, left, name)
                         .forEach(to -> node.copies.offer(to, id)));
             });
             for (int i = 0; i < 100; i++) {
@@ -207,7 +207,7 @@
             }
             for (int i = 0; i < 100; i++) {
                 ContentId id = Stored.key(i).id();
-                Owners.of(id, left).forEach(o -> assertTrue(nodes.get(o).held.containsKey(id),
+                ReplicaOwners.of(id, left).forEach(o -> assertTrue(nodes.get(o).held.containsKey(id),
                         "after the death of " + dead + " " + o + " lacks " + id));
             }
         }
--- a/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
@@ -4,8 +4,8 @@
 
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.Meta;
 import sandpaddle.fleet.content.Stored;
 import sandpaddle.fleet.content.StoredAnswer;
 import sandpaddle.fleet.content.serve.Decision.Reason;
@@ -16,7 +16,7 @@
     private static final long MAX_AGE = 3_600_000;
 
     private final StoredAnswer answer = Stored.answer(3, ASKED, 1, 2);
-    private final Changes changes = new Changes(Stored.PROCESS, 1_000_000);
+    private final DataChanges changes = new DataChanges(Stored.PROCESS, 1_000_000);
     private Optional<StoredAnswer> found = Optional.of(answer);
     private boolean isolated = true;
     private boolean repeatable = true;
@@ -29,7 +29,8 @@
 
     private Decision decide(ContentKey key) {
         long now = (ASKED + ageMs) * 1000;
-        return ServeRule.decide(key, repeatable, maxAge, found, new Situation(isolated, now, ASKED + wallAgeMs, process,
+        return ServeRule.decide(key, repeatable, maxAge, found,
+                new ServeContext(isolated, now, ASKED + wallAgeMs, process,
                 wallTrusted, 2000, now - unheardMs * 1000, 600_000), changes);
     }
 
@@ -129,8 +130,9 @@
 
     @Test
     void anAnswerOfUnknownGroupsIsOutdatedByAnyLoad() {
-        Meta m = answer.meta();
-        found = Optional.of(new StoredAnswer(new Meta(m.key(), java.util.Set.of(), m.askedWall(), m.askedMono(),
+        AnswerMetadata m = answer.meta();
+        found = Optional.of(new StoredAnswer(new AnswerMetadata(m.key(), java.util.Set.of(), m.askedWall(),
+                m.askedMono(),
                 m.incarnation(), m.maxAgeMs(), 1), answer.rows()));
         assertEquals(Decision.Stored.class, decide(Stored.key(3)).getClass());
         changes.changed(99, (ASKED + 1) * 1000, ASKED + 1);
@@ -141,9 +143,9 @@
     void changesOutliveARestart() throws Exception {
         changes.changed(3, (ASKED + 5000) * 1000, ASKED + 5000);
         changes.changed(4, (ASKED - 90_000) * 1000, ASKED - 90_000);
-        Changes next = new Changes(Stored.PROCESS + 1, 1_000_000);
+        DataChanges next = new DataChanges(Stored.PROCESS + 1, 1_000_000);
         next.take(changes.export());
-        Meta three = answer.meta();
+        AnswerMetadata three = answer.meta();
         assertEquals(true, next.outdates(three));
         assertEquals(false, next.outdates(Stored.answer(4, ASKED, 1, 1).meta()));
     }
@@ -151,7 +153,7 @@
     @Test
     void whatIsForgottenOutdatesMoreAndNeverLess() {
         changes.changed(3, (ASKED + 1) * 1000, ASKED + 1);
-        for (int g = 100; g < 100 + Changes.MOST; g++) {
+        for (int g = 100; g < 100 + DataChanges.MOST; g++) {
             changes.changed(g, (ASKED + 10) * 1000, ASKED + 10);
         }
         refuses(Reason.OUTDATED);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/allot/SharesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/allot/FairSharesProperties.java
@@ -14,22 +14,22 @@
 import net.jqwik.api.Property;
 import sandpaddle.fleet.limit.table.SlotName;
 
-class SharesProperties {
+class FairSharesProperties {
     @Property(seed = "31", tries = 500)
     void sharesAreFairEfficientAndNeverOver(@ForAll long seed) {
         Random r = new Random(seed);
         int n = 1 + r.nextInt(30);
         long amount = n + r.nextInt(200);
         List<String> names = new ArrayList<>();
-        List<Claim> claims = new ArrayList<>();
+        List<SlotDemand> claims = new ArrayList<>();
         double demands = 0;
         for (int i = 0; i < n; i++) {
             names.add("g" + i);
-            claims.add(new Claim(new SlotName("g" + i, ""), r.nextInt(3) == 0 ? 0 : r.nextInt(60)));
+            claims.add(new SlotDemand(new SlotName("g" + i, ""), r.nextInt(3) == 0 ? 0 : r.nextInt(60)));
             demands += claims.get(i).demand();
         }
         long[] floors = Floors.of("l", amount, names, 0.05);
-        double[] shares = Shares.of(0, amount, floors, claims);
+        double[] shares = FairShares.of(0, amount, floors, claims);
         double sum = Arrays.stream(shares).sum();
         assertTrue(sum <= amount + 1e-6, sum + " of " + amount);
         assertTrue(sum >= Math.min(amount, demands) - 1e-6, "nothing lies idle while it is wanted");
@@ -49,14 +49,14 @@
         Random r = new Random(seed);
         int n = 5 + r.nextInt(40);
         int amount = 1 + r.nextInt(4);
-        List<Claim> claims = new ArrayList<>();
+        List<SlotDemand> claims = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            claims.add(new Claim(new SlotName("g" + i, ""), 3));
+            claims.add(new SlotDemand(new SlotName("g" + i, ""), 3));
         }
         boolean[] had = new boolean[n];
         long at = r.nextLong(1L << 40);
         for (int turn = 0; turn < n; turn++) {
-            double[] shares = Shares.of(at + turn * Shares.TURN_US, amount, new long[n], claims);
+            double[] shares = FairShares.of(at + turn * FairShares.TURN_US, amount, new long[n], claims);
             for (int i = 0; i < n; i++) {
                 had[i] |= shares[i] >= 1;
             }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
@@ -14,9 +14,9 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Claim;
+import sandpaddle.fleet.limit.allot.SlotDemand;
 import sandpaddle.fleet.limit.allot.Target;
-import sandpaddle.fleet.limit.allot.Targets;
+import sandpaddle.fleet.limit.allot.TargetPolicy;
 import sandpaddle.fleet.limit.bound.LimitBounds;
 import sandpaddle.fleet.limit.table.Slot;
 import sandpaddle.fleet.limit.table.SlotName;
@@ -26,7 +26,7 @@
     private static final long S = 1_000_000;
 
     private static Fleet fleet(int size, int amount, int demand) {
-        Fleet fleet = new Fleet(7, size, amount, SETTINGS, 0.005, Targets.NONE);
+        Fleet fleet = new Fleet(7, size, amount, SETTINGS, 0.005, TargetPolicy.NONE);
         fleet.delay = 100_000;
         fleet.gateways.forEach(g -> {
             g.demand = demand;
@@ -151,14 +151,14 @@
     }
 
     /** A pool's budget of 60: tenant "a" has twice the weight of "b", on each gateway alike. */
-    private static final Targets POOL = new Targets() {
+    private static final TargetPolicy POOL = new TargetPolicy() {
         @Override
         public boolean decide(LimitSpec limit) {
             return true;
         }
 
         @Override
-        public List<Target> targets(long now, LimitSpec limit, long amount, List<Claim> claims) {
+        public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims) {
             double weights = claims.stream().mapToDouble(c -> c.slot().sub().equals("a") ? 2 : 1).sum();
             return claims.stream().map(c -> new Target((c.slot().sub().equals("a") ? 2 : 1) * amount / weights, 1))
                 .toList();
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.Targets;
+import sandpaddle.fleet.limit.allot.TargetPolicy;
 import sandpaddle.fleet.limit.bound.LimitBounds;
 import sandpaddle.fleet.limit.table.Command;
 
@@ -27,7 +27,7 @@
     DrawnDay(long seed, int gateways, LimitSettings settings) {
         draw = new Random(~seed);
         amount = gateways + draw.nextInt(2 * gateways);
-        fleet = new Fleet(seed, gateways, amount, settings, DRIFT, Targets.NONE);
+        fleet = new Fleet(seed, gateways, amount, settings, DRIFT, TargetPolicy.NONE);
         fleet.gateways.forEach(g -> g.longest = 2_500_000);
         // connected gateways hear within repeats; attempts end by themselves
         lowering = new LimitBounds(settings, 2_000_000).loweredCut() + 12_000_000;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
@@ -12,18 +12,18 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Targets;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allot.AllocatorOutput;
+import sandpaddle.fleet.limit.allot.TargetPolicy;
 import sandpaddle.fleet.limit.table.Command;
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /** A whole fleet in virtual time with links that lose, delay, repeat and reorder; everything drawn from one seed. */
 final class Fleet {
     static final String LIMIT = "whole";
     static final long STEP_US = 100_000;
 
-    private record Message(long at, long number, int voter, int gateway, Beat beat, Grant grant) { }
+    private record Message(long at, long number, int voter, int gateway, Heartbeat beat, Grant grant) { }
 
     final LimitSettings settings;
     final Random random;
@@ -40,7 +40,7 @@
     double loss;
     double repeat;
 
-    Fleet(long seed, int size, long amount, LimitSettings settings, double drift, Targets targets) {
+    Fleet(long seed, int size, long amount, LimitSettings settings, double drift, TargetPolicy targets) {
         this.settings = settings;
         random = new Random(seed);
         voters = new Voters(settings, targets, random, drift);
@@ -60,7 +60,7 @@
             List.of(new LimitSpec(LIMIT, Scope.WHOLE, Unit.RUNNING, amount, 0)))).ok();
     }
 
-    private void send(int voter, int gateway, Beat beat, Grant grant) {
+    private void send(int voter, int gateway, Heartbeat beat, Grant grant) {
         int copies = random.nextDouble() < repeat ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             boolean lost = random.nextDouble() < loss || cut.contains(List.of(voter, gateway, beat == null ? 1 : 0));
@@ -95,7 +95,7 @@
             }
         }
         links.addAll(later);
-        for (Map.Entry<Integer, Turn> turn : voters.turn(now).entrySet()) {
+        for (Map.Entry<Integer, AllocatorOutput> turn : voters.turn(now).entrySet()) {
             for (Grant grant : turn.getValue().grants()) {
                 send(turn.getKey(), Integer.parseInt(grant.member().substring(1)), null, grant);
             }
@@ -105,7 +105,7 @@
             if (gateway.holder == null || gateway.stopped) {
                 continue;
             }
-            Beat beat = gateway.turn(now, LIMIT);
+            Heartbeat beat = gateway.turn(now, LIMIT);
             if (beat != null) {
                 for (int v = 0; v < voters.voters.size(); v++) {
                     send(v, i, beat, null);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
@@ -6,14 +6,14 @@
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.Holder;
-import sandpaddle.fleet.limit.hold.KeptFloor;
-import sandpaddle.fleet.limit.hold.Usage;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.hold.RightsHolder;
+import sandpaddle.fleet.limit.hold.SavedFloor;
+import sandpaddle.fleet.limit.hold.UsageSource;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /** A gateway in virtual time: its clock, its disk, its process with a holder, and clients that always want more. */
-final class Gateway implements Usage {
+final class Gateway implements UsageSource {
     final String name;
     final LimitSettings settings;
     private final Engines engines;
@@ -25,7 +25,7 @@
     private final List<FloorFile> disk = new ArrayList<>(); // the last is the file; the others are old copies
     private long wroteAt = Long.MIN_VALUE / 2;
     private long beatAt = Long.MIN_VALUE / 2;
-    Holder holder; // null: no process
+    RightsHolder holder; // null: no process
     boolean stopped;
     int demand = 3;
     long longest = 4_000_000;
@@ -59,12 +59,12 @@
 
     /** Starts a process, maybe on an old copy of its disk or on none. */
     void start(long now) {
-        List<KeptFloor> floors = List.of();
+        List<SavedFloor> floors = List.of();
         if (!disk.isEmpty() && random.nextInt(4) != 0) {
             int which = random.nextInt(3) == 0 ? random.nextInt(disk.size()) : disk.size() - 1;
             floors = disk.get(which).usable("boot", clock(now));
         }
-        holder = new Holder(name, 1 + random.nextInt(Integer.MAX_VALUE), clock(now), settings, this, floors);
+        holder = new RightsHolder(name, 1 + random.nextInt(Integer.MAX_VALUE), clock(now), settings, this, floors);
         beatAt = Long.MIN_VALUE / 2;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** One turn of its loop; a beat where one is due. */
-    Beat turn(long now, String limit) {
+    Heartbeat turn(long now, String limit) {
         long clock = clock(now);
         lingering.removeIf(l -> l[0] <= clock);
         running.removeIf(a -> a.over || a.ends <= now);
@@ -97,7 +97,7 @@
         running.forEach(a -> a.asked = now);
         if (clock - wroteAt >= 500_000) {
             wroteAt = clock;
-            List<KeptFloor> floors = holder.floors();
+            List<SavedFloor> floors = holder.floors();
             disk.add(new FloorFile("boot", clock, settings.floorKeep(), floors));
             holder.floorsWritten(clock, floors);
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.Allotter;
-import sandpaddle.fleet.limit.allot.Targets;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allot.AllocatorOutput;
+import sandpaddle.fleet.limit.allot.RightsAllocator;
+import sandpaddle.fleet.limit.allot.TargetPolicy;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.Outcome;
 import sandpaddle.fleet.limit.table.RightsTable;
@@ -21,15 +21,15 @@
     /** One that may lead. */
     static final class Voter {
         final RightsTable table;
-        final Allotter allotter;
+        final RightsAllocator allotter;
         final double rate;
         final List<long[]> asked = new ArrayList<>(); // confirmations: its clock then, whether it led, when it hears
         int applied;
         long term; // that it believes to lead, 0 for none
 
-        Voter(LimitSettings settings, Targets targets, double rate) {
+        Voter(LimitSettings settings, TargetPolicy targets, double rate) {
             table = new RightsTable(settings);
-            allotter = new Allotter(settings, table, targets);
+            allotter = new RightsAllocator(settings, table, targets);
             this.rate = rate;
         }
 
@@ -49,7 +49,7 @@
     int leader;
     long agreeUs = 60_000;
 
-    Voters(LimitSettings settings, Targets targets, Random random, double drift) {
+    Voters(LimitSettings settings, TargetPolicy targets, Random random, double drift) {
         this.random = random;
         truth = new RightsTable(settings);
         for (int i = 0; i < 3; i++) {
@@ -82,7 +82,7 @@
     }
 
     /** Each one that believes to lead decides. */
-    Map<Integer, Turn> turn(long now) {
+    Map<Integer, AllocatorOutput> turn(long now) {
         proposals.removeIf(p -> {
             if (p.at <= now) {
                 log.add(p.command);
@@ -90,7 +90,7 @@
             }
             return p.at <= now;
         });
-        Map<Integer, Turn> turns = new TreeMap<>();
+        Map<Integer, AllocatorOutput> turns = new TreeMap<>();
         for (Voter voter : voters) {
             boolean leads = voter.term == term;
             if (leads || random.nextInt(30) == 0) {
@@ -108,7 +108,7 @@
                 return a[2] <= now;
             });
             voter.asked.add(new long[] {voter.clock(now), leads ? 1 : 0, now + agreeUs});
-            Turn turn = voter.allotter.tick(voter.clock(now));
+            AllocatorOutput turn = voter.allotter.tick(voter.clock(now));
             for (Command command : turn.propose()) {
                 boolean late = random.nextInt(20) == 0;
                 if (leads || late) {
--- a/gateway/src/test/java/sandpaddle/fleet/limit/hold/HolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
@@ -8,17 +8,17 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.wire.Beat;
-import sandpaddle.fleet.limit.wire.Given;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
+import sandpaddle.fleet.limit.wire.SlotGrant;
 
-class HolderTest {
+class RightsHolderTest {
     private static final LimitSettings SETTINGS = LimitSettings.DEFAULTS;
     private static final long FRESH = SETTINGS.freshAfter();
     private long used;
 
-    private Holder holder(LimitSettings settings, List<KeptFloor> floors) {
-        return new Holder("g", 5, 0, settings, new Usage() {
+    private RightsHolder holder(LimitSettings settings, List<SavedFloor> floors) {
+        return new RightsHolder("g", 5, 0, settings, new UsageSource() {
             @Override
             public long used(String limit, String sub) {
                 return used;
@@ -31,17 +31,17 @@
         }, floors);
     }
 
-    private static Grant grant(long incarnation, long session, long confirmed, Given... given) {
+    private static Grant grant(long incarnation, long session, long confirmed, SlotGrant... given) {
         return new Grant("g", incarnation, session, confirmed, 1, false, List.of(), List.of(given));
     }
 
-    private static Given given(String limit, long version, long ceiling, long floor, long sinkTo) {
-        return new Given(limit, "", version, ceiling, floor, sinkTo, Math.min(floor, sinkTo));
+    private static SlotGrant given(String limit, long version, long ceiling, long floor, long sinkTo) {
+        return new SlotGrant(limit, "", version, ceiling, floor, sinkTo, Math.min(floor, sinkTo));
     }
 
     /** One with rights of eight, two of them its floor, leased from just before it is fresh. */
-    private Holder leased(LimitSettings settings) {
-        Holder holder = holder(settings, List.of());
+    private RightsHolder leased(LimitSettings settings) {
+        RightsHolder holder = holder(settings, List.of());
         holder.granted(0, grant(5, 1, 0, given("l", 1, 8, 2, 8)));
         long sequence = holder.beat(FRESH - 1).sequence();
         holder.granted(FRESH + 900, grant(5, 1, sequence));
@@ -50,7 +50,7 @@
 
     @Test
     void leaseCountsFromTheBeatAndItsEndIsFoundByTheClockAlone() {
-        Holder holder = leased(SETTINGS);
+        RightsHolder holder = leased(SETTINGS);
         assertEquals(FRESH - 1 + SETTINGS.lease(), holder.lapse());
         assertEquals(8, holder.ceiling(holder.lapse() - 1, "l", ""));
         Rights rights = holder.rights();
@@ -63,7 +63,7 @@
 
     @Test
     void freshProcessUsesNothingAndPromisesNothing() {
-        Holder holder = holder(SETTINGS, List.of(new KeptFloor("l", "", 2)));
+        RightsHolder holder = holder(SETTINGS, List.of(new SavedFloor("l", "", 2)));
         holder.granted(10, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(0, holder.ceiling(FRESH - 1, "l", ""));
         assertEquals(8, holder.beat(FRESH - 1).told().get(0).ceiling(), "its former self may use eight still");
@@ -73,7 +73,7 @@
 
     @Test
     void sinksAsAttemptsEndAndNeverRisesUnderOneVersion() {
-        Holder holder = leased(SETTINGS);
+        RightsHolder holder = leased(SETTINGS);
         used = 7;
         holder.granted(FRESH + 1000, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(3, holder.ceiling(FRESH + 1000, "l", ""), "nothing starts above what is asked");
@@ -89,7 +89,7 @@
     @Test
     void messageToAFormerProcessChangesNothing() {
         for (boolean guarded : new boolean[] {true, false}) {
-            Holder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.INCARNATION), List.of());
+            RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.INCARNATION), List.of());
             holder.granted(1, grant(4, 1, 0, given("l", 1, 8, 2, 8)));
             holder.beat(FRESH - 1);
             holder.granted(FRESH + 1, grant(4, 1, 1));
@@ -100,13 +100,13 @@
     @Test
     void renewalOfANewSessionLeavesOldRightsVoid() {
         for (boolean guarded : new boolean[] {true, false}) {
-            Holder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
-            List<Given> many = new ArrayList<>();
-            for (int i = 0; i <= Beat.MOST_TOLD; i++) { // one more than a beat tells, so one has promised nothing
+            RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
+            List<SlotGrant> many = new ArrayList<>();
+            for (int i = 0; i <= Heartbeat.MOST_TOLD; i++) { // one more than a beat tells, so one has promised nothing
                 many.add(given("l" + (10_000 + i), 1, 8, 2, 8));
             }
-            holder.granted(0, grant(5, 1, 0, many.toArray(new Given[0])));
-            String last = "l" + (10_000 + Beat.MOST_TOLD);
+            holder.granted(0, grant(5, 1, 0, many.toArray(new SlotGrant[0])));
+            String last = "l" + (10_000 + Heartbeat.MOST_TOLD);
             long sequence = holder.beat(FRESH).sequence(); // after a reclaim: the table holds the floors only
             holder.granted(FRESH + 1, grant(5, 2, sequence));
             assertEquals(guarded ? 2 : 8, holder.ceiling(FRESH + 2, last, ""), "with the guard: " + guarded);
@@ -115,11 +115,11 @@
 
     @Test
     void loweredFloorIsPromisedOnceNoOldFileCanBeUsed() {
-        Holder holder = leased(SETTINGS);
+        RightsHolder holder = leased(SETTINGS);
         holder.granted(FRESH + 1, grant(5, 1, 0, given("l", 1, 8, 2, 1)));
         long wrote = FRESH + 2;
-        FloorFile old = new FloorFile("b", wrote - 1, SETTINGS.floorKeep(), List.of(new KeptFloor("l", "", 2)));
-        assertEquals(List.of(new KeptFloor("l", "", 1)), holder.floors());
+        FloorFile old = new FloorFile("b", wrote - 1, SETTINGS.floorKeep(), List.of(new SavedFloor("l", "", 2)));
+        assertEquals(List.of(new SavedFloor("l", "", 1)), holder.floors());
         assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep()).told().get(0).floor(), "nothing was written");
         holder.floorsWritten(wrote, holder.floors());
         assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep() - 1).told().get(0).floor());
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/Site.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.hold.Holder;
-import sandpaddle.fleet.limit.hold.KeptFloor;
-import sandpaddle.fleet.limit.hold.Usage;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.hold.RightsHolder;
+import sandpaddle.fleet.limit.hold.SavedFloor;
+import sandpaddle.fleet.limit.hold.UsageSource;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /** One gateway of the searched world: its clock, process, links and what it runs. It always uses all that it may. */
-final class Site implements Usage {
+final class SimulatedGateway implements UsageSource {
     final String name;
     private final LimitSettings settings;
     private final long rate; // of its clock, units a step
@@ -18,24 +18,24 @@
     final List<Grant> grants = new ArrayList<>(); // sent to it last, to come again
     final List<Grant> late = new ArrayList<>();
     final List<Long> lateAt = new ArrayList<>();
-    final List<Beat> beats = new ArrayList<>();
+    final List<Heartbeat> beats = new ArrayList<>();
     private final List<Long> lingering = new ArrayList<>(); // given up: when each is certainly gone, by its clock
-    private List<KeptFloor> disk = List.of();
-    Holder holder;
+    private List<SavedFloor> disk = List.of();
+    RightsHolder holder;
     boolean stopped;
     boolean hungry;
     Event.What links = Event.What.WELL;
     private long clock;
     private long processes;
 
-    Site(String name, LimitSettings settings, long rate) {
+    SimulatedGateway(String name, LimitSettings settings, long rate) {
         this.name = name;
         this.settings = settings;
         this.rate = rate;
     }
 
     void start() {
-        holder = new Holder(name, ++processes, clock, settings, this, disk);
+        holder = new RightsHolder(name, ++processes, clock, settings, this, disk);
         stopped = false;
     }
 
@@ -93,8 +93,8 @@
         holder.floorsWritten(clock, disk);
     }
 
-    Beat beat() {
-        Beat beat = holder.beat(clock);
+    Heartbeat beat() {
+        Heartbeat beat = holder.beat(clock);
         beats.add(beat);
         if (beats.size() > 3) {
             beats.remove(0);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -8,10 +8,10 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allot.AllocatorOutput;
 import sandpaddle.fleet.limit.table.Command;
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /**
  * Three gateways, a limit of four, two voters that may lead. A step of time is three units of true time; the slow
@@ -24,8 +24,8 @@
     private static final long STEP = 3;
     private static final long FORGET = 3;
 
-    final List<Site> sites = new ArrayList<>();
-    private final List<Seat> seats = new ArrayList<>();
+    final List<SimulatedGateway> sites = new ArrayList<>();
+    private final List<VoterReplica> seats = new ArrayList<>();
     private final List<Command> log = new ArrayList<>();
     private final List<Command> waiting = new ArrayList<>(); // to be agreed on late
     private final List<Long> waitingUntil = new ArrayList<>();
@@ -43,25 +43,25 @@
         this.faults = faults;
         log.add(new Command.SetLimits(1, List.of(new LimitSpec(LIMIT, Scope.WHOLE, Unit.RUNNING, AMOUNT, 0))));
         for (int i = 0; i < 3; i++) {
-            sites.add(new Site("g" + i, settings, 2 + i));
+            sites.add(new SimulatedGateway("g" + i, settings, 2 + i));
             sites.get(i).hungry = i == 0;
             sites.get(i).start();
             log.add(new Command.Join("g" + i, "h"));
         }
-        seats.add(new Seat(settings));
-        seats.add(new Seat(settings));
+        seats.add(new VoterReplica(settings));
+        seats.add(new VoterReplica(settings));
         elect(0);
     }
 
     private void elect(int next) {
         leader = next;
-        Seat seat = seats.get(next);
+        VoterReplica seat = seats.get(next);
         seat.term = ++term;
         catchUp(seat);
         seat.allotter.elected(term);
     }
 
-    private void catchUp(Seat seat) {
+    private void catchUp(VoterReplica seat) {
         while (seat.applied < log.size()) {
             seat.table.apply(log.get(seat.applied++));
         }
@@ -78,7 +78,7 @@
             return events;
         }
         for (int i = 0; i < sites.size(); i++) {
-            Site site = sites.get(i);
+            SimulatedGateway site = sites.get(i);
             for (Event.What what : EnumSet.range(Event.What.MUTE, Event.What.WELL)) {
                 if (site.links != what && (what != Event.What.FORMER || term > 1)) {
                     events.add(new Event(what, i, 0));
@@ -107,7 +107,7 @@
     }
 
     private void happen(Event event) {
-        Site site = sites.get(event.gateway());
+        SimulatedGateway site = sites.get(event.gateway());
         faults -= event.what() == Event.What.NONE ? 0 : 1;
         switch (event.what()) {
             case NONE -> { }
@@ -135,7 +135,7 @@
     /** One step of time with one event. */
     void step(Event event) {
         time++;
-        sites.forEach(Site::tick);
+        sites.forEach(SimulatedGateway::tick);
         happen(event);
         sites.forEach(site -> {
             site.engine.tick(now(), FORGET);
@@ -144,7 +144,7 @@
         if (over()) {
             return;
         }
-        for (Site site : sites) {
+        for (SimulatedGateway site : sites) {
             if (site.runs()) {
                 beat(site, site.beat());
             }
@@ -155,7 +155,7 @@
                 turn(v); // what was agreed on is told in the same step
             }
         }
-        for (Site site : sites) {
+        for (SimulatedGateway site : sites) {
             for (int i = site.lateAt.size() - 1; i >= 0; i--) {
                 if (site.lateAt.get(i) <= time) {
                     site.granted(site.late.remove(i));
@@ -166,7 +166,7 @@
         }
     }
 
-    private void beat(Site site, Beat beat) {
+    private void beat(SimulatedGateway site, Heartbeat beat) {
         if (site.links == Event.What.MUTE || site.links == Event.What.CUT) {
             return;
         }
@@ -190,7 +190,7 @@
     }
 
     private void turn(int v) {
-        Seat seat = seats.get(v);
+        VoterReplica seat = seats.get(v);
         if (seat.term == 0) {
             return;
         }
@@ -198,7 +198,7 @@
         if (leads) {
             seat.allotter.confirmed(clock());
         }
-        Turn turn = seat.allotter.tick(clock());
+        AllocatorOutput turn = seat.allotter.tick(clock());
         for (Command command : turn.propose()) {
             if (leads && !lateLog) {
                 log.add(command);
@@ -215,7 +215,7 @@
         }
     }
 
-    private void grant(int v, Site site, Grant grant) {
+    private void grant(int v, SimulatedGateway site, Grant grant) {
         if (!grant.given().isEmpty()) {
             site.grants.add(grant);
             if (site.grants.size() > 3) {
--- a/gateway/src/test/java/sandpaddle/fleet/limit/table/RightsTableTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/table/RightsTableTest.java
@@ -23,7 +23,7 @@
     }
 
     private Outcome move(long lead, SlotName slot, long version, long held, long floor) {
-        return table.apply(new Command.Move(lead, List.of(new Change("l", slot, version, held, floor))));
+        return table.apply(new Command.Move(lead, List.of(new SlotChange("l", slot, version, held, floor))));
     }
 
     private void ready() {
@@ -110,7 +110,7 @@
         RightsTable other = new RightsTable(LimitSettings.DEFAULTS);
         other.install(table.snapshot());
         assertArrayEquals(table.snapshot(), other.snapshot());
-        byte[] move = CommandCodec.write(new Command.Move(1, List.of(new Change("l", B, 0, 4, 1))));
+        byte[] move = CommandCodec.write(new Command.Move(1, List.of(new SlotChange("l", B, 0, 4, 1))));
         assertArrayEquals(table.apply(9, move), other.apply(9, move));
         assertArrayEquals(table.snapshot(), other.snapshot());
         Outcome fault = CommandCodec.readOutcome(table.apply(10, new byte[] {1, 2, 3}));
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
 import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.KeptFloor;
+import sandpaddle.fleet.limit.hold.SavedFloor;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.CommandCodec;
 import sandpaddle.fleet.wire.CborIn;
@@ -23,26 +23,29 @@
 import sandpaddle.fleet.wire.CborOut;
 
 class LimitCodecProperties {
-    private static Beat beat(Random r) {
-        List<Told> told = new ArrayList<>();
+    private static Heartbeat beat(Random r) {
+        List<SlotReport> told = new ArrayList<>();
         for (int i = r.nextInt(20); i > 0; i--) {
-            told.add(new Told("l" + i, i % 2 == 0 ? "" : "tenant ä", r.nextLong(1L << 60), r.nextInt(9), r.nextInt(9),
+            told.add(new SlotReport("l" + i, i % 2 == 0 ? "" : "tenant ä", r.nextLong(1L << 60), r.nextInt(9),
+                r.nextInt(9),
                 r.nextInt(9), r.nextInt(9)));
         }
-        return new Beat(r.nextLong(), r.nextInt(99), r.nextInt(9), r.nextBoolean(), r.nextInt(99), r.nextInt(9), told,
-            List.of(new Wanted("l", new Scope(null, "", "t", null))));
+        return new Heartbeat(r.nextLong(), r.nextInt(99), r.nextInt(9), r.nextBoolean(), r.nextInt(99), r.nextInt(9),
+            told,
+            List.of(new InstanceRequest("l", new Scope(null, "", "t", null))));
     }
 
     private static Grant grant(Random r) {
-        List<Given> given = new ArrayList<>();
+        List<SlotGrant> given = new ArrayList<>();
         for (int i = r.nextInt(20); i > 0; i--) {
-            given.add(new Given("l" + i, "", r.nextInt(99), r.nextInt(99), r.nextInt(9), r.nextInt(9), r.nextInt(9)));
+            given.add(new SlotGrant("l" + i, "", r.nextInt(99), r.nextInt(99), r.nextInt(9), r.nextInt(9),
+                r.nextInt(9)));
         }
         LimitSpec spec = new LimitSpec("l", new Scope("*", null, "x", null), Unit.RATE, r.nextInt(99), r.nextInt(9));
         return new Grant("g", r.nextLong(), r.nextInt(9), r.nextInt(9), r.nextInt(9), true, List.of(spec), given);
     }
 
-    private static byte[] bytes(Beat beat) {
+    private static byte[] bytes(Heartbeat beat) {
         CborOut out = new CborOut();
         LimitCodec.write(out, beat);
         return out.done();
@@ -51,13 +54,13 @@
     @Property(seed = "21", tries = 200)
     void whatIsWrittenIsRead(@ForAll long seed) throws FaultyMessageException {
         Random r = new Random(seed);
-        Beat beat = beat(r);
+        Heartbeat beat = beat(r);
         assertEquals(beat, LimitCodec.readBeat(new CborIn(bytes(beat))));
         Grant grant = grant(r);
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         assertEquals(grant, LimitCodec.readGrant(new CborIn(out.done())));
-        FloorFile file = new FloorFile("boot", r.nextLong(), 5, List.of(new KeptFloor("l", "t", r.nextInt(99))));
+        FloorFile file = new FloorFile("boot", r.nextLong(), 5, List.of(new SavedFloor("l", "t", r.nextInt(99))));
         assertEquals(file, FloorFile.read(file.write()));
         Command command = new Command.SetLimits(r.nextInt(99), grant.limits());
         assertEquals(command, CommandCodec.read(CommandCodec.write(command)));
@@ -70,7 +73,7 @@
         broken[at % broken.length] ^= (byte) (1 + seed % 127);
         for (byte[] message : List.of(broken, Arrays.copyOf(whole, at % whole.length))) {
             try {
-                assertTrue(LimitCodec.readBeat(new CborIn(message)).told().size() <= Beat.MOST_TOLD);
+                assertTrue(LimitCodec.readBeat(new CborIn(message)).told().size() <= Heartbeat.MOST_TOLD);
             } catch (FaultyMessageException e) {
                 assertTrue(e.getMessage().contains("value") || e.getMessage().contains("CBOR"), e.getMessage());
             }
--- a/gateway/src/test/java/sandpaddle/fleet/link/board/SwitchboardProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/board/LinkManagerProperties.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.link.virtual.VirtualNet;
 
 /** Drawn faults between five gateways: whatever happened, calm links all that want each other, each pair once. */
-class SwitchboardProperties {
+class LinkManagerProperties {
     private static final long SECOND = 1_000_000;
     private static final int NODES = 5;
 
@@ -29,10 +29,10 @@
         VirtualNet net = new VirtualNet(seed);
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, Links> links = new HashMap<>();
-        List<Heard> heard = new ArrayList<>();
+        List<RecordedEvents> heard = new ArrayList<>();
         net.delay(random.nextLong(random.nextBoolean() ? 400_000 : 3000));
         for (int i = 0; i < NODES; i++) {
-            heard.add(new Heard());
+            heard.add(new RecordedEvents());
             links.put(name(i), net.node(name(i), "hall-" + i % 2, heard.get(i)));
         }
         links.values().forEach(l -> l.want(net.members()));
@@ -45,7 +45,7 @@
             for (int k = 0; k < NODES; k++) {
                 if (i != k) {
                     alternate(heard.get(i).events, name(k));
-                    assertTrue(links.get(name(i)).send(name(k), Kind.BEAT, Heard.message(i)),
+                    assertTrue(links.get(name(i)).send(name(k), Kind.BEAT, RecordedEvents.message(i)),
                             name(i) + " has no link to " + name(k) + " " + heard.get(i).events);
                 }
             }
@@ -55,11 +55,11 @@
         assertEquals(down, downs(heard), "links end while nothing fails");
     }
 
-    private static long downs(List<Heard> heard) {
+    private static long downs(List<RecordedEvents> heard) {
         return heard.stream().flatMap(h -> h.events.stream()).filter(e -> e.startsWith("down")).count();
     }
 
-    private static void fault(VirtualNet net, Map<String, Links> links, List<Heard> heard,
+    private static void fault(VirtualNet net, Map<String, Links> links, List<RecordedEvents> heard,
             SplittableRandom random) {
         int first = random.nextInt(NODES);
         String one = name(first);
@@ -107,8 +107,8 @@
             @ForAll @IntRange(max = 800_000) int jitter) {
         VirtualNet net = new VirtualNet(there + offset);
         net.jitter(jitter);
-        Heard a = new Heard();
-        Heard b = new Heard();
+        RecordedEvents a = new RecordedEvents();
+        RecordedEvents b = new RecordedEvents();
         net.delay("a", "b", there);
         net.delay("b", "a", back);
         Links linksA = net.node("a", "h", a);
@@ -124,15 +124,15 @@
     @Property(seed = "22", tries = 20)
     void messagesAreLostAndDoubledAsAsked(@ForAll @IntRange(max = 1_000_000) int seed) {
         VirtualNet net = new VirtualNet(seed);
-        Heard b = new Heard();
-        Links a = net.node("a", "h", new Heard());
+        RecordedEvents b = new RecordedEvents();
+        Links a = net.node("a", "h", new RecordedEvents());
         net.node("b", "h", b);
         a.want(net.members());
         net.advance(SECOND);
         net.drop(0.3);
         net.duplicate(0.3);
         for (int i = 0; i < 500; i++) {
-            assertTrue(a.send("b", Kind.RAFT, Heard.message(i)));
+            assertTrue(a.send("b", Kind.RAFT, RecordedEvents.message(i)));
             net.advance(net.now() + 1000);
         }
         net.advance(net.now() + 5 * SECOND);
--- a/gateway/src/test/java/sandpaddle/fleet/link/board/SwitchboardTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/board/LinkManagerTest.java
@@ -15,12 +15,12 @@
 import sandpaddle.fleet.link.virtual.VirtualNet;
 
 /** Two gateways' switchboards against each other in virtual time; each fault is told as what it is. */
-class SwitchboardTest {
+class LinkManagerTest {
     private static final long SECOND = 1_000_000;
 
     private final VirtualNet net = new VirtualNet(1);
-    private final Heard a = new Heard();
-    private final Heard b = new Heard();
+    private final RecordedEvents a = new RecordedEvents();
+    private final RecordedEvents b = new RecordedEvents();
     private final Links linksA = net.node("a", "hall-1", a);
     private final Links linksB = net.node("b", "hall-2", b);
 
@@ -35,7 +35,7 @@
     void aMessageComesOverInOrderAndTheRoundTripIsKnown() {
         net.delay(3000);
         link();
-        IntStream.range(0, 50).forEach(i -> assertTrue(linksB.send("a", Kind.BEAT, Heard.message(i))));
+        IntStream.range(0, 50).forEach(i -> assertTrue(linksB.send("a", Kind.BEAT, RecordedEvents.message(i))));
         net.advance(2 * SECOND);
         assertEquals(IntStream.range(0, 50).boxed().toList(), a.messages);
         assertEquals(6000, a.roundTripUs);
@@ -45,8 +45,8 @@
     void bothDialAtOnceAndKeepOneLinkWithoutFlapping() {
         for (long delay : new long[] {0, 200, 50_000, 2 * SECOND}) {
             VirtualNet both = new VirtualNet(7);
-            Heard one = new Heard();
-            Heard two = new Heard();
+            RecordedEvents one = new RecordedEvents();
+            RecordedEvents two = new RecordedEvents();
             both.delay(delay);
             Links first = both.node("a", "h", one);
             Links second = both.node("b", "h", two);
@@ -120,13 +120,13 @@
     void aPeerThatTakesNothingIsClogged() {
         LinkSettings.Times patient = new LinkSettings.Times(10 * SECOND, 2 * SECOND, SECOND, SECOND, 100_000, SECOND);
         VirtualNet slow = new VirtualNet(3, patient);
-        Heard one = new Heard();
+        RecordedEvents one = new RecordedEvents();
         Links first = slow.node("a", "h", one);
-        slow.node("b", "h", new Heard());
+        slow.node("b", "h", new RecordedEvents());
         first.want(slow.members());
         slow.advance(SECOND);
         slow.clog("a", "b");
-        assertTrue(first.send("b", Kind.CONTENT, Heard.message(1)));
+        assertTrue(first.send("b", Kind.CONTENT, RecordedEvents.message(1)));
         slow.advance(3 * SECOND + 500_000);
         assertEquals(List.of("up b", "down b CLOGGED"), one.events.subList(0, 2));
     }
@@ -164,7 +164,7 @@
         net.advance(net.now() + 20 * SECOND);
         assertEquals(List.of("up b", "down b UNWANTED"), a.events);
         assertEquals(List.of("up a", "down a CLOSED"), b.events);
-        assertFalse(linksA.send("b", Kind.RAFT, Heard.message(1)));
+        assertFalse(linksA.send("b", Kind.RAFT, RecordedEvents.message(1)));
     }
 
     /** Guards against a link that comes and goes: one that did not last is dialled later and later. */
--- a/gateway/src/test/java/sandpaddle/fleet/link/board/OwnPauseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/board/OwnPauseTest.java
@@ -17,9 +17,9 @@
 class OwnPauseTest {
     private static final long SILENT = LinkSettings.Times.USUAL.silentUs();
 
-    private final Heard heard = new Heard();
-    private final Switchboard board = new Switchboard(LinkSettings.usual("c", new Member("a", "h", "a", 1), 1),
-            name -> true, new SplittableRandom(1), new Wires() {
+    private final RecordedEvents heard = new RecordedEvents();
+    private final LinkManager board = new LinkManager(LinkSettings.usual("c", new Member("a", "h", "a", 1), 1),
+            name -> true, new SplittableRandom(1), new LinkTransport() {
                 @Override
                 public void dial(long wire, LinkSettings.Address to) { }
 
@@ -28,7 +28,7 @@
 
                 @Override
                 public void close(long wire, ByteBuffer last) { }
-            }, new Events() {
+            }, new LinkEvents() {
                 @Override
                 public void refused(String address, String who, Refusal code, String why) {
                     heard.events.add("refused " + who);
--- a/gateway/src/test/java/sandpaddle/fleet/link/board/Heard.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/board/RecordedEvents.java
@@ -7,7 +7,7 @@
 import sandpaddle.fleet.member.Member;
 
 /** Keeps what a listener was told, one text an event. */
-final class Heard implements Links.Listener {
+final class RecordedEvents implements Links.Listener {
     final List<String> events = new ArrayList<>();
     final List<String> whys = new ArrayList<>();
     final List<Integer> messages = new ArrayList<>();
--- a/gateway/src/test/java/sandpaddle/fleet/link/queue/OutboxProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.link.Kind;
 
-class OutboxProperties {
+class SendQueueProperties {
     private static final List<Kind> MOST_URGENT_FIRST = List.of(Kind.RAFT, Kind.GRANT, Kind.PROPOSAL, Kind.BEAT,
             Kind.EVIDENCE, Kind.CONTENT);
 
@@ -28,7 +28,7 @@
     @Property(seed = "41", tries = 200)
     void nothingTakenIsLostAndTheUrgentGoesFirst(@ForAll @IntRange(max = 1_000_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Outbox outbox = new Outbox(20_000, 40);
+        SendQueue outbox = new SendQueue(20_000, 40);
         List<List<Integer>> model = new ArrayList<>();
         MOST_URGENT_FIRST.forEach(k -> model.add(new ArrayList<>()));
         for (int i = 0; i < 300; i++) {
@@ -49,7 +49,7 @@
 
     @Test
     void aQueueFullOfContentHasRoomForAgreement() {
-        Outbox outbox = new Outbox(1 << 20, 100);
+        SendQueue outbox = new SendQueue(1 << 20, 100);
         int content = 0;
         while (outbox.offer(Kind.CONTENT, frame(5, content, 100))) {
             content++;
@@ -65,7 +65,7 @@
 
     @Test
     void anEmptyOneGivesNothing() {
-        Outbox outbox = new Outbox(100, 16);
+        SendQueue outbox = new SendQueue(100, 16);
         assertNull(outbox.poll());
         outbox.own(frame(9, 1, 8));
         assertEquals(1, outbox.ownFrames());
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/HandshakeStories.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/HandshakeStories.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
-import static sandpaddle.fleet.link.tcp.Gate.CLUSTER;
-import static sandpaddle.fleet.link.tcp.Gate.PATIENT;
-import static sandpaddle.fleet.link.tcp.Gate.TIMES;
 import static sandpaddle.fleet.link.tcp.RawPeer.greeting;
+import static sandpaddle.fleet.link.tcp.TestNode.CLUSTER;
+import static sandpaddle.fleet.link.tcp.TestNode.PATIENT;
+import static sandpaddle.fleet.link.tcp.TestNode.TIMES;
 
 import java.net.ServerSocket;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
         return new LinkSettings.Bounds(1 << 20, 8 << 20, 4096, 512, 2, 32 << 20);
     }
 
-    private static Frame.Rejected refused(Gate gate, Greeting greeting) throws Exception {
+    private static Frame.Rejected refused(TestNode gate, Greeting greeting) throws Exception {
         try (RawPeer raw = RawPeer.connect(gate.links.port())) {
             Frame.Rejected no = raw.say(new Frame.Hello(greeting)).hear(Frame.Rejected.class);
             assertNull(raw.hear(), "nothing follows, the connection closes");
@@ -36,7 +36,7 @@
 
     @Test
     public void everyRefusalNamesWhatIsWrong() throws Exception {
-        try (Gate a = new Gate("a", CLUSTER, 1, 0, PATIENT, LinkSettings.Bounds.USUAL, Map.of(), "b"::equals)) {
+        try (TestNode a = new TestNode("a", CLUSTER, 1, 0, PATIENT, LinkSettings.Bounds.USUAL, Map.of(), "b"::equals)) {
             assertEquals(refused(a, greeting(9, CLUSTER, "b", "a", 1)),
                     new Frame.Rejected(Refusal.VERSION, "a speaks versions 1 to 1, not 9 to 9"));
             assertEquals(refused(a, greeting(1, "other", "b", "a", 1)),
@@ -57,8 +57,8 @@
     @Test
     public void theRefusedIsToldAndComesInWhenItMay() throws Exception {
         boolean[] member = {false};
-        try (Gate a = new Gate("a", CLUSTER, 1, 0, TIMES, LinkSettings.Bounds.USUAL, Map.of(), n -> member[0]);
-                Gate b = new Gate("b", TIMES)) {
+        try (TestNode a = new TestNode("a", CLUSTER, 1, 0, TIMES, LinkSettings.Bounds.USUAL, Map.of(), n -> member[0]);
+                TestNode b = new TestNode("b", TIMES)) {
             b.want(a.member());
             assertEquals(b.await("REJECTED").detail(),
                     "a refuses this gateway: NAME: b is no member of cluster paddle");
@@ -70,8 +70,8 @@
 
     @Test
     public void anAnswerThatDoesNotFitIsRefusedToo() throws Exception {
-        try (Gate a = new Gate("a", TIMES); ServerSocket server = RawPeer.listen()) {
-            a.want(Gate.at("b", server.getLocalPort()));
+        try (TestNode a = new TestNode("a", TIMES); ServerSocket server = RawPeer.listen()) {
+            a.want(TestNode.at("b", server.getLocalPort()));
             List<Greeting> answers = List.of(greeting(9, CLUSTER, "b", "a", 1), greeting(1, "other", "b", "a", 1),
                     greeting(1, CLUSTER, "c", "a", 1));
             List<Refusal> told = new ArrayList<>();
@@ -91,7 +91,7 @@
 
     @Test
     public void ofTwoProcessesWithOneNameTheOlderIsTold() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); RawPeer five = RawPeer.connect(a.links.port());
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer five = RawPeer.connect(a.links.port());
                 RawPeer nine = RawPeer.connect(a.links.port())) {
             five.greet(greeting(1, CLUSTER, "b", "a", 5));
             assertEquals(a.await("up").detail(), "5");
@@ -110,7 +110,7 @@
     @Test
     public void whoSaysNothingDoesNotKeepOthersOut() throws Exception {
         List<RawPeer> silent = new ArrayList<>();
-        try (Gate a = new Gate("a", CLUSTER, 1, 0, PATIENT, greeting2(), Map.of(), n -> true)) {
+        try (TestNode a = new TestNode("a", CLUSTER, 1, 0, PATIENT, greeting2(), Map.of(), n -> true)) {
             for (int i = 0; i < 6; i++) {
                 silent.add(RawPeer.connect(a.links.port()));
             }
@@ -131,7 +131,7 @@
     @Test
     public void aGreetingThatDripsInEnds() throws Exception {
         byte[] hello = new Frame.Hello(greeting(1, CLUSTER, "b", "a", 5)).encode().array();
-        try (Gate a = new Gate("a", PATIENT); RawPeer b = RawPeer.connect(a.links.port())) {
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer b = RawPeer.connect(a.links.port())) {
             b.bytes(java.util.Arrays.copyOf(hello, hello.length - 1));
             assertNull(b.hear(), "closed after the time for a handshake");
             assertEquals(a.links.counts().up(), 0);
@@ -140,7 +140,7 @@
 
     @Test
     public void aLongFrameBeforeTheHandshakeIsNotEvenRead() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); RawPeer b = RawPeer.connect(a.links.port())) {
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer b = RawPeer.connect(a.links.port())) {
             b.bytes(new byte[] {0, 0, 8, 1});
             assertNull(b.hear());
             assertEquals(a.links.counts().refused(), 1);
@@ -150,7 +150,8 @@
     @Test
     public void aMemberOrItsNameThatGoesIsCutOff() throws Exception {
         boolean[] member = {true};
-        try (Gate a = new Gate("a", CLUSTER, 1, 0, PATIENT, LinkSettings.Bounds.USUAL, Map.of(), n -> member[0]);
+        try (TestNode a = new TestNode("a", CLUSTER, 1, 0, PATIENT, LinkSettings.Bounds.USUAL, Map.of(), n ->
+                member[0]);
                 RawPeer b = RawPeer.connect(a.links.port())) {
             b.greet(greeting(1, CLUSTER, "b", "a", 5));
             a.await("up");
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
@@ -4,10 +4,10 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
-import static sandpaddle.fleet.link.tcp.Gate.CLUSTER;
-import static sandpaddle.fleet.link.tcp.Gate.PATIENT;
-import static sandpaddle.fleet.link.tcp.Gate.TIMES;
 import static sandpaddle.fleet.link.tcp.RawPeer.greeting;
+import static sandpaddle.fleet.link.tcp.TestNode.CLUSTER;
+import static sandpaddle.fleet.link.tcp.TestNode.PATIENT;
+import static sandpaddle.fleet.link.tcp.TestNode.TIMES;
 
 import java.net.ServerSocket;
 import java.nio.ByteBuffer;
@@ -24,7 +24,7 @@
     private static final LinkSettings.Times CLOGGING = new LinkSettings.Times(60_000_000, 300_000, 2_000_000, 600_000,
             10_000, 50_000);
 
-    private static RawPeer linked(Gate a, long incarnation) throws Exception {
+    private static RawPeer linked(TestNode a, long incarnation) throws Exception {
         RawPeer b = RawPeer.connect(a.links.port()).greet(greeting(1, CLUSTER, "b", "a", incarnation));
         a.await("up");
         return b;
@@ -32,7 +32,7 @@
 
     @Test
     public void bothDialAndHaveOneLinkThatCarriesEveryKind() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); Gate b = new Gate("b", PATIENT)) {
+        try (TestNode a = new TestNode("a", PATIENT); TestNode b = new TestNode("b", PATIENT)) {
             a.want(b.member());
             b.want(a.member());
             a.await("up");
@@ -52,8 +52,8 @@
 
     @Test
     public void whoAcceptsAndSaysNothingIsUnreachable() throws Exception {
-        try (Gate a = new Gate("a", TIMES); ServerSocket server = RawPeer.listen()) {
-            a.want(Gate.at("b", server.getLocalPort()));
+        try (TestNode a = new TestNode("a", TIMES); ServerSocket server = RawPeer.listen()) {
+            a.want(TestNode.at("b", server.getLocalPort()));
             try (RawPeer b = RawPeer.accept(server)) {
                 assertTrue(a.await("UNREACHABLE").detail().startsWith("no handshake with 127.0.0.1:"));
                 assertNotNull(b.hear(Frame.Hello.class));
@@ -67,7 +67,7 @@
 
     @Test
     public void aLinkThatFallsSilentEndsAndThePeerIsToldWhy() throws Exception {
-        try (Gate a = new Gate("a", TIMES); RawPeer b = linked(a, 5)) {
+        try (TestNode a = new TestNode("a", TIMES); RawPeer b = linked(a, 5)) {
             assertNotNull(b.hear(Frame.Ping.class));
             assertTrue(a.await("SILENT").detail().startsWith("nothing heard for "));
             assertTrue(b.hear(Frame.Bye.class).reason().startsWith("a: nothing heard for "));
@@ -76,8 +76,8 @@
 
     @Test
     public void aPeerThatTakesNothingIsClogged() throws Exception {
-        try (Gate a = new Gate("a", CLOGGING); ServerSocket server = RawPeer.listen()) {
-            a.want(Gate.at("b", server.getLocalPort()));
+        try (TestNode a = new TestNode("a", CLOGGING); ServerSocket server = RawPeer.listen()) {
+            a.want(TestNode.at("b", server.getLocalPort()));
             try (RawPeer b = RawPeer.accept(server).welcome(greeting(1, CLUSTER, "b", "a", 5))) {
                 a.await("up");
                 while (a.links.send("b", Kind.CONTENT, new byte[500_000])) {
@@ -91,8 +91,8 @@
     /** Guards against agreement that waits behind content: the queue is full for one and has room for the other. */
     @Test
     public void aFullQueueRefusesContentAndTakesAgreement() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); ServerSocket server = RawPeer.listen()) {
-            a.want(Gate.at("b", server.getLocalPort()));
+        try (TestNode a = new TestNode("a", PATIENT); ServerSocket server = RawPeer.listen()) {
+            a.want(TestNode.at("b", server.getLocalPort()));
             try (RawPeer b = RawPeer.accept(server).welcome(greeting(1, CLUSTER, "b", "a", 5))) {
                 a.await("up");
                 int content = 0;
@@ -115,7 +115,7 @@
 
     @Test
     public void aFrameOverTheBoundEndsTheLinkNamingPeerAndLength() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); RawPeer b = linked(a, 5)) {
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer b = linked(a, 5)) {
             b.bytes(ByteBuffer.allocate(4).putInt((1 << 20) + 1).array());
             String why = a.await("MALFORMED").detail();
             assertTrue(why.startsWith("b (127.0.0.1:") && why.endsWith(
@@ -126,7 +126,7 @@
 
     @Test
     public void aMessageThatCannotBeReadEndsTheLink() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); RawPeer b = linked(a, 5)) {
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer b = linked(a, 5)) {
             b.bytes(new byte[] {0, 0, 0, 2, 16, 1});
             assertTrue(a.await("MALFORMED").detail().endsWith("value 2 is no byte string"));
         }
@@ -134,7 +134,7 @@
 
     @Test
     public void aKindOfALaterVersionIsSkippedAndCounted() throws Exception {
-        try (Gate a = new Gate("a", PATIENT); RawPeer b = linked(a, 5)) {
+        try (TestNode a = new TestNode("a", PATIENT); RawPeer b = linked(a, 5)) {
             byte[] later = new CborOut().number(4711).text("new").done();
             b.bytes(ByteBuffer.allocate(4 + later.length).putInt(later.length).put(later).array());
             b.say(new Frame.Data(Kind.BEAT, new byte[7]));
@@ -146,10 +146,10 @@
     @Test
     public void aResetIsClosedAndNobodyThereIsRefusedUntilSomebodyIs() throws Exception {
         int port;
-        try (Gate a = new Gate("a", TIMES)) {
+        try (TestNode a = new TestNode("a", TIMES)) {
             try (ServerSocket server = RawPeer.listen()) {
                 port = server.getLocalPort();
-                a.want(Gate.at("b", port));
+                a.want(TestNode.at("b", port));
                 RawPeer b = RawPeer.accept(server).welcome(greeting(1, CLUSTER, "b", "a", 5));
                 a.await("up");
                 server.close();
@@ -157,7 +157,8 @@
             }
             assertNotNull(a.await("CLOSED"));
             assertNotNull(a.await("REFUSED"));
-            try (Gate b = new Gate("b", CLUSTER, 6, port, TIMES, LinkSettings.Bounds.USUAL, Map.of(), n -> true)) {
+            try (TestNode b = new TestNode("b", CLUSTER, 6, port, TIMES, LinkSettings.Bounds.USUAL, Map.of(), n ->
+                    true)) {
                 assertEquals(a.await("up").detail(), "6");
                 assertEquals(b.await("up").peer(), "a");
             }
@@ -167,10 +168,10 @@
 
     @Test
     public void aRouteStandsInForTheAddressThatAPeerTells() throws Exception {
-        try (Gate b = new Gate("b", PATIENT); Gate a = new Gate("a", CLUSTER, 1, 0, PATIENT,
+        try (TestNode b = new TestNode("b", PATIENT); TestNode a = new TestNode("a", CLUSTER, 1, 0, PATIENT,
                 LinkSettings.Bounds.USUAL, Map.of("b", new LinkSettings.Address("localhost", b.links.port())),
                 n -> true)) {
-            a.want(Gate.at("b", 1));
+            a.want(TestNode.at("b", 1));
             assertEquals(a.await("up").peer(), "b");
         }
     }
@@ -180,7 +181,8 @@
     public void aSlowFleetThreadStopsTheReadingNotTheLink() throws Exception {
         LinkSettings.Bounds little = new LinkSettings.Bounds(1 << 20, 8 << 20, 4096, 512, 64, 1 << 20);
         CountDownLatch go = new CountDownLatch(1);
-        try (Gate b = new Gate("b", CLUSTER, 1, 0, TIMES, little, Map.of(), n -> true); Gate a = new Gate("a",
+        try (TestNode b = new TestNode("b", CLUSTER, 1, 0, TIMES, little, Map.of(), n -> true); TestNode a =
+                new TestNode("a",
                 PATIENT)) {
             b.fleet.execute(() -> {
                 try {
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/Gate.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/TestNode.java
@@ -23,7 +23,7 @@
 import sandpaddle.fleet.member.Member;
 
 /** One gateway's links on loopback, and what its listener was told. */
-final class Gate implements Links.Listener, AutoCloseable {
+final class TestNode implements Links.Listener, AutoCloseable {
     static final String CLUSTER = "paddle";
     /** Long enough for a busy machine, short enough for a story: silence, clogging, connecting, greeting, pauses. */
     static final LinkSettings.Times TIMES = new LinkSettings.Times(1_000_000, 600_000, 2_000_000, 600_000, 10_000,
@@ -39,11 +39,11 @@
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     final ExecutorService fleet = Executors.newSingleThreadExecutor();
 
-    Gate(String name, LinkSettings.Times times) throws IOException {
+    TestNode(String name, LinkSettings.Times times) throws IOException {
         this(name, CLUSTER, 1, 0, times, LinkSettings.Bounds.USUAL, Map.of(), n -> true);
     }
 
-    Gate(String name, String cluster, long incarnation, int port, LinkSettings.Times times,
+    TestNode(String name, String cluster, long incarnation, int port, LinkSettings.Times times,
             LinkSettings.Bounds bounds, Map<String, LinkSettings.Address> routes, Predicate<String> known)
             throws IOException {
         this.name = name;
@@ -61,7 +61,7 @@
         return at(name, links.port());
     }
 
-    Gate want(Member... members) {
+    TestNode want(Member... members) {
         links.want(Set.of(members));
         return this;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
@@ -20,7 +20,7 @@
  * behave as TCP does: in order, held up by a cut and brought over after it, closed or reset by whoever ended. {@link
  * #drop} and {@link #duplicate} are harsher than TCP: they strike single messages on links that stay up, as a message
  * of the layers above may be lost with its link and come again over the next. Each node runs the program's own
- * {@link sandpaddle.fleet.link.board.Switchboard}.
+ * {@link sandpaddle.fleet.link.board.LinkManager}.
  * Listeners are called one event at a time.
  */
 public final class VirtualNet {
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
@@ -11,15 +11,15 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.link.board.Events;
 import sandpaddle.fleet.link.board.LinkCounts;
-import sandpaddle.fleet.link.board.Switchboard;
-import sandpaddle.fleet.link.board.Wires;
+import sandpaddle.fleet.link.board.LinkEvents;
+import sandpaddle.fleet.link.board.LinkManager;
+import sandpaddle.fleet.link.board.LinkTransport;
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.Member;
 
 /** One gateway's links in virtual time: the switchboard of the program on pipes in place of sockets. */
-final class VirtualNode implements Links, Wires, Events {
+final class VirtualNode implements Links, LinkTransport, LinkEvents {
     private final VirtualNet net;
     final Member self;
     private final Links.Listener listener;
@@ -28,7 +28,7 @@
     private final Set<Long> dialled = new HashSet<>(); // and not connected yet
     private final Set<Long> ready = new HashSet<>();
     private final Queue<Runnable> missed = new ArrayDeque<>(); // what came while the process was stopped
-    private Switchboard board;
+    private LinkManager board;
     private long generation;
     private boolean running;
     private boolean stopped;
@@ -74,7 +74,7 @@
         LinkSettings settings = new LinkSettings("virtual", self, incarnation, net.times(), LinkSettings.Bounds.USUAL,
                 Map.of());
         SplittableRandom random = new SplittableRandom(incarnation * 31 + self.name().hashCode());
-        board = new Switchboard(settings, name -> net.known.test(name), random, this, this);
+        board = new LinkManager(settings, name -> net.known.test(name), random, this, this);
         tick(generation);
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.member.VoterPlan.Change;
-import sandpaddle.fleet.member.VoterPlan.Heard;
+import sandpaddle.fleet.member.VoterPlan.LastHeard;
 import sandpaddle.fleet.member.VoterPlan.Situation;
 
 class VoterPlanProperties {
@@ -36,8 +36,8 @@
 
     /** All heard just now, but for those named in {@code lost}, which were heard before the time to replace. */
     private static Situation situation(Roster roster, List<String> voters, List<String> lost) {
-        Map<String, Heard> heard = new HashMap<>();
-        roster.names().forEach(n -> heard.put(n, new Heard(lost.contains(n) ? NOW - 30 * SECOND : NOW, 0)));
+        Map<String, LastHeard> heard = new HashMap<>();
+        roster.names().forEach(n -> heard.put(n, new LastHeard(lost.contains(n) ? NOW - 30 * SECOND : NOW, 0)));
         return new Situation(roster, voters, voters.get(0), heard, 0, 0);
     }
 
@@ -88,8 +88,8 @@
         Situation s = situation(roster("a1", "b1", "c1", "c2"), List.of("a1", "b1", "c1"), List.of("c1"));
         assertEquals(Optional.empty(), new VoterPlan(THREE).next(new Situation(s.roster(), s.voters(), s.leader(),
                 s.heard(), 0, NOW - 9 * SECOND), NOW));
-        Map<String, Heard> young = new HashMap<>(s.heard());
-        young.put("c2", new Heard(NOW, NOW - 4 * SECOND));
+        Map<String, LastHeard> young = new HashMap<>(s.heard());
+        young.put("c2", new LastHeard(NOW, NOW - 4 * SECOND));
         assertEquals(Optional.empty(), new VoterPlan(THREE).next(new Situation(s.roster(), s.voters(), s.leader(),
                 young, 0, 0), NOW));
     }
--- a/gateway/src/test/java/sandpaddle/fleet/node/agree/VoterThreadTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/agree/VoterThreadTest.java
@@ -12,13 +12,13 @@
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.node.MonotonicClock;
 import sandpaddle.fleet.state.Consensus.Outcome;
-import sandpaddle.fleet.state.machine.Answer;
+import sandpaddle.fleet.state.machine.CommandResult;
 import sandpaddle.fleet.state.machine.Machine;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.state.sim.SimDisk;
-import sandpaddle.fleet.state.voter.Founding;
+import sandpaddle.fleet.state.voter.GroupBootstrap;
 import sandpaddle.fleet.state.voter.Voter;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
@@ -26,16 +26,16 @@
 class VoterThreadTest {
     private static final Machine.Watcher NOBODY = new Machine.Watcher() {
         @Override
-        public void applied(long index, Part part, byte[] answer) { }
+        public void applied(long index, MachinePart part, byte[] answer) { }
 
         @Override
         public void installed() { }
 
         @Override
-        public void faulted(long index, Part part, RuntimeException how) { }
+        public void faulted(long index, MachinePart part, RuntimeException how) { }
     };
 
-    private static final Voter.Around ALONE = new Voter.Around() {
+    private static final Voter.Callbacks ALONE = new Voter.Callbacks() {
         @Override
         public void send(String to, byte[] message) { }
 
@@ -46,9 +46,9 @@
     @Test
     void aGroupOfOneAgreesOnceItsDirectoryIsFree() throws Exception {
         VoterStore store = new SimDisk().open();
-        assertEquals(Optional.empty(), Founding.format(store, "c", "a", List.of("a")));
+        assertEquals(Optional.empty(), GroupBootstrap.format(store, "c", "a", List.of("a")));
         Membership members = new Membership();
-        Part part = new Part(Membership.TAG, "membership", members);
+        MachinePart part = new MachinePart(Membership.TAG, "membership", members);
         Voter.Settings settings = new Voter.Settings("c", "a", new RaftSettings(1, 3, 1000, 50), part);
         Machine machine = new Machine(List.of(part), NOBODY);
         AtomicInteger tries = new AtomicInteger();
@@ -68,7 +68,7 @@
                 outcome = told.get(30, TimeUnit.SECONDS);
             }
             assertTrue(outcome instanceof Outcome.Done, outcome::toString);
-            assertTrue(Answer.of(((Outcome.Done) outcome).result()).taken());
+            assertTrue(CommandResult.of(((Outcome.Done) outcome).result()).taken());
             assertEquals(1, machine.read(() -> members.members().size()));
             CompletableFuture<Boolean> leads = new CompletableFuture<>();
             voter.confirm(leads::complete);
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.Slot;
-import sandpaddle.fleet.view.Usage;
+import sandpaddle.fleet.view.SlotUsage;
 
 class LoopPartsTest {
     private static final long SECOND = 1_000_000;
@@ -21,19 +21,19 @@
     /** Guards memory and the module's numbers against a flood of names: past the bound they count as one. */
     @Test
     void tenantsPastTheBoundShareOne() {
-        Tenants tenants = new Tenants();
-        assertEquals(Tenants.OTHERS, tenants.counted(""));
+        TenantNumbers tenants = new TenantNumbers();
+        assertEquals(TenantNumbers.OTHERS, tenants.counted(""));
         assertFalse(tenants.hasGrown());
-        for (int i = 1; i < Tenants.MOST; i++) {
+        for (int i = 1; i < TenantNumbers.MOST; i++) {
             assertEquals("t" + i, tenants.counted("t" + i));
             assertEquals(i, tenants.number("t" + i));
         }
         assertTrue(tenants.hasGrown());
-        for (int i = 0; i < 2 * Tenants.MOST; i++) {
-            assertEquals(Tenants.OTHERS, tenants.counted("late" + i));
+        for (int i = 0; i < 2 * TenantNumbers.MOST; i++) {
+            assertEquals(TenantNumbers.OTHERS, tenants.counted("late" + i));
         }
         assertFalse(tenants.hasGrown());
-        assertEquals(0, tenants.number(Tenants.OTHERS));
+        assertEquals(0, tenants.number(TenantNumbers.OTHERS));
         assertEquals(-1, tenants.numberOr("late1"));
         assertEquals("t7", tenants.counted("t7"), "who was there keeps its own");
     }
@@ -41,9 +41,9 @@
     /** Guards the fleet's messages against names that clients make up: one that no limit can have is not told on. */
     @Test
     void aTenantThatNoLimitCanNameCountsAsOneOfTheOthers() {
-        Tenants tenants = new Tenants();
+        TenantNumbers tenants = new TenantNumbers();
         for (String name : List.of("a|b", "*", " ", "\u6771".repeat(64), "a\0", "x".repeat(129))) {
-            assertEquals(Tenants.OTHERS, tenants.counted(name), name);
+            assertEquals(TenantNumbers.OTHERS, tenants.counted(name), name);
         }
         assertEquals("\u6771".repeat(42), tenants.counted("\u6771".repeat(42)));
     }
@@ -58,7 +58,7 @@
 
     @Test
     void aStartTakesFromAllItsBucketsOrNone() {
-        Buckets buckets = new Buckets();
+        RateBuckets buckets = new RateBuckets();
         FleetView view = rates(1, Slot.Counts.STARTS, new FleetView.Share(2000, 0, 3000),
                 new FleetView.Share(1000, 0, 2000));
         buckets.adopt(view, 0);
@@ -75,7 +75,7 @@
     /** Guards the rate against new numberings, which come with each engine: none gives a second burst. */
     @Test
     void whatWasSavedUpOutlivesANewNumbering() {
-        Buckets buckets = new Buckets();
+        RateBuckets buckets = new RateBuckets();
         FleetView view = rates(1, Slot.Counts.STARTS, new FleetView.Share(1000, 500, 4000));
         buckets.adopt(view, 0);
         buckets.adopt(rates(2, Slot.Counts.STARTS, new FleetView.Share(1000, 500, 4000)), 2 * SECOND);
@@ -89,7 +89,7 @@
 
     @Test
     void workIsPaidByItsLengthUpToWhatABucketHolds() {
-        Buckets buckets = new Buckets();
+        RateBuckets buckets = new RateBuckets();
         FleetView view = rates(1, Slot.Counts.WORK, new FleetView.Share(100_000, 0, 50_000)); // 100 ms a second
         buckets.adopt(view, 0);
         assertFalse(buckets.take(view, new int[] {0}, 40, SECOND / 10), "10 ms are there");
@@ -103,9 +103,9 @@
         Publication<FleetView> views = new Publication<>(LoopRig.view(1, FOR_GOOD,
                 List.of(LoopRig.running("e", -1, null, "e"), LoopRig.running("t", 1, "t", null)), List.of(),
                 new FleetView.Share(9, 9, 0), new FleetView.Share(9, 9, 0)));
-        Cells cells = new Cells(views, new Publication<>(new Usage(0, 0)), 2);
+        AttemptCounters cells = new AttemptCounters(views, new Publication<>(new SlotUsage(0, 0)), 2);
         cells.adopt();
-        Lingering lingering = new Lingering(100);
+        OrphanedAttempts lingering = new OrphanedAttempts(100);
         assertEquals(Long.MAX_VALUE, lingering.next());
         lingering.add(0, "t", "e", 10);
         lingering.add(1, "t", "e", 20);
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopRig.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopRig.java
@@ -14,9 +14,9 @@
 import sandpaddle.fleet.view.Connections;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.fleet.view.Slot;
-import sandpaddle.fleet.view.Shared;
-import sandpaddle.fleet.view.Usage;
+import sandpaddle.fleet.view.SlotUsage;
 import sandpaddle.net.Scheduler;
 import sandpaddle.net.Timers;
 import sandpaddle.query.Answer;
@@ -41,8 +41,8 @@
             new Gateway.Terms(false, false, 0, false, false, 0), new Gateway.Charges(0, 0));
 
     final Publication<FleetView> views = new Publication<>(FleetView.NOTHING);
-    final Publication<Usage> usages = new Publication<>(new Usage(0, 0));
-    final Queue<Heard> heard = new ArrayDeque<>();
+    final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
+    final Queue<LoopEvent> heard = new ArrayDeque<>();
     final Queue<Runnable> tasks = new ArrayDeque<>();
     final List<Consumer<Optional<Answer>>> lookups = new ArrayList<>();
     final LoopSide side;
@@ -50,8 +50,8 @@
     private final Timers timers = new Timers();
 
     LoopRig(long forgetUs) {
-        side = new LoopSide(SITE, this, new MonotonicClock(), new Shared(views, usages, new Connections()),
-                new LoopSide.Wires(heard, tasks, () -> woken++), (cls, query, inside, then) -> lookups.add(then),
+        side = new LoopSide(SITE, this, new MonotonicClock(), new SharedState(views, usages, new Connections()),
+                new LoopSide.Channels(heard, tasks, () -> woken++), (cls, query, inside, then) -> lookups.add(then),
                 new PoolBudget(views, new Connections(), new MonotonicClock()::now), forgetUs, 6_000_000);
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
-import sandpaddle.fleet.limit.allot.Allotter;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allot.AllocatorOutput;
+import sandpaddle.fleet.limit.allot.RightsAllocator;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.RightsTable;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.KnownNames;
@@ -35,8 +35,8 @@
 
     private final LimitSettings settings = LimitSettings.DEFAULTS;
     private final RightsTable table = new RightsTable(settings);
-    private final PoolDesk desk = new PoolDesk();
-    private final Allotter allotter = new Allotter(settings, table, desk);
+    private final PoolAllocator desk = new PoolAllocator();
+    private final RightsAllocator allotter = new RightsAllocator(settings, table, desk);
     private final List<StandInGateway> gateways = List.of(
             new StandInGateway("g0", List.of("acme", "borea"), settings, 1),
             new StandInGateway("g1", List.of("acme", "borea"), settings, 2));
@@ -64,7 +64,7 @@
     }
 
     private void rules(Policy policy) {
-        desk.known(new PoolDesk.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
+        desk.known(new PoolAllocator.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
                 Map.of("g0", "hall", "g1", "hall")));
         gateways.stream().filter(g -> !cut.contains(g.name)).forEach(g -> g.policy(policy, false));
     }
@@ -79,7 +79,7 @@
         lead();
         if (now % settings.beat() == 0) {
             gateways.forEach(g -> {
-                Beat beat = g.beat();
+                Heartbeat beat = g.beat();
                 if (!cut.contains(g.name)) {
                     links.add(() -> allotter.beat(now, g.name, beat));
                 }
@@ -96,7 +96,7 @@
             table.apply(new Command.SetLimits(table.epoch() + 1, limits));
         }
         allotter.confirmed(now);
-        Turn turn = allotter.tick(now);
+        AllocatorOutput turn = allotter.tick(now);
         turn.propose().forEach(table::apply);
         turn.grants().forEach(grant -> gateways.stream()
                 .filter(g -> g.name.equals(grant.member()) && !cut.contains(g.name))
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.node.loop.PoolBudget;
-import sandpaddle.fleet.node.rights.RightsKeeper;
+import sandpaddle.fleet.node.rights.RightsManager;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.Connections;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
-import sandpaddle.fleet.view.Shared;
-import sandpaddle.fleet.view.Usage;
+import sandpaddle.fleet.view.SharedState;
+import sandpaddle.fleet.view.SlotUsage;
 
 /** A gateway's rights, counting and budget as the program has them, with queries that always wait and one engine. */
 final class StandInGateway {
@@ -28,11 +28,11 @@
     final List<String> tenants;
     private final Random random;
     private final Publication<FleetView> views = new Publication<>(FleetView.NOTHING);
-    private final Publication<Usage> usages = new Publication<>(new Usage(0, 0));
+    private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
     private final Connections connections = new Connections();
-    private final Cells cells = new Cells(views, usages, 1);
+    private final AttemptCounters cells = new AttemptCounters(views, usages, 1);
     private final PoolBudget budget;
-    private final RightsKeeper rights;
+    private final RightsManager rights;
     private final List<Attempt> running = new ArrayList<>();
     private int idle;
     private boolean wants = true;
@@ -43,8 +43,8 @@
         this.tenants = tenants;
         random = new Random(seed);
         budget = new PoolBudget(views, connections, () -> now);
-        rights = new RightsKeeper(name, 1 + seed, "hall", List.of("read"), RightsKeeper.unwritten(settings),
-                List.of(), new Shared(views, usages, connections), 0);
+        rights = new RightsManager(name, 1 + seed, "hall", List.of("read"), RightsManager.unwritten(settings),
+                List.of(), new SharedState(views, usages, connections), 0);
         rights.poolEngines(List.of(new PoolEngine(ENGINE, "std", true)));
         rights.engines(List.of(ENGINE));
         tenants.forEach(rights::met);
@@ -71,7 +71,7 @@
         rights.publish(List.of(), java.util.Map.of(), FleetView.Isolation.NONE);
     }
 
-    Beat beat() {
+    Heartbeat beat() {
         publish();
         return rights.beat(now);
     }
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/IdleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
@@ -5,21 +5,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.pool.PolicySeat;
+import sandpaddle.fleet.pool.ActivePolicy;
 import sandpaddle.fleet.pool.PolicyVersion;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.KnownNames;
 
 /** What is told of statements that this version does not carry out. */
-class IdleTest {
+class UnsupportedStatementsTest {
     private static List<String> lines(String statements) {
         String text = "policy \"p\" version 1\nbudget fleet 400 connections\n" + statements;
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
         assertEquals(List.of(), check.errors());
-        PolicySeat seat = new PolicySeat();
+        ActivePolicy seat = new ActivePolicy();
         seat.read(check);
         seat.agreed(new PolicyVersion(1, check.version()));
-        return Idle.notes(seat.policy().orElseThrow()).stream().map(n -> n.substring(0, n.indexOf(':'))).toList();
+        return UnsupportedStatements.notes(seat.policy().orElseThrow()).stream()
+                .map(n -> n.substring(0, n.indexOf(':'))).toList();
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
@@ -12,18 +12,18 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.wire.Beat;
-import sandpaddle.fleet.limit.wire.Given;
 import sandpaddle.fleet.limit.wire.Grant;
-import sandpaddle.fleet.limit.wire.Told;
-import sandpaddle.fleet.node.wire.BeatMessage;
-import sandpaddle.fleet.view.Cells;
+import sandpaddle.fleet.limit.wire.Heartbeat;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
+import sandpaddle.fleet.node.wire.HeartbeatMessage;
+import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.Connections;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
-import sandpaddle.fleet.view.Shared;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.fleet.view.Slot;
-import sandpaddle.fleet.view.Usage;
+import sandpaddle.fleet.view.SlotUsage;
 
 class RightsTest {
     private static final LimitSettings SETTINGS = LimitSettings.DEFAULTS;
@@ -31,16 +31,16 @@
     private static final List<String> CLASSES = List.of("lookup", "load");
 
     private final Publication<FleetView> views = new Publication<>(FleetView.NOTHING);
-    private final Publication<Usage> usages = new Publication<>(new Usage(0, 0));
-    private final Cells cells = new Cells(views, usages, CLASSES.size());
-    private final RightsKeeper keeper = new RightsKeeper("g", 5, "east", CLASSES, SETTINGS, List.of(),
-            new Shared(views, usages, new Connections()), 0);
+    private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
+    private final AttemptCounters cells = new AttemptCounters(views, usages, CLASSES.size());
+    private final RightsManager keeper = new RightsManager("g", 5, "east", CLASSES, SETTINGS, List.of(),
+            new SharedState(views, usages, new Connections()), 0);
 
     private static LimitSpec limit(String id, String hall, String cls, String tenant, String engine) {
         return new LimitSpec(id, new Scope(hall, cls, tenant, engine), Unit.RUNNING, 10, 0);
     }
 
-    private static Grant grant(long confirmed, List<LimitSpec> limits, Given... given) {
+    private static Grant grant(long confirmed, List<LimitSpec> limits, SlotGrant... given) {
         return new Grant("g", 5, 1, confirmed, 1, true, limits, List.of(given));
     }
 
@@ -52,7 +52,7 @@
 
     @Test
     void slotsAreThoseOfLimitsThatBindHere() {
-        Numbering numbering = new Numbering(CLASSES, "east");
+        SlotNumbering numbering = new SlotNumbering(CLASSES, "east");
         assertTrue(numbering.use(List.of(limit("b", "east", "load", null, null), limit("a", null, null, "t", "e"),
                 limit("w", "west", null, null, null), limit("x", null, null, null, "*"),
                 limit("u", null, "unknown", null, null)), Map.of()));
@@ -77,7 +77,7 @@
         FleetView before = publish();
         assertEquals(List.of("all"), before.slots().stream().map(Slot::id).toList());
         assertEquals(0, before.allowed(0, FRESH + 1), "its own file binds, with nothing given");
-        keeper.granted(1, grant(0, List.of(all), new Given("all", "", 1, 8, 2, 8, 2)));
+        keeper.granted(1, grant(0, List.of(all), new SlotGrant("all", "", 1, 8, 2, 8, 2)));
         long sequence = keeper.beat(FRESH - 1).sequence(); // from then on what no lease covers is given back
         keeper.granted(FRESH + 5, grant(sequence, List.of(all)));
         FleetView held = publish();
@@ -93,15 +93,15 @@
         LimitSpec all = limit("all", null, null, null, null);
         LimitSpec one = limit("one", null, null, null, "e");
         keeper.engines(List.of("e", "f", "h"));
-        keeper.granted(1, grant(0, List.of(all, one), new Given("all", "", 1, 8, 2, 8, 2),
-                new Given("one", "", 1, 8, 2, 8, 2)));
+        keeper.granted(1, grant(0, List.of(all, one), new SlotGrant("all", "", 1, 8, 2, 8, 2),
+                new SlotGrant("one", "", 1, 8, 2, 8, 2)));
         keeper.beat(FRESH);
         publish();
         cells.adopt();
         assertTrue(cells.begin(0, "t", "e", FRESH) && cells.begin(0, "t", "f", FRESH));
         cells.waits(0, "t", 4);
-        Beat beat = keeper.beat(FRESH + 1);
-        Told told = beat.told().stream().filter(t -> t.limit().equals("all")).findFirst().orElseThrow();
+        Heartbeat beat = keeper.beat(FRESH + 1);
+        SlotReport told = beat.told().stream().filter(t -> t.limit().equals("all")).findFirst().orElseThrow();
         assertEquals(List.of(2L, 6L), List.of(told.used(), told.demand()));
         told = beat.told().stream().filter(t -> t.limit().equals("one")).findFirst().orElseThrow();
         assertEquals(List.of(1L, 3L), List.of(told.used(), told.demand()), "of the four that wait, its part of three");
@@ -116,11 +116,11 @@
         keeper.granted(1, grant(0, List.of(each)));
         FleetView view = publish();
         assertEquals(List.of("each|e"), view.slots().stream().map(Slot::id).toList());
-        Beat beat = keeper.beat(FRESH);
+        Heartbeat beat = keeper.beat(FRESH);
         assertEquals(1, beat.wanted().size());
-        BeatMessage message = new BeatMessage(3, 4, beat);
-        assertEquals(message, BeatMessage.decode(message.encode()));
-        keeper.granted(FRESH, grant(1, List.of(each), new Given("each|e", "", 1, 8, 2, 8, 2)));
+        HeartbeatMessage message = new HeartbeatMessage(3, 4, beat);
+        assertEquals(message, HeartbeatMessage.decode(message.encode()));
+        keeper.granted(FRESH, grant(1, List.of(each), new SlotGrant("each|e", "", 1, 8, 2, 8, 2)));
         publish();
         cells.adopt();
         assertTrue(cells.begin(0, "t", "e", FRESH));
@@ -130,12 +130,12 @@
     /** A rate's demand follows what comes, and one burst of queries does not make it. */
     @Test
     void demandOfARateIsSmoothed() {
-        Numbering numbering = new Numbering(CLASSES, "east");
+        SlotNumbering numbering = new SlotNumbering(CLASSES, "east");
         numbering.use(List.of(new LimitSpec("r", Scope.WHOLE, Unit.RATE, 5000, 1000)), Map.of());
         views.publish(new FleetView(1, numbering.latest().slots(), List.of(new FleetView.Share(0, 0, 1000)), List.of(),
                 0, 1, List.of(), Map.of(), FleetView.Isolation.NONE));
         cells.adopt();
-        Demand demand = new Demand(numbering, usages, new Connections());
+        MeasuredUsage demand = new MeasuredUsage(numbering, usages, new Connections());
         demand.sample(0);
         assertEquals(0, demand.demand("r", ""));
         for (int i = 0; i < 10; i++) {
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
@@ -17,13 +17,13 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.wire.Beat;
-import sandpaddle.fleet.limit.wire.Given;
 import sandpaddle.fleet.limit.wire.Grant;
-import sandpaddle.fleet.limit.wire.Told;
-import sandpaddle.fleet.limit.wire.Wanted;
+import sandpaddle.fleet.limit.wire.Heartbeat;
+import sandpaddle.fleet.limit.wire.InstanceRequest;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /** What gateways send each other of rights and of what was agreed on. */
@@ -32,7 +32,7 @@
         Object of(byte[] bytes) throws FaultyMessageException;
     }
 
-    private static Agreed agreed(SplittableRandom r) {
+    private static FleetConfig agreed(SplittableRandom r) {
         List<Member> members = new ArrayList<>();
         List<LimitSpec> limits = new ArrayList<>();
         for (int i = r.nextInt(5); i > 0; i--) {
@@ -40,44 +40,46 @@
             limits.add(new LimitSpec("l\u00e4" + i, new Scope(r.nextBoolean() ? null : "h", null, "*", "e"), Unit.RATE,
                     r.nextInt(99), r.nextInt(9)));
         }
-        return new Agreed(1 + r.nextLong(1L << 60), members, limits, "pool \u6771".repeat(r.nextInt(9)), "");
+        return new FleetConfig(1 + r.nextLong(1L << 60), members, limits, "pool \u6771".repeat(r.nextInt(9)), "");
     }
 
-    private static BeatMessage beat(SplittableRandom r) {
-        return new BeatMessage(r.nextInt(99), r.nextLong(1L << 60), new Beat(r.nextLong(), 2, 3, r.nextBoolean(), 0, 5,
-                List.of(new Told("l", "s", 1, 2, 3, 4, r.nextInt(9))),
-                List.of(new Wanted("l", new Scope(null, "", "t", null)))));
+    private static HeartbeatMessage beat(SplittableRandom r) {
+        return new HeartbeatMessage(r.nextInt(99), r.nextLong(1L << 60),
+                new Heartbeat(r.nextLong(), 2, 3, r.nextBoolean(), 0, 5,
+                List.of(new SlotReport("l", "s", 1, 2, 3, 4, r.nextInt(9))),
+                List.of(new InstanceRequest("l", new Scope(null, "", "t", null)))));
     }
 
     private static Grant grant(SplittableRandom r) {
         return new Grant("g", r.nextLong(), 1, r.nextInt(9), 3, r.nextBoolean(), agreed(r).limits(),
-                List.of(new Given("l", "", 1, 8, 2, r.nextInt(8), 2)));
+                List.of(new SlotGrant("l", "", 1, 8, 2, r.nextInt(8), 2)));
     }
 
     @Property(seed = "9", tries = 100)
     void whatIsWrittenIsRead(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) throws FaultyMessageException {
         SplittableRandom r = new SplittableRandom(seed);
-        Agreed agreed = agreed(r);
-        assertEquals(agreed, Agreed.of(agreed.text()));
-        News news = new News(r.nextInt(99), r.nextBoolean() ? "" : "a", List.of("a", "b"), agreed.version(),
+        FleetConfig agreed = agreed(r);
+        assertEquals(agreed, FleetConfig.of(agreed.text()));
+        StatusMessage news = new StatusMessage(r.nextInt(99), r.nextBoolean() ? "" : "a", List.of("a", "b"),
+                agreed.version(),
                 agreed.text());
-        assertEquals(news, News.decode(news.encode()));
+        assertEquals(news, StatusMessage.decode(news.encode()));
         assertEquals(agreed, news.agreed());
-        BeatMessage beat = beat(r);
-        assertEquals(beat, BeatMessage.decode(beat.encode()));
+        HeartbeatMessage beat = beat(r);
+        assertEquals(beat, HeartbeatMessage.decode(beat.encode()));
         Grant grant = grant(r);
-        assertEquals(grant, BeatMessage.grant(BeatMessage.encode(grant)));
+        assertEquals(grant, HeartbeatMessage.grant(HeartbeatMessage.encode(grant)));
     }
 
     /** Guards every thread that reads a peer's bytes: they are read, or are a fault, and nothing else is thrown. */
     @Property(seed = "10", tries = 400)
     void whatIsSpoiltIsAFaultOrAnotherMessage(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
         SplittableRandom r = new SplittableRandom(seed);
-        spoil(beat(r).encode(), r, BeatMessage::decode);
-        spoil(BeatMessage.encode(grant(r)), r, BeatMessage::grant);
-        spoil(new News(1, "a", List.of("a"), 7, agreed(r).text()).encode(), r, News::decode);
+        spoil(beat(r).encode(), r, HeartbeatMessage::decode);
+        spoil(HeartbeatMessage.encode(grant(r)), r, HeartbeatMessage::grant);
+        spoil(new StatusMessage(1, "a", List.of("a"), 7, agreed(r).text()).encode(), r, StatusMessage::decode);
         spoil(Base64.getDecoder().decode(agreed(r).text()), r,
-                b -> Agreed.of(Base64.getEncoder().encodeToString(b)));
+                b -> FleetConfig.of(Base64.getEncoder().encodeToString(b)));
     }
 
     private static void spoil(byte[] whole, SplittableRandom r, Reading reading) {
@@ -96,15 +98,15 @@
 
     @Example
     void whatIsOutOfBoundsIsAFault() {
-        assertThrows(FaultyMessageException.class, () -> Agreed.of("no base64!"));
-        assertThrows(FaultyMessageException.class, () -> Agreed.of(""));
+        assertThrows(FaultyMessageException.class, () -> FleetConfig.of("no base64!"));
+        assertThrows(FaultyMessageException.class, () -> FleetConfig.of(""));
         Member blank = new Member("a b", "h", "10.0.0.1", 1);
         assertThrows(FaultyMessageException.class,
-                () -> Agreed.of(new Agreed(1, List.of(blank), List.of(), "", "").text()));
-        String tooLong = new String(new byte[Agreed.MOST_TEXT + 1], StandardCharsets.US_ASCII);
+                () -> FleetConfig.of(new FleetConfig(1, List.of(blank), List.of(), "", "").text()));
+        String tooLong = new String(new byte[FleetConfig.MOST_TEXT + 1], StandardCharsets.US_ASCII);
         assertThrows(FaultyMessageException.class,
-                () -> Agreed.of(new Agreed(1, List.of(), List.of(), tooLong, "").text()));
-        News crowded = new News(1, "", java.util.Collections.nCopies(17, "a"), 1, "");
-        assertThrows(FaultyMessageException.class, () -> News.decode(crowded.encode()));
+                () -> FleetConfig.of(new FleetConfig(1, List.of(), List.of(), tooLong, "").text()));
+        StatusMessage crowded = new StatusMessage(1, "", java.util.Collections.nCopies(17, "a"), 1, "");
+        assertThrows(FaultyMessageException.class, () -> StatusMessage.decode(crowded.encode()));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/back/ReturnTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/back/ReturnSchedulerTest.java
@@ -13,10 +13,10 @@
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.Fetch;
 
-class ReturnTest {
+class ReturnSchedulerTest {
     private static final double CORES = 2e6; // us of work a second, once warm
 
-    private final Return back = new Return(BackSettings.DEFAULT, new SplittableRandom(1));
+    private final ReturnScheduler back = new ReturnScheduler(BackSettings.DEFAULT, new SplittableRandom(1));
 
     /** Cold until 10 s, warm from 20 s on. */
     private static double warm(long t) {
@@ -25,7 +25,7 @@
 
     @Test
     void clientsComeBackNoFasterThanEnginesWarmUp() {
-        back.forecast(0, ReturnTest::warm);
+        back.forecast(0, ReturnSchedulerTest::warm);
         double[] work = new double[61];
         for (int i = 0; i < 1000; i++) {
             long pause = back.pause(0, 40_000);
@@ -41,7 +41,7 @@
 
     @Test
     void refreshesTakeASmallPartOfWhatIsWarm() {
-        back.forecast(0, ReturnTest::warm);
+        back.forecast(0, ReturnSchedulerTest::warm);
         assertEquals(Allowance.NONE, back.refresh(0, warm(5_000_000), false));
         assertEquals(200_000, back.refresh(0, CORES, false).workPerSecond());
         assertEquals(Allowance.NONE, back.refresh(0, CORES, true), "live traffic, or a storm");
--- a/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
@@ -15,8 +15,8 @@
 
     private final Margins margins = new Margins(new MarginSettings(MIN, 20 * MIN, 0.8));
 
-    private static Ending went(long startLate, long endLate) {
-        return new Ending("ship", RULE, false, false, startLate, endLate);
+    private static WindowOutcome went(long startLate, long endLate) {
+        return new WindowOutcome("ship", RULE, false, false, startLate, endLate);
     }
 
     @Test
@@ -53,8 +53,8 @@
     void missedAndDoubtfulWindowsMoveNoMargin() {
         margins.learn(went(-5 * MIN, 5 * MIN));
         for (int i = 0; i < 50; i++) {
-            margins.learn(new Ending("ship", RULE, true, false, 0, 0));
-            margins.learn(new Ending("ship", RULE, false, true, -15 * MIN, 15 * MIN));
+            margins.learn(new WindowOutcome("ship", RULE, true, false, 0, 0));
+            margins.learn(new WindowOutcome("ship", RULE, false, true, -15 * MIN, 15 * MIN));
         }
         assertEquals(5 * MIN, margins.before("ship", RULE));
         assertEquals(50, margins.missed("ship", "r"));
@@ -62,10 +62,10 @@
 
     @Test
     void forgetsWhatIsOlderThanTheRing() {
-        for (int i = 0; i < Ring.SIZE; i++) {
+        for (int i = 0; i < OffsetHistory.SIZE; i++) {
             margins.learn(went(-15 * MIN, 0));
         }
-        for (int i = 0; i < Ring.SIZE; i++) {
+        for (int i = 0; i < OffsetHistory.SIZE; i++) {
             margins.learn(went(-3 * MIN, 0));
         }
         assertEquals(3 * MIN, margins.before("ship", RULE));
@@ -96,7 +96,7 @@
     @Test
     void holdsABoundedNumberOfRules() throws Exception {
         for (int i = 0; i < 2 * Margins.RULES_MOST; i++) {
-            margins.learn(new Ending("ship", Set.of("r" + i), false, false, -5 * MIN, 0));
+            margins.learn(new WindowOutcome("ship", Set.of("r" + i), false, false, -5 * MIN, 0));
         }
         assertEquals(MIN, margins.before("ship", Set.of("r0")));
         assertEquals(5 * MIN, margins.before("ship", Set.of("r" + (2 * Margins.RULES_MOST - 1))));
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallClockTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallClockTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.outage.margin.Ending;
+import sandpaddle.fleet.outage.margin.WindowOutcome;
 import sandpaddle.fleet.outage.phase.Evidence.Link;
 import sandpaddle.fleet.outage.schedule.Schedule;
 
@@ -24,7 +24,7 @@
         turn();
         until("20:30");
         assertEquals(Phase.CONNECTED, hall.phase());
-        assertTrue(endings.stream().allMatch(Ending::doubtful), endings.toString());
+        assertTrue(endings.stream().allMatch(WindowOutcome::doubtful), endings.toString());
     }
 
     @Test
@@ -43,7 +43,7 @@
         link(Link.REACHABLE);
         until("22:30");
         assertEquals(Phase.CONNECTED, hall.phase());
-        assertTrue(endings.stream().allMatch(Ending::doubtful), endings.toString());
+        assertTrue(endings.stream().allMatch(WindowOutcome::doubtful), endings.toString());
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallPhaseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallPhaseTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.outage.margin.Ending;
+import sandpaddle.fleet.outage.margin.WindowOutcome;
 import sandpaddle.fleet.outage.phase.Evidence.Link;
 
 /** A hall whose window goes in each way that windows go. */
@@ -27,7 +27,7 @@
         until("14:00");
         went("EXPECTING WINDOW_NEARS", "FILLING FILL_DUE", "ISOLATED LOST_EXPECTED", "RETURNING BACK",
                 "CONNECTED SETTLED");
-        assertEquals(List.of(new Ending("ship", Set.of("r0"), false, false, 0, 0)), endings);
+        assertEquals(List.of(new WindowOutcome("ship", Set.of("r0"), false, false, 0, 0)), endings);
     }
 
     @Test
@@ -150,6 +150,6 @@
         until("15:00");
         link(Link.REACHABLE);
         until("16:00");
-        assertTrue(endings.stream().allMatch(Ending::doubtful), endings.toString());
+        assertTrue(endings.stream().allMatch(WindowOutcome::doubtful), endings.toString());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallStory.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallStory.java
@@ -5,9 +5,9 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import sandpaddle.fleet.outage.margin.Ending;
 import sandpaddle.fleet.outage.margin.MarginSettings;
 import sandpaddle.fleet.outage.margin.Margins;
+import sandpaddle.fleet.outage.margin.WindowOutcome;
 import sandpaddle.fleet.outage.phase.Evidence.Link;
 import sandpaddle.fleet.outage.schedule.RawRule;
 import sandpaddle.fleet.outage.schedule.RuleReader;
@@ -19,7 +19,7 @@
 
     final Margins margins = new Margins(MARGIN);
     final List<String> moves = new ArrayList<>();
-    final List<Ending> endings = new ArrayList<>();
+    final List<WindowOutcome> endings = new ArrayList<>();
     HallPhase hall = hall(schedule("12:00", "PT1H"));
     long wall = at("06:00");
     long now = 77_000_000;
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/FillingTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
@@ -12,11 +12,11 @@
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.Stored;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
-class FillingTest {
+class PlanExecutorTest {
     private static final long HOUR = 3_600_000;
-    private final Filler filler = new Filler();
+    private final PlanExecutor filler = new PlanExecutor();
 
     private static Fetch fetch(int n, long beginAt) {
         return new Fetch(candidate(n, 400_000), beginAt, 1);
@@ -94,24 +94,24 @@
             }
         }
         long next = 5 * 24 * HOUR;
-        Span nine = new Span(next + 9 * HOUR, next + 10 * HOUR);
+        TimeRange nine = new TimeRange(next + 9 * HOUR, next + 10 * HOUR);
         double own = history.expected(1, nine);
         assertTrue(own > 9 && own < 12, own + ": half of it is told by its own hour");
-        double beside = history.expected(1, new Span(next + 8 * HOUR, next + 9 * HOUR));
+        double beside = history.expected(1, new TimeRange(next + 8 * HOUR, next + 9 * HOUR));
         assertTrue(beside > 3 && beside < 5, beside + " in the hour before");
-        assertTrue(history.expected(1, new Span(next + 15 * HOUR, next + 16 * HOUR)) < 0.5);
-        for (Span s : List.of(nine, new Span(next + 8 * HOUR + 1000, next + 11 * HOUR + 5000))) {
+        assertTrue(history.expected(1, new TimeRange(next + 15 * HOUR, next + 16 * HOUR)) < 0.5);
+        for (TimeRange s : List.of(nine, new TimeRange(next + 8 * HOUR + 1000, next + 11 * HOUR + 5000))) {
             Planner.Forecast all = history.forecast(s);
             assertEquals(history.expected(1, s), all.asks(1, s), 1e-6);
-            Span part = new Span(s.from(), s.from() + HOUR / 3);
+            TimeRange part = new TimeRange(s.from(), s.from() + HOUR / 3);
             assertEquals(history.expected(2, part), all.asks(2, part), 1e-6);
         }
         for (int day = 5; day < 15; day++) {
             history.asked(day * 24 * HOUR + 9 * HOUR, 3);
         }
         next = 15 * 24 * HOUR;
-        assertTrue(history.expected(1, new Span(next + 9 * HOUR, next + 10 * HOUR)) < 0.5, "it has faded");
-        assertEquals(0.5, history.expected(3, new Span(next + 9 * HOUR, next + 10 * HOUR)), 0.1);
+        assertTrue(history.expected(1, new TimeRange(next + 9 * HOUR, next + 10 * HOUR)) < 0.5, "it has faded");
+        assertEquals(0.5, history.expected(3, new TimeRange(next + 9 * HOUR, next + 10 * HOUR)), 0.1);
     }
 
     @Test
@@ -122,7 +122,7 @@
             history.asked(day * 24 * HOUR + 9 * HOUR, 1);
         }
         long next = 20 * 24 * HOUR + 9 * HOUR;
-        assertTrue(history.expected(1, new Span(next, next + HOUR)) < 0.7);
+        assertTrue(history.expected(1, new TimeRange(next, next + HOUR)) < 0.7);
     }
 
     @Test
@@ -131,7 +131,7 @@
         for (int i = 0; i < 200_000; i++) {
             history.asked(9 * HOUR, i % 10 == 0 ? 7 : 1000 + i);
         }
-        assertEquals(10_000, history.expected(7, new Span(33 * HOUR, 34 * HOUR)), 200_000 * 3.5 / AskHistory.MAP);
+        assertEquals(10_000, history.expected(7, new TimeRange(33 * HOUR, 34 * HOUR)), 200_000 * 3.5 / AskHistory.MAP);
     }
 
     @Test
@@ -149,9 +149,9 @@
         Candidate c = catalogue.candidates(id -> -1).stream().filter(x -> x.fingerprint() == 99).findFirst()
                 .orElseThrow();
         assertEquals(2000, c.workUs(), 1);
-        Span window = new Span(0, 2 * HOUR);
+        TimeRange window = new TimeRange(0, 2 * HOUR);
         Planner.Forecast f = catalogue.forecast(new AskHistory(0.3).forecast(window), window);
-        assertEquals(4, f.asks(98, new Span(0, HOUR)), 1e-9);
+        assertEquals(4, f.asks(98, new TimeRange(0, HOUR)), 1e-9);
         catalogue.forget("b");
         assertEquals(0, catalogue.forecast(new AskHistory(0.3).forecast(window), window).asks(98, window));
         assertEquals(0, new Catalogue(10, 100).size());
@@ -170,16 +170,16 @@
         TreeMap<String, Integer> first = new TreeMap<>();
         for (int n = 0; n < 2000; n++) {
             ContentId id = Stored.key(n).id();
-            List<String> owners = Owners.of(id, live);
+            List<String> owners = ReplicaOwners.of(id, live);
             first.merge(owners.get(0), 1, Integer::sum);
-            assertEquals(Owners.COPIES, new TreeSet<>(owners).size());
-            List<String> after = Owners.of(id, left);
+            assertEquals(ReplicaOwners.COPIES, new TreeSet<>(owners).size());
+            List<String> after = ReplicaOwners.of(id, left);
             assertTrue(owners.contains("gw-3") ? after.contains(owners.get(0)) || after.contains(owners.get(1))
                     : after.equals(owners));
-            long senders = left.stream().filter(g -> !Owners.afterChange(id, live, left, g).isEmpty()).count();
+            long senders = left.stream().filter(g -> !ReplicaOwners.afterChange(id, live, left, g).isEmpty()).count();
             assertEquals(owners.contains("gw-3") ? 1 : 0, senders);
         }
         first.values().forEach(n -> assertTrue(n > 300 && n < 500, first.toString()));
-        assertTrue(Owners.of(Stored.key(1).id(), Set.of("only")).equals(List.of("only")));
+        assertTrue(ReplicaOwners.of(Stored.key(1).id(), Set.of("only")).equals(List.of("only")));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
@@ -13,12 +13,12 @@
 import net.jqwik.api.Property;
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.Stored;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 class PlannerProperties {
     private static final long LOSS = 10_000_000;
     private static final long HOUR = 3_600_000;
-    private static final Span OUTAGE = new Span(LOSS, LOSS + 3_600_000);
+    private static final TimeRange OUTAGE = new TimeRange(LOSS, LOSS + 3_600_000);
     private static final Planner.Forecast HOURLY = (f, span) -> f * (span.to() - span.from()) / 3.6e6;
 
     private static Candidate candidate(int n, long asks, long size, long work, long maxAge, long storedAt) {
@@ -121,7 +121,7 @@
                 candidate(2, 90, 10, 1_000_000, HOUR, -1), candidate(3, 50, 10, 1_000_000, 9 * HOUR, LOSS - 60_000));
         Budget budget = new Budget(1000, 100_000, 1, 30_000, 60_000);
         for (long wall : new long[] {LOSS - 80_000, LOSS, LOSS + 1_800_000}) {
-            Plan plan = Planner.plan(wall, new Span(Math.max(LOSS, wall), OUTAGE.to()), all, budget, HOURLY);
+            Plan plan = Planner.plan(wall, new TimeRange(Math.max(LOSS, wall), OUTAGE.to()), all, budget, HOURLY);
             assertEquals(List.of(90L, 10L), plan.fetches().stream().map(f -> f.what().fingerprint()).toList());
             plan.fetches().forEach(f -> assertEquals(wall, f.beginAt()));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetchTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
@@ -15,15 +15,15 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.Stored;
 import sandpaddle.fleet.outage.phase.Phase;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /** Three gateways of a hall; each statement is asked at one of them only. */
-class PrefetchTest {
+class PrefetcherTest {
     private static final long HOUR = 3_600_000;
-    private static final Span OUTAGE = new Span(36 * HOUR, 38 * HOUR);
+    private static final TimeRange OUTAGE = new TimeRange(36 * HOUR, 38 * HOUR);
     private static final List<String> LIVE = List.of("a", "b", "c");
 
-    private final Map<String, Prefetch> gateways = new TreeMap<>();
+    private final Map<String, Prefetcher> gateways = new TreeMap<>();
     private final Set<Long> fetched = new HashSet<>();
     private final Map<ContentId, Long> at = new HashMap<>();
 
@@ -33,11 +33,11 @@
 
     private void learn(int statements) {
         for (String name : LIVE) {
-            gateways.put(name, new Prefetch(name, new Budget(1_000_000, 1_000_000, 0.9, 10_000), 60_000_000,
+            gateways.put(name, new Prefetcher(name, new Budget(1_000_000, 1_000_000, 0.9, 10_000), 60_000_000,
                     new AskHistory(0.3), new Catalogue(1000, 1_000_000)));
         }
         for (int n = 0; n < statements; n++) {
-            Prefetch p = gateways.get(LIVE.get(n % 3));
+            Prefetcher p = gateways.get(LIVE.get(n % 3));
             p.asked(12 * HOUR, n);
             p.served(candidate(n));
         }
@@ -45,7 +45,7 @@
 
     private void turn(Phase phase, List<String> live, long wall) {
         gateways.forEach((name, p) -> {
-            for (Fetch f : p.turn(wall * 1000, wall, new Prefetch.View(phase, Optional.of(OUTAGE), live),
+            for (Fetch f : p.turn(wall * 1000, wall, new Prefetcher.View(phase, Optional.of(OUTAGE), live),
                     new Allowance(10, 1_000_000), id -> at.getOrDefault(id, -1L))) {
                 assertTrue(fetched.add(f.what().fingerprint()), "fetched twice");
                 at.put(f.what().key().id(), wall);
@@ -90,7 +90,7 @@
         for (long wall = OUTAGE.from() - 50_000; wall < OUTAGE.from() - 5000; wall += 1000) {
             turn(Phase.FILLING, LIVE, wall);
         }
-        long own = java.util.stream.IntStream.range(0, 60).filter(n -> Owners.asks(Stored.key(n).id(), LIVE,
+        long own = java.util.stream.IntStream.range(0, 60).filter(n -> ReplicaOwners.asks(Stored.key(n).id(), LIVE,
                 LIVE.get(n % 3))).count();
         assertEquals(own, fetched.size());
     }
