--- a/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
@@ -19,17 +19,17 @@
     @Property(tries = 500, seed = "31")
     void floorsNeverGrowInSum(@ForAll long seed) {
         Random r = new Random(seed);
-        List<Share> shares = new ArrayList<>();
+        List<FloorShare> shares = new ArrayList<>();
         for (int i = 0; i < 1 + r.nextInt(30); i++) {
-            shares.add(new Share("g" + i, "h" + r.nextInt(4), r.nextInt(10), r.nextInt(40)));
+            shares.add(new FloorShare("g" + i, "h" + r.nextInt(4), r.nextInt(10), r.nextInt(40)));
         }
-        long sum = shares.stream().mapToLong(Share::floor).sum();
+        long sum = shares.stream().mapToLong(FloorShare::floor).sum();
         long limit = sum + r.nextInt(50);
         Map<String, Long> floors = FloorShift.floors(limit, shares, Set.of("h1"), S);
         assertEquals(sum, floors.values().stream().mapToLong(f -> f).sum());
         long had = 0;
         long has = 0;
-        for (Share s : shares) {
+        for (FloorShare s : shares) {
             long f = floors.get(s.gateway());
             if (s.hall().equals("h1")) {
                 assertTrue(f >= s.floor() && f <= Math.max(s.floor(), s.need()), s + " got " + f);
@@ -44,8 +44,8 @@
 
     @Example
     void theHallGetsWhatItNeedsFromAllOthersAndTheUsualFloorsReturn() {
-        List<Share> shares = List.of(new Share("a", "ship", 2, 8), new Share("b", "ship", 2, 4),
-                new Share("c", "east", 10, 0), new Share("d", "west", 6, 0));
+        List<FloorShare> shares = List.of(new FloorShare("a", "ship", 2, 8), new FloorShare("b", "ship", 2, 4),
+                new FloorShare("c", "east", 10, 0), new FloorShare("d", "west", 6, 0));
         assertEquals(Map.of("a", 8L, "b", 4L, "c", 5L, "d", 3L), FloorShift.floors(30, shares, Set.of("ship"), S));
         assertEquals(3, FloorShift.need(3600, 2_100_000, 3_600_000));
         assertEquals(0, FloorShift.need(0, 2_100_000, 3_600_000));
@@ -54,7 +54,7 @@
 
     @Example
     void movingBeginsEarlyEnoughAndLastsWhileTheHallIsCutOff() {
-        List<Leave> leaves = List.of(new Leave("ship", 100_000, 200_000));
+        List<PlannedOutage> leaves = List.of(new PlannedOutage("ship", 100_000, 200_000));
         assertEquals(9500, S.leadMs());
         assertFalse(FloorShift.isInForce(leaves.get(0), 90_499, S));
         assertTrue(FloorShift.isInForce(leaves.get(0), 90_500, S));
--- a/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
@@ -68,8 +68,8 @@
         Rule r = of(raw("a", "UTC", "2006-01-01T00:00", "PT1M", "FREQ=HOURLY;BYMINUTE=0,10,20,30,40,50"))
                 .rules().get(0);
         long from = at("2026-11-02T00:00:00Z");
-        assertEquals(6 * 24 + 1, Expansion.of(r, new Span(from, from + DAY)).size());
-        assertTrue(Expansion.of(r, new Span(from, from + 100 * DAY)).size() <= Expansion.MOST);
+        assertEquals(6 * 24 + 1, Expansion.of(r, new TimeRange(from, from + DAY)).size());
+        assertTrue(Expansion.of(r, new TimeRange(from, from + 100 * DAY)).size() <= Expansion.MOST);
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
  * Days of a hall, drawn from a seed: statements asked by Zipf's law, each with its own hours of the day, of four
@@ -31,7 +31,7 @@
     final List<Candidate> statements = new ArrayList<>();
     final List<Ask> asks = new ArrayList<>();
     final List<Load> loads = new ArrayList<>();
-    final List<Span> outages = new ArrayList<>();
+    final List<TimeRange> outages = new ArrayList<>();
 
     final int days;
 
@@ -51,7 +51,7 @@
             peak[n] = r.nextInt(24);
         }
         for (int day = 0; day < days; day++) {
-            outages.add(new Span(day * DAY + 13 * HOUR + (long) (r.nextGaussian() * 5 * 60_000),
+            outages.add(new TimeRange(day * DAY + 13 * HOUR + (long) (r.nextGaussian() * 5 * 60_000),
                     day * DAY + 15 * HOUR + (long) (r.nextGaussian() * 5 * 60_000)));
             draw(day, weight, peak, r);
         }
@@ -82,7 +82,7 @@
         }
     }
 
-    Span outageOf(int day) {
+    TimeRange outageOf(int day) {
         return outages.get(day);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
@@ -22,10 +22,10 @@
 import sandpaddle.fleet.outage.plan.Fetch;
 import sandpaddle.fleet.outage.plan.Plan;
 import sandpaddle.fleet.outage.plan.Planner;
-import sandpaddle.fleet.outage.plan.Prefetch;
+import sandpaddle.fleet.outage.plan.Prefetcher;
 import sandpaddle.fleet.outage.schedule.RawRule;
 import sandpaddle.fleet.outage.schedule.RuleReader;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /** The keepers compared: a plain LRU cache, the product's prefetching, and one that knows what will be asked. */
 final class Keepers {
@@ -73,7 +73,7 @@
         private final Margins margins = new Margins(new MarginSettings(60_000, 20 * 60_000, 0.9));
         private final HallPhase hall;
         private final AskHistory history = new AskHistory(0.3);
-        private final Prefetch prefetch;
+        private final Prefetcher prefetch;
         private final Allowance allowance;
         private final long bytesMost;
         private final Map<ContentId, Held> held = new HashMap<>();
@@ -84,7 +84,7 @@
         Prefetching(long bytesMost, long workPerSecond) {
             this.bytesMost = bytesMost;
             allowance = new Allowance(8, workPerSecond);
-            prefetch = new Prefetch("gw", new Budget(bytesMost, workPerSecond, 0.9, 15_000), 120_000_000, history,
+            prefetch = new Prefetcher("gw", new Budget(bytesMost, workPerSecond, 0.9, 15_000), 120_000_000, history,
                     new Catalogue(Drawn.STATEMENTS, 10_000_000));
             hall = new HallPhase("ship", RuleReader.read(List.of(new RawRule("o", "daily", "ship", "UTC",
                     "2000-01-01T13:00", "PT2H", "FREQ=DAILY", List.of()))).schedule().orElseThrow(), margins,
@@ -129,9 +129,9 @@
         }
 
         /** The window that is next, or under way. */
-        private Span next(long wall) {
+        private TimeRange next(long wall) {
             long day = Math.floorDiv(wall - 15 * Drawn.HOUR, Drawn.DAY) + 1;
-            return new Span(shown(day * Drawn.DAY + 13 * Drawn.HOUR), shown(day * Drawn.DAY + 15 * Drawn.HOUR));
+            return new TimeRange(shown(day * Drawn.DAY + 13 * Drawn.HOUR), shown(day * Drawn.DAY + 15 * Drawn.HOUR));
         }
 
         @Override
@@ -139,9 +139,9 @@
             turn(wall, new Evidence(Evidence.Link.REACHABLE, 0));
             for (int i = 0; i < STEPS; i++) {
                 long at = wall + i * 60_000L / STEPS;
-                Optional<Span> outage = hall.lossAt().map(l -> new Span(l,
+                Optional<TimeRange> outage = hall.lossAt().map(l -> new TimeRange(l,
                         Math.max(l + 1, hall.window().orElseThrow().span().to())));
-                for (Fetch f : prefetch.turn(at * 1000, shown(at), new Prefetch.View(hall.phase(), outage,
+                for (Fetch f : prefetch.turn(at * 1000, shown(at), new Prefetcher.View(hall.phase(), outage,
                         List.of("gw")), allowance, id -> held.containsKey(id) ? shown(held.get(id).at) : -1)) {
                     store(f.what(), at);
                     prefetch.ended(f.what().key().id(), true);
@@ -189,7 +189,7 @@
 
         @Override
         public void lost(int day) {
-            Span outage = drawn.outageOf(day);
+            TimeRange outage = drawn.outageOf(day);
             held.clear();
             Map<Integer, List<Long>> times = new HashMap<>();
             drawn.asks.stream().filter(a -> a.statement() >= 0 && outage.has(a.wall()))
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/OutageWorldTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/OutageWorldTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /** What part of the worth asked in outages each keeper keeps, on the same drawn days, in virtual time. */
 class OutageWorldTest {
@@ -26,7 +26,7 @@
         boolean wasOut = false;
         for (long t = 0; t < drawn.days * Drawn.DAY; t += MINUTE) {
             int day = (int) (t / Drawn.DAY);
-            Span outage = drawn.outageOf(day);
+            TimeRange outage = drawn.outageOf(day);
             boolean out = outage.has(t);
             if (out && !wasOut) {
                 keeper.lost(day);
@@ -62,7 +62,7 @@
     }
 
     /** By the rule of the product: its age, and loads heard of, which are those before the loss. */
-    private static boolean serves(Keeper keeper, Candidate c, long wall, Span outage, Map<Long, Long> changed) {
+    private static boolean serves(Keeper keeper, Candidate c, long wall, TimeRange outage, Map<Long, Long> changed) {
         long at = keeper.storedAt(c);
         return at >= 0 && wall - at <= c.maxAgeMs() && c.groups().stream().noneMatch(g -> {
             long change = changed.getOrDefault(g, -1L);
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicySeatTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/ActivePolicyTest.java
@@ -6,11 +6,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.pool.PolicySeat.Standing;
+import sandpaddle.fleet.pool.ActivePolicy.Status;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
 
-class PolicySeatTest {
+class ActivePolicyTest {
     private static PoolPolicyCheck policy(String name, String rest) {
         String text = "policy \"" + name + "\" version 1\nbudget fleet 9 connections\n" + rest;
         return PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
@@ -18,18 +18,18 @@
 
     private final PoolPolicyCheck first = policy("first", "");
     private final PoolPolicyCheck newer = policy("newer", "words of a later language\n");
-    private final PolicySeat seat = new PolicySeat();
+    private final ActivePolicy seat = new ActivePolicy();
 
     @Test
     void oneThatCannotReadSaysSoAndKeepsWhatItCouldRead() {
-        assertEquals(Standing.NONE, seat.standing());
+        assertEquals(Status.NONE, seat.standing());
         seat.read(first);
         seat.agreed(new PolicyVersion(1, first.version()));
-        assertEquals(Standing.APPLIES, seat.standing());
+        assertEquals(Status.APPLIES, seat.standing());
         seat.agreed(new PolicyVersion(2, newer.version()));
-        assertEquals(Standing.MISSING, seat.standing());
+        assertEquals(Status.MISSING, seat.standing());
         seat.read(newer);
-        assertEquals(Standing.UNREADABLE, seat.standing());
+        assertEquals(Status.UNREADABLE, seat.standing());
         assertEquals(Optional.of("first"), seat.policy().map(Policy::name));
         assertEquals(1, seat.applied().orElseThrow().epoch());
         assertEquals(2, seat.ruling().orElseThrow().epoch());
@@ -40,7 +40,7 @@
         seat.read(first);
         seat.agreed(new PolicyVersion(5, first.version()));
         seat.agreed(new PolicyVersion(4, newer.version()));
-        assertEquals(Standing.APPLIES, seat.standing());
+        assertEquals(Status.APPLIES, seat.standing());
         assertEquals(5, seat.ruling().orElseThrow().epoch());
     }
 
@@ -52,9 +52,9 @@
             seat.read(policy("other" + i, ""));
         }
         seat.agreed(new PolicyVersion(2, first.version()));
-        assertEquals(Standing.APPLIES, seat.standing());
+        assertEquals(Status.APPLIES, seat.standing());
         seat.agreed(new PolicyVersion(3, policy("other0", "").version()));
-        assertEquals(Standing.MISSING, seat.standing(), "only a few are kept");
+        assertEquals(Status.MISSING, seat.standing(), "only a few are kept");
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
@@ -18,7 +18,7 @@
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Limits;
-import sandpaddle.fleet.pool.solve.Allotment;
+import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
 /** Whatever the bytes are: the check ends with a policy or with faults, none of which is longer than a few lines. */
@@ -66,7 +66,8 @@
         PoolPolicyCheck check = check(String.join("\n", lines));
         SuiteFile file = new SuiteFile(any(random));
         check.policy().ifPresent(p -> assertTrue(
-                PoolSolver.solve(p, file.facts(), Allotment.NONE).rows().stream().allMatch(r -> r.connections() >= 0)));
+                PoolSolver.solve(p, file.facts(), Allocation.NONE).rows().stream()
+                .allMatch(r -> r.connections() >= 0)));
     }
 
     private static Path any(Random random) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 import sandpaddle.fleet.pool.model.PolicyFault;
-import sandpaddle.fleet.pool.solve.Allotment;
+import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
 /** Every file of the suite: what its comments foretell is found, and nothing more. */
@@ -27,7 +27,7 @@
             assertFaults(file, check);
             assertTrue(check.policy().isPresent(), "it may rule");
             assertTrue(!file.results.isEmpty(), "it expects a result");
-            Allotment allotment = PoolSolver.solve(check.policy().get(), file.facts(), Allotment.NONE);
+            Allocation allotment = PoolSolver.solve(check.policy().get(), file.facts(), Allocation.NONE);
             for (String[] expect : file.results) {
                 assertEquals(Integer.parseInt(expect[3]), sum(allotment, expect[1], expect[2]),
                         String.join(" ", expect) + " in " + allotment.rows());
@@ -50,10 +50,10 @@
         assertTrue(SuiteFile.all("good").size() >= 25 && SuiteFile.all("bad").size() >= 35);
     }
 
-    private static int sum(Allotment allotment, String tenant, String gateway) {
+    private static int sum(Allocation allotment, String tenant, String gateway) {
         return allotment.rows().stream().filter(r -> tenant.equals("*") || r.tenant().equals(tenant))
                 .filter(r -> gateway.equals("*") || r.gateway().equals(gateway))
-                .mapToInt(Allotment.Row::connections).sum();
+                .mapToInt(Allocation.Row::connections).sum();
     }
 
     /** Each fault by its place, and the words of it that the file gives. */
@@ -83,7 +83,7 @@
                     : "warning ") + f.at().line() + ":" + f.at().column() + " found " + f.found() + "; allowed: "
                     + f.allowed()));
             check.policy().ifPresent(p -> System.out.println(
-                    PoolSolver.solve(p, file.facts(), Allotment.NONE)));
+                    PoolSolver.solve(p, file.facts(), Allocation.NONE)));
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -17,10 +17,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import sandpaddle.fleet.pool.model.Facts;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Phase;
+import sandpaddle.fleet.pool.model.SolverInput;
 
 /**
  * A policy of the suite with what its comments say of it. In each file: "# known THING NAME..." for the checker,
@@ -36,9 +36,9 @@
     private final Map<String, Set<String>> known = new HashMap<>();
     private final Map<String, Set<String>> knownEngines = new HashMap<>();
     private int mostGateways = 1;
-    private final List<Facts.Engine> engines = new ArrayList<>();
-    private final List<Facts.Gateway> gateways = new ArrayList<>();
-    private final List<Facts.Demand> demands = new ArrayList<>();
+    private final List<SolverInput.Engine> engines = new ArrayList<>();
+    private final List<SolverInput.Gateway> gateways = new ArrayList<>();
+    private final List<SolverInput.Demand> demands = new ArrayList<>();
     private Instant now = Instant.parse("2026-01-15T12:00:00Z");
     private ZoneId zone = ZoneId.of("UTC");
     private Phase phase = Phase.CALM;
@@ -64,12 +64,12 @@
             case "known" -> known(words);
             case "engine" -> {
                 for (int i = 1; i <= Integer.parseInt(words[2]); i++) {
-                    engines.add(new Facts.Engine(words[1] + "-" + i, words[1], words.length > 3));
+                    engines.add(new SolverInput.Engine(words[1] + "-" + i, words[1], words.length > 3));
                 }
             }
-            case "gateway" -> gateways.add(new Facts.Gateway(words[1], words[2]));
+            case "gateway" -> gateways.add(new SolverInput.Gateway(words[1], words[2]));
             case "demand" -> demands.add(
-                    new Facts.Demand(words[1], words[2], words[3], words[4], Integer.parseInt(words[5])));
+                    new SolverInput.Demand(words[1], words[2], words[3], words[4], Integer.parseInt(words[5])));
             case "state" -> state(words[1], words[2], words.length > 3 ? Integer.parseInt(words[3]) : 0);
             default -> { } // a comment for people
         }
@@ -109,8 +109,9 @@
                 Optional.ofNullable(known.get("gateways")), Optional.ofNullable(known.get("tenants")), mostGateways);
     }
 
-    Facts facts() {
-        return new Facts(new FleetState(now, zone, phase, condemned, isolated, outages), gateways, engines, demands);
+    SolverInput facts() {
+        return new SolverInput(new FleetState(now, zone, phase, condemned, isolated, outages), gateways, engines,
+                demands);
     }
 
     static List<Path> all(String folder) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
@@ -17,26 +17,26 @@
     }
 
     private static int[] solve(Network net, int[] previous) {
-        return Rounding.round(net, Filling.fill(net).value(), previous, ties(net.rows(), 5));
+        return Rounding.round(net, ProgressiveFilling.fill(net).value(), previous, ties(net.rows(), 5));
     }
 
     @Property(seed = "21", tries = 1_000)
     void exactSharesAreThoseOfTheSlowSolver(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 8, 20, 4);
-        assertArrayEquals(Networks.slowly(net), Filling.fill(net).value(), 1e-4);
+        assertArrayEquals(Networks.slowly(net), ProgressiveFilling.fill(net).value(), 1e-4);
     }
 
     /** No whole division has a greater least share, or an equal one and a greater second, and so on. */
     @Property(seed = "22", tries = 300)
     void noWholeDivisionIsFairerThanTheExactOne(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 4, 4, 3);
-        double[] best = normalised(net, Filling.fill(net).value());
+        double[] best = normalised(net, ProgressiveFilling.fill(net).value());
         int[] each = net.least().clone();
         do {
             if (Networks.fits(net, each)) {
                 double[] other = normalised(net, Arrays.stream(each).asDoubleStream().toArray());
                 assertFalse(fairer(other, best), () -> Arrays.toString(each) + " is fairer than "
-                        + Arrays.toString(Filling.fill(net).value()));
+                        + Arrays.toString(ProgressiveFilling.fill(net).value()));
             }
         } while (next(net, each));
     }
@@ -61,7 +61,7 @@
     @Property(seed = "24", tries = 1_000)
     void neverOverNeverUnderTheLeastAndNearTheExactShare(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 40, 30, 5);
-        double[] shares = Filling.fill(net).value();
+        double[] shares = ProgressiveFilling.fill(net).value();
         int[] whole = solve(net, new int[net.rows()]);
         assertTrue(Networks.fits(net, whole));
         for (int row = 0; row < whole.length; row++) {
@@ -73,7 +73,7 @@
     @Property(seed = "25", tries = 500)
     void withOneLinkEveryRowIsWithinOneOfItsShare(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 40, 30, 1);
-        double[] shares = Filling.fill(net).value();
+        double[] shares = ProgressiveFilling.fill(net).value();
         int[] whole = solve(net, new int[net.rows()]);
         for (int row = 0; row < whole.length; row++) {
             assertTrue(Math.abs(whole[row] - shares[row]) < 1, whole[row] + " for " + shares[row]);
@@ -89,7 +89,8 @@
         weight[raised] = weight[raised] * (2 + random.nextInt(20)) / (1 + random.nextInt(2)) + 1;
         Network heavier = new Network(weight, net.least(), net.most(), net.links(), net.capacity());
         int[] none = new int[net.rows()];
-        assertTrue(Filling.fill(heavier).value()[raised] >= Filling.fill(net).value()[raised] - 1e-9);
+        assertTrue(ProgressiveFilling.fill(heavier).value()[raised] >= ProgressiveFilling.fill(net)
+                .value()[raised] - 1e-9);
         assertTrue(solve(heavier, none)[raised] >= solve(net, none)[raised]);
     }
 
@@ -122,7 +123,8 @@
         for (int rows : new int[] {1_000, 8_000}) {
             Network net = large(random, rows);
             double bound = 12.0 * rows * 4 * Math.log(rows) / Math.log(2);
-            assertTrue(Filling.fill(net).steps() <= bound, Filling.fill(net).steps() + " steps for " + rows);
+            assertTrue(ProgressiveFilling.fill(net).steps() <= bound, ProgressiveFilling.fill(net).steps()
+                    + " steps for " + rows);
             assertEquals(rows, net.rows());
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/EngineSpreadProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/EngineSpreadProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import sandpaddle.fleet.pool.rule.Capacity;
-import sandpaddle.fleet.pool.solve.Allotment.Cell;
+import sandpaddle.fleet.pool.solve.Allocation.Cell;
 
 class EngineSpreadProperties {
     private static Map<String, Capacity> engines(int count, int each) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import java.util.Set;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
-import sandpaddle.fleet.pool.model.Facts;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Phase;
 import sandpaddle.fleet.pool.model.Policy;
+import sandpaddle.fleet.pool.model.SolverInput;
 
 /** Draws policies and fleets. */
 final class Fleets {
@@ -30,25 +30,25 @@
     }
 
     /** Gateways g0.. in halls h0.. to h2, engines of kinds k0 and k1, tenants t0.. with demand on some gateways. */
-    static Facts draw(Random random, int tenants, int gateways, int engines, int mostDemand) {
-        List<Facts.Gateway> g = new ArrayList<>();
+    static SolverInput draw(Random random, int tenants, int gateways, int engines, int mostDemand) {
+        List<SolverInput.Gateway> g = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            g.add(new Facts.Gateway("g" + i, "h" + i % 3));
+            g.add(new SolverInput.Gateway("g" + i, "h" + i % 3));
         }
-        List<Facts.Engine> e = new ArrayList<>();
+        List<SolverInput.Engine> e = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            e.add(new Facts.Engine("e" + i, "k" + i % 2, random.nextInt(8) == 0));
+            e.add(new SolverInput.Engine("e" + i, "k" + i % 2, random.nextInt(8) == 0));
         }
-        List<Facts.Demand> d = new ArrayList<>();
+        List<SolverInput.Demand> d = new ArrayList<>();
         for (int t = 0; t < tenants; t++) {
             for (int i = 0; i < gateways; i++) {
                 if (random.nextInt(4) > 0) {
-                    d.add(new Facts.Demand("t" + t, random.nextBoolean() ? "dash" : "adhoc", "g" + i,
+                    d.add(new SolverInput.Demand("t" + t, random.nextBoolean() ? "dash" : "adhoc", "g" + i,
                             "k" + random.nextInt(2), random.nextInt(mostDemand + 1)));
                 }
             }
         }
-        return new Facts(calm(), g, e, d);
+        return new SolverInput(calm(), g, e, d);
     }
 
     /** Weights, ceilings and floors of tenants drawn; floors of one family that fit into the fleet's budget. */
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/MovesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/TransitionPlanProperties.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import sandpaddle.fleet.pool.solve.Moves.Move;
 import sandpaddle.fleet.pool.solve.Target.Slot;
+import sandpaddle.fleet.pool.solve.TransitionPlan.Move;
 
 /** Steps that are lost, late or out of order: no limit is passed, and in the end the targets are reached. */
-class MovesProperties {
+class TransitionPlanProperties {
     private static final Limit LIMIT = new Limit(Limit.Of.KIND, "k");
 
     @Property(seed = "41", tries = 500)
@@ -22,7 +22,7 @@
         Map<Slot, Integer> present = draw(random, capacity);
         Map<Slot, Integer> wanted = draw(random, capacity);
         for (int round = 0; round < 200; round++) {
-            Moves moves = Moves.plan(present, wanted, Map.of(LIMIT, capacity));
+            TransitionPlan moves = TransitionPlan.plan(present, wanted, Map.of(LIMIT, capacity));
             if (moves.isEmpty()) {
                 break;
             }
--- a/gateway/src/test/java/sandpaddle/fleet/state/machine/MachineTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/machine/MachineTest.java
@@ -15,27 +15,27 @@
 
 class MachineTest {
     private final Membership members = new Membership();
-    private final Policy policy = new Policy();
+    private final VersionedTexts policy = new VersionedTexts();
     private final List<String> faults = new ArrayList<>();
     private final Machine.Watcher watcher = new Machine.Watcher() {
         @Override
-        public void applied(long index, Part part, byte[] answer) { }
+        public void applied(long index, MachinePart part, byte[] answer) { }
 
         @Override
         public void installed() { }
 
         @Override
-        public void faulted(long index, Part part, RuntimeException how) {
+        public void faulted(long index, MachinePart part, RuntimeException how) {
             faults.add(index + " " + part.name());
         }
     };
-    private final Part membership = new Part(Membership.TAG, "membership", members);
-    private final Part texts = new Part(Policy.TAG, "policy", policy);
+    private final MachinePart membership = new MachinePart(Membership.TAG, "membership", members);
+    private final MachinePart texts = new MachinePart(VersionedTexts.TAG, "policy", policy);
     private final Machine machine = new Machine(List.of(membership, texts), watcher);
     private long index;
 
-    private Answer apply(Part part, byte[] body) {
-        return Answer.of(machine.apply(++index, part.command(body)));
+    private CommandResult apply(MachinePart part, byte[] body) {
+        return CommandResult.of(machine.apply(++index, part.command(body)));
     }
 
     private static Member member(String name, int port) {
@@ -45,7 +45,7 @@
     @Test
     void aNameBelongsToOnePlaceUntilItLeaves() {
         assertTrue(apply(membership, Membership.join(member("a", 1))).taken());
-        Answer other = apply(membership, Membership.join(member("a", 2)));
+        CommandResult other = apply(membership, Membership.join(member("a", 2)));
         assertEquals("the name a belongs to the gateway at 10.0.0.1:1 in hall h", other.why());
         assertTrue(apply(membership, Membership.join(member("a", 1))).taken());
         assertEquals(1, members.epoch());
@@ -77,20 +77,21 @@
 
     @Test
     void theHighestEpochOfATextRules() {
-        assertTrue(apply(texts, Policy.put("pool", 0, "one")).taken());
-        assertEquals("the text pool has epoch 1 now, not 0", apply(texts, Policy.put("pool", 0, "two")).why());
-        assertTrue(apply(texts, Policy.put("pool", 1, "two")).taken());
-        assertEquals(Optional.of(new Policy.Text(2, "two")), policy.text("pool"));
-        assertFalse(apply(texts, Policy.put("pool", 2, "x".repeat(Policy.MOST_TEXT_BYTES + 1))).taken());
+        assertTrue(apply(texts, VersionedTexts.put("pool", 0, "one")).taken());
+        assertEquals("the text pool has epoch 1 now, not 0", apply(texts, VersionedTexts.put("pool", 0, "two")).why());
+        assertTrue(apply(texts, VersionedTexts.put("pool", 1, "two")).taken());
+        assertEquals(Optional.of(new VersionedTexts.Text(2, "two")), policy.text("pool"));
+        assertFalse(apply(texts, VersionedTexts.put("pool", 2, "x".repeat(VersionedTexts.MOST_TEXT_BYTES + 1)))
+            .taken());
         assertEquals(2, policy.text("pool").orElseThrow().epoch());
     }
 
     @Test
     void unknownTagsAreRefusedByResult() {
         assertEquals("no part has the tag 99 in this version",
-            Answer.of(machine.apply(1, new byte[] {99, 1})).why());
-        assertEquals("an empty command", Answer.of(machine.apply(2, new byte[0])).why());
-        assertFalse(Answer.of(machine.apply(3, new byte[] {Membership.TAG, 1, 2, 3})).taken());
+            CommandResult.of(machine.apply(1, new byte[] {99, 1})).why());
+        assertEquals("an empty command", CommandResult.of(machine.apply(2, new byte[0])).why());
+        assertFalse(CommandResult.of(machine.apply(3, new byte[] {Membership.TAG, 1, 2, 3})).taken());
         assertEquals(3, machine.applied());
     }
 
@@ -110,8 +111,8 @@
             @Override
             public void install(byte[] snapshot) { }
         };
-        Part part = new Part((byte) 7, "broken", broken);
-        assertFalse(Answer.of(new Machine(List.of(part), watcher).apply(5, part.command(new byte[1]))).taken());
+        MachinePart part = new MachinePart((byte) 7, "broken", broken);
+        assertFalse(CommandResult.of(new Machine(List.of(part), watcher).apply(5, part.command(new byte[1]))).taken());
         assertEquals(List.of("5 broken"), faults);
     }
 
@@ -119,10 +120,10 @@
     void aSnapshotMakesTheSameAgain() {
         apply(membership, Membership.join(member("a", 1)));
         apply(membership, Membership.issue("a", 2));
-        apply(texts, Policy.put("pool", 0, "one"));
+        apply(texts, VersionedTexts.put("pool", 0, "one"));
         byte[] snapshot = machine.snapshot();
         Membership otherMembers = new Membership();
-        Machine other = new Machine(List.of(new Part(Membership.TAG, "membership", otherMembers)), watcher);
+        Machine other = new Machine(List.of(new MachinePart(Membership.TAG, "membership", otherMembers)), watcher);
         other.install(snapshot);
         assertEquals(members.numbers("a"), otherMembers.numbers("a"));
         assertEquals(3, other.applied());
--- a/gateway/src/test/java/sandpaddle/fleet/state/raft/MessageTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/raft/MessageTest.java
@@ -25,53 +25,56 @@
 
     private static byte[] write(RaftMessage m) {
         CborOut out = new CborOut();
-        MessageOut.write(out, m);
+        MessageWriter.write(out, m);
         return out.done();
     }
 
     private static RaftMessage read(byte[] bytes) throws FaultyMessageException {
-        return MessageIn.read("c", A, new CborIn(bytes));
+        return MessageReader.read("c", A, new CborIn(bytes));
     }
 
     private static LogEntry entry(long index, int term, Object operation) {
-        return Parts.MODEL.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(operation).build();
+        return CommonCodec.MODEL.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(operation).build();
     }
 
     private static AppendEntriesRequest append(List<LogEntry> entries) {
-        return Parts.MODEL.createAppendEntriesRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
+        return CommonCodec.MODEL.createAppendEntriesRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
             .setPreviousLogTerm(2).setPreviousLogIndex(7).setCommitIndex(6).setQuerySequenceNumber(3)
             .setFlowControlSequenceNumber(4).setLogEntries(entries).build();
     }
 
     private static List<RaftMessage> oneOfEach() {
-        Object change = Parts.MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(MEMBERS)
+        Object change = CommonCodec.MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(MEMBERS)
             .setVotingMembers(List.of(A)).setEndpoint(A).setMode(MembershipChangeMode.ADD_LEARNER).build();
-        SnapshotChunk chunk = Parts.MODEL.createSnapshotChunkBuilder().setIndex(9).setTerm(2).setSnapshotChunkIndex(0)
+        SnapshotChunk chunk = CommonCodec.MODEL.createSnapshotChunkBuilder().setIndex(9).setTerm(2)
+            .setSnapshotChunkIndex(0)
             .setSnapshotChunkCount(2).setOperation(new byte[] {1, 2}).setGroupMembersView(
-                Parts.view(3, MEMBERS, List.of(A))).build();
+                CommonCodec.view(3, MEMBERS, List.of(A))).build();
         return List.of(
-            append(List.of(entry(8, 2, new Op.NewTerm()), entry(9, 5, new Op.Command(new byte[] {1})),
+            append(List.of(entry(8, 2, new LogOperation.NewTerm()),
+            entry(9, 5, new LogOperation.Command(new byte[] {1})),
                 entry(10, 5, change))),
-            Parts.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
+            CommonCodec.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
                 .setLastLogIndex(9).setQuerySequenceNumber(3).setFlowControlSequenceNumber(4).build(),
-            Parts.MODEL.createAppendEntriesFailureResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
+            CommonCodec.MODEL.createAppendEntriesFailureResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
                 .setExpectedNextIndex(9).setQuerySequenceNumber(3).setFlowControlSequenceNumber(4).build(),
-            Parts.MODEL.createInstallSnapshotRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
+            CommonCodec.MODEL.createInstallSnapshotRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
                 .setSenderLeader(true).setSnapshotTerm(2).setSnapshotIndex(9).setTotalSnapshotChunkCount(2)
                 .setSnapshotChunk(chunk).setSnapshottedMembers(MEMBERS)
-                .setGroupMembersView(Parts.view(3, MEMBERS, MEMBERS)).setQuerySequenceNumber(1)
+                .setGroupMembersView(CommonCodec.view(3, MEMBERS, MEMBERS)).setQuerySequenceNumber(1)
                 .setFlowControlSequenceNumber(2).build(),
-            Parts.MODEL.createInstallSnapshotResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
+            CommonCodec.MODEL.createInstallSnapshotResponseBuilder().setGroupId("c").setSender(A).setTerm(5)
                 .setSnapshotIndex(9).setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(1)
                 .setFlowControlSequenceNumber(2).build(),
-            Parts.MODEL.createVoteRequestBuilder().setGroupId("c").setSender(A).setTerm(5).setLastLogTerm(2)
+            CommonCodec.MODEL.createVoteRequestBuilder().setGroupId("c").setSender(A).setTerm(5).setLastLogTerm(2)
                 .setLastLogIndex(9).setSticky(true).build(),
-            Parts.MODEL.createVoteResponseBuilder().setGroupId("c").setSender(A).setTerm(5).setGranted(true).build(),
-            Parts.MODEL.createPreVoteRequestBuilder().setGroupId("c").setSender(A).setTerm(5).setLastLogTerm(2)
+            CommonCodec.MODEL.createVoteResponseBuilder().setGroupId("c").setSender(A).setTerm(5).setGranted(true)
+            .build(),
+            CommonCodec.MODEL.createPreVoteRequestBuilder().setGroupId("c").setSender(A).setTerm(5).setLastLogTerm(2)
                 .setLastLogIndex(9).build(),
-            Parts.MODEL.createPreVoteResponseBuilder().setGroupId("c").setSender(A).setTerm(5).setGranted(false)
+            CommonCodec.MODEL.createPreVoteResponseBuilder().setGroupId("c").setSender(A).setTerm(5).setGranted(false)
                 .build(),
-            Parts.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
+            CommonCodec.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId("c").setSender(A).setTerm(5)
                 .setLastLogTerm(2).setLastLogIndex(9).build());
     }
 
@@ -108,10 +111,10 @@
 
     @Test
     void entriesOutOfOrderAreRefused() {
-        byte[] gap = write(append(List.of(entry(9, 5, new Op.NewTerm()))));
+        byte[] gap = write(append(List.of(entry(9, 5, new LogOperation.NewTerm()))));
         assertTrue(assertThrows(FaultyMessageException.class, () -> read(gap)).getMessage()
             .endsWith("ends entries out of order at 9 of term 5"));
-        byte[] future = write(append(List.of(entry(8, 6, new Op.NewTerm()))));
+        byte[] future = write(append(List.of(entry(8, 6, new LogOperation.NewTerm()))));
         assertThrows(FaultyMessageException.class, () -> read(future));
     }
 
@@ -119,7 +122,7 @@
     void aMessageHoldsNoMoreEntriesThanFitIntoAFrame() throws Exception {
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 8; i < 40; i++) {
-            entries.add(entry(i, 5, new Op.Command(new byte[100 << 10])));
+            entries.add(entry(i, 5, new LogOperation.Command(new byte[100 << 10])));
         }
         byte[] bytes = write(append(entries));
         assertTrue(bytes.length < 512 << 10, bytes.length + " bytes");
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/Day.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/Day.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.state.sim.SimFleet.Gateway;
-import sandpaddle.fleet.state.voter.Founding;
+import sandpaddle.fleet.state.voter.GroupBootstrap;
 import sandpaddle.fleet.state.voter.Voter.Phase;
 import sandpaddle.fleet.store.StoreException;
 
@@ -62,14 +62,14 @@
         switch (random.nextInt(14)) {
             case 0, 1 -> g.crash();
             case 2, 3, 4 -> startAll();
-            case 5 -> g.disk().mood(random.nextBoolean() ? SimDisk.Mood.FULL : SimDisk.Mood.FAILING);
-            case 6 -> fleet.all().forEach(o -> o.disk().mood(SimDisk.Mood.GOOD));
+            case 5 -> g.disk().mood(random.nextBoolean() ? SimDisk.Health.FULL : SimDisk.Health.FAILING);
+            case 6 -> fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
             case 7 -> fleet.net().cut(g.name(), other.name());
             case 8 -> {
                 fleet.net().cut(g.name(), other.name());
                 fleet.net().cut(other.name(), g.name());
             }
-            case 9 -> fleet.net().weather(new SimNet.Weather(500, random.nextBoolean() ? 2_000_000 : 200_000,
+            case 9 -> fleet.net().weather(new SimNet.NetworkConditions(500, random.nextBoolean() ? 2_000_000 : 200_000,
                 random.nextDouble() * 0.2, random.nextDouble() * 0.3));
             case 10 -> fleet.net().heal();
             case 11 -> g.stall(fleet.now() + (long) (random.nextDouble() * 8 * SECOND));
@@ -89,7 +89,7 @@
     private void forget() throws StoreException {
         fleet.net().heal();
         startAll();
-        fleet.all().forEach(o -> o.disk().mood(SimDisk.Mood.GOOD));
+        fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
         if (!fleet.runUntil(this::isWhole, 90 * SECOND)) {
             wrong.add("not whole after 90 s of calm");
             return;
@@ -103,7 +103,7 @@
         } else {
             g.disk(new SimDisk());
             if (random.nextBoolean()) {
-                Founding.format(g.disk().open(), "c", g.name(), founders);
+                GroupBootstrap.format(g.disk().open(), "c", g.name(), founders);
             }
         }
         g.start();
@@ -136,7 +136,7 @@
 
     private void settle() {
         fleet.net().heal();
-        fleet.all().forEach(o -> o.disk().mood(SimDisk.Mood.GOOD));
+        fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
         startAll();
         if (!fleet.runUntil(this::isWhole, 120 * SECOND)) {
             wrong.add("not whole after 120 s of calm at the end");
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/Register.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/Register.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import sandpaddle.fleet.state.Replicated;
 import sandpaddle.fleet.state.machine.Machine;
-import sandpaddle.fleet.state.machine.Part;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
@@ -13,13 +13,13 @@
 public final class Register implements Replicated {
     public static final Machine.Watcher WATCHER = new Machine.Watcher() {
         @Override
-        public void applied(long index, Part part, byte[] answer) { }
+        public void applied(long index, MachinePart part, byte[] answer) { }
 
         @Override
         public void installed() { }
 
         @Override
-        public void faulted(long index, Part part, RuntimeException how) {
+        public void faulted(long index, MachinePart part, RuntimeException how) {
             throw new AssertionError("part " + part.name() + " failed", how);
         }
     };
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import sandpaddle.fleet.store.Entry;
-import sandpaddle.fleet.store.Found;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.Snapshot;
-import sandpaddle.fleet.store.State;
 import sandpaddle.fleet.store.StoreException;
+import sandpaddle.fleet.store.StoreState;
 import sandpaddle.fleet.store.VoterStore;
 
 /** A disk in memory: what was flushed stays, what was only staged is gone with its store; it fails when told to. */
 public final class SimDisk {
     /** What the disk does with writes. */
-    public enum Mood { GOOD, FULL, FAILING }
+    public enum Health { GOOD, FULL, FAILING }
 
     private static final class Content {
         private Identity identity;
@@ -44,11 +44,11 @@
     }
 
     private Content durable = new Content();
-    private Mood mood = Mood.GOOD;
+    private Health mood = Health.GOOD;
     private long flushes;
     private boolean liesAboutFlush;
 
-    public void mood(Mood to) {
+    public void mood(Health to) {
         mood = to;
     }
 
@@ -82,7 +82,7 @@
         }
 
         private void reopen() {
-            if (mood == Mood.GOOD) {
+            if (mood == Health.GOOD) {
                 durable.generation++;
                 staged = durable.copy();
                 fault = null;
@@ -92,8 +92,8 @@
         }
 
         private void writable() throws StoreException {
-            if (fault == null && mood != Mood.GOOD) {
-                fault = new StoreException(mood == Mood.FULL ? StoreException.Kind.FULL : StoreException.Kind.IO,
+            if (fault == null && mood != Health.GOOD) {
+                fault = new StoreException(mood == Health.FULL ? StoreException.Kind.FULL : StoreException.Kind.IO,
                     "the disk is " + mood);
             }
             if (fault != null) {
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public Found found() {
+        public RecoveredState found() {
             Content c = staged == null ? durable : staged;
             Optional<Snapshot> snapshot = Optional.empty();
             for (var e : c.snapshots.entrySet()) {
@@ -112,7 +112,7 @@
                 }
             }
             long after = snapshot.map(Snapshot::index).orElse(0L);
-            return new Found(Optional.ofNullable(c.identity), c.generation, flushes, c.term,
+            return new RecoveredState(Optional.ofNullable(c.identity), c.generation, flushes, c.term,
                 Optional.ofNullable(c.vote),
                 snapshot, new ArrayList<>(c.entries.tailMap(after, false).values()), List.of());
         }
@@ -195,13 +195,13 @@
         }
 
         @Override
-        public State state() {
-            return fault == null ? new State(State.Condition.WORKING, "")
-                : new State(State.Condition.FAILING, fault.getMessage());
+        public StoreState state() {
+            return fault == null ? new StoreState(StoreState.Condition.WORKING, "")
+                : new StoreState(StoreState.Condition.FAILING, fault.getMessage());
         }
 
         @Override
-        public State retry(long now) {
+        public StoreState retry(long now) {
             if (fault != null) {
                 reopen();
             }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimFleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimFleet.java
@@ -9,14 +9,14 @@
 import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 import sandpaddle.fleet.state.Consensus.Outcome;
-import sandpaddle.fleet.state.admit.Claim;
-import sandpaddle.fleet.state.admit.OwnDisk;
-import sandpaddle.fleet.state.admit.Seen;
+import sandpaddle.fleet.state.admit.JoinRequest;
+import sandpaddle.fleet.state.admit.LocalVoterState;
+import sandpaddle.fleet.state.admit.PeerIncarnations;
 import sandpaddle.fleet.state.machine.Machine;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
 import sandpaddle.fleet.state.raft.RaftSettings;
-import sandpaddle.fleet.state.voter.Founding;
+import sandpaddle.fleet.state.voter.GroupBootstrap;
 import sandpaddle.fleet.state.voter.Voter;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
@@ -71,12 +71,12 @@
         public void start() {
             VoterStore store = disk.open();
             register = new Register();
-            Part membership = new Part(Membership.TAG, "membership", new Membership());
-            Machine machine = new Machine(List.of(membership, new Part(REGISTER, "register", register)),
+            MachinePart membership = new MachinePart(Membership.TAG, "membership", new Membership());
+            Machine machine = new Machine(List.of(membership, new MachinePart(REGISTER, "register", register)),
                 Register.WATCHER);
-            OwnDisk own = trusting ? new Trusting(store, name) : new OwnDisk(store, "c", name);
+            LocalVoterState own = trusting ? new Trusting(store, name) : new LocalVoterState(store, "c", name);
             Voter.Settings settings = new Voter.Settings("c", name, RAFT, membership);
-            voter = new Voter(settings, store, own, machine, new Voter.Around() {
+            voter = new Voter(settings, store, own, machine, new Voter.Callbacks() {
                 @Override
                 public void send(String to, byte[] message) {
                     net.send(name, to, message, now);
@@ -91,16 +91,16 @@
     }
 
     /** A memory that welcomes everybody: the guard against disks that forgot, removed. */
-    private static final class Trusting extends OwnDisk {
+    private static final class Trusting extends LocalVoterState {
         Trusting(VoterStore store, String name) {
             super(store, "c", name);
         }
 
         @Override
-        public Seen seen() {
-            return new Seen() {
+        public PeerIncarnations seen() {
+            return new PeerIncarnations() {
                 @Override
-                public Optional<Refusal> judge(Claim c) {
+                public Optional<Refusal> judge(JoinRequest c) {
                     meet(c);
                     return Optional.empty();
                 }
@@ -133,7 +133,7 @@
         for (String name : founders) {
             Gateway g = add(name);
             VoterStore store = g.disk.open();
-            Optional<String> refused = Founding.format(store, "c", name, founders);
+            Optional<String> refused = GroupBootstrap.format(store, "c", name, founders);
             if (refused.isPresent()) {
                 throw new IllegalStateException(refused.get());
             }
@@ -203,7 +203,7 @@
 
     private void turn() {
         while (net.next() <= now) {
-            SimNet.Parcel p = net.take();
+            SimNet.InFlightMessage p = net.take();
             Gateway g = gateways.get(p.to());
             if (g != null && g.voter != null && g.stalledUntil <= now && !net.isCut(p.from(), p.to())) {
                 g.voter.received(p.from(), p.message(), now);
@@ -232,7 +232,7 @@
     /** A client adds a number at a gateway; what was acknowledged is remembered. */
     public long propose(Gateway g) {
         long value = nextValue++;
-        g.voter.propose(new Part(REGISTER, "register", g.register).command(Register.add(value)), outcome -> {
+        g.voter.propose(new MachinePart(REGISTER, "register", g.register).command(Register.add(value)), outcome -> {
             if (outcome instanceof Outcome.Done) {
                 acknowledged.add(value);
             } else if (outcome instanceof Outcome.Unknown) {
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
@@ -8,29 +8,30 @@
 /** A network in virtual time (us): it delays, loses, repeats, reorders, and is cut one way. */
 public final class SimNet {
     /** How links are: delay in us from {@code least} to {@code most}; parts of messages lost and sent twice. */
-    public record Weather(long least, long most, double lost, double twice) { }
+    public record NetworkConditions(long least, long most, double lost, double twice) { }
 
-    public static final Weather FAIR = new Weather(200, 2_000, 0, 0);
+    public static final NetworkConditions FAIR = new NetworkConditions(200, 2_000, 0, 0);
 
     /** A message under way. */
-    record Parcel(long at, long number, String from, String to, byte[] message) implements Comparable<Parcel> {
+    record InFlightMessage(long at, long number, String from, String to, byte[] message)
+            implements Comparable<InFlightMessage> {
         @Override
-        public int compareTo(Parcel other) {
+        public int compareTo(InFlightMessage other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
         }
     }
 
     private final Random random;
-    private final PriorityQueue<Parcel> underWay = new PriorityQueue<>();
+    private final PriorityQueue<InFlightMessage> underWay = new PriorityQueue<>();
     private final Set<String> cut = new HashSet<>();
-    private Weather weather = FAIR;
+    private NetworkConditions weather = FAIR;
     private long number;
 
     SimNet(Random random) {
         this.random = random;
     }
 
-    public void weather(Weather to) {
+    public void weather(NetworkConditions to) {
         weather = to;
     }
 
@@ -51,7 +52,7 @@
         int copies = random.nextDouble() < weather.twice() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             long delay = weather.least() + (long) (random.nextDouble() * (weather.most() - weather.least()));
-            underWay.add(new Parcel(now + delay, number++, from, to, message));
+            underWay.add(new InFlightMessage(now + delay, number++, from, to, message));
         }
     }
 
@@ -59,7 +60,7 @@
         return underWay.isEmpty() ? Long.MAX_VALUE : underWay.peek().at();
     }
 
-    Parcel take() {
+    InFlightMessage take() {
         return underWay.poll();
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
@@ -76,7 +76,7 @@
 
     private static SimDisk formattedAgain(SimDisk before, String name) throws Exception {
         SimDisk disk = new SimDisk();
-        assertEquals(Optional.empty(), Founding.format(disk.open(), "c", name, THREE));
+        assertEquals(Optional.empty(), GroupBootstrap.format(disk.open(), "c", name, THREE));
         return disk;
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/StoredVoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/StoredVoterTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sandpaddle.fleet.state.machine.Machine;
+import sandpaddle.fleet.state.machine.MachinePart;
 import sandpaddle.fleet.state.machine.Membership;
-import sandpaddle.fleet.state.machine.Part;
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.state.sim.Register;
 import sandpaddle.fleet.store.StoreSettings;
@@ -32,11 +32,11 @@
     }
 
     private Register run(VoterStore store, int from, int to) {
-        Part membership = new Part(Membership.TAG, "membership", new Membership());
+        MachinePart membership = new MachinePart(Membership.TAG, "membership", new Membership());
         Register register = new Register();
-        Part numbers = new Part((byte) 9, "register", register);
+        MachinePart numbers = new MachinePart((byte) 9, "register", register);
         Voter voter = new Voter(new Voter.Settings("c", "a", new RaftSettings(1, 3, 1000, 50), membership), store,
-            new Machine(List.of(membership, numbers), Register.WATCHER), new Voter.Around() {
+            new Machine(List.of(membership, numbers), Register.WATCHER), new Voter.Callbacks() {
                 @Override
                 public void send(String to, byte[] message) { }
 
@@ -59,7 +59,7 @@
     @Test
     void whatWasAcknowledgedIsThereAfterARestart(@TempDir Path directory) throws Exception {
         VoterStore store = open(directory);
-        assertEquals(Optional.empty(), Founding.format(store, "c", "a", List.of("a")));
+        assertEquals(Optional.empty(), GroupBootstrap.format(store, "c", "a", List.of("a")));
         run(store, 0, 180);
         assertEquals(180, acknowledged.size());
         assertEquals(acknowledged, run(open(directory), 180, 190).values());
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
@@ -72,13 +72,13 @@
         SimFleet fleet = new SimFleet(3, THREE, List.of());
         add(fleet);
         Gateway first = leader(fleet);
-        first.disk().mood(SimDisk.Mood.FULL);
+        first.disk().mood(SimDisk.Health.FULL);
         fleet.propose(first);
         fleet.run(SECOND);
         assertEquals(Phase.FAILED, first.voter().phase());
         add(fleet);
         assertNotEquals(first, leader(fleet));
-        first.disk().mood(SimDisk.Mood.GOOD);
+        first.disk().mood(SimDisk.Health.GOOD);
         fleet.run(10 * SECOND);
         assertEquals(Phase.VOTING, first.voter().phase());
         assertEquals(new Endpoint(first.voter().endpoint().orElseThrow().name(), 1),
@@ -112,7 +112,7 @@
         String name = lost.voter().endpoint().orElseThrow().name();
         lost.crash();
         lost.disk(new SimDisk());
-        assertEquals(Optional.empty(), Founding.format(lost.disk().open(), "c", name, THREE));
+        assertEquals(Optional.empty(), GroupBootstrap.format(lost.disk().open(), "c", name, THREE));
         lost.start();
         assertTrue(fleet.runUntil(() -> lost.voter().phase() == Phase.RETIRED, 5 * SECOND),
             () -> fleet.said().toString());
--- a/gateway/src/test/java/sandpaddle/fleet/store/DiskWatchTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/DiskWatchTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.store.State.Condition;
+import sandpaddle.fleet.store.StoreState.Condition;
 
 class DiskWatchTest {
     private static final long PROBE = 1_000_000;
@@ -19,7 +19,7 @@
         assertFalse(watch.state(0).writable());
         watch.opened(5);
         assertFalse(watch.due(5));
-        assertEquals(State.WORKING, watch.state(5));
+        assertEquals(StoreState.WORKING, watch.state(5));
     }
 
     @Test
@@ -28,7 +28,7 @@
         long now = 100 * PROBE;
         for (long step : new long[] {1, 2, 4, 8, 16, 16}) {
             watch.failed(StoreException.Kind.FULL, "no space", now);
-            assertEquals(new State(Condition.FULL, "no space"), watch.state(now));
+            assertEquals(new StoreState(Condition.FULL, "no space"), watch.state(now));
             assertFalse(watch.due(now + step * PROBE - 1), "step " + step);
             now += step * PROBE;
             assertTrue(watch.due(now), "step " + step);
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sandpaddle.fleet.store.Found;
 import sandpaddle.fleet.store.Generations;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.disk.Disk;
 import sandpaddle.fleet.store.disk.NioDisk;
@@ -44,7 +44,7 @@
     private void untrusted(String naming) throws StoreException {
         for (int i = 0; i < 2; i++) { // it stays so over openings
             try (MvVoterStore store = open(disk)) {
-                Found found = store.found();
+                RecoveredState found = store.found();
                 assertFalse(found.trusted());
                 assertTrue(found.faults().get(0).contains(naming), found.faults().toString());
                 assertEquals(0, found.lastIndex());
@@ -68,7 +68,7 @@
     @Test
     void allIsThereAfterAnOpening() throws StoreException {
         try (MvVoterStore store = open(disk)) {
-            Found found = store.found();
+            RecoveredState found = store.found();
             assertEquals(List.of(ID, 2L, 7, "x#1", 20, 20L), List.of(found.identity().orElseThrow(),
                     found.generation(), found.term(), found.vote().orElseThrow(), found.entries().size(),
                     found.lastIndex()));
@@ -84,7 +84,7 @@
             SimulatedDisk hurt = disk.copy();
             hurt.garble("voter-1.mv", at, 16);
             try (MvVoterStore store = open(hurt)) {
-                Found found = store.found();
+                RecoveredState found = store.found();
                 faults += found.trusted() ? 0 : 1;
                 boolean whole = found.term() == 7 && found.entries().size() == 20 && store.get("floor").isPresent();
                 assertEquals(found.trusted(), whole, "garbled at " + at + " " + found.faults());
@@ -134,20 +134,20 @@
         SimulatedDisk old = disk.copy();
         Generations.Heard heard;
         try (MvVoterStore store = open(disk)) {
-            Found found = store.found();
+            RecoveredState found = store.found();
             store.term(9, "y#1");
             heard = new Generations.Heard(11, found.generation(), store.found().flushes());
             assertTrue(new Generations(11, found.generation(), found.flushes()).judge("p", heard).isEmpty());
         }
         try (MvVoterStore store = open(old)) {
-            Found found = store.found();
+            RecoveredState found = store.found();
             String why = new Generations(12, found.generation(), found.flushes()).judge("p", heard).orElseThrow();
             store.distrust(why);
             assertThrows(StoreException.class, () -> store.term(9, "z#1"));
             assertEquals(List.of(why), store.found().faults());
         }
         try (MvVoterStore store = open(disk)) {
-            Found found = store.found();
+            RecoveredState found = store.found();
             assertTrue(new Generations(13, found.generation(), found.flushes()).judge("p", heard).isEmpty());
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/FaultTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/FaultTest.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.store.Found;
 import sandpaddle.fleet.store.Identity;
-import sandpaddle.fleet.store.State.Condition;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
+import sandpaddle.fleet.store.StoreState.Condition;
 import sandpaddle.fleet.store.disk.SimulatedDisk;
 import sandpaddle.fleet.store.disk.SimulatedDisk.Kind;
 
@@ -135,7 +135,7 @@
         disk.room(CrashTest.SMALL.roomBytes() - 1);
         MvVoterStore store = open(disk);
         assertEquals(Condition.FULL, store.state().condition());
-        assertEquals(Found.NOTHING, store.found());
+        assertEquals(RecoveredState.NOTHING, store.found());
         disk.room(CrashTest.SMALL.roomBytes());
         assertFalse(store.retry(now).writable(), "not before the probe is due");
         now += LONG_AFTER;
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/KillTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/KillTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sandpaddle.fleet.store.Entry;
-import sandpaddle.fleet.store.Found;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.StoreSettings;
 import sandpaddle.fleet.store.disk.NioDisk;
@@ -57,7 +57,7 @@
             assertTrue(last >= acknowledged + LINES, last + " after " + acknowledged);
             acknowledged = last;
             try (MvVoterStore store = open(directory)) {
-                Found found = store.found();
+                RecoveredState found = store.found();
                 assertTrue(found.trusted(), found.faults() + " " + store.state());
                 assertTrue(found.lastIndex() >= acknowledged, found.lastIndex() + " of " + acknowledged);
                 assertEquals(2L * kill, found.generation());
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
@@ -21,7 +21,7 @@
 
     /** What a store has, in the same words as {@link #toString}. */
     static String of(VoterStore store) throws StoreException {
-        Found found = store.found();
+        RecoveredState found = store.found();
         StringBuilder line = new StringBuilder(found.term() + " " + found.vote().orElse("-") + " ");
         found.snapshot().ifPresent(s -> s.chunks().forEach(c -> line.append(s.index()).append(sum(c))));
         found.entries().forEach(e -> line.append(' ').append(e.index()).append(':').append(sum(e.data())));
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
@@ -146,7 +146,7 @@
         }
         FleetVerdicts third = fleet.gateways.get("g002");
         assertEquals(1, third.effect(fleet.clock("g002")).size());
-        for (int i = 0; i < Effect.OWN_GOOD; i++) {
+        for (int i = 0; i < VerdictEffect.OWN_GOOD; i++) {
             third.watch().attempt(fleet.clock("g002"), "e1", Outcome.GOOD, 10_000, 10_000);
         }
         fleet.runTo(fleet.now + 100_000);
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/SpreadTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
@@ -10,17 +10,17 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.verdict.VerdictSettings;
 
-class SpreadTest {
+class EvidenceDisseminationTest {
     private static final long NOW = 100_000_000;
     private static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
     private static final Map<String, String> HALLS = Map.of("v", "north", "w", "south", "a", "north", "b", "north",
             "c", "south");
 
-    private record Node(String name, EvidenceBook book, Spread spread) {
+    private record Node(String name, EvidenceBook book, EvidenceDissemination spread) {
         static Node of(String name) {
             EvidenceBook book = new EvidenceBook(SETTINGS);
             book.members(HALLS.keySet());
-            Spread spread = new Spread(name, SETTINGS, 0.005, book);
+            EvidenceDissemination spread = new EvidenceDissemination(name, SETTINGS, 0.005, book);
             spread.roles(Set.of("v", "w"), HALLS);
             HALLS.keySet().stream().filter(p -> !p.equals(name)).forEach(p -> spread.up(p, 1, NOW));
             return new Node(name, book, spread);
@@ -30,7 +30,7 @@
             book.put(new Evidence(new Subject(topic, subject), name, 1, seq, finding, 0, 1, 0, made, made), name, NOW);
         }
 
-        List<Told> toldTo(String peer) {
+        List<EvidenceMessage> toldTo(String peer) {
             return spread.next(NOW, peer).map(Batch::told).orElse(List.of());
         }
     }
@@ -75,12 +75,12 @@
     @Test
     void newCondemnationsGoAheadOfTheRestInAFullBatch() {
         Node a = Node.of("a");
-        for (int i = 0; i < Spread.PIECES_MOST + 50; i++) {
+        for (int i = 0; i < EvidenceDissemination.PIECES_MOST + 50; i++) {
             a.says(Topic.HEALTH, "good" + i, Finding.GOOD, i, NOW);
         }
         a.says(Topic.HEALTH, "bad", Finding.SILENT, 999, NOW);
-        List<Told> first = a.toldTo("v");
-        assertEquals(Spread.PIECES_MOST, first.size());
+        List<EvidenceMessage> first = a.toldTo("v");
+        assertEquals(EvidenceDissemination.PIECES_MOST, first.size());
         assertEquals("bad", first.get(0).subject().name());
         a.spread.sent("v", a.spread.next(NOW, "v").orElseThrow());
         assertEquals(51, a.toldTo("v").size(), "the rest follows");
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/HallRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/HallRuleTest.java
@@ -10,13 +10,13 @@
 class HallRuleTest {
     private static final String SIX = "a1 a2 a3 a4 b1 b2";
 
-    private static HallLink a(Bench bench) {
+    private static HallLink a(JudgeFixture bench) {
         return bench.after(0).halls().get("a");
     }
 
     @Test
     void halfOfItsGatewaysWhileOthersReachEnginesMakeAHallIsolated() {
-        Bench bench = new Bench(SIX).reach("b1 b2 a3", Finding.OUTSIDE_ANSWERS).self("a4", Finding.WELL)
+        JudgeFixture bench = new JudgeFixture(SIX).reach("b1 b2 a3", Finding.OUTSIDE_ANSWERS).self("a4", Finding.WELL)
                 .reach("a1", Finding.ONLY_INSIDE);
         assertEquals(State.CONNECTED, a(bench).state());
         HallLink link = a(bench.reach("a2", Finding.NOTHING_ANSWERS));
@@ -28,46 +28,48 @@
     /** Also in a hall of two, where one is half. */
     @Test
     void oneGatewayIsolatesNoHallWhereAnotherReachesOut() {
-        assertEquals(State.CONNECTED, a(new Bench("a1 a2 b1").reach("a2 b1", Finding.OUTSIDE_ANSWERS)
+        assertEquals(State.CONNECTED, a(new JudgeFixture("a1 a2 b1").reach("a2 b1", Finding.OUTSIDE_ANSWERS)
                 .reach("a1", Finding.NOTHING_ANSWERS)).state());
     }
 
     @Test
     void seenFromInsideNobodyElseIsHeard() {
-        assertEquals(State.ISOLATED, a(new Bench(SIX).reach("a1 a2 a3", Finding.NOTHING_ANSWERS)).state());
+        assertEquals(State.ISOLATED, a(new JudgeFixture(SIX).reach("a1 a2 a3", Finding.NOTHING_ANSWERS)).state());
     }
 
     @Test
     void whereNoEngineAnswersAnybodyItIsNotTheHallsLink() {
-        assertEquals(State.BLACKOUT, a(new Bench(SIX).reach("a1 a2 b1 b2", Finding.NOTHING_ANSWERS)).state());
+        assertEquals(State.BLACKOUT, a(new JudgeFixture(SIX).reach("a1 a2 b1 b2", Finding.NOTHING_ANSWERS)).state());
     }
 
     /** Most engines look bad in an isolated hall, so that doubt does not count here; standing still does. */
     @Test
     void whoStandsStillIsNotAskedWhoDoubtsForBadEnginesIs() {
-        Bench bench = new Bench(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS).reach("a1 a2", Finding.ONLY_INSIDE);
+        JudgeFixture bench = new JudgeFixture(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS)
+                .reach("a1 a2", Finding.ONLY_INSIDE);
         assertEquals(State.ISOLATED, a(bench.self("a1 a2", Finding.MOST_BAD)).state());
-        Bench still = new Bench(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS).reach("a1 a2", Finding.ONLY_INSIDE);
+        JudgeFixture still = new JudgeFixture(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS)
+                .reach("a1 a2", Finding.ONLY_INSIDE);
         assertEquals(State.CONNECTED, a(still.self("a1 a2", Finding.STALLED)).state());
     }
 
     @Test
     void nothingHeardIsUnknownAndIsolationEndsWithItsReasons() {
-        assertEquals(State.UNKNOWN, a(new Bench(SIX)).state());
-        Bench bench = new Bench(SIX).reach("a1 a2 a3", Finding.ONLY_INSIDE);
+        assertEquals(State.UNKNOWN, a(new JudgeFixture(SIX)).state());
+        JudgeFixture bench = new JudgeFixture(SIX).reach("a1 a2 a3", Finding.ONLY_INSIDE);
         long since = a(bench).sinceUs();
         bench.now += 1_000_000;
         assertEquals(since, a(bench).sinceUs());
         assertEquals(State.CONNECTED, a(bench.reach("a1 a2 a3", Finding.OUTSIDE_ANSWERS)).state());
         assertEquals(State.UNKNOWN, a(bench.reach("a1 a2 a3", Finding.ONLY_INSIDE)).state(), "too soon again");
-        bench.now += Bench.SETTINGS.holdUs();
+        bench.now += JudgeFixture.SETTINGS.holdUs();
         assertEquals(State.ISOLATED, a(bench).state());
     }
 
     /** In an isolated hall all links out are down: closing engines for that would leave nothing to try. */
     @Test
     void anIsolatedHallClosesNoEngineByItsLinks() {
-        Bench bench = new Bench(SIX).health("a1 a2", "e1", Finding.SILENT);
+        JudgeFixture bench = new JudgeFixture(SIX).health("a1 a2", "e1", Finding.SILENT);
         assertEquals(1, bench.after(0).engines().size());
         bench.reach("a1 a2 a3 a4", Finding.ONLY_INSIDE);
         assertEquals(0, bench.after(0).engines().size());
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/Bench.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/JudgeFixture.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.verdict.evidence.Topic;
 
 /** A judge with a book into which a test writes what gateways say; {@code a1} is gateway 1 of hall {@code a}. */
-final class Bench {
+final class JudgeFixture {
     static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
 
     final EvidenceBook book = new EvidenceBook(SETTINGS);
@@ -25,7 +25,7 @@
     private long seq;
 
     /** The first gateway judges. */
-    Bench(String gateways, Guard... without) {
+    JudgeFixture(String gateways, Guard... without) {
         EnumSet<Guard> guards = EnumSet.allOf(Guard.class);
         guards.removeAll(List.of(without));
         List<String> names = List.of(gateways.split(" "));
@@ -44,7 +44,7 @@
         judge.engines(starts);
     }
 
-    Bench say(String gateways, Topic topic, String subject, Finding finding, long start, double amount) {
+    JudgeFixture say(String gateways, Topic topic, String subject, Finding finding, long start, double amount) {
         for (String g : gateways.split(" ")) {
             String about = subject.isEmpty() ? g : subject;
             book.put(new Evidence(new Subject(topic, about), g, 1, ++seq, finding, start, 3, amount, now, now), g, now);
@@ -52,15 +52,15 @@
         return this;
     }
 
-    Bench health(String gateways, String engine, Finding finding) {
+    JudgeFixture health(String gateways, String engine, Finding finding) {
         return say(gateways, Topic.HEALTH, engine, finding, 0, 0);
     }
 
-    Bench self(String gateways, Finding finding) {
+    JudgeFixture self(String gateways, Finding finding) {
         return say(gateways, Topic.SELF, "", finding, 0, 0);
     }
 
-    Bench reach(String gateways, Finding finding) {
+    JudgeFixture reach(String gateways, Finding finding) {
         return self(gateways, Finding.WELL).say(gateways, Topic.REACH, "", finding, 0, 0);
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/JudgeTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/JudgeTest.java
@@ -22,73 +22,76 @@
     @ParameterizedTest
     @EnumSource(names = {"SICK", "SILENT", "SLOW"})
     void twoHallsCondemnAnEngine(Finding finding) {
-        assertEquals(List.of("e1 " + finding), new Bench(NINE).health("a1 b1", "e1", finding).closed());
+        assertEquals(List.of("e1 " + finding), new JudgeFixture(NINE).health("a1 b1", "e1", finding).closed());
     }
 
     @Test
     void oneHallsBadViewIsItsLinks() {
-        Bench bench = new Bench("c1 a1 a2 a3 b1 b2 b3").health("a1 a2 a3", "e1", Finding.SILENT);
+        JudgeFixture bench = new JudgeFixture("c1 a1 a2 a3 b1 b2 b3").health("a1 a2 a3", "e1", Finding.SILENT);
         assertEquals(List.of(), bench.closed());
         assertEquals(Map.of("a", Set.of("e1")), bench.after(0).linksDown());
-        assertEquals(List.of("e1 LINK"), new Bench("a3 a1 a2 b1").health("a1 a2", "e1", Finding.SILENT).closed());
-        assertEquals(List.of("e1 SILENT"), new Bench("c1 a1 a2 a3 b1", Guard.ONE_HALL_IS_A_LINK)
+        assertEquals(List.of("e1 LINK"), new JudgeFixture("a3 a1 a2 b1").health("a1 a2", "e1", Finding.SILENT)
+                .closed());
+        assertEquals(List.of("e1 SILENT"), new JudgeFixture("c1 a1 a2 a3 b1", Guard.ONE_HALL_IS_A_LINK)
                 .health("a1 a2 a3", "e1", Finding.SILENT).closed());
     }
 
     @Test
     void oneGatewayCondemnsNothingForOthers() {
-        assertEquals(List.of(), new Bench(NINE).health("a2", "e1", Finding.SICK).closed());
-        assertEquals(List.of(), new Bench("a1 a2 a3").health("a2", "e1", Finding.SICK).closed(), "one hall");
-        assertEquals(List.of("e1 LINK"), new Bench(NINE, Guard.NOT_ALONE).health("a2", "e1", Finding.SICK).closed());
+        assertEquals(List.of(), new JudgeFixture(NINE).health("a2", "e1", Finding.SICK).closed());
+        assertEquals(List.of(), new JudgeFixture("a1 a2 a3").health("a2", "e1", Finding.SICK).closed(), "one hall");
+        assertEquals(List.of("e1 LINK"), new JudgeFixture(NINE, Guard.NOT_ALONE).health("a2", "e1", Finding.SICK)
+                .closed());
         assertEquals(List.of("e1 SICK"),
-                new Bench("a1 a2 a3", Guard.NOT_ALONE).health("a2", "e1", Finding.SICK).closed());
+                new JudgeFixture("a1 a2 a3", Guard.NOT_ALONE).health("a2", "e1", Finding.SICK).closed());
     }
 
     @Test
     void inOneHallTwoGatewaysAndMostOfThoseWithTrafficCondemn() {
-        assertEquals(List.of("e1 SICK"), new Bench("a1 a2 a3").health("a1 a2", "e1", Finding.SICK).closed());
-        assertEquals(List.of(), new Bench("a1 a2 a3 a4").health("a1 a2", "e1", Finding.SICK)
+        assertEquals(List.of("e1 SICK"), new JudgeFixture("a1 a2 a3").health("a1 a2", "e1", Finding.SICK).closed());
+        assertEquals(List.of(), new JudgeFixture("a1 a2 a3 a4").health("a1 a2", "e1", Finding.SICK)
                 .health("a3 a4", "e1", Finding.GOOD).closed());
-        assertEquals(List.of(), new Bench("a1").health("a1", "e1", Finding.SICK).closed(), "a fleet of one");
+        assertEquals(List.of(), new JudgeFixture("a1").health("a1", "e1", Finding.SICK).closed(), "a fleet of one");
     }
 
     @Test
     void aHallIsOutvotedByItsOwnAndTwoHallsByMoreThatAreServed() {
-        assertEquals(List.of(), new Bench(NINE).health("a1 b1", "e1", Finding.SICK)
+        assertEquals(List.of(), new JudgeFixture(NINE).health("a1 b1", "e1", Finding.SICK)
                 .health("a2 a3 b2 b3", "e1", Finding.GOOD).closed());
-        Bench bench = new Bench("d1 a1 b1 c1").health("a1 b1", "e1", Finding.SICK).health("c1 d1", "e1", Finding.GOOD);
+        JudgeFixture bench = new JudgeFixture("d1 a1 b1 c1").health("a1 b1", "e1", Finding.SICK)
+                .health("c1 d1", "e1", Finding.GOOD);
         assertEquals(List.of(), bench.closed());
         assertEquals(Set.of("a", "b"), bench.after(0).linksDown().keySet());
     }
 
     @Test
     void freshCounterEvidenceClears() {
-        Bench bench = new Bench(NINE).health("a1 b1", "e1", Finding.SICK);
+        JudgeFixture bench = new JudgeFixture(NINE).health("a1 b1", "e1", Finding.SICK);
         assertEquals(1, bench.closed().size());
         assertEquals(List.of(), bench.health("a1 b1", "e1", Finding.GOOD).closed());
     }
 
     @Test
     void noVerdictOutlivesItsLease() {
-        Bench bench = new Bench(NINE).health("a1 b1", "e1", Finding.SICK);
+        JudgeFixture bench = new JudgeFixture(NINE).health("a1 b1", "e1", Finding.SICK);
         EngineVerdict v = bench.after(0).engines().get(0);
-        assertEquals(bench.now + Bench.SETTINGS.leaseUs(), v.untilUs());
-        assertEquals(1, bench.after(Bench.SETTINGS.leaseUs() - 1).engines().size());
+        assertEquals(bench.now + JudgeFixture.SETTINGS.leaseUs(), v.untilUs());
+        assertEquals(1, bench.after(JudgeFixture.SETTINGS.leaseUs() - 1).engines().size());
         assertEquals(0, bench.after(1).engines().size());
     }
 
     @Test
     void whoDoubtsItselfHasNoWeight() {
-        assertEquals(List.of(), new Bench(NINE).self("b1", Finding.STALLED).health("a1 b1", "e1", Finding.SICK)
+        assertEquals(List.of(), new JudgeFixture(NINE).self("b1", Finding.STALLED).health("a1 b1", "e1", Finding.SICK)
                 .closed());
-        assertEquals(List.of(), new Bench(NINE).self("b1", Finding.MOST_BAD).health("a1 b1", "e1", Finding.SICK)
+        assertEquals(List.of(), new JudgeFixture(NINE).self("b1", Finding.MOST_BAD).health("a1 b1", "e1", Finding.SICK)
                 .closed());
-        assertEquals(List.of("e1 SICK"), new Bench(NINE, Guard.DOUBT).self("b1", Finding.STALLED)
+        assertEquals(List.of("e1 SICK"), new JudgeFixture(NINE, Guard.DOUBT).self("b1", Finding.STALLED)
                 .health("a1 b1", "e1", Finding.SICK).closed());
     }
 
-    private static Bench manyBad(Guard... without) {
-        Bench bench = new Bench(NINE, without);
+    private static JudgeFixture manyBad(Guard... without) {
+        JudgeFixture bench = new JudgeFixture(NINE, without);
         for (int i = 0; i < 6; i++) {
             bench.health(i == 4 ? "a1 b1 c1" : "a1 b1", "e" + i, Finding.SICK);
         }
@@ -97,7 +100,7 @@
 
     @Test
     void onlyTheWorstOfTooManyAreCondemnedAndTheRestIsNamed() {
-        Bench bench = manyBad();
+        JudgeFixture bench = manyBad();
         assertEquals(List.of("e0 SICK", "e1 SICK", "e4 SICK"), bench.closed());
         assertEquals(List.of("e2", "e3", "e5"), bench.after(0).spared());
         bench.health("a2 b2", "e2", Finding.SILENT).health("a3 b3", "e2", Finding.SILENT);
@@ -107,11 +110,11 @@
 
     @Test
     void aSuccessorStartsClean() {
-        Bench bench = new Bench(NINE).health("a1 b1", "e1", Finding.SICK);
+        JudgeFixture bench = new JudgeFixture(NINE).health("a1 b1", "e1", Finding.SICK);
         assertEquals(List.of("e1 SICK"), bench.closed());
         bench.judge.engines(Map.of("e1", 5L, "e2", 0L));
         assertEquals(List.of(), bench.closed());
-        Bench without = new Bench(NINE, Guard.INCARNATION).health("a1 b1", "e1", Finding.SICK);
+        JudgeFixture without = new JudgeFixture(NINE, Guard.INCARNATION).health("a1 b1", "e1", Finding.SICK);
         without.judge.engines(Map.of("e1", 5L, "e2", 0L));
         assertEquals(List.of("e1 SICK"), without.closed());
     }
@@ -119,19 +122,19 @@
     /** Two others know the successor before this gateway's list does; one alone wipes out nothing. */
     @Test
     void aStartToldByOneMakesColdAndToldByTwoCleans() {
-        Bench bench = new Bench(NINE).health("a1 b1", "e1", Finding.SICK)
+        JudgeFixture bench = new JudgeFixture(NINE).health("a1 b1", "e1", Finding.SICK)
                 .say("c1", Topic.START, "e1", Finding.COLD, 7, 0);
         assertEquals(List.of("e1 SICK", "e1 COLD"), bench.closed());
         bench.say("c2", Topic.START, "e1", Finding.COLD, 7, 0);
         assertEquals(List.of("e1 COLD"), bench.closed());
         assertEquals(7, bench.after(0).engines().get(0).incarnation());
-        assertEquals(List.of("e1 COLD"), new Bench(NINE, Guard.ONE_WORD).health("a1 b1", "e1", Finding.SICK)
+        assertEquals(List.of("e1 COLD"), new JudgeFixture(NINE, Guard.ONE_WORD).health("a1 b1", "e1", Finding.SICK)
                 .say("c1", Topic.START, "e1", Finding.COLD, 7, 0).closed());
     }
 
     @Test
     void theFreshestStartWins() {
-        Bench bench = new Bench(NINE).say("a1", Topic.START, "e1", Finding.COLD, 9, 0)
+        JudgeFixture bench = new JudgeFixture(NINE).say("a1", Topic.START, "e1", Finding.COLD, 9, 0)
                 .say("b1", Topic.START, "e1", Finding.COLD, 7, 0);
         assertEquals(9, bench.after(0).engines().get(0).incarnation());
     }
@@ -144,7 +147,7 @@
     }
 
     private static List<Long> heldAfterEachTurn(Guard... without) {
-        Bench bench = new Bench(NINE, without);
+        JudgeFixture bench = new JudgeFixture(NINE, without);
         List<Long> held = new java.util.ArrayList<>();
         for (int turn = 0; turn < 6; turn++) {
             bench.health("a1 b1", "e1", Finding.SICK);
@@ -163,7 +166,7 @@
 
     @Test
     void aDrainIsBelievedFromOneSinceItsEarliestWordAndForItsGrace() {
-        Bench bench = new Bench(NINE).say("b1", Topic.DRAIN, "e1", Finding.DRAINING, 0, 0);
+        JudgeFixture bench = new JudgeFixture(NINE).say("b1", Topic.DRAIN, "e1", Finding.DRAINING, 0, 0);
         long first = bench.now;
         assertEquals(List.of("e1 DRAINING"), bench.closed());
         boolean ended = false;
@@ -173,7 +176,7 @@
             List<EngineVerdict> verdicts = bench.after(0).engines();
             ended = verdicts.isEmpty();
             assertTrue(ended || verdicts.get(0).sinceUs() == first, "since the earliest word");
-            assertEquals(bench.now - first >= Bench.SETTINGS.drainGraceUs(), ended);
+            assertEquals(bench.now - first >= JudgeFixture.SETTINGS.drainGraceUs(), ended);
         }
         assertTrue(ended);
     }
@@ -181,8 +184,8 @@
     /** One gateway's word drains no more engines than may be condemned. */
     @Test
     void aLiarDoesNotDrainTheFleet() {
-        Bench bench = new Bench(NINE);
-        Bench without = new Bench(NINE, Guard.ONE_WORD);
+        JudgeFixture bench = new JudgeFixture(NINE);
+        JudgeFixture without = new JudgeFixture(NINE, Guard.ONE_WORD);
         for (int i = 0; i < 10; i++) {
             bench.say("b1", Topic.DRAIN, "e" + i, Finding.DRAINING, 0, 0);
             without.say("b1", Topic.DRAIN, "e" + i, Finding.DRAINING, 0, 0);
@@ -193,7 +196,7 @@
 
     @Test
     void aTenantsUseIsSummedAndNoOneFigureCondemnsIt() {
-        Bench bench = new Bench(NINE);
+        JudgeFixture bench = new JudgeFixture(NINE);
         bench.judge.shares(Map.of("t", 10.0));
         bench.say("b1", Topic.TENANT, "t", Finding.USE, 0, 1e9);
         assertEquals(Set.of(), bench.after(0).over());
@@ -201,7 +204,7 @@
         bench.say("b1 c1", Topic.TENANT, "t", Finding.USE, 0, 4.8);
         assertEquals(Set.of("t"), bench.after(0).over(), "over 0.9 of the share still");
         assertEquals(Set.of(), bench.say("c1", Topic.TENANT, "t", Finding.USE, 0, 4).after(0).over());
-        Bench without = new Bench(NINE, Guard.NOT_ALONE);
+        JudgeFixture without = new JudgeFixture(NINE, Guard.NOT_ALONE);
         without.judge.shares(Map.of("t", 10.0));
         assertEquals(Set.of("t"), without.say("b1", Topic.TENANT, "t", Finding.USE, 0, 11).after(0).over());
     }
@@ -210,12 +213,13 @@
     void twoGatewaysOfTwoHallsGoOnTryingACondemnedEngine() {
         int trying = 0;
         for (String g : NINE.split(" ")) {
-            Bench bench = new Bench(g + " " + NINE.replace(g + " ", "").replace(" " + g, ""));
+            JudgeFixture bench = new JudgeFixture(g + " " + NINE.replace(g + " ", "").replace(" " + g, ""));
             bench.self(NINE, Finding.WELL).health("a1 b1", "e1", Finding.SICK);
             trying += bench.after(0).engines().get(0).tries() ? 1 : 0;
         }
-        assertEquals(Bench.SETTINGS.testers(), trying);
-        assertNotEquals(Testers.of("e1", List.of("a1", "a2", "b1", "b2"), new Roster("a1", Map.of("a1", "a", "a2", "a",
+        assertEquals(JudgeFixture.SETTINGS.testers(), trying);
+        assertNotEquals(ProbeAssignment.of("e1", List.of("a1", "a2", "b1", "b2"),
+                new HallRoster("a1", Map.of("a1", "a", "a2", "a",
                 "b1", "b", "b2", "b")), 2), Set.of("a1", "a2"));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/LiarProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/LiarProperties.java
@@ -21,7 +21,7 @@
     @Property(seed = "35", tries = 150)
     void oneLiarCondemnsNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int steps) {
         SplittableRandom random = new SplittableRandom(seed);
-        Bench bench = new Bench("a1 a2 b1 b2 c1");
+        JudgeFixture bench = new JudgeFixture("a1 a2 b1 b2 c1");
         bench.judge.shares(Map.of("t", 10.0));
         bench.self(HONEST, Finding.WELL).say(HONEST, Topic.REACH, "", Finding.OUTSIDE_ANSWERS, 0, 0);
         for (int i = 0; i < steps; i++) {
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
@@ -11,16 +11,17 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.verdict.evidence.Batch;
+import sandpaddle.fleet.verdict.evidence.EvidenceDissemination;
+import sandpaddle.fleet.verdict.evidence.EvidenceMessage;
 import sandpaddle.fleet.verdict.evidence.Finding;
-import sandpaddle.fleet.verdict.evidence.Spread;
 import sandpaddle.fleet.verdict.evidence.Subject;
-import sandpaddle.fleet.verdict.evidence.Told;
 import sandpaddle.fleet.verdict.evidence.Topic;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 class EvidenceCodecProperties {
     private static Batch batch(int pieces, Finding finding, String name) {
-        List<Told> told = IntStream.range(0, pieces).mapToObj(i -> new Told(new Subject(Topic.HEALTH, name + i),
+        List<EvidenceMessage> told = IntStream.range(0, pieces)
+                .mapToObj(i -> new EvidenceMessage(new Subject(Topic.HEALTH, name + i),
                 "g" + i, i, 2L * i, finding, 7L * i, i, i / 3.0, 10L * i, 5L * i)).toList();
         return new Batch(5, Batch.NO_ECHO, 0, 1, 2, 3, 4, told);
     }
@@ -37,7 +38,7 @@
         byte[] message = EvidenceCodec.encode(batch(5, Finding.SICK, "e"));
         message[at % message.length] = value;
         try {
-            assertTrue(EvidenceCodec.decode(message).told().size() <= Spread.PIECES_MOST);
+            assertTrue(EvidenceCodec.decode(message).told().size() <= EvidenceDissemination.PIECES_MOST);
         } catch (FaultyMessageException e) {
             assertTrue(e.getMessage().startsWith("value "), e.getMessage());
         }
--- a/gateway/src/test/java/sandpaddle/fleet/view/CellsProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/view/AttemptCountersProperties.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.LongRange;
 
 /** The counts against an independent recount of all that is out, over drawn starts, ends, waits and views. */
-class CellsProperties {
+class AttemptCountersProperties {
     private record One(int cls, String tenant, String engine) { }
 
     private static final long FRESH = 100;
@@ -24,8 +24,8 @@
     private static final String[] ENGINES = {"e", "f"};
 
     private final Publication<FleetView> views = new Publication<>(FleetView.NOTHING);
-    private final Publication<Usage> usages = new Publication<>(new Usage(0, 0));
-    private final Cells cells = new Cells(views, usages, 2);
+    private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
+    private final AttemptCounters cells = new AttemptCounters(views, usages, 2);
     private final List<One> out = new ArrayList<>();
     private final List<One> waiting = new ArrayList<>();
     private FleetView adopted = FleetView.NOTHING;
@@ -91,7 +91,7 @@
     }
 
     private void assertCounts() {
-        Usage usage = usages.current();
+        SlotUsage usage = usages.current();
         assertEquals(adopted.numbering(), usage.numbering());
         for (int i = 0; i < adopted.slots().size(); i++) {
             assertEquals(count(adopted.slots().get(i), out), usage.running(i));
@@ -160,7 +160,7 @@
                 FleetView.Isolation.NONE));
         cells.adopt();
         assertTrue(cells.begin(0, "kept", "e", 1));
-        for (int i = 0; i < Cells.MOST + 5; i++) {
+        for (int i = 0; i < AttemptCounters.MOST + 5; i++) {
             assertTrue(cells.begin(1, "t" + i, "e", 1));
             cells.end(1, "t" + i, "e");
         }
--- a/gateway/src/test/java/sandpaddle/storm/FleetViewTest.java
+++ b/gateway/src/test/java/sandpaddle/storm/FleetCapacityTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 import sandpaddle.decide.Gateway;
 
-public class FleetViewTest {
+public class FleetCapacityTest {
     private static final long NOW = 1_000_000_000L;
 
     private static Gateway.Settings site(long coldUs) {
@@ -20,7 +20,7 @@
     }
 
     private static double capacity(long coldUs, long startedUs) {
-        FleetView view = new FleetView(site(coldUs), NOW);
+        FleetCapacity view = new FleetCapacity(site(coldUs), NOW);
         view.listed(Gateway.ListKind.FULL, List.of(new Gateway.EngineEntry("e", 0, 0, 0, Gateway.Status.UP, 1,
                 startedUs)));
         return view.capacity(NOW);
--- a/lab/src/main/java/sandpaddle/lab/Clients.java
+++ b/lab/src/main/java/sandpaddle/lab/Clients.java
@@ -38,12 +38,12 @@
     private final SplittableRandom random;
     private final Habits habits;
     private final Front front;
-    private final Tally tally;
+    private final ClientStatistics tally;
     private long serial;
     private int open;
     private List<String> tenants = List.of();
 
-    Clients(Loop loop, Events events, Tally tally, SplittableRandom random, Habits habits) {
+    Clients(Loop loop, Events events, ClientStatistics tally, SplittableRandom random, Habits habits) {
         this.loop = loop;
         this.events = events;
         this.tally = tally;
--- a/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
@@ -32,12 +32,12 @@
     final SplittableRandom random;
     final Wiring wiring;
     final FleetSite site;
-    final Map<String, Seat> nodes = new LinkedHashMap<>();
+    final Map<String, FleetMember> nodes = new LinkedHashMap<>();
     final List<StandInEngine> engines = new ArrayList<>();
     final Clients clients;
     OutagePlan outage; // null: none is played
     private final Traffic traffic;
-    private final Tally tally = new Tally();
+    private final ClientStatistics tally = new ClientStatistics();
     private final EngineModel.Spec spec = EngineModel.Spec.usual();
     private final Map<String, String> hallOfEngine = new LinkedHashMap<>();
     private boolean arriving = true;
@@ -67,7 +67,7 @@
 
     /** Runs the scenario to its end. */
     void run() throws IOException {
-        Thread left = new Thread(() -> nodes.values().forEach(Seat::abandon));
+        Thread left = new Thread(() -> nodes.values().forEach(FleetMember::abandon));
         Runtime.getRuntime().addShutdownHook(left); // so that a run that is broken off leaves no gateway behind
         try {
             for (int i = 0; i < plan.engines(); i++) {
@@ -82,10 +82,10 @@
                 site.pool(FleetScript.POOL, 1);
             }
             found();
-            for (Seat n : nodes.values()) {
+            for (FleetMember n : nodes.values()) {
                 start(n);
             }
-            for (Seat n : nodes.values()) {
+            for (FleetMember n : nodes.values()) {
                 n.process.awaitUp();
                 reach(n);
             }
@@ -103,7 +103,7 @@
                 }
                 loop.turn(() -> { }, Duration.ofMillis(20));
             }
-            for (Seat n : nodes.values()) {
+            for (FleetMember n : nodes.values()) {
                 if (n.process != null && !n.process.isAlive()) {
                     throw new IOException("gateway " + n.name() + " has ended; its log tells why");
                 }
@@ -124,7 +124,7 @@
 
     private void found() throws IOException {
         long from = System.nanoTime();
-        for (Seat n : List.copyOf(nodes.values())) {
+        for (FleetMember n : List.copyOf(nodes.values())) {
             Path operator = operator(n);
             if (plan.on() && n.index < FOUNDERS) {
                 FleetProcess.format(plan.jar(), operator, n.name());
@@ -147,12 +147,12 @@
     }
 
     /** Another gateway, known to the files from now on. */
-    Seat enrol() throws IOException {
+    FleetMember enrol() throws IOException {
         int i = serial++;
         FleetSite.Member m = new FleetSite.Member("n" + i, Site.HALLS.get(i % Site.HALLS.size()),
                 GatewayProcess.freePort());
         StandInFeed feed = new StandInFeed(loop, events, tally);
-        Seat n = new Seat(m, i, GatewayProcess.freePort(), feed);
+        FleetMember n = new FleetMember(m, i, GatewayProcess.freePort(), feed);
         nodes.put(n.name(), n);
         site.join(m);
         for (StandInEngine e : engines) {
@@ -163,13 +163,13 @@
     }
 
     /** Clients know it from now on. */
-    void reach(Seat n) {
+    void reach(FleetMember n) {
         clients.front().gateway(n.name(), n.process.address(), n.index % Site.HALLS.size());
     }
 
-    Path operator(Seat n) throws IOException {
+    Path operator(FleetMember n) throws IOException {
         Map<String, InetSocketAddress> routes = new LinkedHashMap<>();
-        for (Seat peer : nodes.values()) {
+        for (FleetMember peer : nodes.values()) {
             if (peer != n) {
                 routes.put(peer.name(), wiring.link(n.name(), peer.name(), Loopback.at(peer.member.port()), true));
             }
@@ -177,7 +177,7 @@
         return site.operator(n.member, FOUNDERS, routes);
     }
 
-    void start(Seat n) throws IOException {
+    void start(FleetMember n) throws IOException {
         InetSocketAddress feed = wiring.link(n.name(), "feed", n.feed.address(), false);
         Path config = site.config(n.member, n.index, plan.gateways(), n.port, feed, n.feed.known(),
                 plan.seed() * 31 + n.index + 1000L * n.starts++, spec);
@@ -185,7 +185,7 @@
         say("gateway-started", "gateway", n.name());
     }
 
-    void kill(Seat n) {
+    void kill(FleetMember n) {
         n.process.kill();
         n.process = null;
         say("killed", "gateway", n.name());
@@ -193,10 +193,10 @@
 
     /** All gateways read the files of now. */
     void rewrite() throws IOException {
-        for (Seat n : nodes.values()) {
+        for (FleetMember n : nodes.values()) {
             operator(n);
         }
-        for (Seat n : nodes.values()) {
+        for (FleetMember n : nodes.values()) {
             if (n.process != null) {
                 n.process.hangUp();
             }
--- a/lab/src/main/java/sandpaddle/lab/Seat.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetMember.java
@@ -1,7 +1,7 @@
 package sandpaddle.lab;
 
 /** A gateway of a played fleet and what belongs to it, whether its process runs or not. */
-final class Seat {
+final class FleetMember {
     final FleetSite.Member member;
     final int index;
     final int port;
@@ -9,7 +9,7 @@
     volatile FleetProcess process; // null: not running
     int starts;
 
-    Seat(FleetSite.Member member, int index, int port, StandInFeed feed) {
+    FleetMember(FleetSite.Member member, int index, int port, StandInFeed feed) {
         this.member = member;
         this.index = index;
         this.port = port;
--- a/lab/src/main/java/sandpaddle/lab/FleetScript.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetScript.java
@@ -57,7 +57,7 @@
         return last.plus(times.after());
     }
 
-    private Seat node(int index) {
+    private FleetMember node(int index) {
         return List.copyOf(fleet.nodes.values()).get(index);
     }
 
@@ -65,7 +65,7 @@
         fleet.loop.after(when, () -> fleet.guarded(step));
     }
 
-    private void begin(FleetPlan.Scenario what, Duration from, Seat victim) {
+    private void begin(FleetPlan.Scenario what, Duration from, FleetMember victim) {
         Duration until = from.plus(times.fault());
         String name = victim.name();
         switch (what) {
@@ -154,8 +154,8 @@
 
     /** A voter comes back with an empty disk, later another with a copy from before its last votes. */
     private void disks(Duration from) {
-        Seat lost = node(0);
-        Seat old = node(1);
+        FleetMember lost = node(0);
+        FleetMember old = node(1);
         Path copy = fleet.plan.folder().resolve("old-copy");
         at(from, () -> Disks.copy(fleet.site.directory(old.name()), copy));
         at(from.plusMillis(500), () -> {
@@ -172,9 +172,9 @@
         at(from.plus(times.fault().dividedBy(2)).plusSeconds(3), () -> fleet.start(old));
     }
 
-    private void members(Duration from, Seat leaves) {
+    private void members(Duration from, FleetMember leaves) {
         at(from, () -> {
-            Seat joins = fleet.enrol();
+            FleetMember joins = fleet.enrol();
             fleet.site.next(fleet.site.limits());
             fleet.rewrite();
             fleet.start(joins);
@@ -191,7 +191,7 @@
     }
 
     /** Clients come to it once it listens. */
-    private void awaited(Seat n, int looks) {
+    private void awaited(FleetMember n, int looks) {
         at(Duration.ofMillis(500), () -> {
             if (looks < 2) {
                 awaited(n, looks + 1);
@@ -218,7 +218,7 @@
         fleet.say("pool", "each", each, "holds", fleet.us() + holdsAfterUs);
     }
 
-    private void lower(Duration from, Duration until, Seat victim) {
+    private void lower(Duration from, Duration until, FleetMember victim) {
         List<FleetLimit> before = fleet.site.limits();
         at(from, () -> links.isolate(victim.name()));
         at(from.plusSeconds(1), () -> {
--- a/lab/src/main/java/sandpaddle/lab/LinkFaults.java
+++ b/lab/src/main/java/sandpaddle/lab/LinkFaults.java
@@ -98,7 +98,7 @@
     /** A hall's line: its gateways reach each other and nothing else. */
     void line(String hall, boolean cut) {
         fleet.say(cut ? "hall-cut" : "hall-back", "hall", hall);
-        for (Seat n : fleet.nodes.values()) {
+        for (FleetMember n : fleet.nodes.values()) {
             if (n.member.hall().equals(hall)) {
                 fleet.nodes.values().stream().filter(o -> !o.member.hall().equals(hall))
                         .forEach(o -> link(n.name(), o.name(), cut));
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.time.temporal.ChronoUnit;
 import java.time.Instant;
+import java.time.temporal.ChronoUnit;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -53,7 +53,7 @@
 
     private final Loop loop;
     private final Events events;
-    private final Tally tally;
+    private final ClientStatistics tally;
     private final String id;
     private final EngineModel model;
     private final Acceptor acceptor;
@@ -65,7 +65,8 @@
     private boolean sick; // fails what it is sent
 
     /** {@code port} 0: any; {@code startedUs} 0: warm; {@code fell}: it fell over, and is dead by then. */
-    StandInEngine(Loop loop, Events events, Tally tally, String id, int port, EngineModel.Spec spec, long startedUs,
+    StandInEngine(Loop loop, Events events, ClientStatistics tally, String id, int port, EngineModel.Spec spec,
+            long startedUs,
             Runnable fell) throws IOException {
         this.loop = loop;
         this.events = events;
--- a/lab/src/main/java/sandpaddle/lab/StandInFeed.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInFeed.java
@@ -22,7 +22,7 @@
 
     private final Loop loop;
     private final Events events;
-    private final Tally tally;
+    private final ClientStatistics tally;
     private final Acceptor acceptor;
     private final List<String> told = new ArrayList<>(); // event N stands at N - 1
     private final Map<String, String> listed = new LinkedHashMap<>(); // lines of the hosts that are not gone
@@ -59,7 +59,7 @@
         }
     }
 
-    StandInFeed(Loop loop, Events events, Tally tally) throws IOException {
+    StandInFeed(Loop loop, Events events, ClientStatistics tally) throws IOException {
         this.loop = loop;
         this.events = events;
         this.tally = tally;
--- a/lab/src/main/java/sandpaddle/lab/StormExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/StormExperiment.java
@@ -55,7 +55,7 @@
     private final Loop loop;
     private final SplittableRandom random;
     private final EngineModel.Spec spec;
-    private final Tally tally = new Tally();
+    private final ClientStatistics tally = new ClientStatistics();
     private final StandInFeed feed;
     private final Clients clients;
     private final List<StandInEngine> engines = new ArrayList<>();
--- a/lab/src/main/java/sandpaddle/lab/StormResult.java
+++ b/lab/src/main/java/sandpaddle/lab/StormResult.java
@@ -16,11 +16,12 @@
     static final double BACK = 0.9; // of the worth asked for, earned in time over the window
 
     private final StormExperiment.Plan plan;
-    private final Tally tally;
+    private final ClientStatistics tally;
     private final long countFrom, outageAt, returnAt, countUntil;
     private final double cpuMsPerTry;
 
-    StormResult(StormExperiment.Plan plan, Tally tally, long countFrom, long outageAt, long returnAt, long countUntil,
+    StormResult(StormExperiment.Plan plan, ClientStatistics tally, long countFrom, long outageAt, long returnAt,
+            long countUntil,
             double cpuMsPerTry) {
         this.plan = plan;
         this.tally = tally;
@@ -46,7 +47,7 @@
     double share(long fromSecond, long untilSecond) {
         double asked = 0;
         double earned = 0;
-        for (Tally.Second s : tally.seconds.subMap(fromSecond, untilSecond).values()) {
+        for (ClientStatistics.Second s : tally.seconds.subMap(fromSecond, untilSecond).values()) {
             asked += s.asked;
             earned += s.earned;
         }
@@ -97,7 +98,7 @@
             j.writeNumberField("gatewayCpuMsPerTry", cpuMsPerTry);
             j.writeArrayFieldStart("worthInTime");
             long zero = (returnAt > 0 ? returnAt : countFrom) / 1_000_000;
-            for (Map.Entry<Long, Tally.Second> e : tally.seconds.entrySet()) {
+            for (Map.Entry<Long, ClientStatistics.Second> e : tally.seconds.entrySet()) {
                 j.writeStartArray();
                 j.writeNumber(e.getKey() - zero);
                 j.writeNumber(Math.round(e.getValue().asked * 1000) / 1000.0);
--- a/lab/src/main/java/sandpaddle/lab/TryCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/TryCommand.java
@@ -54,9 +54,9 @@
         }));
         try {
             Events events = new Events(null);
-            StandInFeed feed = new StandInFeed(loop, events, new Tally());
+            StandInFeed feed = new StandInFeed(loop, events, new ClientStatistics());
             for (int i = 0; i < ENGINES; i++) {
-                StandInEngine e = new StandInEngine(loop, events, new Tally(), "engine-" + i, 0,
+                StandInEngine e = new StandInEngine(loop, events, new ClientStatistics(), "engine-" + i, 0,
                         EngineModel.Spec.usual(), 0, () -> { });
                 engines.add(e);
                 feed.tell(0, e.id(), e.address(), Site.HALLS.get(i % Site.HALLS.size()), "Ready", 0);
