--- a/gateway/src/main/java/sandpaddle/config/AgreedReader.java
+++ b/gateway/src/main/java/sandpaddle/config/AgreedReader.java
@@ -56,7 +56,7 @@
         Set<String> names = new HashSet<>();
         for (Section l : s.sections("limits", MOST_LIMITS)) {
             Predicate<String> form = n -> Scope.EACH.equals(n) || Scope.isName(n);
-            String allowed = "a name of " + LimitSpec.MOST_NAME + " bytes at most, without '|'";
+            String allowed = "a name of " + LimitSpec.MAX_NAME + " bytes at most, without '|'";
             String name = l.text("name", "", form, allowed);
             if (!l.has("name") || !names.add(name)) {
                 l.wrong("name", "a name, each once");
@@ -74,10 +74,10 @@
     /** Exactly one of the amounts. */
     private static LimitSpec amount(Section l, String name, Scope scope) {
         List<String> given = AMOUNTS.stream().filter(l::has).toList();
-        long running = l.integer("running", 0, 1, LimitSpec.MOST_AMOUNT);
-        long connections = l.integer("connections", 0, 1, LimitSpec.MOST_AMOUNT);
-        double perSecond = l.number("per_s", 0, 0.001, LimitSpec.MOST_AMOUNT / (double) THOUSANDTHS);
-        double burst = l.number("burst", 1, 1, LimitSpec.MOST_AMOUNT / (double) THOUSANDTHS);
+        long running = l.integer("running", 0, 1, LimitSpec.MAX_AMOUNT);
+        long connections = l.integer("connections", 0, 1, LimitSpec.MAX_AMOUNT);
+        double perSecond = l.number("per_s", 0, 0.001, LimitSpec.MAX_AMOUNT / (double) THOUSANDTHS);
+        double burst = l.number("burst", 1, 1, LimitSpec.MAX_AMOUNT / (double) THOUSANDTHS);
         if (given.size() != 1) {
             l.wrong(given.isEmpty() ? "running" : given.get(1), "one of 'running', 'connections' and 'per_s'");
             return null;
--- a/gateway/src/main/java/sandpaddle/config/FleetReader.java
+++ b/gateway/src/main/java/sandpaddle/config/FleetReader.java
@@ -90,8 +90,8 @@
 
     private static LinkSettings.Times links(Section s) {
         LinkSettings.Times t = LinkSettings.Times.USUAL;
-        long least = us(s, "back_off_least_ms", t.backOffLeastUs(), MS, MINUTE);
-        long most = us(s, "back_off_most_ms", t.backOffMostUs(), MS, MINUTE);
+        long least = us(s, "back_off_least_ms", t.minBackOffUs(), MS, MINUTE);
+        long most = us(s, "back_off_most_ms", t.maxBackOffUs(), MS, MINUTE);
         if (most < least) {
             s.wrong("back_off_most_ms", "at least 'back_off_least_ms'");
             most = least;
@@ -132,7 +132,7 @@
 
     private static StoreSettings store(Section s) {
         StoreSettings d = StoreSettings.USUAL;
-        long most = s.integer("most_bytes", d.mostBytes(), 1 << 20, 256L << 20);
+        long most = s.integer("most_bytes", d.maxBytes(), 1 << 20, 256L << 20);
         long room = s.integer("room_bytes", Math.max(d.roomBytes(), 2 * most), 0, 1L << 53);
         if (room < 2 * most) {
             s.wrong("room_bytes", "at least twice 'most_bytes', since an opening writes the content anew");
@@ -150,8 +150,8 @@
         VerdictSettings d = VerdictSettings.DEFAULT;
         return new VerdictSettings(us(s, "evidence_ms", d.evidenceUs(), Duration.ofMillis(10), Duration.ofSeconds(1)),
                 us(s, "lease_ms", d.leaseUs(), Duration.ofMillis(500), MINUTE),
-                s.number("condemned_most", d.condemnedMost(), 0, 0.9), d.strengthLeast(), d.holdUs(), d.flapUs(),
-                d.announceUs(), d.drainGraceUs(), (int) s.integer("testers", d.testers(), 1, 16), d.enginesMost(),
-                d.membersMost(), d.perTellerMost());
+                s.number("condemned_most", d.maxCondemned(), 0, 0.9), d.minStrength(), d.holdUs(), d.flapUs(),
+                d.announceUs(), d.drainGraceUs(), (int) s.integer("testers", d.testers(), 1, 16), d.maxEngines(),
+                d.maxMembers(), d.maxPerTeller());
     }
 }
--- a/gateway/src/main/java/sandpaddle/config/OutageReader.java
+++ b/gateway/src/main/java/sandpaddle/config/OutageReader.java
@@ -30,8 +30,8 @@
         Schedule schedule = schedule(fleet);
         Section s = fleet.section("outage");
         Section c = fleet.section("content");
-        long least = s.integer("margin_least_ms", OFF.margins().leastMs(), 0, DAY.toMillis());
-        long most = s.integer("margin_most_ms", OFF.margins().mostMs(), 0, DAY.toMillis());
+        long least = s.integer("margin_least_ms", OFF.margins().minMs(), 0, DAY.toMillis());
+        long most = s.integer("margin_most_ms", OFF.margins().maxMs(), 0, DAY.toMillis());
         if (most < least) {
             s.wrong("margin_most_ms", "at least 'margin_least_ms'");
             most = least;
@@ -43,7 +43,7 @@
                         c.integer("disk_bytes", d.diskBytes(), 0, 1L << 42),
                         (int) c.integer("segment_bytes", d.segmentBytes(), 1 << 12, 1 << 28),
                         (int) c.integer("entries", d.entries(), 1, 10_000_000), us(c, "flush_ms", d.flushUs()),
-                        c.integer("unheard_most_ms", d.unheardMostMs(), 0, 30 * DAY.toMillis()),
+                        c.integer("unheard_most_ms", d.maxUnheardMs(), 0, 30 * DAY.toMillis()),
                         c.integer("wall_slack_ms", d.wallSlackMs(), 0, DAY.toMillis())),
                 s.integer("fill_work_ms_per_s", OFF.fillWorkUs() / MS, 0, 1_000_000) * MS, ages(c));
     }
@@ -84,7 +84,7 @@
 
     private static Schedule schedule(Section fleet) {
         List<RawRule> rules = new ArrayList<>();
-        List<Section> written = fleet.sections("outages", Schedule.RULES_MOST);
+        List<Section> written = fleet.sections("outages", Schedule.MAX_RULES);
         if (written.isEmpty()) {
             return Schedule.NONE; // without rules the library of recurrences is not loaded
         }
--- a/gateway/src/main/java/sandpaddle/config/PoolReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PoolReader.java
@@ -33,14 +33,14 @@
         }
         byte[] text;
         try (InputStream in = Files.newInputStream(file.get())) {
-            text = in.readNBytes(FleetConfig.MOST_TEXT + 1);
+            text = in.readNBytes(FleetConfig.MAX_TEXT + 1);
         } catch (IOException e) {
             s.wrongIn(KEY, file.get(), 1, 1, e.toString(), "a file that can be read where '" + KEY + "' says");
             return "";
         }
-        if (text.length > FleetConfig.MOST_TEXT) {
-            s.wrongIn(KEY, file.get(), 1, 1, "more than " + FleetConfig.MOST_TEXT + " bytes",
-                    "a policy of " + FleetConfig.MOST_TEXT + " bytes at most, which gateways send to each other");
+        if (text.length > FleetConfig.MAX_TEXT) {
+            s.wrongIn(KEY, file.get(), 1, 1, "more than " + FleetConfig.MAX_TEXT + " bytes",
+                    "a policy of " + FleetConfig.MAX_TEXT + " bytes at most, which gateways send to each other");
             return "";
         }
         List<PolicyFault> errors = PoolPolicyCheck.check(text, known(members)).errors();
--- a/gateway/src/main/java/sandpaddle/config/StormReader.java
+++ b/gateway/src/main/java/sandpaddle/config/StormReader.java
@@ -43,10 +43,10 @@
         StormSettings.Calendar c = OFF.calendar();
         StormSettings.Calendar read = new StormSettings.Calendar(
                 millis(s, "slot_ms", c.slotUs(), Duration.ofMillis(10), Duration.ofSeconds(1)),
-                millis(s, "least_ms", c.leastUs(), Duration.ZERO, MINUTE),
-                millis(s, "most_ms", c.mostUs(), Duration.ZERO, MINUTE.multipliedBy(5)),
+                millis(s, "least_ms", c.minUs(), Duration.ZERO, MINUTE),
+                millis(s, "most_ms", c.maxUs(), Duration.ZERO, MINUTE.multipliedBy(5)),
                 s.number("newcomers_share", c.newcomersShare(), 0, 0.9));
-        if (read.mostUs() > 0 && read.mostUs() < read.leastUs() + read.slotUs()) {
+        if (read.maxUs() > 0 && read.maxUs() < read.minUs() + read.slotUs()) {
             s.wrong("most_ms", "0 for the platform's most, or at least 'least_ms' and 'slot_ms' together");
         }
         return read;
@@ -60,7 +60,7 @@
 
     private static StormSettings.Connections connections(Section s) {
         StormSettings.Connections c = OFF.connections();
-        return new StormSettings.Connections(s.number("least_per_s", c.leastPerS(), 1, MOST_RATE),
+        return new StormSettings.Connections(s.number("least_per_s", c.minPerS(), 1, MOST_RATE),
                 s.number("over_usual", c.overUsual(), 1, 1000));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
@@ -14,7 +14,7 @@
         long fillWorkUs, Map<String, Long> maxAgeMs) {
     /** Bounds of the store; {@code diskBytes} 0: memory only. */
     public record Content(long memoryBytes, long diskBytes, int segmentBytes, int entries, long flushUs,
-            long unheardMostMs, long wallSlackMs) { }
+            long maxUnheardMs, long wallSlackMs) { }
 
     /** Nothing is foreseen and nothing stored. */
     public static final OutageSettings OFF = new OutageSettings(Schedule.NONE, PhaseSettings.DEFAULT,
--- a/gateway/src/main/java/sandpaddle/fleet/content/AnswerMetadata.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/AnswerMetadata.java
@@ -18,8 +18,8 @@
 public record AnswerMetadata(ContentKey key, Set<Long> groups, long askedWall, long askedMono, long incarnation,
         long maxAgeMs,
         double worth) {
-    public static final int GROUPS_MOST = 64;
-    private static final long AGE_MOST_MS = 366L * 24 * 3_600_000;
+    public static final int MAX_GROUPS = 64;
+    private static final long MAX_AGE_MS = 366L * 24 * 3_600_000;
 
     public AnswerMetadata {
         groups = Set.copyOf(groups);
@@ -51,11 +51,11 @@
 
     public static AnswerMetadata read(CborIn in) throws CborIn.FaultyMessageException {
         ContentKey key = ContentKey.read(in);
-        List<Long> groups = in.list(GROUPS_MOST, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
+        List<Long> groups = in.list(MAX_GROUPS, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         long wall = in.number(0, Long.MAX_VALUE / 4);
         long mono = in.number(Long.MIN_VALUE / 4, Long.MAX_VALUE / 4);
         long incarnation = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        long maxAge = in.number(0, AGE_MOST_MS);
+        long maxAge = in.number(0, MAX_AGE_MS);
         double worth = in.real();
         if (worth < 0) {
             throw in.wrong("is a worth below zero");
--- a/gateway/src/main/java/sandpaddle/fleet/content/ContentKey.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/ContentKey.java
@@ -13,8 +13,8 @@
  * all four are; the hash alone is never enough to hand out an answer.
  */
 public final class ContentKey {
-    public static final int NAME_MOST = 256;
-    public static final int STATEMENT_MOST = 256 * 1024;
+    public static final int MAX_NAME = 256;
+    public static final int MAX_STATEMENT = 256 * 1024;
 
     private final String tenant;
     private final String user;
@@ -50,12 +50,12 @@
 
     /** Whether it fits the bounds of {@link #read}; one that does not is never stored. */
     public boolean isStorable() {
-        return isName(tenant) && isName(user) && isName(cls) && statement.length <= STATEMENT_MOST;
+        return isName(tenant) && isName(user) && isName(cls) && statement.length <= MAX_STATEMENT;
     }
 
     /** Half a surrogate pair is no text: two that differ in one would be the same bytes, and none can be written. */
     private static boolean isName(String s) {
-        return utf8(s).length <= NAME_MOST && StandardCharsets.UTF_8.newEncoder().canEncode(s);
+        return utf8(s).length <= MAX_NAME && StandardCharsets.UTF_8.newEncoder().canEncode(s);
     }
 
     public String tenant() {
@@ -88,11 +88,11 @@
     }
 
     public static ContentKey read(CborIn in) throws CborIn.FaultyMessageException {
-        return new ContentKey(name(in), name(in), name(in), in.bytes(STATEMENT_MOST));
+        return new ContentKey(name(in), name(in), name(in), in.bytes(MAX_STATEMENT));
     }
 
     private static String name(CborIn in) throws CborIn.FaultyMessageException {
-        String s = in.text(NAME_MOST);
+        String s = in.text(MAX_NAME);
         if (!isName(s)) {
             throw in.wrong("is no text of whole letters");
         }
--- a/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
@@ -13,16 +13,16 @@
  */
 public record StoredAnswer(AnswerMetadata meta, ResultSet rows) {
     /** Bytes of the rows of one answer; a larger one is not stored. */
-    public static final int ROWS_MOST = 8 * 1024 * 1024;
+    public static final int MAX_ROWS = 8 * 1024 * 1024;
     /** Bytes of one answer in its form on disk. */
-    public static final int BODY_MOST = ROWS_MOST + ContentKey.STATEMENT_MOST + 64 * 1024;
-    private static final int PAGES_MOST = 4096;
+    public static final int MAX_BODY = MAX_ROWS + ContentKey.MAX_STATEMENT + 64 * 1024;
+    private static final int MAX_PAGES = 4096;
     private static final int VERSION = 1;
 
     /** Whether it fits the bounds of {@link #read}. */
     public boolean isStorable() {
-        return meta.key().isStorable() && meta.groups().size() <= AnswerMetadata.GROUPS_MOST && rowBytes() <= ROWS_MOST
-                && rows.pages().size() <= PAGES_MOST && rows.pages().stream().allMatch(ResultSet::isWhole);
+        return meta.key().isStorable() && meta.groups().size() <= AnswerMetadata.MAX_GROUPS && rowBytes() <= MAX_ROWS
+                && rows.pages().size() <= MAX_PAGES && rows.pages().stream().allMatch(ResultSet::isWhole);
     }
 
     public long rowBytes() {
@@ -44,8 +44,8 @@
         CborIn in = new CborIn(body);
         in.number(VERSION, VERSION);
         AnswerMetadata meta = AnswerMetadata.read(in);
-        List<byte[]> pages = new ArrayList<>(in.list(PAGES_MOST, i -> {
-            byte[] page = i.bytes(ROWS_MOST);
+        List<byte[]> pages = new ArrayList<>(in.list(MAX_PAGES, i -> {
+            byte[] page = i.bytes(MAX_ROWS);
             if (!ResultSet.isWhole(page)) {
                 throw i.wrong("is no page of whole rows");
             }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
@@ -38,7 +38,7 @@
     /** An offer that found no room; its copy is begun as others end. */
     private record Deferred(String from, ReplicationMessage.Offer offer, long at) { }
 
-    private static final int DEFERRED_MOST = 1024;
+    private static final int MAX_DEFERRED = 1024;
 
     private final ReplicationSettings settings;
     private final ReplicaStore shelf;
@@ -66,7 +66,7 @@
         }
         if (p == null) {
             if (!hasRoom(o)) {
-                if (o.length() <= settings.bytesMost() && deferred.size() < DEFERRED_MOST) {
+                if (o.length() <= settings.maxBytes() && deferred.size() < MAX_DEFERRED) {
                     deferred.put(o.id(), new Deferred(from, o, now));
                 }
                 return List.of(); // no room: it is begun later, or offered again
@@ -79,7 +79,7 @@
     }
 
     private boolean hasRoom(ReplicationMessage.Offer o) {
-        return partials.size() < settings.partsMost() && bytes + o.length() <= settings.bytesMost();
+        return partials.size() < settings.maxParts() && bytes + o.length() <= settings.maxBytes();
     }
 
     private Partial begin(String from, ReplicationMessage.Offer o, long offeredAt) {
@@ -111,7 +111,7 @@
         p.askedAt = now;
         p.tries++;
         return new OutgoingMessage(p.from, new ReplicationMessage.Need(id, p.crc, p.have,
-                Math.min(ReplicationMessageCodec.CHUNK_MOST, p.bytes.length - p.have)));
+                Math.min(ReplicationMessageCodec.MAX_CHUNK, p.bytes.length - p.have)));
     }
 
     List<OutgoingMessage> chunk(String from, ReplicationMessage.Chunk c, long now) {
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
@@ -18,7 +18,7 @@
  * Apart from names nothing is kept but the body last read, since its parts are asked for one after the other.
  */
 final class ReplicaSender {
-    private static final int NEIGHBOURS_MOST = 256;
+    private static final int MAX_NEIGHBOURS = 256;
 
     private static final class Offered {
         private long at;
@@ -48,7 +48,7 @@
     /** Puts a copy in line for a neighbour; false where its line is full. */
     boolean offer(String to, ContentId id) {
         Neighbour n = neighbour(to);
-        if (n == null || n.waiting.size() >= settings.queuedMost()) {
+        if (n == null || n.waiting.size() >= settings.maxQueued()) {
             return false;
         }
         if (!n.offered.containsKey(id)) {
@@ -58,7 +58,7 @@
     }
 
     private Neighbour neighbour(String name) {
-        return neighbours.size() < NEIGHBOURS_MOST ? neighbours.computeIfAbsent(name, p -> new Neighbour())
+        return neighbours.size() < MAX_NEIGHBOURS ? neighbours.computeIfAbsent(name, p -> new Neighbour())
                 : neighbours.get(name);
     }
 
@@ -112,7 +112,7 @@
         if (b == null || b.crc != n.crc() || n.from() >= b.bytes.length) {
             return new ReplicationMessage.Not(n.id());
         }
-        int length = Math.min(Math.min(n.most(), ReplicationMessageCodec.CHUNK_MOST), b.bytes.length - n.from());
+        int length = Math.min(Math.min(n.max(), ReplicationMessageCodec.MAX_CHUNK), b.bytes.length - n.from());
         byte[] part = new byte[length];
         System.arraycopy(b.bytes, n.from(), part, 0, length);
         return new ReplicationMessage.Chunk(n.id(), b.crc, n.from(), part);
@@ -154,7 +154,7 @@
     }
 
     private void first(String name, Neighbour n, long now, List<OutgoingMessage> out) {
-        for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.offersMost();) {
+        for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.maxOffers();) {
             ContentId id = i.next();
             i.remove();
             Offered o = new Offered();
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessage.java
@@ -12,7 +12,7 @@
     record Offer(ContentId id, long askedWall, long ageMs, int length, int crc) implements ReplicationMessage { }
 
     /** The receiver of an offer wants the copy with that checksum from a place on, so many bytes at most. */
-    record Need(ContentId id, int crc, int from, int most) implements ReplicationMessage { }
+    record Need(ContentId id, int crc, int from, int max) implements ReplicationMessage { }
 
     /** The receiver of an offer has it, or has one as young, or does not want it. */
     record Have(ContentId id) implements ReplicationMessage { }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessageCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessageCodec.java
@@ -14,7 +14,7 @@
 /** The messages' form on the wire: version, number of the message, its values. */
 public final class ReplicationMessageCodec {
     /** Bytes of a part: four of them and their heads stay under a frame's 1 MiB. */
-    public static final int CHUNK_MOST = 256 * 1024;
+    public static final int MAX_CHUNK = 256 * 1024;
     private static final int VERSION = 1;
     private static final int WANT = 1;
     private static final int OFFER = 2;
@@ -24,7 +24,7 @@
     private static final int ASK = 6;
     private static final int NOT = 7;
     private static final long LARGE = Long.MAX_VALUE / 4;
-    private static final long AGE_MOST_MS = 366L * 24 * 3_600_000;
+    private static final long MAX_AGE_MS = 366L * 24 * 3_600_000;
 
     private ReplicationMessageCodec() {
     }
@@ -36,7 +36,7 @@
         } else if (message instanceof ReplicationMessage.Offer o) {
             id(out, OFFER, o.id()).number(o.askedWall()).number(o.ageMs()).number(o.length()).number(o.crc());
         } else if (message instanceof ReplicationMessage.Need n) {
-            id(out, NEED, n.id()).number(n.crc()).number(n.from()).number(n.most());
+            id(out, NEED, n.id()).number(n.crc()).number(n.from()).number(n.max());
         } else if (message instanceof ReplicationMessage.Have h) {
             id(out, HAVE, h.id());
         } else if (message instanceof ReplicationMessage.Chunk c) {
@@ -73,13 +73,13 @@
 
     private static ReplicationMessage named(CborIn in, int number, ContentId id) throws CborIn.FaultyMessageException {
         return switch (number) {
-            case OFFER -> new ReplicationMessage.Offer(id, in.number(0, LARGE), in.number(0, AGE_MOST_MS),
-                    (int) in.number(1, StoredAnswer.BODY_MOST), crc(in));
-            case NEED -> new ReplicationMessage.Need(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
-                    (int) in.number(1, CHUNK_MOST));
+            case OFFER -> new ReplicationMessage.Offer(id, in.number(0, LARGE), in.number(0, MAX_AGE_MS),
+                    (int) in.number(1, StoredAnswer.MAX_BODY), crc(in));
+            case NEED -> new ReplicationMessage.Need(id, crc(in), (int) in.number(0, StoredAnswer.MAX_BODY),
+                    (int) in.number(1, MAX_CHUNK));
             case HAVE -> new ReplicationMessage.Have(id);
-            case CHUNK -> new ReplicationMessage.Chunk(id, crc(in), (int) in.number(0, StoredAnswer.BODY_MOST),
-                    in.bytes(CHUNK_MOST));
+            case CHUNK -> new ReplicationMessage.Chunk(id, crc(in), (int) in.number(0, StoredAnswer.MAX_BODY),
+                    in.bytes(MAX_CHUNK));
             case ASK -> new ReplicationMessage.Ask(id);
             default -> new ReplicationMessage.Not(id);
         };
@@ -92,11 +92,11 @@
     private static ReplicationMessage want(CborIn in) throws CborIn.FaultyMessageException {
         ContentKey key = ContentKey.read(in);
         long fingerprint = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        Set<Long> groups = new HashSet<>(in.list(AnswerMetadata.GROUPS_MOST, i ->
+        Set<Long> groups = new HashSet<>(in.list(AnswerMetadata.MAX_GROUPS, i ->
                 i.number(Long.MIN_VALUE, Long.MAX_VALUE)));
-        long size = in.number(0, StoredAnswer.BODY_MOST);
+        long size = in.number(0, StoredAnswer.MAX_BODY);
         long work = in.number(0, LARGE);
-        long maxAge = in.number(0, AGE_MOST_MS);
+        long maxAge = in.number(0, MAX_AGE_MS);
         double worth = notNegative(in);
         double asks = notNegative(in);
         return new ReplicationMessage.Want(new Candidate(key, fingerprint, groups, size, work, maxAge, worth, -1),
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DirectoryFiles.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DirectoryFiles.java
@@ -20,12 +20,12 @@
     }
 
     @Override
-    public List<String> list(int most) throws IOException {
+    public List<String> list(int max) throws IOException {
         java.nio.file.Files.createDirectories(directory);
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> all = java.nio.file.Files.newDirectoryStream(directory)) {
             for (Path p : all) {
-                if (names.size() == most) {
+                if (names.size() == max) {
                     break;
                 }
                 names.add(p.getFileName().toString());
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
@@ -51,7 +51,7 @@
     /** Takes an answer, which is on disk after the next {@link #flush}; writes where enough has gathered. */
     public void put(StoredAnswer answer, long now, long wall) {
         gathering.put(EncodedAnswer.of(answer));
-        if (gathering.diskBytes() >= settings.segmentBytes() || gathering.size() >= SegmentCodec.ENTRIES_MOST / 4) {
+        if (gathering.diskBytes() >= settings.segmentBytes() || gathering.size() >= SegmentCodec.MAX_ANSWERS / 4) {
             flush(now, wall);
         }
     }
@@ -94,7 +94,7 @@
                 restsUntil = now + settings.retryUs();
             }
         }
-        gathering.trim(settings.segmentBytes(), SegmentCodec.ENTRIES_MOST / 4, wall);
+        gathering.trim(settings.segmentBytes(), SegmentCodec.MAX_ANSWERS / 4, wall);
         return gathering.size() == 0;
     }
 
@@ -112,11 +112,11 @@
             } catch (Files.NoRoomException e) {
                 faults.add(DiskFault.Kind.FULL, name, e);
                 segments.clean(name, batch.diskBytes());
-                long left = tried == FULL_TRIES ? 0 : segments.giveUpLeast(wall, batch);
+                long left = tried == FULL_TRIES ? 0 : segments.minGiveUp(wall, batch);
                 if (left == 0) {
                     return false;
                 }
-                batch.trim(left, SegmentCodec.ENTRIES_MOST, wall); // no more than what was just removed took
+                batch.trim(left, SegmentCodec.MAX_ANSWERS, wall); // no more than what was just removed took
             } catch (IOException | SegmentCodec.BrokenException e) {
                 faults.add(DiskFault.Kind.WRITE, name, e.toString());
                 segments.clean(name, batch.diskBytes());
@@ -131,7 +131,7 @@
                 .or(() -> index.find(id).map(s -> s.live().get(id).askedWall())).orElse(-1L);
     }
 
-    /** All answers on disk or about to be, at most {@code entriesMost} and what gathers. */
+    /** All answers on disk or about to be, at most {@code maxEntries} and what gathers. */
     public Set<ContentId> ids() {
         Set<ContentId> all = new TreeSet<>(index.ids());
         all.addAll(gathering.ids());
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/FaultLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/FaultLog.java
@@ -5,14 +5,14 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Faults not yet logged, the first {@value #MOST} since they were last taken. */
+/** Faults not yet logged, the first {@value #MAX_FAULTS} since they were last taken. */
 final class FaultLog {
-    static final int MOST = 100;
+    static final int MAX_FAULTS = 100;
 
     private final Deque<DiskFault> waiting = new ArrayDeque<>();
 
     void add(DiskFault.Kind kind, String file, String what) {
-        if (waiting.size() < MOST) {
+        if (waiting.size() < MAX_FAULTS) {
             waiting.add(new DiskFault(kind, file, what));
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Files.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Files.java
@@ -15,7 +15,7 @@
     }
 
     /** The names there, at most so many. */
-    List<String> list(int most) throws IOException;
+    List<String> list(int max) throws IOException;
 
     long size(String name) throws IOException;
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
@@ -8,13 +8,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Builds the index when a gateway starts: at most {@code filesMost} names are looked at, and of each segment the head
- * is read alone, so at most {@code entriesMost * 128} bytes and two reads a segment. Files half written are removed; a
- * segment whose head is wrong is set aside under another name, the last {@value #ASIDE_MOST} of them; other files are
+ * Builds the index when a gateway starts: at most {@code maxFiles} names are looked at, and of each segment the head
+ * is read alone, so at most {@code maxEntries * 128} bytes and two reads a segment. Files half written are removed; a
+ * segment whose head is wrong is set aside under another name, the last {@value #MAX_ASIDE} of them; other files are
  * left alone. Each is told as a fault, none stops the start.
  */
 final class Recovery {
-    static final int ASIDE_MOST = 4;
+    static final int MAX_ASIDE = 4;
     static final String PART = ".part";
     static final String ASIDE = ".aside";
     private static final Pattern SEGMENT = Pattern.compile("content-([0-9a-f]{16})\\.seg(" + Pattern.quote(PART) + "|"
@@ -41,16 +41,16 @@
     long run() {
         List<String> names;
         try {
-            names = files.list(settings.filesMost() + 1);
+            names = files.list(settings.maxFiles() + 1);
         } catch (IOException e) {
             faults.add(DiskFault.Kind.READ, "", e);
             return 0;
         }
-        if (names.size() > settings.filesMost()) {
-            faults.add(DiskFault.Kind.MANY, "", "more than " + settings.filesMost() + " files; the rest is not read");
+        if (names.size() > settings.maxFiles()) {
+            faults.add(DiskFault.Kind.MANY, "", "more than " + settings.maxFiles() + " files; the rest is not read");
         }
         Deque<String> aside = new ArrayDeque<>();
-        names.stream().sorted().limit(settings.filesMost()).forEach(n -> one(n, aside));
+        names.stream().sorted().limit(settings.maxFiles()).forEach(n -> one(n, aside));
         return last;
     }
 
@@ -82,8 +82,8 @@
                 faults.add(DiskFault.Kind.TORN, name, "shorter than it says; " + read.slots().size()
                         + " answers in it are whole");
             }
-            if (index.entries() + read.slots().size() > settings.entriesMost()) {
-                faults.add(DiskFault.Kind.MANY, name, "more than " + settings.entriesMost() + " answers; removed");
+            if (index.entries() + read.slots().size() > settings.maxEntries()) {
+                faults.add(DiskFault.Kind.MANY, name, "more than " + settings.maxEntries() + " answers; removed");
                 files.delete(name);
             } else {
                 index.add(new Segment(name, size, read.slots()));
@@ -97,7 +97,7 @@
 
     private void keepLast(String name, Deque<String> aside) throws IOException {
         aside.add(name);
-        if (aside.size() > ASIDE_MOST) {
+        if (aside.size() > MAX_ASIDE) {
             files.delete(aside.remove());
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/SavedState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/SavedState.java
@@ -13,7 +13,7 @@
  */
 public final class SavedState {
     /** Bytes of one state. */
-    public static final int MOST = 4 << 20;
+    public static final int MAX_BYTES = 4 << 20;
     private static final int HEAD = 8;
     private static final int MAGIC = 0x5350_5331; // "SPS1"
 
@@ -27,8 +27,9 @@
 
     /** Saves; empty where it is durable now. */
     public Optional<DiskFault> save(byte[] state) {
-        if (state.length > MOST) {
-            return Optional.of(new DiskFault(DiskFault.Kind.WRITE, name, state.length + " bytes; allowed: " + MOST));
+        if (state.length > MAX_BYTES) {
+            return Optional.of(new DiskFault(DiskFault.Kind.WRITE, name, state.length + " bytes; allowed: "
+                    + MAX_BYTES));
         }
         String part = name + Recovery.PART;
         try {
@@ -52,8 +53,8 @@
             if (!files.list(Integer.MAX_VALUE).contains(name)) {
                 return new Loaded(Optional.empty(), Optional.empty());
             }
-            byte[] all = files.read(name, 0, HEAD + MOST + 1);
-            if (all.length < HEAD || all.length > HEAD + MOST || ByteBuffer.wrap(all).getInt() != MAGIC) {
+            byte[] all = files.read(name, 0, HEAD + MAX_BYTES + 1);
+            if (all.length < HEAD || all.length > HEAD + MAX_BYTES || ByteBuffer.wrap(all).getInt() != MAGIC) {
                 return faulty(DiskFault.Kind.CORRUPT, "is no saved state");
             }
             byte[] state = Arrays.copyOfRange(all, HEAD, all.length);
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
@@ -17,9 +17,9 @@
  */
 final class SegmentCodec {
     static final int PRELUDE = 16;
-    static final int ENTRIES_MOST = 65_536;
+    static final int MAX_ANSWERS = 65_536;
     private static final long MAGIC = 0x5350_434F_4E54_3031L; // "SPCONT01"
-    private static final int ENTRY_MOST = 128; // bytes of one answer in the head
+    private static final int MAX_ENTRY = 128; // bytes of one answer in the head
     private static final int VERSION = 1;
 
     /** Something that is no segment, or a broken one. */
@@ -59,7 +59,7 @@
             throw new BrokenException("does not begin as a segment does");
         }
         int length = ByteBuffer.wrap(prelude).getInt(8);
-        if (length < 0 || length > size - PRELUDE || length > ENTRIES_MOST * ENTRY_MOST) {
+        if (length < 0 || length > size - PRELUDE || length > MAX_ANSWERS * MAX_ENTRY) {
             throw new BrokenException("says that its head has " + length + " bytes, of " + size);
         }
         byte[] head = files.read(name, PRELUDE, length);
@@ -77,9 +77,9 @@
         in.number(VERSION, VERSION);
         long[] at = {from};
         List<AnswerLocation> whole = new ArrayList<>();
-        in.list(ENTRIES_MOST, i -> {
+        in.list(MAX_ANSWERS, i -> {
             ContentId id = ContentId.read(i);
-            int length = (int) i.number(0, StoredAnswer.BODY_MOST);
+            int length = (int) i.number(0, StoredAnswer.MAX_BODY);
             int crc = (int) i.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
             AnswerLocation slot = new AnswerLocation(id, at[0], length, crc, i.number(0, Long.MAX_VALUE / 4),
                     i.number(0, Long.MAX_VALUE / 4), i.real());
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Segments.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Segments.java
@@ -46,7 +46,7 @@
             files.delete(file);
             unremoved.remove(file);
         } catch (IOException e) {
-            if (unremoved.size() < settings.filesMost()) {
+            if (unremoved.size() < settings.maxFiles()) {
                 unremoved.put(file, bytes);
             }
             faults.add(DiskFault.Kind.WRITE, file, "cannot be removed: " + e.getMessage());
@@ -92,7 +92,7 @@
 
     /** Many small segments become one: the smallest that fit go into {@code batch}; remove them once it is written. */
     List<Segment> join(WriteBuffer batch) {
-        if (index.segments().size() < settings.filesMost() / 2) {
+        if (index.segments().size() < settings.maxFiles() / 2) {
             return List.of();
         }
         List<Segment> smallest = new ArrayList<>(index.segments());
@@ -100,7 +100,7 @@
         List<Segment> joined = new ArrayList<>();
         for (Segment s : smallest) {
             if (batch.diskBytes() + s.size() > settings.segmentBytes()
-                    || batch.size() + s.live().size() > SegmentCodec.ENTRIES_MOST) {
+                    || batch.size() + s.live().size() > SegmentCodec.MAX_ANSWERS) {
                 break;
             }
             List.copyOf(s.live().values()).forEach(slot -> move(slot, batch));
@@ -114,18 +114,18 @@
      * batch for the room that they leave, so that a segment's good answers do not go with its others.
      */
     void makeRoom(WriteBuffer batch, long wall) {
-        long most = Math.max(2L * settings.segmentBytes(), batch.diskBytes());
+        long max = Math.max(2L * settings.segmentBytes(), batch.diskBytes());
         long over = used() + batch.diskBytes() - settings.quotaBytes();
-        long tooMany = index.entries() + batch.size() - settings.entriesMost();
-        boolean noName = index.segments().size() >= settings.filesMost();
+        long tooMany = index.entries() + batch.size() - settings.maxEntries();
+        boolean noName = index.segments().size() >= settings.maxFiles();
         while ((over > 0 || tooMany > 0 || noName) && !index.segments().isEmpty()) {
             long entries = index.entries();
-            over -= giveUpLeast(wall, batch);
+            over -= minGiveUp(wall, batch);
             tooMany -= entries - index.entries();
             noName = false;
         }
-        batch.trim(Math.min(most, Math.max(0, settings.quotaBytes() - used())),
-                settings.entriesMost() - index.entries(), wall);
+        batch.trim(Math.min(max, Math.max(0, settings.quotaBytes() - used())),
+                settings.maxEntries() - index.entries(), wall);
     }
 
     private long used() {
@@ -133,13 +133,13 @@
     }
 
     /** Removes the segment worth least, and adds its answers to {@code batch}; returns the bytes that it leaves. */
-    long giveUpLeast(long wall, WriteBuffer batch) {
-        Segment least = index.leastValuable(wall).orElse(null);
-        if (least == null) {
+    long minGiveUp(long wall, WriteBuffer batch) {
+        Segment min = index.leastValuable(wall).orElse(null);
+        if (min == null) {
             return 0;
         }
-        List.copyOf(least.live().values()).forEach(slot -> move(slot, batch));
-        remove(least);
-        return least.size();
+        List.copyOf(min.live().values()).forEach(slot -> move(slot, batch));
+        remove(min);
+        return min.size();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
@@ -70,14 +70,14 @@
     }
 
     /** Drops the least valuable until no more than so many bytes and answers are left. */
-    void trim(long bytesMost, int answersMost, long wall) {
-        if (diskBytes() <= bytesMost && size() <= answersMost) {
+    void trim(long maxBytes, int maxAnswers, long wall) {
+        if (diskBytes() <= maxBytes && size() <= maxAnswers) {
             return;
         }
         List<EncodedAnswer> byDensity = new ArrayList<>(byId.values());
         byDensity.sort(Comparator.comparingDouble(b -> b.density(wall)));
         for (EncodedAnswer b : byDensity) {
-            if (diskBytes() <= bytesMost && size() <= answersMost) {
+            if (diskBytes() <= maxBytes && size() <= maxAnswers) {
                 return;
             }
             remove(b.id());
--- a/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
@@ -30,16 +30,16 @@
         }
     }
 
-    private static final Comparator<Entry> LEAST_FIRST =
+    private static final Comparator<Entry> MIN_FIRST =
             Comparator.comparingDouble(Entry::density).thenComparing(Entry::id);
 
-    private final long bytesMost;
+    private final long maxBytes;
     private final Map<ContentId, Entry> byId = new HashMap<>();
-    private final TreeSet<Entry> byDensity = new TreeSet<>(LEAST_FIRST);
+    private final TreeSet<Entry> byDensity = new TreeSet<>(MIN_FIRST);
     private long bytes;
 
-    public MemoryTier(long bytesMost) {
-        this.bytesMost = bytesMost;
+    public MemoryTier(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Takes an answer in place of an older one; returns what had to go for it, itself where it is worth least. */
@@ -50,10 +50,10 @@
         byDensity.add(held);
         bytes += held.size();
         List<StoredAnswer> gone = new ArrayList<>();
-        while (bytes > bytesMost) {
-            Entry least = byDensity.first();
-            remove(least.id());
-            gone.add(least.answer);
+        while (bytes > maxBytes) {
+            Entry min = byDensity.first();
+            remove(min.id());
+            gone.add(min.answer);
         }
         return gone;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
@@ -11,11 +11,11 @@
 /**
  * When data groups were last changed by a load, as far as this gateway heard. Where one process saw both, monotonic
  * time compares a change with an answer; else the wall clock does. An answer of which no group is known counts as
- * changed by any load. At most {@value #MOST} groups of about 100 bytes: the change heard longest ago is forgotten
- * first, and whatever was asked for before it then counts as changed, whatever its group.
+ * changed by any load. At most {@value #MAX_GROUPS} groups of about 100 bytes: the change heard longest ago is
+ * forgotten first, and whatever was asked for before it then counts as changed, whatever its group.
  */
 public final class DataChanges {
-    static final int MOST = 16_384;
+    static final int MAX_GROUPS = 16_384;
     private static final int VERSION = 1;
 
     private record Change(long mono, long wall, long process) {
@@ -54,7 +54,7 @@
         }
         byGroup.remove(group);
         byGroup.put(group, change);
-        if (byGroup.size() > MOST) {
+        if (byGroup.size() > MAX_GROUPS) {
             var eldest = byGroup.entrySet().iterator();
             Change gone = eldest.next().getValue();
             eldest.remove();
@@ -96,7 +96,8 @@
     public void take(byte[] exported) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(exported);
         in.number(VERSION, VERSION);
-        List<Map.Entry<Long, Change>> all = in.list(MOST, i -> Map.entry(i.number(Long.MIN_VALUE, Long.MAX_VALUE),
+        List<Map.Entry<Long, Change>> all =
+                in.list(MAX_GROUPS, i -> Map.entry(i.number(Long.MIN_VALUE, Long.MAX_VALUE),
                 earlier(i.number(0, Long.MAX_VALUE / 4))));
         long floor = in.number(-1, Long.MAX_VALUE / 4);
         in.end();
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
@@ -43,7 +43,7 @@
         if (age > Math.min(m.maxAgeMs(), maxAgeMs)) {
             return not(Decision.Reason.STALE);
         }
-        if (s.unheardMs() > s.unheardMostMs()) {
+        if (s.unheardMs() > s.maxUnheardMs()) {
             return not(Decision.Reason.UNHEARD);
         }
         if (changes.outdates(m)) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
@@ -10,28 +10,28 @@
  */
 public record LimitSpec(String id, Scope scope, Unit unit, long amount, long burst) {
     /** The longest id, of an instance too, in bytes of UTF-8. */
-    public static final int MOST_ID = 512;
+    public static final int MAX_ID = 512;
     /** The longest name of a hall, class, tenant, engine or member. */
-    public static final int MOST_NAME = 128;
+    public static final int MAX_NAME = 128;
     /** The largest amount or burst. */
-    public static final long MOST_AMOUNT = 1_000_000_000L;
+    public static final long MAX_AMOUNT = 1_000_000_000L;
 
     /** The fault of this limit, if it has one: what and where. */
     public Optional<String> fault() {
-        if (id == null || id.isEmpty() || id.length() > MOST_NAME || id.indexOf('|') >= 0) {
-            return Optional.of("limit id \"" + id + "\" is not 1 to " + MOST_NAME + " characters without '|'");
+        if (id == null || id.isEmpty() || id.length() > MAX_NAME || id.indexOf('|') >= 0) {
+            return Optional.of("limit id \"" + id + "\" is not 1 to " + MAX_NAME + " characters without '|'");
         }
-        if (amount < 0 || amount > MOST_AMOUNT) {
-            return Optional.of("limit " + id + ": amount " + amount + " is not from 0 to " + MOST_AMOUNT);
+        if (amount < 0 || amount > MAX_AMOUNT) {
+            return Optional.of("limit " + id + ": amount " + amount + " is not from 0 to " + MAX_AMOUNT);
         }
-        if (burst < 0 || burst > MOST_AMOUNT || unit != Unit.RATE && burst != 0) {
+        if (burst < 0 || burst > MAX_AMOUNT || unit != Unit.RATE && burst != 0) {
             return Optional.of("limit " + id + ": burst " + burst + " is not from 0 to "
-                + (unit == Unit.RATE ? MOST_AMOUNT : 0));
+                + (unit == Unit.RATE ? MAX_AMOUNT : 0));
         }
         for (String name : scope.dimensions()) {
-            if (name != null && (name.length() > MOST_NAME || name.indexOf('|') >= 0)) {
+            if (name != null && (name.length() > MAX_NAME || name.indexOf('|') >= 0)) {
                 return Optional.of("limit " + id + ": scope name of " + name.length()
-                    + " characters, or with '|'; at most " + MOST_NAME);
+                    + " characters, or with '|'; at most " + MAX_NAME);
             }
         }
         return Optional.empty();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/Scope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/Scope.java
@@ -22,8 +22,8 @@
     /** Whether a name can stand in a scope and be told: what clients and engines are called may be anything. */
     public static boolean isName(String name) {
         return !name.isBlank() && !name.equals(EACH) && name.indexOf('|') < 0 && name.indexOf('\0') < 0
-            && name.length() <= LimitSpec.MOST_NAME
-            && name.getBytes(StandardCharsets.UTF_8).length <= LimitSpec.MOST_NAME;
+            && name.length() <= LimitSpec.MAX_NAME
+            && name.getBytes(StandardCharsets.UTF_8).length <= LimitSpec.MAX_NAME;
     }
 
     /** Whether it has to be made one limit for each name seen. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/FairShares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/FairShares.java
@@ -22,14 +22,14 @@
     /** The shares, not yet whole; the floors sum to the amount at most. */
     public static double[] of(long now, long amount, long[] floors, List<SlotDemand> claims) {
         int n = floors.length;
-        double[] least = leasts(now, amount, floors, claims);
+        double[] min = leasts(now, amount, floors, claims);
         double[] wish = new double[n];
         double wishes = 0;
         double leasts = 0;
         for (int i = 0; i < n; i++) {
-            wish[i] = Math.max(least[i], claims.get(i).demand());
+            wish[i] = Math.max(min[i], claims.get(i).demand());
             wishes += wish[i];
-            leasts += least[i];
+            leasts += min[i];
         }
         if (wishes <= amount) {
             for (int i = 0; i < n; i++) {
@@ -38,7 +38,7 @@
             return wish;
         }
         if (leasts >= amount) {
-            return least;
+            return min;
         }
         double low = 0;
         double high = 1;
@@ -46,7 +46,7 @@
             double level = (low + high) / 2;
             double sum = 0;
             for (int i = 0; i < n; i++) {
-                sum += Math.max(least[i], level * wish[i]);
+                sum += Math.max(min[i], level * wish[i]);
             }
             if (sum > amount) {
                 high = level;
@@ -55,17 +55,17 @@
             }
         }
         for (int i = 0; i < n; i++) {
-            wish[i] = Math.max(least[i], low * wish[i]);
+            wish[i] = Math.max(min[i], low * wish[i]);
         }
         return wish;
     }
 
     private static double[] leasts(long now, long amount, long[] floors, List<SlotDemand> claims) {
-        double[] least = new double[floors.length];
+        double[] min = new double[floors.length];
         long left = amount;
         List<Integer> without = new ArrayList<>();
         for (int i = 0; i < floors.length; i++) {
-            least[i] = floors[i];
+            min[i] = floors[i];
             left -= floors[i];
             if (floors[i] == 0 && claims.get(i).demand() > 0) {
                 without.add(i);
@@ -80,8 +80,8 @@
                 break;
             }
             left--;
-            least[i] = 1;
+            min[i] = 1;
         }
-        return least;
+        return min;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/GatewayState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GatewayState.java
@@ -8,7 +8,7 @@
 
 /** What the leader knows of one gateway: when it was heard, and which of its beats it may vouch for. */
 final class GatewayState {
-    private static final int MOST_PENDING = 64;
+    private static final int MAX_PENDING = 64;
 
     private record Pending(long sequence, long session, long at) { }
 
@@ -68,7 +68,7 @@
                 leasedSession = row.session();
             }
             // one that is heard and cannot hear must come to be taken for lost: nothing more is vouched for
-            if (now - leasedAt <= 2 * settings.lease() && pending.size() < MOST_PENDING) {
+            if (now - leasedAt <= 2 * settings.lease() && pending.size() < MAX_PENDING) {
                 heard = now;
                 pending.add(new Pending(sequence, row.session(), now));
                 if (!settings.has(Guard.MAJORITY)) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
@@ -67,7 +67,7 @@
         }
         SlotGrant given = ask.toSend(now, limit, name.sub(), slot, settings);
         List<SlotGrant> all = news.computeIfAbsent(name.member(), m -> new ArrayList<>());
-        if (given != null && all.size() < Grant.MOST_GIVEN) {
+        if (given != null && all.size() < Grant.MAX_GIVEN) {
             all.add(given);
             ask.sent(now, given);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
@@ -18,7 +18,7 @@
  */
 final class LimitAllocator {
     /** The most slots of one limit that a leader looks at. */
-    static final int MOST_ASKS = 65_536;
+    static final int MAX_ASKS = 65_536;
     private static final long IDLE_US = 2_000_000; // a quiet limit is looked at this often, for turns and the lost
     private static final double SHORT = 0.75; // of one: the least that counts as short
     private static final double SPARE = 0.25; // three quarters over is one to give: that leaves nobody short
@@ -38,7 +38,7 @@
 
     SlotState ask(SlotName name) {
         SlotState ask = asks.get(name);
-        if (ask == null && asks.size() < MOST_ASKS) {
+        if (ask == null && asks.size() < MAX_ASKS) {
             ask = new SlotState();
             asks.put(name, ask);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
@@ -26,7 +26,7 @@
  * those of the table.
  */
 public final class RightsAllocator {
-    private static final int MOST_MOVES = 16; // commands of changes in one turn
+    private static final int MAX_MOVES = 16; // commands of changes in one turn
 
     private final LimitSettings settings;
     private final RightsTable table;
@@ -83,7 +83,7 @@
             }
         }
         for (InstanceRequest name : beat.wanted()) {
-            if (wanted.size() < RightsTable.MOST_LIMITS) {
+            if (wanted.size() < RightsTable.MAX_LIMITS) {
                 wanted.putIfAbsent(name, Long.MIN_VALUE / 2);
             }
         }
@@ -188,10 +188,10 @@
         wanted.entrySet().removeIf(e -> {
             LimitSpec spec = table.specs().get(e.getKey().limit());
             return spec == null || spec.instance(e.getKey().at()).map(i -> table.limits().containsKey(i.id()))
-                .orElse(true) || table.limits().size() >= RightsTable.MOST_LIMITS;
+                .orElse(true) || table.limits().size() >= RightsTable.MAX_LIMITS;
         });
         for (Map.Entry<InstanceRequest, Long> e : wanted.entrySet()) {
-            if (now - e.getValue() >= settings.repeat() && propose.size() < MOST_MOVES) {
+            if (now - e.getValue() >= settings.repeat() && propose.size() < MAX_MOVES) {
                 e.setValue(now);
                 propose.add(new Command.Instantiate(e.getKey().limit(), e.getKey().at()));
             }
@@ -200,16 +200,16 @@
 
     private void move(long now, List<Command> propose) {
         List<SlotChange> changes = new ArrayList<>();
-        int most = MOST_MOVES * CommandCodec.MOST_CHANGES;
+        int max = MAX_MOVES * CommandCodec.MAX_CHANGES;
         for (Map.Entry<String, LimitRow> e : table.limits().entrySet()) {
             LimitAllocator desk = desk(e.getKey());
-            if (changes.size() < most && desk.due(now, e.getValue())) {
+            if (changes.size() < max && desk.due(now, e.getValue())) {
                 changes.addAll(sharing.plan(now, e.getValue(), desk, peers));
             }
         }
-        for (int i = 0; i < changes.size(); i += CommandCodec.MOST_CHANGES) {
+        for (int i = 0; i < changes.size(); i += CommandCodec.MAX_CHANGES) {
             propose.add(new Command.Move(lead, List.copyOf(
-                changes.subList(i, Math.min(changes.size(), i + CommandCodec.MOST_CHANGES)))));
+                changes.subList(i, Math.min(changes.size(), i + CommandCodec.MAX_CHANGES)))));
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
@@ -8,7 +8,7 @@
     /** Noise of a fifth either way, told ten times a second, stays within 4% of the mean. */
     static final double EVEN_US = 2e6;
     private static final double STEP = 0.5;
-    private static final double LEAST_STEP = 2; // one more or less is noise
+    private static final double MIN_STEP = 2; // one more or less is noise
 
     private double level;
     private long at;
@@ -19,7 +19,7 @@
         if (!known) {
             known = true;
             level = value;
-        } else if (Math.abs(value - level) >= Math.max(LEAST_STEP, STEP * level)) {
+        } else if (Math.abs(value - level) >= Math.max(MIN_STEP, STEP * level)) {
             steps++;
             if (steps >= 2) {
                 level = value;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
@@ -23,10 +23,10 @@
     public static FloorFile read(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
-        FloorFile file = new FloorFile(in.text(LimitSpec.MOST_NAME), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
-            in.number(0, Long.MAX_VALUE), in.list(RightsHolder.MOST_SLOTS, i -> new SavedFloor(
-                i.text(LimitSpec.MOST_ID), i.text(LimitSpec.MOST_NAME),
-                i.number(0, LimitSpec.MOST_AMOUNT))));
+        FloorFile file = new FloorFile(in.text(LimitSpec.MAX_NAME), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
+            in.number(0, Long.MAX_VALUE), in.list(RightsHolder.MAX_SLOTS, i -> new SavedFloor(
+                i.text(LimitSpec.MAX_ID), i.text(LimitSpec.MAX_NAME),
+                i.number(0, LimitSpec.MAX_AMOUNT))));
         in.end();
         return file;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/Lease.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/Lease.java
@@ -6,11 +6,11 @@
 
 /**
  * Until when the rights hold. It counts from when the beat was sent that the leader vouches for, by this gateway's own
- * clock: the leader cannot have heard it earlier. Bound: {@link #MOST_BEATS} beats are remembered.
+ * clock: the leader cannot have heard it earlier. Bound: {@link #MAX_BEATS} beats are remembered.
  */
 final class Lease {
     /** Beats that may still be confirmed: at 100 ms each, 25 s of them. */
-    static final int MOST_BEATS = 256;
+    static final int MAX_BEATS = 256;
     private static final long NONE = Long.MIN_VALUE / 2;
 
     private record Sent(long sequence, long session, long at) { }
@@ -24,7 +24,7 @@
     }
 
     void sent(long now, long sequence, long session) {
-        while (!sent.isEmpty() && (sent.size() >= MOST_BEATS || sent.peek().at + settings.lease() < now)) {
+        while (!sent.isEmpty() && (sent.size() >= MAX_BEATS || sent.peek().at + settings.lease() < now)) {
             sent.poll();
         }
         sent.add(new Sent(sequence, session, now));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
@@ -24,12 +24,12 @@
  * ceiling last given, without one the floor reserved for it, and nothing while engines may still run what a former
  * process left. What it told the leader it keeps, so the leader may give the rest away. After leases (Gray and Cheriton
  * 1989) and the demarcation protocol (Barbara and Garcia-Molina 1994). Cost: O(slots) a beat, O(1) a question. Bounds:
- * {@link #MOST_SLOTS} slots; a beat tells {@link Heartbeat#MOST_TOLD} and of idle ones {@link Heartbeat#MOST_IDLE},
+ * {@link #MAX_SLOTS} slots; a beat tells {@link Heartbeat#MAX_TOLD} and of idle ones {@link Heartbeat#MAX_IDLE},
  * the rest in turn.
  */
 public final class RightsHolder {
     /** The most slots of one gateway. */
-    public static final int MOST_SLOTS = 65_536;
+    public static final int MAX_SLOTS = 65_536;
 
     private final String member;
     private final long incarnation;
@@ -78,7 +78,7 @@
         }
         for (SlotGrant given : grant.given()) {
             Rights.Key key = new Rights.Key(given.limit(), given.sub());
-            if (slots.containsKey(key) || slots.size() < MOST_SLOTS) {
+            if (slots.containsKey(key) || slots.size() < MAX_SLOTS) {
                 slots.computeIfAbsent(key, k -> new SlotRights(0)).take(given, settings);
             }
         }
@@ -102,23 +102,23 @@
         List<SlotReport> told = new ArrayList<>();
         List<Rights.Key> idle = new ArrayList<>();
         Map.Entry<Rights.Key, SlotRights> next = toldLast == null ? slots.firstEntry() : slots.higherEntry(toldLast);
-        for (int i = slots.size(); i > 0 && told.size() < Heartbeat.MOST_TOLD; i--) {
+        for (int i = slots.size(); i > 0 && told.size() < Heartbeat.MAX_TOLD; i--) {
             if (next == null) {
                 next = slots.firstEntry();
             }
             Rights.Key key = next.getKey();
             if (next.getValue().news(used(key), demand(key))) {
                 told.add(told(now, leased, key, next.getValue()));
-            } else if (idle.size() < Heartbeat.MOST_IDLE) {
+            } else if (idle.size() < Heartbeat.MAX_IDLE) {
                 idle.add(key);
             }
             // the next beat goes on behind the last idle slot of this one, and so meets all of them in turn
-            toldLast = idle.size() < Heartbeat.MOST_IDLE || idle.get(idle.size() - 1) == key ? key : toldLast;
+            toldLast = idle.size() < Heartbeat.MAX_IDLE || idle.get(idle.size() - 1) == key ? key : toldLast;
             next = slots.higherEntry(key);
         }
-        idle.stream().limit(Heartbeat.MOST_TOLD - told.size())
+        idle.stream().limit(Heartbeat.MAX_TOLD - told.size())
             .forEach(key -> told.add(told(now, leased, key, slots.get(key))));
-        List<InstanceRequest> names = wanted.stream().limit(Heartbeat.MOST_WANTED).toList();
+        List<InstanceRequest> names = wanted.stream().limit(Heartbeat.MAX_WANTED).toList();
         names.forEach(wanted::remove);
         return new Heartbeat(incarnation, sequence, session, leased, settings.hold(), epoch, told, names);
     }
@@ -128,7 +128,7 @@
     }
 
     private long demand(Rights.Key key) {
-        return Math.min(LimitSpec.MOST_AMOUNT, Math.max(used(key), usage.demand(key.limit(), key.sub())));
+        return Math.min(LimitSpec.MAX_AMOUNT, Math.max(used(key), usage.demand(key.limit(), key.sub())));
     }
 
     private SlotReport told(long now, boolean leased, Rights.Key key, SlotRights held) {
@@ -173,10 +173,10 @@
     public Map<Rights.Key, Long> excess(long now) {
         Map<Rights.Key, Long> over = new TreeMap<>();
         for (Rights.Key key : slots.keySet()) {
-            long most = ceiling(now, key.limit(), key.sub());
+            long max = ceiling(now, key.limit(), key.sub());
             long used = used(key);
-            if (used > most) {
-                over.put(key, used - most);
+            if (used > max) {
+                over.put(key, used - max);
             }
         }
         return over;
@@ -192,7 +192,7 @@
         Optional<LimitSpec> made = spec.instance(query);
         if (made.isPresent() && spec.scope().each()) {
             SlotRights held = slots.get(new Rights.Key(made.get().id(), ""));
-            if ((held == null || held.version == 0) && wanted.size() < Heartbeat.MOST_WANTED) {
+            if ((held == null || held.version == 0) && wanted.size() < Heartbeat.MAX_WANTED) {
                 // again with each query until rights come
                 wanted.add(new InstanceRequest(spec.id(), made.get().scope()));
             }
@@ -203,7 +203,7 @@
 
     /** A slot to be told of before anything was given, such as a tenant's part of a pool. */
     public void open(String limit, String sub) {
-        if (slots.size() < MOST_SLOTS) {
+        if (slots.size() < MAX_SLOTS) {
             slots.computeIfAbsent(new Rights.Key(limit, sub), k -> new SlotRights(0));
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/CommandCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/CommandCodec.java
@@ -10,11 +10,11 @@
 /** Commands and their outcomes as bytes. The first value is the command's number, which never changes. */
 public final class CommandCodec {
     /** The most changes of one command; a leader splits more. */
-    public static final int MOST_CHANGES = 512;
+    public static final int MAX_CHANGES = 512;
     /** The most limits of the operator's file. */
-    public static final int MOST_LIMITS = 1024;
+    public static final int MAX_LIMITS = 1024;
     private static final String NULL = "\u0000"; // no name has it: names are printable
-    private static final int MOST_WHY = 512;
+    private static final int MAX_WHY = 512;
 
     private CommandCodec() { }
 
@@ -49,12 +49,12 @@
             case 0 -> new Command.Lead(any(in));
             case 1 -> new Command.Join(name(in), name(in));
             case 2 -> new Command.Leave(name(in));
-            case 3 -> new Command.SetLimits(any(in), in.list(MOST_LIMITS, CommandCodec::spec));
+            case 3 -> new Command.SetLimits(any(in), in.list(MAX_LIMITS, CommandCodec::spec));
             case 4 -> new Command.Instantiate(name(in), scope(in));
             case 5 -> new Command.Enter(any(in), name(in), any(in), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
                 any(in));
             case 6 -> new Command.Reclaim(any(in), name(in), any(in));
-            default -> new Command.Move(any(in), in.list(MOST_CHANGES, i -> new SlotChange(i.text(LimitSpec.MOST_ID),
+            default -> new Command.Move(any(in), in.list(MAX_CHANGES, i -> new SlotChange(i.text(LimitSpec.MAX_ID),
                 new SlotName(name(i), name(i)), any(i), amount(i), amount(i))));
         };
         in.end();
@@ -62,15 +62,15 @@
     }
 
     public static byte[] write(Outcome outcome) {
-        String why = outcome.why().length() > MOST_WHY / 4 ? outcome.why().substring(0, MOST_WHY / 4) : outcome.why();
+        String why = outcome.why().length() > MAX_WHY / 4 ? outcome.why().substring(0, MAX_WHY / 4) : outcome.why();
         return new CborOut().number(outcome.applied()).number(outcome.refused()).text(why).number(outcome.would())
             .done();
     }
 
     public static Outcome readOutcome(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
-        Outcome outcome = new Outcome((int) in.number(0, MOST_LIMITS), (int) in.number(0, MOST_LIMITS),
-            in.text(MOST_WHY), in.number(-1, Long.MAX_VALUE));
+        Outcome outcome = new Outcome((int) in.number(0, MAX_LIMITS), (int) in.number(0, MAX_LIMITS),
+            in.text(MAX_WHY), in.number(-1, Long.MAX_VALUE));
         in.end();
         return outcome;
     }
@@ -83,7 +83,7 @@
 
     /** Reads what the other wrote; a limit that cannot be is a fault. */
     public static LimitSpec spec(CborIn in) throws FaultyMessageException {
-        String id = in.text(LimitSpec.MOST_ID);
+        String id = in.text(LimitSpec.MAX_ID);
         Scope scope = scope(in);
         Unit unit = Unit.values()[(int) in.number(0, Unit.values().length - 1)];
         return new LimitSpec(id, scope, unit, amount(in), amount(in));
@@ -105,7 +105,7 @@
     }
 
     private static String name(CborIn in) throws FaultyMessageException {
-        return in.text(LimitSpec.MOST_NAME);
+        return in.text(LimitSpec.MAX_NAME);
     }
 
     private static long any(CborIn in) throws FaultyMessageException {
@@ -113,6 +113,6 @@
     }
 
     private static long amount(CborIn in) throws FaultyMessageException {
-        return in.number(0, LimitSpec.MOST_AMOUNT);
+        return in.number(0, LimitSpec.MAX_AMOUNT);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/Epochs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/Epochs.java
@@ -37,7 +37,7 @@
         table.limits.values().stream().filter(row -> row.dropped && row.sum == 0).toList()
             .forEach(table::discard);
         for (LimitSpec spec : c.limits()) {
-            if (!spec.scope().each() && table.limits.size() < RightsTable.MOST_LIMITS) {
+            if (!spec.scope().each() && table.limits.size() < RightsTable.MAX_LIMITS) {
                 table.limits.putIfAbsent(spec.id(), new LimitRow(spec, spec.id()));
             }
         }
@@ -70,12 +70,12 @@
             return Outcome.refused("no limit " + c.limit());
         }
         Optional<LimitSpec> made = spec.instance(c.at());
-        if (made.isEmpty() || made.get().scope().each() || made.get().id().length() > LimitSpec.MOST_ID) {
+        if (made.isEmpty() || made.get().scope().each() || made.get().id().length() > LimitSpec.MAX_ID) {
             return Outcome.refused("limit " + c.limit() + " does not cover these names");
         }
         if (!table.limits.containsKey(made.get().id())) {
-            if (table.limits.size() >= RightsTable.MOST_LIMITS) {
-                return Outcome.refused("there are " + RightsTable.MOST_LIMITS + " limits, the most");
+            if (table.limits.size() >= RightsTable.MAX_LIMITS) {
+                return Outcome.refused("there are " + RightsTable.MAX_LIMITS + " limits, the most");
             }
             table.limits.put(made.get().id(), new LimitRow(made.get(), spec.id()));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
@@ -16,15 +16,15 @@
  * most its amount; a command that would break this is refused, whoever decided it. The rights of a slot change only
  * where its version is still the one that the decision saw (compare and set), and commands of a leader that another one
  * has followed are refused, so a decision that commits late does no harm. After O'Neil's escrow method (1986) and
- * bounded counters (Balegas et al. 2015). Bounds: {@link #MOST_LIMITS} limits with their instances, {@link
- * #MOST_MEMBERS} gateways, {@link #MOST_SLOTS} slots. Cost: O(log slots) a change.
+ * bounded counters (Balegas et al. 2015). Bounds: {@link #MAX_LIMITS} limits with their instances, {@link
+ * #MAX_MEMBERS} gateways, {@link #MAX_SLOTS} slots. Cost: O(log slots) a change.
  */
 public final class RightsTable implements Replicated {
     /** The most limits, with those made for each of something. */
-    public static final int MOST_LIMITS = 4096;
-    public static final int MOST_MEMBERS = 2048;
+    public static final int MAX_LIMITS = 4096;
+    public static final int MAX_MEMBERS = 2048;
     /** The most slots of all limits: 1,024 limits of 1,024 gateways, twice. */
-    public static final int MOST_SLOTS = 1 << 21;
+    public static final int MAX_SLOTS = 1 << 21;
 
     final Map<String, LimitRow> limits = new TreeMap<>();
     final Map<String, LimitSpec> specs = new TreeMap<>();
@@ -114,8 +114,8 @@
 
     private Outcome join(Command.Join c) {
         MemberRow row = members.get(c.member());
-        if (row == null && members.size() >= MOST_MEMBERS) {
-            return Outcome.refused("the fleet has " + MOST_MEMBERS + " gateways, the most");
+        if (row == null && members.size() >= MAX_MEMBERS) {
+            return Outcome.refused("the fleet has " + MAX_MEMBERS + " gateways, the most");
         }
         roster++;
         members.put(c.member(), row == null ? new MemberRow(c.member(), c.hall(), 0, 0, 1, false, 0)
@@ -215,8 +215,8 @@
                 && settings.has(Guard.SHRINK_FIRST)) {
             return c.limit() + ": " + (row.sum - slot.held() + c.held()) + " would be held of " + row.amount();
         }
-        if (slot == Slot.NONE && slots >= MOST_SLOTS) {
-            return "there are " + MOST_SLOTS + " slots, the most";
+        if (slot == Slot.NONE && slots >= MAX_SLOTS) {
+            return "there are " + MAX_SLOTS + " slots, the most";
         }
         slots += row.slots.containsKey(c.slot()) ? 0 : 1;
         row.put(c.slot(), new Slot(c.held(), c.floor(), ++version));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
@@ -36,11 +36,11 @@
         long lead = any(in);
         long epoch = any(in);
         long version = any(in);
-        List<LimitSpec> specs = in.list(CommandCodec.MOST_LIMITS, CommandCodec::spec);
-        List<MemberRow> members = in.list(RightsTable.MOST_MEMBERS, i -> new MemberRow(name(i), name(i),
+        List<LimitSpec> specs = in.list(CommandCodec.MAX_LIMITS, CommandCodec::spec);
+        List<MemberRow> members = in.list(RightsTable.MAX_MEMBERS, i -> new MemberRow(name(i), name(i),
             i.number(Long.MIN_VALUE, Long.MAX_VALUE), i.number(Long.MIN_VALUE, Long.MAX_VALUE), any(i), i.flag(),
             any(i)));
-        List<LimitRow> rows = in.list(RightsTable.MOST_LIMITS, TableCodec::row);
+        List<LimitRow> rows = in.list(RightsTable.MAX_LIMITS, TableCodec::row);
         in.end();
         table.lead = lead;
         table.epoch = epoch;
@@ -63,7 +63,7 @@
         LimitSpec spec = CommandCodec.spec(in);
         LimitRow row = new LimitRow(spec, name(in));
         row.dropped = in.flag();
-        for (Entry e : in.list(RightsTable.MOST_SLOTS, i -> new Entry(new SlotName(name(i), name(i)),
+        for (Entry e : in.list(RightsTable.MAX_SLOTS, i -> new Entry(new SlotName(name(i), name(i)),
                 new Slot(any(i), any(i), any(i))))) {
             row.put(e.name, e.slot);
         }
@@ -71,7 +71,7 @@
     }
 
     private static String name(CborIn in) throws FaultyMessageException {
-        return in.text(LimitSpec.MOST_NAME);
+        return in.text(LimitSpec.MAX_NAME);
     }
 
     private static long any(CborIn in) throws FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Grant.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Grant.java
@@ -11,5 +11,5 @@
 public record Grant(String member, long incarnation, long session, long confirmed, long epoch, boolean whole,
         List<LimitSpec> limits, List<SlotGrant> given) {
     /** The most slots of one grant; the rest goes with the next. */
-    public static final int MOST_GIVEN = 2048;
+    public static final int MAX_GIVEN = 2048;
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
@@ -10,11 +10,11 @@
 public record Heartbeat(long incarnation, long sequence, long session, boolean leased, long hold, long epoch,
         List<SlotReport> told, List<InstanceRequest> wanted) {
     /** The most slots of one beat; a gateway with more tells them in turn. */
-    public static final int MOST_TOLD = 2048;
+    public static final int MAX_TOLD = 2048;
     /** The most slots of one beat that nothing happens to. */
-    public static final int MOST_IDLE = 64;
+    public static final int MAX_IDLE = 64;
     /** The longest lease and outliving of a gateway: an hour. */
-    public static final long MOST_HOLD = 3_600_000_000L;
+    public static final long MAX_HOLD = 3_600_000_000L;
     /** The most new names of one beat. */
-    public static final int MOST_WANTED = 64;
+    public static final int MAX_WANTED = 64;
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
@@ -21,11 +21,11 @@
 
     public static Heartbeat readBeat(CborIn in) throws FaultyMessageException {
         return new Heartbeat(in.number(Long.MIN_VALUE, Long.MAX_VALUE), any(in), any(in), in.flag(),
-            in.number(0, Heartbeat.MOST_HOLD), any(in),
-            in.list(Heartbeat.MOST_TOLD, i ->
-            new SlotReport(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
+            in.number(0, Heartbeat.MAX_HOLD), any(in),
+            in.list(Heartbeat.MAX_TOLD, i ->
+            new SlotReport(i.text(LimitSpec.MAX_ID), name(i), any(i), amount(i), amount(i),
                 amount(i), amount(i))),
-            in.list(Heartbeat.MOST_WANTED, i -> new InstanceRequest(name(i), CommandCodec.scope(i))));
+            in.list(Heartbeat.MAX_WANTED, i -> new InstanceRequest(name(i), CommandCodec.scope(i))));
     }
 
     public static void write(CborOut out, Grant grant) {
@@ -38,14 +38,14 @@
 
     public static Grant readGrant(CborIn in) throws FaultyMessageException {
         return new Grant(name(in), in.number(Long.MIN_VALUE, Long.MAX_VALUE), any(in), any(in), any(in), in.flag(),
-            in.list(RightsTable.MOST_LIMITS, CommandCodec::spec),
-            in.list(Grant.MOST_GIVEN, i ->
-            new SlotGrant(i.text(LimitSpec.MOST_ID), name(i), any(i), amount(i), amount(i),
+            in.list(RightsTable.MAX_LIMITS, CommandCodec::spec),
+            in.list(Grant.MAX_GIVEN, i ->
+            new SlotGrant(i.text(LimitSpec.MAX_ID), name(i), any(i), amount(i), amount(i),
                 amount(i), amount(i))));
     }
 
     private static String name(CborIn in) throws FaultyMessageException {
-        return in.text(LimitSpec.MOST_NAME);
+        return in.text(LimitSpec.MAX_NAME);
     }
 
     private static long any(CborIn in) throws FaultyMessageException {
@@ -53,6 +53,6 @@
     }
 
     private static long amount(CborIn in) throws FaultyMessageException {
-        return in.number(0, LimitSpec.MOST_AMOUNT);
+        return in.number(0, LimitSpec.MAX_AMOUNT);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
@@ -22,16 +22,16 @@
     /**
      * All in microseconds. {@code silentUs}: an open link on which nothing was heard for so long ends. {@code
      * cloggedUs}: so does one whose peer took nothing of what waits. {@code connectUs}, {@code greetUs}: for the TCP
-     * connection and for the handshake; both bear a way of 2 s. {@code backOffLeastUs}, {@code backOffMostUs}: between
+     * connection and for the handshake; both bear a way of 2 s. {@code minBackOffUs}, {@code maxBackOffUs}: between
      * two attempts at a peer.
      */
-    public record Times(long silentUs, long cloggedUs, long connectUs, long greetUs, long backOffLeastUs,
-            long backOffMostUs) {
+    public record Times(long silentUs, long cloggedUs, long connectUs, long greetUs, long minBackOffUs,
+            long maxBackOffUs) {
         public static final Times USUAL = new Times(1_000_000, 2_000_000, 6_000_000, 6_000_000, 100_000, 5_000_000);
 
         public Times {
-            if (silentUs < 1000 || cloggedUs < 1000 || connectUs < 1000 || greetUs < 1000 || backOffLeastUs < 1000
-                    || backOffMostUs < backOffLeastUs) {
+            if (silentUs < 1000 || cloggedUs < 1000 || connectUs < 1000 || greetUs < 1000 || minBackOffUs < 1000
+                    || maxBackOffUs < minBackOffUs) {
                 throw new IllegalArgumentException("times of links must be 1 ms at least, and the longest pause no "
                         + "shorter than the least");
             }
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/GreetingValidator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/GreetingValidator.java
@@ -11,8 +11,8 @@
 /** Judges greetings; each refusal names what is wrong, and what this gateway has in its place. */
 final class GreetingValidator {
     /** The protocol versions that this program speaks. */
-    static final int LEAST = 1;
-    static final int MOST = 1;
+    static final int MIN_VERSION = 1;
+    static final int MAX_VERSION = 1;
 
     private static final Pattern HOST = Pattern.compile("[A-Za-z0-9._-]{1,253}");
 
@@ -21,14 +21,14 @@
 
     private final LinkSettings settings;
     private final Predicate<String> known;
-    private final int least, most;
+    private final int min, max;
     private long stamp;
 
-    GreetingValidator(LinkSettings settings, Predicate<String> known, int least, int most) {
+    GreetingValidator(LinkSettings settings, Predicate<String> known, int min, int max) {
         this.settings = settings;
         this.known = known;
-        this.least = least;
-        this.most = most;
+        this.min = min;
+        this.max = max;
     }
 
     boolean knows(String name) {
@@ -42,12 +42,12 @@
     }
 
     Greeting hello(String to) {
-        return ours(to, least, most);
+        return ours(to, min, max);
     }
 
     /** The answer to a greeting that {@link #judge} took. */
     Greeting welcome(Greeting theirs) {
-        int version = Greeting.common(least, most, theirs.least(), theirs.most());
+        int version = Greeting.common(min, max, theirs.min(), theirs.max());
         return ours(theirs.member().name(), version, version);
     }
 
@@ -55,9 +55,9 @@
     Optional<Rejection> judge(Greeting g) {
         String self = settings.self().name();
         String name = g.member().name();
-        if (Greeting.common(least, most, g.least(), g.most()) == 0) {
-            return no(Refusal.VERSION, self + " speaks versions " + least + " to " + most + ", not " + g.least()
-                    + " to " + g.most());
+        if (Greeting.common(min, max, g.min(), g.max()) == 0) {
+            return no(Refusal.VERSION, self + " speaks versions " + min + " to " + max + ", not " + g.min()
+                    + " to " + g.max());
         }
         if (!g.cluster().equals(settings.cluster())) {
             return no(Refusal.CLUSTER, self + " is of cluster " + settings.cluster() + ", not " + shown(g.cluster()));
@@ -81,9 +81,9 @@
 
     /** What is wrong with the answer of a peer that was dialled. */
     Optional<Rejection> judgeAnswer(Greeting g, String dialled) {
-        if (g.least() != g.most() || g.least() < least || g.least() > most) {
-            return no(Refusal.VERSION, dialled + " chose version " + g.least() + ", not one from " + least + " to "
-                    + most);
+        if (g.min() != g.max() || g.min() < min || g.min() > max) {
+            return no(Refusal.VERSION, dialled + " chose version " + g.min() + ", not one from " + min + " to "
+                    + max);
         }
         if (!g.cluster().equals(settings.cluster())) {
             return no(Refusal.CLUSTER, "cluster " + settings.cluster() + " was looked for, " + shown(g.cluster())
@@ -100,7 +100,7 @@
 
     /** What a peer said, fit for a log line. */
     static String shown(String text) {
-        String cut = text.length() > MemberName.MOST_CHARS ? text.substring(0, MemberName.MOST_CHARS) + "..." : text;
+        String cut = text.length() > MemberName.MAX_CHARS ? text.substring(0, MemberName.MAX_CHARS) + "..." : text;
         return cut.replaceAll("[^ -~]", "?");
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
@@ -36,18 +36,18 @@
 
     public LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
             LinkEvents events) {
-        this(settings, known, random, wires, events, GreetingValidator.LEAST, GreetingValidator.MOST);
+        this(settings, known, random, wires, events, GreetingValidator.MIN_VERSION, GreetingValidator.MAX_VERSION);
     }
 
     /** Of a program that speaks other versions. */
     LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
             LinkEvents events,
-            int least, int most) {
+            int min, int max) {
         this.settings = settings;
         peers = new Peers(settings, random);
         this.wires = wires;
         this.events = events;
-        greeter = new GreetingValidator(settings, known, least, most);
+        greeter = new GreetingValidator(settings, known, min, max);
         handshake = new Handshake(this, settings.self().name(), greeter);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Peer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Peer.java
@@ -20,7 +20,7 @@
 
     Peer(String name, LinkSettings.Times times, SplittableRandom random) {
         this.name = name;
-        backoff = new Backoff(times.backOffLeastUs(), times.backOffMostUs(), random);
+        backoff = new Backoff(times.minBackOffUs(), times.maxBackOffUs(), random);
         lastingUs = 2 * times.silentUs();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
@@ -30,11 +30,11 @@
     record End(Loss how, String why) { }
 
     private static final int SMOOTHING = 8; // RFC 6298's weight of one measurement
-    private static final int MOST_OWN_FRAMES = 16; // a peer that asks faster than it takes answers gets no more
+    private static final int MAX_OWN_FRAMES = 16; // a peer that asks faster than it takes answers gets no more
 
     final long wire;
     final String address;
-    final FrameReader reader = new FrameReader(Frame.MOST_GREETING_BYTES);
+    final FrameReader reader = new FrameReader(Frame.MAX_GREETING_BYTES);
     final boolean opener; // whether this gateway dialled
     private final LinkSettings settings;
     private final SendQueue outbox;
@@ -111,7 +111,7 @@
     boolean keepAlive(long now) {
         long every = settings.times().pingUs();
         boolean due = stage == Stage.UP || stage == Stage.WELCOMED;
-        if (!due || now - sentAt < every && now - pingedAt < 4 * every || outbox.ownFrames() > MOST_OWN_FRAMES) {
+        if (!due || now - sentAt < every && now - pingedAt < 4 * every || outbox.ownFrames() > MAX_OWN_FRAMES) {
             return false;
         }
         pingedAt = now;
@@ -120,7 +120,7 @@
     }
 
     boolean answer(Frame.Ping ping, long now) {
-        if (outbox.ownFrames() > MOST_OWN_FRAMES) {
+        if (outbox.ownFrames() > MAX_OWN_FRAMES) {
             return false;
         }
         own(new Frame.Pong(ping.stamp()), now);
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
@@ -17,9 +17,9 @@
 public sealed interface Frame {
     int FIRST_KIND = 16;
     /** Of the frames before a link is up: names and an address; nothing else may be long before we know who it is. */
-    int MOST_GREETING_BYTES = 2048;
-    int MOST_REASON_BYTES = 512;
-    int MOST_HOST_BYTES = 255;
+    int MAX_GREETING_BYTES = 2048;
+    int MAX_REASON_BYTES = 512;
+    int MAX_HOST_BYTES = 255;
     int HELLO = 1;
     int WELCOME = 2;
     int REJECTED = 3;
@@ -90,12 +90,12 @@
     }
 
     private static String cut(String reason) {
-        String text = reason.length() > MOST_REASON_BYTES / 3 ? reason.substring(0, MOST_REASON_BYTES / 3) : reason;
+        String text = reason.length() > MAX_REASON_BYTES / 3 ? reason.substring(0, MAX_REASON_BYTES / 3) : reason;
         return text.replaceAll("[^ -~]", "?"); // a surrogate cut in two could not be written
     }
 
     private static void greeting(CborOut out, Greeting g) {
-        out.number(g.least()).number(g.most()).text(g.cluster()).text(g.member().name()).text(g.member().hall())
+        out.number(g.min()).number(g.max()).text(g.cluster()).text(g.member().name()).text(g.member().hall())
                 .text(g.member().host()).number(g.member().port()).text(g.to()).number(g.incarnation())
                 .number(g.stamp());
     }
@@ -126,10 +126,10 @@
         return switch ((int) number) {
             case HELLO -> new Hello(greeting(in));
             case WELCOME -> new Welcome(greeting(in));
-            case REJECTED -> new Rejected(Refusal.of(in.number(0, Integer.MAX_VALUE)), in.text(MOST_REASON_BYTES));
+            case REJECTED -> new Rejected(Refusal.of(in.number(0, Integer.MAX_VALUE)), in.text(MAX_REASON_BYTES));
             case PING -> new Ping(in.number(Long.MIN_VALUE, Long.MAX_VALUE));
             case PONG -> new Pong(in.number(Long.MIN_VALUE, Long.MAX_VALUE));
-            case BYE -> new Bye(in.text(MOST_REASON_BYTES));
+            case BYE -> new Bye(in.text(MAX_REASON_BYTES));
             default -> new Unknown(number);
         };
     }
@@ -141,12 +141,12 @@
 
     /** Names are not judged here, so that a refusal can tell which name is wrong. */
     private static Greeting greeting(CborIn in) throws FaultyMessageException {
-        int least = (int) in.number(0, Integer.MAX_VALUE);
-        int most = (int) in.number(least, Integer.MAX_VALUE);
-        String cluster = in.text(MOST_HOST_BYTES);
-        Member member = new Member(in.text(MOST_HOST_BYTES), in.text(MOST_HOST_BYTES), in.text(MOST_HOST_BYTES),
+        int min = (int) in.number(0, Integer.MAX_VALUE);
+        int max = (int) in.number(min, Integer.MAX_VALUE);
+        String cluster = in.text(MAX_HOST_BYTES);
+        Member member = new Member(in.text(MAX_HOST_BYTES), in.text(MAX_HOST_BYTES), in.text(MAX_HOST_BYTES),
                 (int) in.number(0, 65535));
-        return new Greeting(least, most, cluster, member, in.text(MOST_HOST_BYTES),
+        return new Greeting(min, max, cluster, member, in.text(MAX_HOST_BYTES),
                 in.number(Long.MIN_VALUE, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameReader.java
@@ -14,20 +14,20 @@
     public static final int HEADER = 4;
     private static final int FIRST_ROOM = 16 << 10;
 
-    private int most;
+    private int max;
     private int headerRead;
     private int length;
     private byte[] body = new byte[0];
     private int bodyRead;
     private String fault = "";
 
-    public FrameReader(int mostBodyBytes) {
-        most = mostBodyBytes;
+    public FrameReader(int maxBodyBytes) {
+        max = maxBodyBytes;
     }
 
     /** Another bound from the next header on. */
-    public void bound(int mostBodyBytes) {
-        most = mostBodyBytes;
+    public void bound(int maxBodyBytes) {
+        max = maxBodyBytes;
     }
 
     /**
@@ -57,8 +57,8 @@
     private void header(byte b) {
         length = length << 8 | b & 0xff;
         headerRead++;
-        if (headerRead == HEADER && (length < 0 || length > most)) {
-            fault = "frame of " + Integer.toUnsignedString(length) + " bytes is over the bound of " + most;
+        if (headerRead == HEADER && (length < 0 || length > max)) {
+            fault = "frame of " + Integer.toUnsignedString(length) + " bytes is over the bound of " + max;
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/Backoff.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/Backoff.java
@@ -7,26 +7,26 @@
  * upper half, so that gateways that lost a peer together do not come back together.
  */
 public final class Backoff {
-    private final long leastUs, mostUs;
+    private final long minUs, maxUs;
     private final SplittableRandom random;
     private long boundUs;
 
-    public Backoff(long leastUs, long mostUs, SplittableRandom random) {
-        this.leastUs = leastUs;
-        this.mostUs = mostUs;
+    public Backoff(long minUs, long maxUs, SplittableRandom random) {
+        this.minUs = minUs;
+        this.maxUs = maxUs;
         this.random = random;
-        boundUs = leastUs;
+        boundUs = minUs;
     }
 
     /** The next pause (us), from half the least to the most. */
     public long next() {
         long pause = boundUs / 2 + random.nextLong(boundUs - boundUs / 2 + 1);
-        boundUs = Math.min(mostUs, 2 * boundUs);
+        boundUs = Math.min(maxUs, 2 * boundUs);
         return pause;
     }
 
     /** After a link that lasted. */
     public void reset() {
-        boundUs = leastUs;
+        boundUs = minUs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
@@ -16,13 +16,13 @@
     private static final int OWN = 0;
     private static final int[] PERCENT = {100, 100, 90, 80, 70, 60, 50};
 
-    private final int mostBytes, mostFrames;
+    private final int maxBytes, maxFrames;
     private final List<ArrayDeque<ByteBuffer>> waiting = new ArrayList<>();
     private int bytes, frames;
 
-    public SendQueue(int mostBytes, int mostFrames) {
-        this.mostBytes = mostBytes;
-        this.mostFrames = mostFrames;
+    public SendQueue(int maxBytes, int maxFrames) {
+        this.maxBytes = maxBytes;
+        this.maxFrames = maxFrames;
         for (int i = 0; i < PERCENT.length; i++) {
             waiting.add(new ArrayDeque<>());
         }
@@ -43,7 +43,7 @@
     /** Whether a message of a kind with so many bytes would be taken now. */
     public boolean hasRoom(Kind kind, int size) {
         int percent = PERCENT[urgency(kind)];
-        return frames < (long) mostFrames * percent / 100 && bytes + (long) size <= (long) mostBytes * percent / 100;
+        return frames < (long) maxFrames * percent / 100 && bytes + (long) size <= (long) maxBytes * percent / 100;
     }
 
     /** Takes a frame, or refuses it where its kind's part of the queue is full. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
@@ -7,16 +7,16 @@
 /**
  * Connections that are no link any more and still have a last frame to bring over: closed when the peer has closed, or
  * after {@value #LASTING_US} us. A connection closed at once would lose the frame where the peer has sent something
- * that was not read. Bounded by {@value #MOST}; others are closed without a word.
+ * that was not read. Bounded by {@value #MAX_CONNECTIONS}; others are closed without a word.
  */
 final class ClosingConnections {
-    static final int MOST = 128;
+    static final int MAX_CONNECTIONS = 128;
     static final long LASTING_US = 1_000_000;
 
     private final Set<FramedSocket> wires = new LinkedHashSet<>();
 
     boolean add(FramedSocket w, long now) {
-        if (wires.size() >= MOST) {
+        if (wires.size() >= MAX_CONNECTIONS) {
             return false;
         }
         w.closeAt = now + LASTING_US;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLog.java
@@ -7,7 +7,7 @@
 
 /** Lines on links; of refusals so many a minute, as whoever reaches the port can cause them. */
 final class LinkLog {
-    static final int MOST_REFUSALS = 20;
+    static final int MAX_REFUSALS = 20;
     private static final long MINUTE_US = 60_000_000;
 
     private long minute = -1;
@@ -50,7 +50,7 @@
             written = 0;
             left = 0;
         }
-        boolean may = written < MOST_REFUSALS;
+        boolean may = written < MAX_REFUSALS;
         written += may ? 1 : 0;
         left += may ? 0 : 1;
         return may;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Resolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Resolver.java
@@ -16,12 +16,12 @@
 /** Finds the IPv4 address of a host, names on a thread of their own: a slow name server must not stop the links. */
 final class Resolver implements AutoCloseable {
     private static final Pattern NUMBERS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_WAITING = 256;
 
     private final ThreadPoolExecutor thread;
 
     Resolver() {
-        thread = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING), task -> {
+        thread = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_WAITING), task -> {
             Thread t = new Thread(task, "fleet-resolve");
             t.setDaemon(true);
             return t;
@@ -46,7 +46,7 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            found.accept(null, "host " + address.host() + ": " + MOST_WAITING + " names are being looked up");
+            found.accept(null, "host " + address.host() + ": " + MAX_WAITING + " names are being looked up");
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -28,7 +28,7 @@
  */
 public final class TcpLinks implements Links, AutoCloseable {
     private static final int BACKLOG = 256;
-    private static final int MOST_ACCEPTED_AT_ONCE = 64;
+    private static final int MAX_ACCEPTED_AT_ONCE = 64;
     private static final long ACCEPT_PAUSE_US = 1_000_000; // without room for files; the queue of the kernel waits
 
     private final LinkSettings settings;
@@ -174,7 +174,7 @@
 
     private void accept(long now) {
         try {
-            for (int i = 0; i < MOST_ACCEPTED_AT_ONCE; i++) {
+            for (int i = 0; i < MAX_ACCEPTED_AT_ONCE; i++) {
                 SocketChannel channel = listening.accept();
                 if (channel == null) {
                     return;
--- a/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
@@ -2,13 +2,13 @@
 
 /** What names of members, halls and clusters may be, so that they can stand in logs, files and frames as they are. */
 public final class MemberName {
-    public static final int MOST_CHARS = 64;
+    public static final int MAX_CHARS = 64;
 
     private MemberName() { }
 
-    /** One to {@value #MOST_CHARS} of the letters {@code A-Z a-z}, the digits, dot, underscore and hyphen. */
+    /** One to {@value #MAX_CHARS} of the letters {@code A-Z a-z}, the digits, dot, underscore and hyphen. */
     public static boolean isValid(String name) {
-        if (name == null || name.isEmpty() || name.length() > MOST_CHARS) {
+        if (name == null || name.isEmpty() || name.length() > MAX_CHARS) {
             return false;
         }
         for (int i = 0; i < name.length(); i++) {
@@ -28,8 +28,8 @@
      */
     public static String check(String what, String name) {
         if (!isValid(name)) {
-            String shown = name == null ? "none" : name.substring(0, Math.min(MOST_CHARS, name.length()));
-            throw new IllegalArgumentException(what + " '" + shown + "' is not 1 to " + MOST_CHARS
+            String shown = name == null ? "none" : name.substring(0, Math.min(MAX_CHARS, name.length()));
+            throw new IllegalArgumentException(what + " '" + shown + "' is not 1 to " + MAX_CHARS
                     + " of A-Z a-z 0-9 . _ -");
         }
         return name;
--- a/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
@@ -11,10 +11,10 @@
 
 /**
  * The members of the fleet by name, each with the incarnation seen last; a value that never changes. It is bounded by
- * {@value #MOST_MEMBERS} members, so that a faulty command cannot fill the memory of all gateways at once.
+ * {@value #MAX_MEMBERS} members, so that a faulty command cannot fill the memory of all gateways at once.
  */
 public final class Roster {
-    public static final int MOST_MEMBERS = 1024;
+    public static final int MAX_MEMBERS = 1024;
     public static final Roster EMPTY = new Roster(new TreeMap<>());
 
     /** A member, and the incarnation of its process that was seen last; 0 where none was. */
@@ -47,8 +47,8 @@
                     + ", not from 1 to 65535");
         }
         Entry known = entries.get(member.name());
-        if (known == null && entries.size() >= MOST_MEMBERS) {
-            throw new IllegalArgumentException("member " + member.name() + " is over the bound of " + MOST_MEMBERS);
+        if (known == null && entries.size() >= MAX_MEMBERS) {
+            throw new IllegalArgumentException("member " + member.name() + " is over the bound of " + MAX_MEMBERS);
         }
         return put(new Entry(member, known == null ? 0 : known.incarnation()));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
@@ -61,8 +61,8 @@
     }
 
     /** The voters of a fleet that starts anew: an odd number, hall by hall, so that all gateways choose the same. */
-    public static List<String> first(Roster roster, int most) {
-        int odd = Math.min(most, roster.size() % 2 == 0 ? roster.size() - 1 : roster.size());
+    public static List<String> first(Roster roster, int max) {
+        int odd = Math.min(max, roster.size() % 2 == 0 ? roster.size() - 1 : roster.size());
         List<String> voters = new ArrayList<>();
         for (int place = 0; voters.size() < odd; place++) {
             for (String hall : roster.halls()) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -38,10 +38,10 @@
  * every {@code beat_ms}, evidence where something changed.
  */
 public final class FleetNode implements AutoCloseable {
-    private static final int MOST_HEARD = 1 << 14;
+    private static final int MAX_HEARD = 1 << 14;
     private static final long LEAD_TICK_US = 50_000;
     private static final long FLOORS_EVERY_US = 3_000_000;
-    private static final long LINK_MOST_US = 200_000; // a message's way while all is well, for the printed bounds
+    private static final long MAX_LINK_US = 200_000; // a message's way while all is well, for the printed bounds
 
     private final TaskThread thread = new TaskThread("fleet");
     private final TcpLinks links;
@@ -62,7 +62,7 @@
         long incarnation = Math.max(1, System.currentTimeMillis() << 10 | seed & 1023);
         long now = clock.now();
         SharedState shared = SharedState.fresh();
-        Queue<LoopEvent> heard = new SpscArrayQueue<>(MOST_HEARD);
+        Queue<LoopEvent> heard = new SpscArrayQueue<>(MAX_HEARD);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // for the loop's thread
         FloorStore floors = settings.directory() == null ? null : new FloorStore(settings.directory(),
                 settings.limits().floorKeep());
@@ -99,7 +99,7 @@
                 leading, outage,
                 wake);
         PeriodicTasks rounds = new PeriodicTasks(parts, course, reception, heard, thread, site);
-        new LimitBounds(settings.limits(), LINK_MOST_US).lines(settings.agreed().limits(),
+        new LimitBounds(settings.limits(), MAX_LINK_US).lines(settings.agreed().limits(),
                 settings.agreed().members().size()).forEach(line -> Logger.info("fleet: {}", line));
         Logger.info("fleet {}: {} of hall {} listens on {} for {} gateways", settings.cluster(), name, self.hall(),
                 settings.listen(), settings.agreed().members().size());
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -20,7 +20,7 @@
  * reads it from what was agreed, all others hear it from the voters.
  */
 final class FleetTopology {
-    private static final int MOST_NEIGHBOURS = 8; // of the hall, to which links are kept for stored answers
+    private static final int MAX_NEIGHBOURS = 8; // of the hall, to which links are kept for stored answers
 
     private final Map<String, Long> rulingOf = new HashMap<>(); // the version that a peer goes by
     private final Set<String> up = new HashSet<>();
@@ -112,7 +112,7 @@
                 .forEach(wanted::add); // a founder that is not agreed on yet has to be reached for that
         if (parts.outage() != null) { // neighbours hold copies for each other, and hear each other when cut off
             agreed.members().stream().filter(m -> m.hall().equals(hall) && !parts.isSelf(m.name()))
-                    .limit(MOST_NEIGHBOURS).forEach(wanted::add);
+                    .limit(MAX_NEIGHBOURS).forEach(wanted::add);
             Set<String> near = new TreeSet<>();
             wanted.stream().filter(m -> m.hall().equals(hall)).forEach(m -> near.add(m.name()));
             parts.outage().neighbours(near);
--- a/gateway/src/main/java/sandpaddle/fleet/node/TaskThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/TaskThread.java
@@ -9,7 +9,7 @@
 
 /** A thread of the fleet with a bounded queue and repeated tasks; a fault ends the task, not the thread. */
 public final class TaskThread implements Executor, AutoCloseable {
-    private static final int MOST_WAITING = 100_000;
+    private static final int MAX_WAITING = 100_000;
 
     private final ScheduledThreadPoolExecutor pool;
     private final CountDownLatch begun = new CountDownLatch(1);
@@ -39,7 +39,7 @@
 
     @Override
     public void execute(Runnable task) {
-        if (pool.getQueue().size() > MOST_WAITING) {
+        if (pool.getQueue().size() > MAX_WAITING) {
             return; // as if it were lost on the way: all that comes here may be
         }
         try {
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -22,10 +22,10 @@
     /** Before any file was read. */
     public static final FleetConfig NONE = new FleetConfig(0, List.of(), List.of(), "", "");
     /** The longest pool policy or schedule, in bytes of UTF-8. */
-    public static final int MOST_TEXT = 64 << 10;
+    public static final int MAX_TEXT = 64 << 10;
 
-    private static final int MOST_MEMBERS = 1024;
-    private static final int MOST_HOST = 255;
+    private static final int MAX_MEMBERS = 1024;
+    private static final int MAX_HOST = 255;
     private static final long FORMAT = 1;
 
     public Optional<Member> member(String name) {
@@ -50,14 +50,14 @@
         }
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
-        FleetConfig agreed = new FleetConfig(in.number(1, Long.MAX_VALUE), in.list(MOST_MEMBERS, FleetConfig::member),
-                in.list(CommandCodec.MOST_LIMITS, CommandCodec::spec), in.text(MOST_TEXT), in.text(MOST_TEXT));
+        FleetConfig agreed = new FleetConfig(in.number(1, Long.MAX_VALUE), in.list(MAX_MEMBERS, FleetConfig::member),
+                in.list(CommandCodec.MAX_LIMITS, CommandCodec::spec), in.text(MAX_TEXT), in.text(MAX_TEXT));
         in.end();
         return agreed;
     }
 
     private static Member member(CborIn in) throws FaultyMessageException {
-        Member m = new Member(in.text(MemberName.MOST_CHARS), in.text(MemberName.MOST_CHARS), in.text(MOST_HOST),
+        Member m = new Member(in.text(MemberName.MAX_CHARS), in.text(MemberName.MAX_CHARS), in.text(MAX_HOST),
                 (int) in.number(1, 65_535));
         try {
             MemberName.check("member name", m.name());
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -33,8 +33,8 @@
         VoterStore open() throws StoreException;
     }
 
-    private static final int MOST_QUEUED = 1 << 16;
-    private static final long STEP_MOST_US = 50_000;
+    private static final int MAX_QUEUED = 1 << 16;
+    private static final long MAX_STEP_US = 50_000;
     private static final long REOPEN_US = 2_000_000;
 
     private final Voter.Settings settings;
@@ -44,7 +44,7 @@
     private final MonotonicClock clock;
     private final Executor fleet;
     private final Random random;
-    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MOST_QUEUED);
+    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread;
     private Voter voter; // null until the directory is this process's
     private VoterStore store;
@@ -93,9 +93,9 @@
         if (voter == null && now >= openAt) {
             open(now);
         }
-        long next = voter == null ? openAt : Math.min(voter.next(), now + STEP_MOST_US);
+        long next = voter == null ? openAt : Math.min(voter.next(), now + MAX_STEP_US);
         Runnable task = queue.poll(Math.max(0, next - now), TimeUnit.MICROSECONDS);
-        for (int i = 0; task != null && i < MOST_QUEUED; i++) {
+        for (int i = 0; task != null && i < MAX_QUEUED; i++) {
             task.run();
             task = queue.poll();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -12,7 +12,7 @@
 /** What the rights of one moment mean for the module: allowances, less what lingers, and an honest pause. */
 final class AllowanceCalculator {
     private static final int UNBOUNDED = Integer.MAX_VALUE;
-    private static final int MOST_BARRED = 4096; // told one by one; the rest is found where an attempt would be written
+    private static final int MAX_BARRED = 4096; // told one by one; the rest is found where an attempt would be written
 
     private static final Set<String> EVERY = Set.of("");
 
@@ -63,7 +63,7 @@
     /** No more of a part that the module cannot name: none of its tenants may use any of its engines now. */
     private void full(Slot s, Set<String> listed, List<Gateway.Allowance> all) {
         boolean everywhere = s.reach().engines() == null || s.reach().engines().containsAll(listed);
-        int room = MOST_BARRED;
+        int room = MAX_BARRED;
         for (String t : s.tenant() != null ? List.of(s.tenant()) : tenants.all()) {
             if (s.reach().others() != null && s.reach().others().contains(t)) {
                 continue;
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/PoolBudget.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/PoolBudget.java
@@ -73,13 +73,13 @@
         FleetView view = view();
         long now = clock.getAsLong();
         Pool mine = single.get(engine);
-        long most = mine == null ? 0 : over(view, mine, now, beyond);
+        long max = mine == null ? 0 : over(view, mine, now, beyond);
         for (Pool p : shared) {
             boolean covers = p.first.reach() == null || p.first.reach().engines() == null
                     || p.first.reach().engines().contains(engine);
-            most = covers ? Math.max(most, over(view, p, now, beyond)) : most;
+            max = covers ? Math.max(max, over(view, p, now, beyond)) : max;
         }
-        return most;
+        return max;
     }
 
     private long over(FleetView view, Pool pool, long now, int beyond) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantNumbers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantNumbers.java
@@ -6,11 +6,11 @@
 import sandpaddle.fleet.limit.Scope;
 
 /**
- * The tenants met here, each with the number that the module counts it by. Those past {@link #MOST} count as one, with
- * those that name no tenant: a flood of names must not cost more than a flood of queries.
+ * The tenants met here, each with the number that the module counts it by. Those past {@link #MAX_TENANTS} count as
+ * one, with those that name no tenant: a flood of names must not cost more than a flood of queries.
  */
 final class TenantNumbers {
-    static final int MOST = 4096;
+    static final int MAX_TENANTS = 4096;
     /** The tenant of queries that name none, of those past the bound, and of names that no limit can have. */
     static final String OTHERS = "default";
 
@@ -27,12 +27,12 @@
     String counted(String tenant) {
         String known = named.get(tenant);
         if (known == null) {
-            known = numbers.size() < MOST && Scope.isName(tenant) ? tenant : OTHERS;
+            known = numbers.size() < MAX_TENANTS && Scope.isName(tenant) ? tenant : OTHERS;
             if (!numbers.containsKey(known)) {
                 numbers.put(known, numbers.size());
                 grown = true;
             }
-            if (named.size() < 2 * MOST) {
+            if (named.size() < 2 * MAX_TENANTS) {
                 named.put(tenant, known);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -60,7 +60,7 @@
     private static final int CATALOGUE = 20_000;
     private static final long CATALOGUE_BYTES = 16L << 20;
     private static final int FETCHES = 2; // running at one time
-    private static final long RETURN_LEAST_MS = 2_000;
+    private static final long MIN_RETURN_MS = 2_000;
 
     private final OutageSettings settings;
     private final String self;
@@ -93,7 +93,7 @@
         this.store = store;
         this.fetching = fetching;
         margins = new Margins(settings.margins());
-        phase = new HallPhase(itself.hall(), settings.schedule(), margins, settings.margins().mostMs(),
+        phase = new HallPhase(itself.hall(), settings.schedule(), margins, settings.margins().maxMs(),
                 settings.phase());
         shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
         copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
@@ -194,7 +194,7 @@
     /** The outage that is expected, with the margins that were learnt. */
     private Optional<TimeRange> ahead(long now, long wall) {
         return phase.lossAt()
-                .map(at -> new TimeRange(at, Math.max(at + 1, phase.returnAt(now, wall, RETURN_LEAST_MS))));
+                .map(at -> new TimeRange(at, Math.max(at + 1, phase.returnAt(now, wall, MIN_RETURN_MS))));
     }
 
     /** Time passes; {@code busy}: live traffic or a storm needs what filling would take. */
@@ -251,9 +251,9 @@
         Optional<StoredAnswer> found = storable.repeats(cls) && storable.maxAgeMs(cls) > 0 ? store.find(key)
                 : Optional.empty();
         ServeContext s = new ServeContext(isIsolated(), now, wall, process, store.trusts(wall),
-                settings.content().wallSlackMs(), heardAt, settings.content().unheardMostMs());
+                settings.content().wallSlackMs(), heardAt, settings.content().maxUnheardMs());
         Decision d = ServeRule.decide(key, storable.repeats(cls), storable.maxAgeMs(cls), found, s, changes);
         answer.accept(answers.answer(d, isIsolated(), enginesInside && storable.repeats(cls), wall,
-                phase.returnAt(now, wall, RETURN_LEAST_MS)));
+                phase.returnAt(now, wall, MIN_RETURN_MS)));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -46,7 +46,7 @@
         OutageSettings.Content c = settings.content();
         Optional<DiskTier> disk = c.diskBytes() == 0 || directory == null ? Optional.empty()
                 : Optional.of(DiskTier.open(new DirectoryFiles(directory.resolve("content")), new DiskSettings(
-                        c.diskBytes(), c.segmentBytes(), c.entries(), DiskSettings.DEFAULT.filesMost(),
+                        c.diskBytes(), c.segmentBytes(), c.entries(), DiskSettings.DEFAULT.maxFiles(),
                         DiskSettings.DEFAULT.retryUs()), System.currentTimeMillis()));
         keeper = new OutageService(settings, self,
                 new ContentStore(new MemoryTier(c.memoryBytes()), disk, c.flushUs()), over,
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -98,10 +98,10 @@
         boolean spare = hasSpare();
         List<SolverInput.Demand> all = new ArrayList<>();
         demands.forEach((limit, of) -> of.forEach((slot, n) -> {
-            if (known.halls().containsKey(slot.member()) && all.size() < SolverInput.MOST_DEMANDS) {
+            if (known.halls().containsKey(slot.member()) && all.size() < SolverInput.MAX_DEMANDS) {
                 all.add(new SolverInput.Demand(slot.sub(), "", slot.member(),
                         limit.substring(PoolLimitIds.KIND.length()),
-                        Math.min(SolverInput.MOST_CONNECTIONS, spare ? n + more(n) : n)));
+                        Math.min(SolverInput.MAX_CONNECTIONS, spare ? n + more(n) : n)));
             }
         }));
         return new SolverInput(state, gateways, engines, all);
@@ -134,7 +134,7 @@
             return table.specs().values().stream().filter(s -> PoolLimitIds.isPool(s.id())).toList();
         }
         List<LimitSpec> specs = new ArrayList<>();
-        int room = Math.max(0, CommandCodec.MOST_LIMITS - others);
+        int room = Math.max(0, CommandCodec.MAX_LIMITS - others);
         List<String> ids = known.policy().isEmpty() ? List.of()
                 : PoolLimitIds.of(known.policy().get(), known.engines()).stream()
                         .sorted((a, b) -> Boolean.compare(a.startsWith(PoolLimitIds.ENGINE),
@@ -147,7 +147,7 @@
         isCut = ids.size() > room;
         for (String id : ids.subList(0, Math.min(room, ids.size()))) {
             LimitRow row = table.limits().get(id);
-            long amount = amounts.getOrDefault(id, (long) SolverInput.MOST_CONNECTIONS);
+            long amount = amounts.getOrDefault(id, (long) SolverInput.MAX_CONNECTIONS);
             specs.add(new LimitSpec(id, Scope.WHOLE, Unit.CONNECTIONS,
                     Math.max(amount, row == null ? 0 : row.floors()), 0));
         }
@@ -163,7 +163,7 @@
     public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims) {
         if (limit.id().startsWith(PoolLimitIds.KIND)) {
             Map<SlotName, Integer> asked = new TreeMap<>();
-            claims.forEach(c -> asked.put(c.slot(), (int) Math.min(SolverInput.MOST_CONNECTIONS,
+            claims.forEach(c -> asked.put(c.slot(), (int) Math.min(SolverInput.MAX_CONNECTIONS,
                     Math.ceil(c.demand() - FADED))));
             changed |= !asked.equals(demands.put(limit.id(), asked));
         }
@@ -174,9 +174,9 @@
             sum += target.share();
             wish.add(target);
         }
-        long most = Math.min(amount, amounts.getOrDefault(limit.id(), Long.MAX_VALUE));
-        if (sum > most) { // gateways that are not heard hold some of it
-            double part = most / sum;
+        long max = Math.min(amount, amounts.getOrDefault(limit.id(), Long.MAX_VALUE));
+        if (sum > max) { // gateways that are not heard hold some of it
+            double part = max / sum;
             wish.replaceAll(t -> new Target(t.share() * part, (long) Math.min(t.floor(), t.share() * part)));
         }
         return wish;
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolEngines.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolEngines.java
@@ -9,11 +9,11 @@
 
 /**
  * The engines that budgets are for, with the names of their kinds. One that is listed no more stays {@value #KEPT_US}
- * us: attempts may run there, and its limit must not be gone while they do. Bounded by {@value #MOST}, past which
- * those that are gone are forgotten at once.
+ * us: attempts may run there, and its limit must not be gone while they do. Bounded by {@value #MAX_ENGINES}, past
+ * which those that are gone are forgotten at once.
  */
 public final class PoolEngines {
-    static final int MOST = 4096;
+    static final int MAX_ENGINES = 4096;
     private static final long KEPT_US = 60_000_000;
 
     private final List<String> kinds;
@@ -34,14 +34,14 @@
             if (e.status() == Gateway.Status.UP) {
                 String kind = e.kind() >= 0 && e.kind() < kinds.size() ? kinds.get(e.kind()) : "kind-" + e.kind();
                 goneAt.remove(e.id());
-                if (engines.containsKey(e.id()) || engines.size() < MOST) {
+                if (engines.containsKey(e.id()) || engines.size() < MAX_ENGINES) {
                     engines.put(e.id(), new PoolEngine(e.id(), kind, true));
                 }
             } else if (engines.containsKey(e.id())) {
                 gone(now, engines.get(e.id()));
             }
         }
-        forget(engines.size() >= MOST ? Long.MAX_VALUE : now);
+        forget(engines.size() >= MAX_ENGINES ? Long.MAX_VALUE : now);
     }
 
     private void gone(long now, PoolEngine e) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
@@ -16,10 +16,10 @@
 /**
  * This gateway's slots in the limits of a policy: one for each tenant that it has met in those of kinds and the
  * fleet, one for all of them in an engine's. Made anew only where policy, engines, tenants or limits changed. Bounded
- * by {@link #MOST} of them, past which tenants share the one for those that are not named.
+ * by {@link #MAX_SLOTS} of them, past which tenants share the one for those that are not named.
  */
 public final class PoolSlots {
-    static final int MOST = 16_384;
+    static final int MAX_SLOTS = 16_384;
     /** What an attempt must have a slot of as soon as any policy divides. */
     public static final Slot NEEDED = new Slot(PoolLimitIds.KIND, "", -1, null, Slot.EACH, Slot.Counts.CONNECTIONS);
 
@@ -42,7 +42,7 @@
     }
 
     public void met(String tenant) {
-        if (met.size() < MOST && met.add(tenant)) {
+        if (met.size() < MAX_SLOTS && met.add(tenant)) {
             slots = null;
         }
     }
@@ -71,7 +71,7 @@
         Set<String> counted = new TreeSet<>();
         int shared = (int) ids.stream().filter(id -> !id.startsWith(PoolLimitIds.ENGINE)).count();
         for (String tenant : met) {
-            if ((counted.size() + 1L) * shared <= MOST && named.contains(tenant)) {
+            if ((counted.size() + 1L) * shared <= MAX_SLOTS && named.contains(tenant)) {
                 counted.add(tenant);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -20,19 +20,19 @@
     static List<String> notes(Policy policy) {
         List<String> notes = new ArrayList<>();
         policy.shares().stream().filter(UnsupportedStatements::isOfClass).sorted(Comparator.comparing(Statement::at))
-                .limit(MOST)
+                .limit(MAX_LISTED)
                 .forEach(s -> notes.add("line " + s.at().line() + ": " + s.of() + ": gateways tell demand by tenant, "
                         + "so what is said of classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
                 .filter(s -> s.when().stream().anyMatch(UnsupportedStatements::neverHolds))
-                .sorted(Comparator.comparing(Statement::at)).limit(MOST)
+                .sorted(Comparator.comparing(Statement::at)).limit(MAX_LISTED)
                 .forEach(s -> notes.add("line " + s.at().line() + ": conditions on storm, recovery and outages do not "
                         + "hold in this version, so this statement has no effect"));
         return notes;
     }
 
-    private static final int MOST = 3;
+    private static final int MAX_LISTED = 3;
 
     private static boolean isOfClass(Statement.Share share) {
         return share.of().forms().stream().anyMatch(f -> f.dimension() == Dimension.CLASS);
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
@@ -20,7 +20,7 @@
  */
 public final class FloorStore {
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
-    private static final int MOST_BYTES = 8 << 20;
+    private static final int MAX_BYTES = 8 << 20;
     private static final long NANOS = 1000;
 
     private final Path file;
@@ -51,7 +51,7 @@
     /** The floors of an earlier process that may be used now. */
     public List<SavedFloor> read() {
         try {
-            if (!Files.exists(file) || Files.size(file) > MOST_BYTES) {
+            if (!Files.exists(file) || Files.size(file) > MAX_BYTES) {
                 return List.of();
             }
             return FloorFile.read(Files.readAllBytes(file)).usable(boot, host());
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
@@ -135,10 +135,10 @@
     /** The most that wait in any limit that is not by engine: each query waits once, in several of them. */
     private long waitingInAll(sandpaddle.fleet.view.SlotUsage usage) {
         SlotNumbering.Order order = numbering.order(usage.numbering()).orElseThrow();
-        long most = 0;
+        long max = 0;
         for (int i = 0; i < order.slots().size(); i++) {
-            most = order.slots().get(i).engine() == null ? Math.max(most, usage.waiting(i)) : most;
+            max = order.slots().get(i).engine() == null ? Math.max(max, usage.waiting(i)) : max;
         }
-        return most;
+        return max;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/StatusMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/StatusMessage.java
@@ -13,7 +13,7 @@
  * {@code text}: that itself, or "" where the gateway has it.
  */
 public record StatusMessage(long term, String leader, List<String> voters, long version, String text) {
-    private static final int MOST_VOTERS = 16;
+    private static final int MAX_VOTERS = 16;
 
     public byte[] encode() {
         return new CborOut().number(term).text(leader).list(voters, CborOut::text).number(version).text(text).done();
@@ -21,9 +21,9 @@
 
     public static StatusMessage decode(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
-        StatusMessage news = new StatusMessage(in.number(0, Long.MAX_VALUE), in.text(MemberName.MOST_CHARS),
-                in.list(MOST_VOTERS, i -> i.text(MemberName.MOST_CHARS)), in.number(0, Long.MAX_VALUE),
-                in.text(VersionedTexts.MOST_TEXT_BYTES));
+        StatusMessage news = new StatusMessage(in.number(0, Long.MAX_VALUE), in.text(MemberName.MAX_CHARS),
+                in.list(MAX_VOTERS, i -> i.text(MemberName.MAX_CHARS)), in.number(0, Long.MAX_VALUE),
+                in.text(VersionedTexts.MAX_TEXT_BYTES));
         in.end();
         return news;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
@@ -13,11 +13,11 @@
 
 /**
  * What clients were handed out as stored in an outage is fetched anew after it, by what was asked most for its work,
- * as slowly as {@link ReturnScheduler#refresh} says. At most {@value #MOST} answers are remembered; of others the next
- * ask itself brings a fresh one.
+ * as slowly as {@link ReturnScheduler#refresh} says. At most {@value #MAX_ANSWERS} answers are remembered; of others
+ * the next ask itself brings a fresh one.
  */
 public final class Refreshes {
-    static final int MOST = 10_000;
+    static final int MAX_ANSWERS = 10_000;
 
     private record Handed(Candidate what, long times) {
         double density() {
@@ -31,7 +31,7 @@
     /** A stored answer was handed out. */
     public void handedOut(Candidate what) {
         Handed old = handed.get(what.key().id());
-        if (old != null || handed.size() < MOST) {
+        if (old != null || handed.size() < MAX_ANSWERS) {
             handed.put(what.key().id(), new Handed(what, old == null ? 1 : old.times + 1));
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/ReturnScheduler.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/back/ReturnScheduler.java
@@ -17,7 +17,7 @@
 
     public ReturnScheduler(BackSettings settings, SplittableRandom random) {
         this.settings = settings;
-        calendar = new ReturnCalendar(settings.slotUs(), settings.leastUs(), settings.mostUs(), random);
+        calendar = new ReturnCalendar(settings.slotUs(), settings.minUs(), settings.maxUs(), random);
     }
 
     /**
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
@@ -13,13 +13,13 @@
  * ones began, the margin after that of how late they ended, each clipped to the settings. Exact quantiles over the
  * last {@value OffsetHistory#SIZE} windows: a sketch as KLL would save nothing at so few, and never forget. A missed
  * window moves no margin, nor does one in which the clock was set; an offset beyond the longest margin counts as that,
- * so that one strange window moves a quantile by one place and no further. At most {@value #RULES_MOST} rules of
+ * so that one strange window moves a quantile by one place and no further. At most {@value #MAX_RULES} rules of
  * {@code 2 * 8 * SIZE} bytes are known; the one not heard of for longest goes first.
  */
 public final class Margins {
-    static final int RULES_MOST = 1024;
+    static final int MAX_RULES = 1024;
     private static final int VERSION = 1;
-    private static final int NAME_MOST = 64;
+    private static final int MAX_NAME = 64;
 
     private static final class Learnt {
         private final OffsetHistory early = new OffsetHistory();
@@ -35,7 +35,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RuleKey, Learnt> eldest) {
-            return size() > RULES_MOST;
+            return size() > MAX_RULES;
         }
     };
 
@@ -60,26 +60,26 @@
     }
 
     private long clipped(long ms) {
-        return Math.max(-settings.mostMs(), Math.min(settings.mostMs(), ms));
+        return Math.max(-settings.maxMs(), Math.min(settings.maxMs(), ms));
     }
 
     /** How long (ms) before its planned beginning a window may begin: the longest of its rules' margins. */
     public long before(String hall, Iterable<String> rules) {
-        return most(hall, rules, l -> l.early.isEmpty() ? 0 : l.early.quantile(settings.quantile()));
+        return max(hall, rules, l -> l.early.isEmpty() ? 0 : l.early.quantile(settings.quantile()));
     }
 
     /** How long (ms) after its planned end a window may end. */
     public long after(String hall, Iterable<String> rules) {
-        return most(hall, rules, l -> l.late.isEmpty() ? 0 : l.late.quantile(settings.quantile()));
+        return max(hall, rules, l -> l.late.isEmpty() ? 0 : l.late.quantile(settings.quantile()));
     }
 
-    private long most(String hall, Iterable<String> rules, ToLongFunction<Learnt> margin) {
-        long most = settings.leastMs();
+    private long max(String hall, Iterable<String> rules, ToLongFunction<Learnt> margin) {
+        long max = settings.minMs();
         for (String rule : rules) {
             Learnt l = byRule.get(new RuleKey(hall, rule));
-            most = Math.max(most, settings.clip(l == null ? 0 : margin.applyAsLong(l)));
+            max = Math.max(max, settings.clip(l == null ? 0 : margin.applyAsLong(l)));
         }
-        return most;
+        return max;
     }
 
     /** Windows of a rule that passed without a loss. */
@@ -109,8 +109,8 @@
     public void take(byte[] exported) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(exported);
         in.number(VERSION, VERSION);
-        List<Map.Entry<RuleKey, Learnt>> all = in.list(RULES_MOST, i -> {
-            RuleKey place = new RuleKey(i.text(NAME_MOST), i.text(NAME_MOST));
+        List<Map.Entry<RuleKey, Learnt>> all = in.list(MAX_RULES, i -> {
+            RuleKey place = new RuleKey(i.text(MAX_NAME), i.text(MAX_NAME));
             Learnt l = new Learnt();
             l.missed = i.number(0, Long.MAX_VALUE);
             offsets(i, l.early);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
@@ -15,16 +15,16 @@
  * so. The wall clock serves the schedule alone; dwell times run on monotonic time. A wall clock that moves against the
  * monotonic one by more than {@value #STEP_MS} ms between two turns counts as set: what is expected is judged anew, a
  * window under way teaches nothing, and the hall is neither cut off nor back because of it. A turn costs a look at
- * the windows of the next hours; memory is one window and {@value #ENDINGS_MOST} endings.
+ * the windows of the next hours; memory is one window and {@value #MAX_ENDINGS} endings.
  */
 public final class HallPhase {
     static final long STEP_MS = 2000;
-    static final int ENDINGS_MOST = 64;
+    static final int MAX_ENDINGS = 64;
 
     private final String hall;
     private final PhaseSettings settings;
     private final Margins margins;
-    private final long marginMostMs;
+    private final long maxMarginMs;
     private final Deque<WindowOutcome> endings = new ArrayDeque<>();
     private Schedule schedule;
     private Phase phase = Phase.CONNECTED;
@@ -36,12 +36,12 @@
     private Episode episode;
     private TimeRange done; // the window that ended last, so that its margin does not begin it again
 
-    /** {@code marginMostMs}: the longest margin that {@code margins} gives; windows so long past still count. */
-    public HallPhase(String hall, Schedule schedule, Margins margins, long marginMostMs, PhaseSettings settings) {
+    /** {@code maxMarginMs}: the longest margin that {@code margins} gives; windows so long past still count. */
+    public HallPhase(String hall, Schedule schedule, Margins margins, long maxMarginMs, PhaseSettings settings) {
         this.hall = hall;
         this.schedule = schedule;
         this.margins = margins;
-        this.marginMostMs = marginMostMs;
+        this.maxMarginMs = maxMarginMs;
         this.settings = settings;
     }
 
@@ -126,15 +126,15 @@
     private void follow(long wall) {
         if (episode != null) {
             episode.ended(wall, after(episode.window()), settings.settleMs()).ifPresent(e -> {
-                if (endings.size() < ENDINGS_MOST) {
+                if (endings.size() < MAX_ENDINGS) {
                     endings.add(e);
                 }
                 done = episode.window().span();
                 episode = null;
             });
         }
-        List<Window> windows = schedule.windows(hall, wall - marginMostMs,
-                settings.expectMs() + 2 * marginMostMs);
+        List<Window> windows = schedule.windows(hall, wall - maxMarginMs,
+                settings.expectMs() + 2 * maxMarginMs);
         if (episode != null) {
             replan(windows, wall);
         }
@@ -215,9 +215,9 @@
 
     /**
      * When (wall, ms) the link is expected back, margins included. Past that, or with no window, an outage is taken to
-     * last once more as long as it has overrun, but at least {@code leastMs}.
+     * last once more as long as it has overrun, but at least {@code minMs}.
      */
-    public long returnAt(long now, long wall, long leastMs) {
+    public long returnAt(long now, long wall, long minMs) {
         long overrun = phase == Phase.ISOLATED ? (now - since) / 1000 : 0;
         if (episode != null && episode.hasLost()) {
             long planned = episode.window().span().to() + after(episode.window());
@@ -226,6 +226,6 @@
             }
             overrun = Math.min(overrun, wall - planned);
         }
-        return wall + Math.max(leastMs, overrun);
+        return wall + Math.max(minMs, overrun);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/AskHistory.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/AskHistory.java
@@ -18,7 +18,7 @@
     private static final double BESIDE = 0.35;
     private static final int HOURS = 24;
     private static final long HOUR_MS = 3_600_000;
-    private static final int GAP_MOST = 60; // days without an ask after which nothing is left
+    private static final int MAX_GAP = 60; // days without an ask after which nothing is left
 
     private static final class Hour {
         private LongsSketch today = new LongsSketch(MAP);
@@ -59,7 +59,7 @@
         LongsSketch joined = new LongsSketch(MAP);
         add(joined, h.today, first);
         add(joined, h.before, 1 - first);
-        long idle = Math.min(GAP_MOST, day - h.day - 1);
+        long idle = Math.min(MAX_GAP, day - h.day - 1);
         if (idle > 0) {
             LongsSketch faded = new LongsSketch(MAP);
             add(faded, joined, Math.pow(1 - newest, idle));
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
@@ -19,7 +19,7 @@
  */
 public final class Catalogue {
     private static final double NEWEST = 0.3;
-    private static final int NEIGHBOURS_MOST = 64;
+    private static final int MAX_NEIGHBOURS = 64;
 
     private static final class Known {
         private final ContentKey key;
@@ -38,14 +38,14 @@
         }
     }
 
-    private final int entriesMost;
-    private final long bytesMost;
+    private final int maxEntries;
+    private final long maxBytes;
     private final Map<ContentId, Known> byId = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    public Catalogue(int entriesMost, long bytesMost) {
-        this.entriesMost = entriesMost;
-        this.bytesMost = bytesMost;
+    public Catalogue(int maxEntries, long maxBytes) {
+        this.maxEntries = maxEntries;
+        this.maxBytes = maxBytes;
     }
 
     /** An answer of a class that may repeat was served by an engine. */
@@ -69,7 +69,7 @@
             k.maxAgeMs = c.maxAgeMs();
             k.worthEach = c.worthEach();
         }
-        if (k.neighbours.size() < NEIGHBOURS_MOST || k.neighbours.containsKey(neighbour)) {
+        if (k.neighbours.size() < MAX_NEIGHBOURS || k.neighbours.containsKey(neighbour)) {
             k.neighbours.put(neighbour, Math.max(0, asks));
         }
         shrink();
@@ -94,7 +94,7 @@
 
     private void shrink() {
         var i = byId.entrySet().iterator();
-        while ((byId.size() > entriesMost || bytes > bytesMost) && i.hasNext()) {
+        while ((byId.size() > maxEntries || bytes > maxBytes) && i.hasNext()) {
             bytes -= i.next().getValue().key.size();
             i.remove();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -11,11 +11,11 @@
 /**
  * Carries out a plan: which fetches to begin now, within what live capacity leaves. A token bucket in engine work of
  * at most {@value #BURST_US} us keeps a pause from being made up for in one burst. A fetch is begun at most
- * {@value #TRIES_MOST} times in one plan; what failed goes behind what has not been tried. Replanning keeps what runs.
+ * {@value #MAX_TRIES} times in one plan; what failed goes behind what has not been tried. Replanning keeps what runs.
  */
 public final class PlanExecutor {
     static final long BURST_US = 1_000_000;
-    static final int TRIES_MOST = 2;
+    static final int MAX_TRIES = 2;
 
     private record Waiting(Fetch fetch, int tried) { }
 
@@ -77,7 +77,7 @@
     /** A fetch ended; one that gave no answer may be tried again behind the others. */
     public void ended(ContentId id, boolean stored) {
         Waiting w = running.remove(id);
-        if (w != null && !stored && w.tried < TRIES_MOST) {
+        if (w != null && !stored && w.tried < MAX_TRIES) {
             waiting.add(w);
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -16,7 +16,7 @@
  */
 public final class Planner {
     /** Candidates looked at in one plan; what is beyond is left out. */
-    public static final int MOST = 50_000;
+    public static final int MAX_CANDIDATES = 50_000;
 
     /** Asks of one statement expected in a time (wall, ms). */
     public interface Forecast {
@@ -24,7 +24,7 @@
     }
 
     /** A copy at hand that is nearly as good as a fresh one is not fetched again: work is better spent on others. */
-    private static final double LEAST_GAIN = 0.05;
+    private static final double MIN_GAIN = 0.05;
 
     private record Choice(Candidate what, double gain, double density) { }
 
@@ -40,12 +40,12 @@
         double atHand = 0;
         long bytes = budget.bytes();
         List<Choice> all = new ArrayList<>();
-        for (Candidate c : candidates.subList(0, Math.min(MOST, candidates.size()))) {
+        for (Candidate c : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
             double has = has(c, outage, forecast);
             atHand += has;
             bytes -= has > 0 ? c.size() : 0; // a copy that still serves keeps its place
             double fresh = worth(c, isLate ? wall : until, outage, forecast);
-            if (fresh - has > LEAST_GAIN * fresh) {
+            if (fresh - has > MIN_GAIN * fresh) {
                 all.add(new Choice(c, fresh - has, 0));
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -19,7 +19,7 @@
  */
 public final class Prefetcher {
     /** Expectations told to neighbours at one time. */
-    static final int WANTS_MOST = 2000;
+    static final int MAX_WANTS = 2000;
 
     /** An expectation for the gateway that fetches the answer. */
     public record Want(String to, Candidate what, double asks) { }
@@ -116,7 +116,7 @@
             }
         }
         wants.sort((a, b) -> Double.compare(b.asks * b.what.worthEach(), a.asks * a.what.worthEach()));
-        return List.copyOf(wants.subList(0, Math.min(WANTS_MOST, wants.size())));
+        return List.copyOf(wants.subList(0, Math.min(MAX_WANTS, wants.size())));
     }
 
     /** What a copy asked for at a time (wall, ms) is worth in an outage: by it the store keeps and drops. */
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/SpanForecast.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/SpanForecast.java
@@ -15,10 +15,10 @@
     private final int hours;
     private final Map<Long, double[]> rates = new HashMap<>();
 
-    SpanForecast(TimeRange span, long hourMs, int hoursMost) {
+    SpanForecast(TimeRange span, long hourMs, int maxHours) {
         this.hourMs = hourMs;
         first = Math.floorDiv(span.from(), hourMs);
-        hours = (int) Math.min(hoursMost, Math.floorDiv(span.to() - 1, hourMs) - first + 1);
+        hours = (int) Math.min(maxHours, Math.floorDiv(span.to() - 1, hourMs) - first + 1);
     }
 
     int hours() {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
@@ -43,16 +43,16 @@
         List<FloorShare> going = shares.stream().filter(x -> leaving.contains(x.hall())).toList();
         List<FloorShare> staying = shares.stream().filter(x -> !leaving.contains(x.hall())).toList();
         long wanted = going.stream().mapToLong(x -> Math.max(0, x.need() - x.floor())).sum();
-        long spare = staying.stream().mapToLong(x -> Math.max(0, x.floor() - s.leastEach())).sum();
+        long spare = staying.stream().mapToLong(x -> Math.max(0, x.floor() - s.minEach())).sum();
         long had = going.stream().mapToLong(FloorShare::floor).sum();
-        long cap = Math.max(0, (long) Math.floor(limit * s.mostShare()) - had);
+        long cap = Math.max(0, (long) Math.floor(limit * s.maxShare()) - had);
         // what is not reserved for anybody is not taken: the sum of floors stays what the limit was checked with
         long moved = Math.min(Math.min(wanted, spare), cap);
         if (moved <= 0) {
             return floors;
         }
         divide(moved, going, x -> Math.max(0, x.need() - x.floor())).forEach((g, n) -> floors.merge(g, n, Long::sum));
-        divide(moved, staying, x -> Math.max(0, x.floor() - s.leastEach()))
+        divide(moved, staying, x -> Math.max(0, x.floor() - s.minEach()))
                 .forEach((g, n) -> floors.merge(g, -n, Long::sum));
         return floors;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
@@ -10,11 +10,11 @@
 /**
  * The windows of one rule within a look-ahead. The recurrence runs on local times without a zone, and each is then
  * placed by the zone's rules: a time that the clocks skip is later by what they skip, a time that they show twice is
- * the first of both (RFC 5545, 3.3.10 and 3.3.5). At most {@value #MOST} beginnings are looked at.
+ * the first of both (RFC 5545, 3.3.10 and 3.3.5). At most {@value #MAX_OCCURRENCES} beginnings are looked at.
  */
 final class Expansion {
     /** Beginnings of one rule in one look-ahead: hourly windows for 40 days. */
-    static final int MOST = 1000;
+    static final int MAX_OCCURRENCES = 1000;
     /** Zones are at most 18 hours from UTC; a day more covers every change of the clocks. */
     private static final int SLACK_DAYS = 2;
 
@@ -33,7 +33,7 @@
         if (from.isAfter(rule.first())) {
             i.fastForward(floating(from));
         }
-        for (int n = 0; n < MOST && more(i); n++) {
+        for (int n = 0; n < MAX_OCCURRENCES && more(i); n++) {
             LocalDateTime begin = local(i.nextDateTime());
             TimeRange span = place(rule, begin);
             if (span.from() > asked.to()) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RuleReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RuleReader.java
@@ -30,11 +30,11 @@
     public record Read(Optional<Schedule> schedule, List<Fault> faults) { }
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    private static final Duration LENGTH_MOST = Duration.ofDays(7);
-    private static final int EXCEPT_MOST = 366;
-    private static final int RRULE_MOST = 500;
-    private static final int YEAR_LEAST = 2000; // further back only lengthens the way that each expansion goes
-    private static final int YEAR_MOST = 2100;
+    private static final Duration MAX_LENGTH = Duration.ofDays(7);
+    private static final int MAX_EXCEPT = 366;
+    private static final int MAX_RRULE = 500;
+    private static final int MIN_YEAR = 2000; // further back only lengthens the way that each expansion goes
+    private static final int MAX_YEAR = 2100;
 
     private final List<Fault> faults = new ArrayList<>();
     private final Set<String> names = new HashSet<>();
@@ -46,9 +46,9 @@
     public static Read read(List<RawRule> written) {
         RuleReader reader = new RuleReader();
         List<Rule> rules = new ArrayList<>();
-        if (written.size() > Schedule.RULES_MOST) {
-            reader.fault(written.get(Schedule.RULES_MOST).path(), "", written.size() + " rules",
-                    "at most " + Schedule.RULES_MOST);
+        if (written.size() > Schedule.MAX_RULES) {
+            reader.fault(written.get(Schedule.MAX_RULES).path(), "", written.size() + " rules",
+                    "at most " + Schedule.MAX_RULES);
         } else {
             written.forEach(r -> rules.add(reader.rule(r)));
         }
@@ -71,11 +71,11 @@
         if (!r.rrule().isEmpty() && first != null) {
             recurrence(r, first);
         }
-        if (r.exdates().size() > EXCEPT_MOST) {
-            fault(r.path(), "exdates", r.exdates().size() + " dates", "at most " + EXCEPT_MOST);
+        if (r.exdates().size() > MAX_EXCEPT) {
+            fault(r.path(), "exdates", r.exdates().size() + " dates", "at most " + MAX_EXCEPT);
         }
         Set<LocalDateTime> except = new HashSet<>();
-        for (int i = 0; i < Math.min(r.exdates().size(), EXCEPT_MOST); i++) {
+        for (int i = 0; i < Math.min(r.exdates().size(), MAX_EXCEPT); i++) {
             LocalDateTime t = time(r.path(), "exdates[" + i + "]", r.exdates().get(i));
             if (t != null) {
                 except.add(t);
@@ -96,26 +96,26 @@
     private LocalDateTime time(String path, String key, String text) {
         try {
             LocalDateTime t = LocalDateTime.parse(text).withNano(0);
-            if (t.getYear() >= YEAR_LEAST && t.getYear() <= YEAR_MOST) {
+            if (t.getYear() >= MIN_YEAR && t.getYear() <= MAX_YEAR) {
                 return t;
             }
         } catch (DateTimeException e) {
             // told below, as a year out of range is
         }
-        fault(path, key, text, "a local time as 2026-11-01T02:30, from " + YEAR_LEAST + " to " + YEAR_MOST);
+        fault(path, key, text, "a local time as 2026-11-01T02:30, from " + MIN_YEAR + " to " + MAX_YEAR);
         return null;
     }
 
     private Duration length(RawRule r) {
         try {
             Duration d = Duration.parse(r.length());
-            if (d.toMillis() >= 1000 && d.compareTo(LENGTH_MOST) <= 0) {
+            if (d.toMillis() >= 1000 && d.compareTo(MAX_LENGTH) <= 0) {
                 return d;
             }
         } catch (DateTimeException | ArithmeticException e) {
             // told below, as a length out of range is
         }
-        fault(r.path(), "duration", r.length(), "a length as PT1H30M, from one second to " + LENGTH_MOST.toDays()
+        fault(r.path(), "duration", r.length(), "a length as PT1H30M, from one second to " + MAX_LENGTH.toDays()
                 + " days");
         return null;
     }
@@ -123,8 +123,8 @@
     /** Guards against what would make an expansion long: too fine a rule, or one that never comes. */
     private void recurrence(RawRule r, LocalDateTime first) {
         String often = "FREQ of HOURLY, DAILY, WEEKLY, MONTHLY or YEARLY, without BYSECOND or RSCALE";
-        if (r.rrule().length() > RRULE_MOST) {
-            fault(r.path(), "rrule", r.rrule().length() + " letters", "at most " + RRULE_MOST);
+        if (r.rrule().length() > MAX_RRULE) {
+            fault(r.path(), "rrule", r.rrule().length() + " letters", "at most " + MAX_RRULE);
             return;
         }
         try {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
@@ -11,12 +11,12 @@
  * When halls are expected to lose their uplink: windows that come once and recurrences (RFC 5545, by lib-recur),
  * placed by time zone and merged by hall where they overlap. It only says what is expected; that a hall is cut off
  * takes evidence. A look-ahead is expanded once and kept until it no longer covers what is asked; it costs at most
- * {@value Expansion#MOST} steps a rule and holds at most {@value #WINDOWS_MOST} windows a hall.
+ * {@value Expansion#MAX_OCCURRENCES} steps a rule and holds at most {@value #MAX_WINDOWS} windows a hall.
  */
 public final class Schedule {
     /** Rules in one schedule. */
-    public static final int RULES_MOST = 256;
-    static final int WINDOWS_MOST = 2048;
+    public static final int MAX_RULES = 256;
+    static final int MAX_WINDOWS = 2048;
     private static final long AHEAD_MS = 35L * 24 * 3600 * 1000;
     private static final long BEHIND_MS = 8L * 24 * 3600 * 1000;
 
@@ -65,7 +65,7 @@
             Window last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
             if (last != null && last.span().meets(w.span())) {
                 merged.set(merged.size() - 1, last.with(w));
-            } else if (merged.size() < WINDOWS_MOST) {
+            } else if (merged.size() < MAX_WINDOWS) {
                 merged.add(w);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
@@ -8,10 +8,10 @@
 /**
  * Which policy one gateway goes by. The version that the fleet agreed on rules; a gateway that does not have its text,
  * or cannot read it, goes on with the last one that it could, says so, and holds no more than the lesser of the floors
- * of both, since the fleet plans without it. It keeps the {@value #MOST_KEPT} texts read last.
+ * of both, since the fleet plans without it. It keeps the {@value #MAX_KEPT} texts read last.
  */
 public final class ActivePolicy {
-    private static final int MOST_KEPT = 4;
+    private static final int MAX_KEPT = 4;
 
     /** How the gateway stands to the version that rules. */
     public enum Status {
@@ -34,7 +34,7 @@
     public void read(PoolPolicyCheck checked) {
         read.remove(checked.version());
         read.put(checked.version(), checked);
-        if (read.size() > MOST_KEPT) {
+        if (read.size() > MAX_KEPT) {
             PolicyHash oldest = read.keySet().stream()
                     .filter(h -> ruling.isEmpty() || !ruling.get().hash().equals(h)).findFirst().orElseThrow();
             read.remove(oldest);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
@@ -19,7 +19,8 @@
  * What comes of checking one policy.
  *
  * @param policy present where there is no error
- * @param faults errors and warnings by place, {@value FaultList#MOST} and {@value FaultList#MOST_WARNINGS} at most
+ * @param faults errors and warnings by place, {@value FaultList#MAX_ERRORS} and {@value FaultList#MAX_WARNINGS} at
+ * most
  * @param cut whether there were more
  * @param version the name under which gateways agree on these bytes, readable or not
  */
@@ -34,7 +35,7 @@
     /** Checks a file, of which no more is read than a policy may hold. */
     public static PoolPolicyCheck check(Path file, KnownNames known) {
         try (InputStream in = Files.newInputStream(file)) {
-            return check(in.readNBytes(Limits.MOST_BYTES + 1), known);
+            return check(in.readNBytes(Limits.MAX_BYTES + 1), known);
         } catch (IOException e) {
             FaultList faults = new FaultList();
             faults.error(new SourcePosition(1, 1), "a file that cannot be read: " + FaultList.shown(e.toString(), 300),
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Expansion.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Expansion.java
@@ -24,9 +24,9 @@
             if (rule instanceof Share share) {
                 List<Selector> selections = selections(share.of(), groups);
                 size += selections.size();
-                if (size > Limits.MOST_EXPANDED) {
+                if (size > Limits.MAX_EXPANDED) {
                     faults.error(share.at(), "statements on groups that stand for more than "
-                            + Limits.MOST_EXPANDED + " selections", Limits.MOST_EXPANDED + " at most");
+                            + Limits.MAX_EXPANDED + " selections", Limits.MAX_EXPANDED + " at most");
                     return Optional.empty();
                 }
                 selections.forEach(s -> keys.computeIfAbsent(s, k -> new ArrayList<>(2)).add(share));
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
@@ -20,7 +20,7 @@
  */
 final class FloorSums {
     /** The sum of a family, and the statement that adds most to it. */
-    record Family(long sum, Share most) { }
+    record Family(long sum, Share max) { }
 
     private final int tenants;
     private final int classes;
@@ -34,7 +34,7 @@
         this.tenants = tenants + 1; // all others share one
         classes = known.classes().map(Set::size).orElse(Math.max(1, size(names, Form.CLASS)));
         halls = known.halls().map(Set::size).orElse(Math.max(1, size(names, Form.HALL)));
-        gateways = Math.max(known.mostGateways(), size(names, Form.GATEWAY));
+        gateways = Math.max(known.maxGateways(), size(names, Form.GATEWAY));
     }
 
     private static int size(Map<Form, Set<String>> names, Form form) {
@@ -85,13 +85,13 @@
             sum += part;
             parts.merge(each.getValue(), part, Long::sum);
         }
-        Share most = null;
+        Share max = null;
         for (Map.Entry<Share, Long> part : parts.entrySet()) {
-            if (most == null || part.getValue() > parts.get(most)) {
-                most = part.getKey();
+            if (max == null || part.getValue() > parts.get(max)) {
+                max = part.getKey();
             }
         }
-        return new Family(sum, most);
+        return new Family(sum, max);
     }
 
     /** Whether there are defaults of which neither holds the other. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
@@ -43,8 +43,8 @@
     }
 
     private void add(GroupDraft group) {
-        if (drafts.size() == Limits.MOST_GROUPS) {
-            faults.error(group.at(), "more than " + Limits.MOST_GROUPS + " groups", Limits.MOST_GROUPS + " at most");
+        if (drafts.size() == Limits.MAX_GROUPS) {
+            faults.error(group.at(), "more than " + Limits.MAX_GROUPS + " groups", Limits.MAX_GROUPS + " at most");
             return;
         }
         GroupDraft first = drafts.putIfAbsent(group.name(), group);
@@ -72,8 +72,8 @@
                 height = Math.max(height, 1 + nested(group, member, tenants));
             }
         }
-        if (height > Limits.MOST_NESTING && heights.values().stream().noneMatch(h -> h > Limits.MOST_NESTING)) {
-            faults.error(group.at(), "groups nested " + height + " deep", Limits.MOST_NESTING + " at most");
+        if (height > Limits.MAX_NESTING && heights.values().stream().noneMatch(h -> h > Limits.MAX_NESTING)) {
+            faults.error(group.at(), "groups nested " + height + " deep", Limits.MAX_NESTING + " at most");
         }
         open.remove(group.name());
         heights.put(group.name(), height);
@@ -103,11 +103,11 @@
         }
         int height = visit(inner);
         copied += resolved.get(member.name()).size();
-        if (copied <= Limits.MOST_EXPANDED) {
+        if (copied <= Limits.MAX_EXPANDED) {
             tenants.addAll(resolved.get(member.name()));
-        } else if (copied - resolved.get(member.name()).size() <= Limits.MOST_EXPANDED) {
-            faults.error(member.at(), "groups that copy more than " + Limits.MOST_EXPANDED + " members",
-                    Limits.MOST_EXPANDED + " at most");
+        } else if (copied - resolved.get(member.name()).size() <= Limits.MAX_EXPANDED) {
+            faults.error(member.at(), "groups that copy more than " + Limits.MAX_EXPANDED + " members",
+                    Limits.MAX_EXPANDED + " at most");
         }
         return height;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
@@ -5,19 +5,19 @@
 
 /** Names near to one that is unknown, by edit distance, so that a slip of the pen is told with its remedy. */
 final class NameSuggestions {
-    private static final int MOST_SHOWN = 3;
-    private static final int MOST_DISTANCE = 2;
+    private static final int MAX_SHOWN = 3;
+    private static final int MAX_DISTANCE = 2;
 
     private NameSuggestions() { }
 
     /** What is allowed: in general, and the names that may have been meant. */
     static String words(String general, String unknown, Collection<String> names) {
-        List<String> near = names.stream().filter(name -> near(unknown, name)).sorted().limit(MOST_SHOWN).toList();
+        List<String> near = names.stream().filter(name -> near(unknown, name)).sorted().limit(MAX_SHOWN).toList();
         return near.isEmpty() ? general : general + ", perhaps " + String.join(" or ", near);
     }
 
     private static boolean near(String a, String b) {
-        if (Math.abs(a.length() - b.length()) > MOST_DISTANCE) {
+        if (Math.abs(a.length() - b.length()) > MAX_DISTANCE) {
             return false;
         }
         int[] above = new int[b.length() + 1];
@@ -27,17 +27,17 @@
         for (int i = 1; i <= a.length(); i++) {
             int[] row = new int[b.length() + 1];
             row[0] = i;
-            int least = i;
+            int min = i;
             for (int j = 1; j <= b.length(); j++) {
                 int changed = above[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
                 row[j] = Math.min(changed, 1 + Math.min(above[j], row[j - 1]));
-                least = Math.min(least, row[j]);
+                min = Math.min(min, row[j]);
             }
-            if (least > MOST_DISTANCE) {
+            if (min > MAX_DISTANCE) {
                 return false;
             }
             above = row;
         }
-        return above[b.length()] <= Math.min(MOST_DISTANCE, Math.max(1, a.length() / 2));
+        return above[b.length()] <= Math.min(MAX_DISTANCE, Math.max(1, a.length() / 2));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
@@ -43,9 +43,9 @@
             }
         }
         check.members(draft, used);
-        if (tenants.size() > Limits.MOST_TENANTS) {
+        if (tenants.size() > Limits.MAX_TENANTS) {
             faults.error(new SourcePosition(1, 1), tenants.size() + " tenants named",
-                    Limits.MOST_TENANTS + " at most; others share 'default tenant'");
+                    Limits.MAX_TENANTS + " at most; others share 'default tenant'");
         }
         return tenants;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
@@ -24,8 +24,8 @@
 /** Tells what cannot be kept in some state of the fleet: floors above ceilings or budgets, budgets without room. */
 final class ScenarioCheck {
     /** Scenarios times statements, so that the cost stays in bounds whatever the conditions are. */
-    private static final int MOST_STEPS = 2_000_000;
-    private static final int MOST_STATES = 4_096;
+    private static final int MAX_STEPS = 2_000_000;
+    private static final int MAX_STATES = 4_096;
 
     private record Excess(Family family, long capacity) { }
 
@@ -47,17 +47,17 @@
 
     void check(List<Statement> rules) {
         int each = rules.size() + expansion.keys().size() + 1;
-        Scenarios scenarios = Scenarios.of(rules, Math.max(16, Math.min(MOST_STATES, MOST_STEPS / each)));
+        Scenarios scenarios = Scenarios.of(rules, Math.max(16, Math.min(MAX_STATES, MAX_STEPS / each)));
         if (!scenarios.complete()) {
             faults.warning(new SourcePosition(1, 1), "more combinations of conditions than are tried",
                     "fewer conditions; each was tried by itself, and all together");
         }
         scenarios.states().forEach(this::check);
-        excesses.forEach((family, excess) -> faults.error(excess.family.most().at(),
+        excesses.forEach((family, excess) -> faults.error(excess.family.max().at(),
                 "floors by " + String.join(" and ", family) + " of " + excess.family.sum() + " connections in sum",
                 excess.capacity + " at most, which the budgets leave"));
         if (inSum != null && excesses.isEmpty()) {
-            faults.warning(inSum.family.most().at(), "floors by several selections of " + inSum.family.sum()
+            faults.warning(inSum.family.max().at(), "floors by several selections of " + inSum.family.sum()
                     + " connections in sum", inSum.capacity + ", which the budgets leave, or floors that overlap");
         }
     }
@@ -139,60 +139,60 @@
 
     /** What all budgets leave for tenants with every known engine up; empty where some engine has no budget. */
     private OptionalLong capacity(Budgets budgets) {
-        long most = Long.MAX_VALUE;
+        long max = Long.MAX_VALUE;
         Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
         if (fleet.isPresent()) {
-            most = Capacity.ofMany(budgets, fleet.get(), engines(fleet.get())).left();
+            max = Capacity.ofMany(budgets, fleet.get(), engines(fleet.get())).left();
         }
         if (known.engines().isPresent()) {
             long kinds = 0;
             for (Map.Entry<String, Set<String>> kind : known.engines().get().entrySet()) {
                 OptionalLong left = ofKind(budgets, kind.getKey(), kind.getValue());
                 if (left.isEmpty()) {
-                    return most == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(most);
+                    return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
                 }
                 kinds += left.getAsLong();
             }
-            most = Math.min(most, kinds);
+            max = Math.min(max, kinds);
         }
-        return most == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(most);
+        return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
     }
 
     private OptionalLong ofKind(Budgets budgets, String kind, Set<String> engines) {
-        long most = Long.MAX_VALUE;
+        long max = Long.MAX_VALUE;
         Optional<Budget> whole = budgets.budget(Scope.KIND, kind);
         if (whole.isPresent()) {
-            most = Capacity.ofMany(budgets, whole.get(), engines.size()).left();
+            max = Capacity.ofMany(budgets, whole.get(), engines.size()).left();
         }
         Optional<Budget> each = budgets.budget(Scope.EACH_OF_KIND, kind);
         long sum = 0;
         for (String engine : engines) {
             Optional<Budget> own = budgets.budget(Scope.ENGINE, engine).or(() -> each);
             if (own.isEmpty()) {
-                return most == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(most);
+                return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
             }
             sum += Capacity.ofEngine(budgets, own.get(), false).left();
         }
-        return OptionalLong.of(Math.min(most, sum));
+        return OptionalLong.of(Math.min(max, sum));
     }
 
     private void sums(Map<List<String>, Family> families, long capacity) {
         long all = 0;
-        Share most = null;
-        long mostSum = -1;
+        Share max = null;
+        long maxSum = -1;
         for (Map.Entry<List<String>, Family> each : families.entrySet()) {
             Family family = each.getValue();
             all += family.sum();
-            if (family.sum() > mostSum) {
-                mostSum = family.sum();
-                most = family.most();
+            if (family.sum() > maxSum) {
+                maxSum = family.sum();
+                max = family.max();
             }
             if (family.sum() > capacity) {
                 excesses.merge(each.getKey(), new Excess(family, capacity), ScenarioCheck::worse);
             }
         }
         if (all > capacity) {
-            Excess excess = new Excess(new Family(all, most), capacity);
+            Excess excess = new Excess(new Family(all, max), capacity);
             inSum = inSum == null ? excess : worse(inSum, excess);
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
@@ -32,7 +32,7 @@
     private record Choice(List<UnaryOperator<FleetState>> ways) { }
 
     /** At most so many states. */
-    static Scenarios of(Collection<? extends Statement> rules, int most) {
+    static Scenarios of(Collection<? extends Statement> rules, int max) {
         Set<Condition> conditions = new LinkedHashSet<>();
         rules.forEach(rule -> conditions.addAll(rule.when()));
         List<Choice> choices = choices(conditions);
@@ -40,8 +40,8 @@
                 List.of());
         List<FleetState> states = List.of(calm);
         for (Choice choice : choices) {
-            if ((long) states.size() * choice.ways.size() > most) {
-                return new Scenarios(single(calm, choices, most), false);
+            if ((long) states.size() * choice.ways.size() > max) {
+                return new Scenarios(single(calm, choices, max), false);
             }
             List<FleetState> more = new ArrayList<>(states.size() * choice.ways.size());
             for (UnaryOperator<FleetState> way : choice.ways) {
@@ -52,7 +52,7 @@
         return new Scenarios(states, true);
     }
 
-    private static List<FleetState> single(FleetState calm, List<Choice> choices, int most) {
+    private static List<FleetState> single(FleetState calm, List<Choice> choices, int max) {
         Set<FleetState> states = new LinkedHashSet<>();
         FleetState last = calm;
         for (Choice choice : choices) {
@@ -61,7 +61,7 @@
         states.add(last);
         for (Choice choice : choices) {
             for (UnaryOperator<FleetState> way : choice.ways) {
-                if (states.size() < most) {
+                if (states.size() < max) {
                     states.add(way.apply(calm));
                 }
             }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ShadowCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ShadowCheck.java
@@ -15,10 +15,10 @@
 
 /**
  * Tells statements and settings that never take effect, since another one takes precedence wherever they would rule.
- * Compared are statements of the same subject only; there are at most {@value #MOST_OF_ONE} of each.
+ * Compared are statements of the same subject only; there are at most {@value #MAX_OF_ONE} of each.
  */
 final class ShadowCheck {
-    static final int MOST_OF_ONE = 200;
+    static final int MAX_OF_ONE = 200;
 
     private final FaultList faults;
 
@@ -97,9 +97,9 @@
     }
 
     private boolean tooMany(List<? extends Statement> rules, String what) {
-        if (rules.size() > MOST_OF_ONE) {
-            faults.error(rules.get(MOST_OF_ONE).at(), "more than " + MOST_OF_ONE + " statements " + what,
-                    MOST_OF_ONE + " at most");
+        if (rules.size() > MAX_OF_ONE) {
+            faults.error(rules.get(MAX_OF_ONE).at(), "more than " + MAX_OF_ONE + " statements " + what,
+                    MAX_OF_ONE + " at most");
             return true;
         }
         return false;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
@@ -18,14 +18,14 @@
     }
 
     /** A whole number; where it is out of range that is told, and the nearest in range returned. */
-    int whole(TerminalNode node, int least, int most, String what) {
+    int whole(TerminalNode node, int min, int max, String what) {
         String digits = node.getText();
         long value = digits.length() > 12 ? Long.MAX_VALUE : Long.parseLong(digits);
-        if (value < least || value > most) {
+        if (value < min || value > max) {
             faults.error(LineErrors.spot(node.getSymbol()), what + " " + FaultList.shown(digits),
-                    "from " + least + " to " + most);
+                    "from " + min + " to " + max);
         }
-        return (int) Math.max(least, Math.min(most, value));
+        return (int) Math.max(min, Math.min(max, value));
     }
 
     /** A weight in hundredths. */
@@ -33,27 +33,27 @@
         String digits = token.getText();
         int point = digits.indexOf('.');
         double value = Double.parseDouble(digits) * 100;
-        if (!(value >= Limits.LEAST_HUNDREDTHS && value <= Limits.MOST_HUNDREDTHS)
+        if (!(value >= Limits.MIN_HUNDREDTHS && value <= Limits.MAX_HUNDREDTHS)
                 || point >= 0 && digits.length() - point > 3) {
             faults.error(LineErrors.spot(token), "weight " + FaultList.shown(digits),
-                    "from 0.01 to " + Limits.MOST_HUNDREDTHS / 100 + " with two decimals at most");
+                    "from 0.01 to " + Limits.MAX_HUNDREDTHS / 100 + " with two decimals at most");
         }
-        return (int) Math.max(Limits.LEAST_HUNDREDTHS, Math.min(Limits.MOST_HUNDREDTHS, Math.round(value)));
+        return (int) Math.max(Limits.MIN_HUNDREDTHS, Math.min(Limits.MAX_HUNDREDTHS, Math.round(value)));
     }
 
     /** The text between the quotes. */
     String name(TerminalNode node) {
         String quoted = node.getText();
         String name = quoted.substring(1, quoted.length() - 1);
-        if (name.isEmpty() || name.codePointCount(0, name.length()) > Limits.MOST_NAME
+        if (name.isEmpty() || name.codePointCount(0, name.length()) > Limits.MAX_NAME
                 || name.chars().anyMatch(Character::isISOControl)) {
             faults.error(LineErrors.spot(node.getSymbol()), "the name " + FaultList.shown(quoted),
-                    "1 to " + Limits.MOST_NAME + " characters, none of them a control character");
+                    "1 to " + Limits.MAX_NAME + " characters, none of them a control character");
         }
         return name;
     }
 
-    Duration duration(PoolPolicyParser.DurationContext from, Duration least, Duration most, String what) {
+    Duration duration(PoolPolicyParser.DurationContext from, Duration min, Duration max, String what) {
         Token unit = from.getStop();
         String digits = from.INT().getText();
         long number = digits.length() > 12 ? Long.MAX_VALUE / 3_600_000 : Long.parseLong(digits);
@@ -63,12 +63,12 @@
             case PoolPolicyParser.MIN -> number * 60_000;
             default -> number * 3_600_000;
         };
-        if (millis < least.toMillis() || millis > most.toMillis()) {
+        if (millis < min.toMillis() || millis > max.toMillis()) {
             faults.error(LineErrors.spot(from.getStart()),
                     what + " " + FaultList.shown(digits) + " " + unit.getText(),
-                    "from " + words(least) + " to " + words(most));
+                    "from " + words(min) + " to " + words(max));
         }
-        return Duration.ofMillis(Math.max(least.toMillis(), Math.min(most.toMillis(), millis)));
+        return Duration.ofMillis(Math.max(min.toMillis(), Math.min(max.toMillis(), millis)));
     }
 
     private static String words(Duration duration) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
@@ -25,8 +25,8 @@
     public static PolicyDraft read(byte[] file, FaultList faults) {
         PolicyDraft draft = new PolicyDraft();
         SourcePosition start = new SourcePosition(1, 1);
-        if (file.length > Limits.MOST_BYTES) {
-            faults.error(start, "a file of " + file.length + " bytes", Limits.MOST_BYTES + " bytes at most");
+        if (file.length > Limits.MAX_BYTES) {
+            faults.error(start, "a file of " + file.length + " bytes", Limits.MAX_BYTES + " bytes at most");
             return draft;
         }
         Optional<String> text = decode(file, faults);
@@ -65,9 +65,9 @@
             if (faults.errors() > errors || faults.isFull() || line.statement() == null) {
                 continue;
             }
-            if (draft.statements() >= Limits.MOST_STATEMENTS) {
-                faults.error(LineErrors.spot(first), "more than " + Limits.MOST_STATEMENTS + " statements",
-                        Limits.MOST_STATEMENTS + " at most");
+            if (draft.statements() >= Limits.MAX_STATEMENTS) {
+                faults.error(LineErrors.spot(first), "more than " + Limits.MAX_STATEMENTS + " statements",
+                        Limits.MAX_STATEMENTS + " at most");
                 return;
             }
             statements.read(line.statement());
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
@@ -85,7 +85,7 @@
     }
 
     private Statement.Budget budget(SourcePosition at, List<Condition> when, BudgetContext from) {
-        int connections = literals.whole(from.INT(), 1, Limits.MOST_CONNECTIONS, "a budget of");
+        int connections = literals.whole(from.INT(), 1, Limits.MAX_CONNECTIONS, "a budget of");
         Statement.Scope scope = Statement.Scope.FLEET;
         String name = "";
         if (from.budgetOf().FLEET() == null) {
@@ -106,7 +106,7 @@
     private Statement.Reserve reserve(SourcePosition at, List<Condition> when, ReserveContext from) {
         boolean percent = from.PERCENT() != null;
         int amount = percent ? literals.whole(from.INT(), 0, 99, "a reserve in percent of")
-                : literals.whole(from.INT(), 0, Limits.MOST_CONNECTIONS, "a reserve of");
+                : literals.whole(from.INT(), 0, Limits.MAX_CONNECTIONS, "a reserve of");
         return new Statement.Reserve(at, when,
                 from.CONTROL() != null ? Statement.Use.CONTROL : Statement.Use.RETURNING, percent, amount);
     }
@@ -131,10 +131,10 @@
                 weight = OptionalInt.of(literals.weight(setting.getStop()));
             } else if (word.getType() == PoolPolicyParser.FLOOR) {
                 twice = floor.isPresent();
-                floor = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MOST_CONNECTIONS, "floor"));
+                floor = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MAX_CONNECTIONS, "floor"));
             } else {
                 twice = ceiling.isPresent();
-                ceiling = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MOST_CONNECTIONS, "ceiling"));
+                ceiling = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MAX_CONNECTIONS, "ceiling"));
             }
             if (twice) {
                 faults.error(LineErrors.spot(word), "'" + word.getText() + "' twice in a statement", "once");
@@ -153,9 +153,9 @@
     private List<Condition> conditions(List<ConditionContext> from) {
         List<Condition> conditions = new ArrayList<>();
         for (ConditionContext each : from) {
-            if (conditions.size() == Limits.MOST_CONDITIONS) {
-                faults.error(LineErrors.spot(each.getStart()), "more than " + Limits.MOST_CONDITIONS + " conditions",
-                        Limits.MOST_CONDITIONS + " at most");
+            if (conditions.size() == Limits.MAX_CONDITIONS) {
+                faults.error(LineErrors.spot(each.getStart()), "more than " + Limits.MAX_CONDITIONS + " conditions",
+                        Limits.MAX_CONDITIONS + " at most");
                 break;
             }
             Condition condition = condition(each);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/FaultList.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/FaultList.java
@@ -8,13 +8,13 @@
 import sandpaddle.fleet.pool.model.PolicyFault.Severity;
 
 /**
- * All that is wrong with one policy, each once. Bounded: the first {@value #MOST} errors and the first
- * {@value #MOST_WARNINGS} warnings are kept, so that warnings never hide an error.
+ * All that is wrong with one policy, each once. Bounded: the first {@value #MAX_ERRORS} errors and the first
+ * {@value #MAX_WARNINGS} warnings are kept, so that warnings never hide an error.
  */
 public final class FaultList {
-    public static final int MOST = 200;
-    public static final int MOST_WARNINGS = 50;
-    private static final int MOST_TEXT = 48;
+    public static final int MAX_ERRORS = 200;
+    public static final int MAX_WARNINGS = 50;
+    private static final int MAX_TEXT = 48;
 
     private final Set<PolicyFault> errors = new LinkedHashSet<>();
     private final Set<PolicyFault> warnings = new LinkedHashSet<>();
@@ -32,7 +32,7 @@
     private void add(PolicyFault fault) {
         boolean error = fault.severity() == Severity.ERROR;
         Set<PolicyFault> faults = error ? errors : warnings;
-        if (faults.size() < (error ? MOST : MOST_WARNINGS)) {
+        if (faults.size() < (error ? MAX_ERRORS : MAX_WARNINGS)) {
             faults.add(fault);
         } else if (!faults.contains(fault)) {
             full |= error;
@@ -62,13 +62,13 @@
 
     /** A text from a file, fit for a log line: cut, and without control characters. */
     public static String shown(String text) {
-        return shown(text, MOST_TEXT);
+        return shown(text, MAX_TEXT);
     }
 
     /** The same, cut after about so many characters. */
-    public static String shown(String text, int most) {
+    public static String shown(String text, int max) {
         StringBuilder to = new StringBuilder();
-        for (int i = 0; i < text.length() && to.length() < most; i++) {
+        for (int i = 0; i < text.length() && to.length() < max; i++) {
             char c = text.charAt(i);
             if (Character.isISOControl(c) || Character.isSurrogate(c)) {
                 to.append(String.format("\\u%04x", (int) c));
@@ -76,6 +76,6 @@
                 to.append(c);
             }
         }
-        return to.length() >= most ? to + "..." : to.toString();
+        return to.length() >= max ? to + "..." : to.toString();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
@@ -8,13 +8,13 @@
 
 /**
  * What the solver divides by: the state, the gateways that take part, the engines that may be connected to, and what is
- * asked for. Bounds: {@value #MOST_GATEWAYS} gateways, {@value #MOST_ENGINES} engines, {@value #MOST_DEMANDS} demands.
+ * asked for. Bounds: {@value #MAX_GATEWAYS} gateways, {@value #MAX_ENGINES} engines, {@value #MAX_DEMANDS} demands.
  */
 public record SolverInput(FleetState state, List<Gateway> gateways, List<Engine> engines, List<Demand> demands) {
-    public static final int MOST_GATEWAYS = 1_024;
-    public static final int MOST_ENGINES = 4_096;
-    public static final int MOST_DEMANDS = 262_144;
-    public static final int MOST_CONNECTIONS = 1_000_000;
+    public static final int MAX_GATEWAYS = 1_024;
+    public static final int MAX_ENGINES = 4_096;
+    public static final int MAX_DEMANDS = 262_144;
+    public static final int MAX_CONNECTIONS = 1_000_000;
 
     /** A gateway that takes part. */
     public record Gateway(String name, String hall) { }
@@ -30,9 +30,9 @@
         gateways = List.copyOf(gateways);
         engines = List.copyOf(engines);
         demands = List.copyOf(demands);
-        bound("gateways", gateways.size(), MOST_GATEWAYS);
-        bound("engines", engines.size(), MOST_ENGINES);
-        bound("demands", demands.size(), MOST_DEMANDS);
+        bound("gateways", gateways.size(), MAX_GATEWAYS);
+        bound("engines", engines.size(), MAX_ENGINES);
+        bound("demands", demands.size(), MAX_DEMANDS);
         Set<String> names = new HashSet<>();
         gateways.forEach(g -> once(names, "gateway", g.name()));
         Set<String> engineNames = new HashSet<>();
@@ -41,16 +41,16 @@
             if (!names.contains(demand.gateway())) {
                 throw new IllegalArgumentException("demand of a gateway unknown: " + demand.gateway());
             }
-            if (demand.connections() < 0 || demand.connections() > MOST_CONNECTIONS) {
+            if (demand.connections() < 0 || demand.connections() > MAX_CONNECTIONS) {
                 throw new IllegalArgumentException("demand of " + demand.connections() + " connections by tenant "
-                        + demand.tenant() + ", not from 0 to " + MOST_CONNECTIONS);
+                        + demand.tenant() + ", not from 0 to " + MAX_CONNECTIONS);
             }
         }
     }
 
-    private static void bound(String what, int found, int most) {
-        if (found > most) {
-            throw new IllegalArgumentException(found + " " + what + ", " + most + " at most");
+    private static void bound(String what, int found, int max) {
+        if (found > max) {
+            throw new IllegalArgumentException(found + " " + what + ", " + max + " at most");
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
@@ -13,27 +13,27 @@
  */
 final class Division {
     private final Rows rows;
-    private final int[] most;
-    private final int[] least;
+    private final int[] max;
+    private final int[] min;
     private final long[] used; // of each link, by floors
     private long steps;
 
-    private Division(Rows rows, int[] most) {
+    private Division(Rows rows, int[] max) {
         this.rows = rows;
-        this.most = most;
-        least = new int[most.length];
+        this.max = max;
+        min = new int[max.length];
         used = new long[rows.capacity.length];
     }
 
     /** What each row gets, what of this by floors, which floors were cut, and the cost. */
     record Result(int[] whole, int[] floors, List<Unmet> unmet, long steps) { }
 
-    static Result divide(Rows rows, int[] most, int[] previous) {
-        Division division = new Division(rows, most);
+    static Result divide(Rows rows, int[] max, int[] previous) {
+        Division division = new Division(rows, max);
         rows.floors.forEach(division::grant);
-        Network net = new Network(rows.weight, division.least, most, rows.links, rows.capacity);
+        Network net = new Network(rows.weight, division.min, max, rows.links, rows.capacity);
         int[] whole = division.solve(net, previous, rows.ties);
-        return new Result(whole, division.least, division.unmet(whole), division.steps);
+        return new Result(whole, division.min, division.unmet(whole), division.steps);
     }
 
     private int[] solve(Network net, int[] before, int[] ties) {
@@ -64,15 +64,15 @@
             long held = 0;
             for (int row : family.get(f).rows()) {
                 weight[at] = rows.weight[row];
-                low[at] = least[row];
-                high[at] = Math.max(most[row], least[row]);
+                low[at] = min[row];
+                high[at] = Math.max(max[row], min[row]);
                 ties[at] = rows.ties[row];
                 links[at] = Arrays.copyOf(rows.links[row], rows.links[row].length + 1);
                 links[at][rows.links[row].length] = base + f;
                 for (int link : rows.links[row]) {
-                    capacity[link] += least[row]; // counts as held within the family, not as used outside
+                    capacity[link] += min[row]; // counts as held within the family, not as used outside
                 }
-                held += least[row];
+                held += min[row];
                 at++;
             }
             capacity[base + f] = Math.max(held, family.get(f).by().floor().getAsInt());
@@ -80,9 +80,9 @@
         int[] granted = solve(new Network(weight, low, high, links, capacity), new int[count], ties);
         for (int i = 0; i < count; i++) {
             for (int link : rows.links[of[i]]) {
-                used[link] += granted[i] - least[of[i]];
+                used[link] += granted[i] - min[of[i]];
             }
-            least[of[i]] = granted[i];
+            min[of[i]] = granted[i];
         }
     }
 
@@ -93,7 +93,7 @@
                 long asked = 0;
                 long got = 0;
                 for (int row : floor.rows()) {
-                    asked += most[row];
+                    asked += max[row];
                     got += whole[row];
                 }
                 int size = floor.by().floor().getAsInt();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
@@ -57,14 +57,14 @@
         int rows = wanted.length;
         long[] weight = new long[rows];
         Arrays.fill(weight, 1);
-        int[] most = Arrays.stream(wanted).mapToInt(w -> (int) Math.min(w, whole)).toArray();
+        int[] max = Arrays.stream(wanted).mapToInt(w -> (int) Math.min(w, whole)).toArray();
         int[][] links = new int[rows][];
         Arrays.fill(links, new int[] {0});
         int[] ties = new int[rows];
         for (int row = 0; row < rows; row++) {
             ties[row] = Rows.tie(new Rows.Name(kind, gateways[row], "", ""));
         }
-        Network net = new Network(weight, new int[rows], most, links, new long[] {whole});
+        Network net = new Network(weight, new int[rows], max, links, new long[] {whole});
         return Rounding.round(net, ProgressiveFilling.fill(net).value(), new int[rows], ties);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Network.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Network.java
@@ -5,12 +5,12 @@
  * ceilings are links; the word is that of networks, where flows share links in the same way.
  *
  * @param weight of each row, 1 to 10^12: whole, so that sums over 2^18 rows are exact
- * @param least what each row has in any case, from floors; the sums of these fit into the links
- * @param most what each row may have, at least {@code least}
+ * @param min what each row has in any case, from floors; the sums of these fit into the links
+ * @param max what each row may have, at least {@code min}
  * @param links of each row, none twice
  * @param capacity of each link
  */
-record Network(long[] weight, int[] least, int[] most, int[][] links, long[] capacity) {
+record Network(long[] weight, int[] min, int[] max, int[][] links, long[] capacity) {
     int rows() {
         return weight.length;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
@@ -63,15 +63,15 @@
 
     /** The most that any link lets a row have; a row that nothing bounds has its demand. */
     private static int[] unbounded(Rows rows) {
-        int[] most = new int[rows.demand.length];
-        for (int row = 0; row < most.length; row++) {
+        int[] max = new int[rows.demand.length];
+        for (int row = 0; row < max.length; row++) {
             long bound = Long.MAX_VALUE;
             for (int link : rows.links[row]) {
                 bound = Math.min(bound, rows.capacity[link]);
             }
-            most[row] = bound == Long.MAX_VALUE ? rows.demand[row] : (int) Math.min(bound, Integer.MAX_VALUE / 2);
+            max[row] = bound == Long.MAX_VALUE ? rows.demand[row] : (int) Math.min(bound, Integer.MAX_VALUE / 2);
         }
-        return most;
+        return max;
     }
 
     private static List<Cell> cells(Capacities capacities, List<Row> rows, Allocation previous) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
@@ -49,15 +49,15 @@
 
     private void run() {
         for (int row = 0; row < net.rows(); row++) {
-            int least = net.least()[row];
-            value[row] = least;
+            int min = net.min()[row];
+            value[row] = min;
             for (int link : net.links()[row]) {
-                fixed[link] += least;
+                fixed[link] += min;
             }
-            if (net.most()[row] <= least) {
+            if (net.max()[row] <= min) {
                 state[row] = DONE;
-            } else if (least > 0) {
-                rowEvents.put(row, least / (double) net.weight()[row]);
+            } else if (min > 0) {
+                rowEvents.put(row, min / (double) net.weight()[row]);
             } else {
                 rise(row);
             }
@@ -78,7 +78,7 @@
     /** The level has reached what the row holds, or the most that it may have. */
     private void next(int row) {
         if (state[row] == RISING) {
-            stop(row, net.most()[row]);
+            stop(row, net.max()[row]);
             return;
         }
         rise(row);
@@ -90,11 +90,11 @@
     private void rise(int row) {
         state[row] = RISING;
         for (int link : net.links()[row]) {
-            fixed[link] -= net.least()[row];
+            fixed[link] -= net.min()[row];
             rate[link] += net.weight()[row];
             risers[link]++;
         }
-        rowEvents.put(row, net.most()[row] / (double) net.weight()[row]);
+        rowEvents.put(row, net.max()[row] / (double) net.weight()[row]);
     }
 
     /** The link may be full; rows that stopped since its event was set put that off, and nothing was done for it. */
@@ -114,8 +114,8 @@
         for (int row : members[link]) {
             steps++;
             if (state[row] != DONE) {
-                double reached = state[row] == RISING ? net.weight()[row] * level : net.least()[row];
-                stop(row, Math.max(net.least()[row], Math.min(net.most()[row], reached)));
+                double reached = state[row] == RISING ? net.weight()[row] * level : net.min()[row];
+                stop(row, Math.max(net.min()[row], Math.min(net.max()[row], reached)));
             }
         }
         linkEvents.remove(link);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rounding.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rounding.java
@@ -34,7 +34,7 @@
         }
         for (long entry : order(net, shares, whole, previous, ties)) {
             int row = (int) (entry & (1 << ROW_BITS) - 1);
-            if (whole[row] < net.most()[row] && fits(net, row, left)) {
+            if (whole[row] < net.max()[row] && fits(net, row, left)) {
                 give(net, row, whole, left);
             }
         }
@@ -79,13 +79,13 @@
     private static void rest(Network net, int[] whole, long[] left) {
         TimeQueue queue = new TimeQueue(net.rows());
         for (int row = 0; row < net.rows(); row++) {
-            if (whole[row] < net.most()[row] && fits(net, row, left)) {
+            if (whole[row] < net.max()[row] && fits(net, row, left)) {
                 queue.put(row, (whole[row] + 1) / (double) net.weight()[row]);
             }
         }
         while (!queue.isEmpty()) {
             int row = queue.first();
-            if (whole[row] < net.most()[row] && fits(net, row, left)) {
+            if (whole[row] < net.max()[row] && fits(net, row, left)) {
                 give(net, row, whole, left);
                 queue.put(row, (whole[row] + 1) / (double) net.weight()[row]);
             } else {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -48,7 +48,7 @@
         TreeMap<Name, Integer> sums = new TreeMap<>();
         for (Demand d : facts.demands()) {
             sums.merge(new Name(d.kind(), d.gateway(), policy.counted(d.tenant()), d.className()), d.connections(),
-                    (a, b) -> Math.min(a + b, SolverInput.MOST_CONNECTIONS));
+                    (a, b) -> Math.min(a + b, SolverInput.MAX_CONNECTIONS));
         }
         names = List.copyOf(sums.keySet());
         demand = sums.values().stream().mapToInt(Integer::intValue).toArray();
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -20,7 +20,7 @@
     private static final String RETIRED = "raft.retired";
     private static final String FAULTS = "raft.faults";
     private static final String SEEN = "raft.seen";
-    private static final int MOST_TEXT = 1000;
+    private static final int MAX_TEXT = 1000;
 
     private final VoterStore store;
     private final String cluster;
@@ -64,13 +64,13 @@
 
     private static String faults(RecoveredState found) {
         String all = String.join("; ", found.faults());
-        return all.substring(0, Math.min(MOST_TEXT / 4, all.length()));
+        return all.substring(0, Math.min(MAX_TEXT / 4, all.length()));
     }
 
     private String text(String key) throws StoreException {
         Optional<byte[]> kept = store.get(key);
         try {
-            return kept.isEmpty() ? "" : new CborIn(kept.get()).text(MOST_TEXT);
+            return kept.isEmpty() ? "" : new CborIn(kept.get()).text(MAX_TEXT);
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, key + ": " + e.getMessage(), e);
         }
@@ -90,7 +90,7 @@
         long life = random.nextLong();
         List<Long> all = new ArrayList<>(former);
         all.add(life);
-        int drop = Math.max(0, all.size() - JoinRequest.MOST_FORMER);
+        int drop = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
         store.put(LIVES, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
         return new JoinRequest(self, life, former, found.term(), found.lastIndex());
     }
@@ -98,7 +98,7 @@
     private List<Long> lives() throws StoreException {
         Optional<byte[]> kept = store.get(LIVES);
         try {
-            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(JoinRequest.MOST_FORMER,
+            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(JoinRequest.MAX_FORMER,
                 i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, LIVES + ": " + e.getMessage(), e);
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -14,12 +14,12 @@
  * that never forget a vote or an entry that they acknowledged; an empty disk, or an old copy, breaks that silently.
  * So each opening of a store draws a number, its life, and keeps those before; who joins names them, and is refused
  * where a peer met a life that its disk does not know of, or heard it acknowledge more than its disk has. One peer
- * that remembers is enough to refuse; whoever is refused comes back under a new number. Bound: {@value #MOST_NAMES}
+ * that remembers is enough to refuse; whoever is refused comes back under a new number. Bound: {@value #MAX_NAMES}
  * names.
  */
 public class PeerIncarnations {
     /** Of names; the one not met for longest is forgotten for a new one. */
-    public static final int MOST_NAMES = 64;
+    public static final int MAX_NAMES = 64;
 
     /** The newest endpoint of a name: its life, and the highest term and index at that term that it told. */
     private record Sighting(int number, long life, int term, long index) { }
@@ -95,7 +95,7 @@
 
     private void keep(String name, Sighting sight) {
         sights.remove(name); // so that it stands last
-        if (sights.size() >= MOST_NAMES) {
+        if (sights.size() >= MAX_NAMES) {
             sights.remove(sights.keySet().iterator().next());
         }
         sights.put(name, sight);
@@ -109,9 +109,9 @@
     public static PeerIncarnations read(byte[] kept) throws FaultyMessageException {
         PeerIncarnations seen = new PeerIncarnations();
         CborIn in = new CborIn(kept);
-        List<Boolean> all = in.list(MOST_NAMES, i -> {
-            String name = i.text(Endpoint.MOST_NAME_BYTES);
-            seen.sights.put(name, new Sighting((int) i.number(1, Endpoint.MOST_NUMBER),
+        List<Boolean> all = in.list(MAX_NAMES, i -> {
+            String name = i.text(Endpoint.MAX_NAME_BYTES);
+            seen.sights.put(name, new Sighting((int) i.number(1, Endpoint.MAX_NUMBER),
                 i.number(Long.MIN_VALUE, Long.MAX_VALUE), (int) i.number(0, Integer.MAX_VALUE),
                 i.number(0, Long.MAX_VALUE)));
             return true;
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/CommandResult.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/CommandResult.java
@@ -12,7 +12,7 @@
     private static final byte REFUSED = 1;
 
     /** Of a refusal's reason, in characters. */
-    public static final int MOST_WHY = 500;
+    public static final int MAX_WHY = 500;
 
     static byte[] taken(byte[] result) {
         byte[] bytes = new byte[result.length + 1];
@@ -23,7 +23,7 @@
 
     /** A refusal as a part returns it. */
     public static byte[] refused(String why) {
-        byte[] text = why.substring(0, Math.min(MOST_WHY, why.length())).getBytes(StandardCharsets.UTF_8);
+        byte[] text = why.substring(0, Math.min(MAX_WHY, why.length())).getBytes(StandardCharsets.UTF_8);
         byte[] bytes = new byte[text.length + 1];
         bytes[0] = REFUSED;
         System.arraycopy(text, 0, bytes, 1, text.length);
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Machine.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/Machine.java
@@ -21,9 +21,9 @@
  */
 public final class Machine implements Replicated {
     /** Of parts. */
-    public static final int MOST_PARTS = 16;
+    public static final int MAX_PARTS = 16;
     /** Of all parts' snapshots in sum: what the consensus can hand over in chunks. */
-    public static final int MOST_BYTES = 16 << 20;
+    public static final int MAX_BYTES = 16 << 20;
 
     /** Told what was applied, after it was; on the consensus's thread. */
     public interface Watcher {
@@ -45,8 +45,8 @@
     public Machine(Collection<MachinePart> parts, Watcher watcher) {
         this.watcher = watcher;
         for (MachinePart part : parts) {
-            if (this.parts.put(part.tag(), part) != null || this.parts.size() > MOST_PARTS) {
-                throw new IllegalArgumentException("tag " + part.tag() + " is taken, or more than " + MOST_PARTS
+            if (this.parts.put(part.tag(), part) != null || this.parts.size() > MAX_PARTS) {
+                throw new IllegalArgumentException("tag " + part.tag() + " is taken, or more than " + MAX_PARTS
                     + " parts");
             }
         }
@@ -119,14 +119,14 @@
         try {
             CborIn in = new CborIn(snapshot);
             at = in.number(0, Long.MAX_VALUE);
-            kept.addAll(in.list(2 * MOST_PARTS, i -> new Kept((byte) i.number(1, 127), i.bytes(MOST_BYTES))));
+            kept.addAll(in.list(2 * MAX_PARTS, i -> new Kept((byte) i.number(1, 127), i.bytes(MAX_BYTES))));
             in.end();
         } catch (FaultyMessageException e) {
             throw new IllegalArgumentException("a snapshot of the fleet's state: " + e.getMessage(), e);
         }
         read(() -> {
             strangers.clear();
-            kept.stream().filter(k -> !parts.containsKey(k.tag())).limit(MOST_PARTS)
+            kept.stream().filter(k -> !parts.containsKey(k.tag())).limit(MAX_PARTS)
                 .forEach(k -> strangers.put(k.tag(), k.bytes()));
             kept.stream().filter(k -> parts.containsKey(k.tag()))
                 .forEach(k -> parts.get(k.tag()).state().install(k.bytes()));
