--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/Membership.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/Membership.java
@@ -15,18 +15,18 @@
  * Who is in the fleet, and under which numbers its gateways may vote. A name belongs to one place: who joins under a
  * name that another address has is refused, until the name's owner left. Of each name the highest number ever handed
  * out is kept, also after it left, so that no number is used twice. {@code epoch} counts changes. Bound:
- * {@value #MOST_MEMBERS} members and as many names with numbers.
+ * {@value #MAX_MEMBERS} members and as many names with numbers.
  */
 public final class Membership implements Machine.Answering {
     public static final byte TAG = 1;
-    public static final int MOST_MEMBERS = 1024;
+    public static final int MAX_MEMBERS = 1024;
 
-    private static final int MOST_TEXT = 255;
+    private static final int MAX_TEXT = 255;
     private static final int JOIN = 0;
     private static final int LEAVE = 1;
     private static final int ISSUE = 2;
     private static final int RETIRE = 3;
-    private static final int MOST_NUMBER = 1_000_000;
+    private static final int MAX_NUMBER = 1_000_000;
 
     /** {@code issued}: the highest number handed out; {@code retired}: this and all lower ones may not vote again. */
     public record Numbers(int issued, int retired) { }
@@ -104,30 +104,30 @@
             return CommandResult.refused("the name " + asked.name() + " belongs to the gateway at " + there.host() + ":"
                 + there.port() + " in hall " + there.hall());
         }
-        if (there == null && members.size() >= MOST_MEMBERS) {
-            return CommandResult.refused("the fleet has " + MOST_MEMBERS + " members already");
+        if (there == null && members.size() >= MAX_MEMBERS) {
+            return CommandResult.refused("the fleet has " + MAX_MEMBERS + " members already");
         }
         members.put(asked.name(), asked);
         return done();
     }
 
     private byte[] leave(CborIn in) throws FaultyMessageException {
-        String name = in.text(MOST_TEXT);
+        String name = in.text(MAX_TEXT);
         in.end();
         return members.remove(name) == null ? CommandResult.refused("no member has the name " + name) : done();
     }
 
     private byte[] number(CborIn in, boolean issues) throws FaultyMessageException {
-        String name = in.text(MOST_TEXT);
-        int number = (int) in.number(1, MOST_NUMBER);
+        String name = in.text(MAX_TEXT);
+        int number = (int) in.number(1, MAX_NUMBER);
         in.end();
         Numbers before = numbers(name);
         if (issues && number <= before.issued()) {
             return CommandResult.refused("number " + number + " of " + name + " is not above " + before.issued()
                 + ", handed out before");
         }
-        if (!numbers.containsKey(name) && numbers.size() >= MOST_MEMBERS && !forgetOne()) {
-            return CommandResult.refused("numbers of " + MOST_MEMBERS + " names are kept already");
+        if (!numbers.containsKey(name) && numbers.size() >= MAX_MEMBERS && !forgetOne()) {
+            return CommandResult.refused("numbers of " + MAX_MEMBERS + " names are kept already");
         }
         numbers.put(name, issues ? new Numbers(number, before.retired())
             : new Numbers(Math.max(before.issued(), number), Math.max(before.retired(), number)));
@@ -150,11 +150,11 @@
     }
 
     private static Member read(CborIn in) throws FaultyMessageException {
-        String name = in.text(MOST_TEXT);
+        String name = in.text(MAX_TEXT);
         if (name.isEmpty() || name.indexOf('#') >= 0) {
             throw in.wrong("is no name of a member: empty, or with a #");
         }
-        return new Member(name, in.text(MOST_TEXT), in.text(MOST_TEXT), (int) in.number(1, 65_535));
+        return new Member(name, in.text(MAX_TEXT), in.text(MAX_TEXT), (int) in.number(1, 65_535));
     }
 
     @Override
@@ -169,10 +169,10 @@
         try {
             CborIn in = new CborIn(snapshot);
             long at = in.number(0, Long.MAX_VALUE);
-            List<Member> all = new ArrayList<>(in.list(MOST_MEMBERS, Membership::read));
+            List<Member> all = new ArrayList<>(in.list(MAX_MEMBERS, Membership::read));
             TreeMap<String, Numbers> kept = new TreeMap<>();
-            in.list(MOST_MEMBERS, i -> kept.put(i.text(MOST_TEXT),
-                new Numbers((int) i.number(1, MOST_NUMBER), (int) i.number(0, MOST_NUMBER))));
+            in.list(MAX_MEMBERS, i -> kept.put(i.text(MAX_TEXT),
+                new Numbers((int) i.number(1, MAX_NUMBER), (int) i.number(0, MAX_NUMBER))));
             in.end();
             epoch = at;
             members.clear();
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/VersionedTexts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/VersionedTexts.java
@@ -13,14 +13,14 @@
  * Versioned texts that the whole fleet goes by, such as limits and the pool policy: for each name the one with the
  * highest epoch rules. Whoever writes one says which epoch it replaces, so that of two writers at once one is refused
  * and reads again (compare and set). A text is kept as it came: whether a gateway can read it is that gateway's matter,
- * which keeps the one before and says so. Bounds: {@value #MOST_NAMES} names, {@value #MOST_TEXT_BYTES} bytes a text.
+ * which keeps the one before and says so. Bounds: {@value #MAX_NAMES} names, {@value #MAX_TEXT_BYTES} bytes a text.
  */
 public final class VersionedTexts implements Machine.Answering {
     public static final byte TAG = 2;
-    public static final int MOST_NAMES = 16;
-    public static final int MOST_TEXT_BYTES = 256 << 10;
+    public static final int MAX_NAMES = 16;
+    public static final int MAX_TEXT_BYTES = 256 << 10;
 
-    private static final int MOST_NAME_BYTES = 64;
+    private static final int MAX_NAME_BYTES = 64;
 
     /** {@code epoch} is from 1, and one more with each change of this text. */
     public record Text(long epoch, String text) { }
@@ -44,16 +44,16 @@
     public byte[] apply(long index, byte[] command) {
         try {
             CborIn in = new CborIn(command);
-            String name = in.text(MOST_NAME_BYTES);
+            String name = in.text(MAX_NAME_BYTES);
             long replaces = in.number(0, Long.MAX_VALUE - 1);
-            String text = in.text(MOST_TEXT_BYTES);
+            String text = in.text(MAX_TEXT_BYTES);
             in.end();
             long now = text(name).map(Text::epoch).orElse(0L);
             if (now != replaces) {
                 return CommandResult.refused("the text " + name + " has epoch " + now + " now, not " + replaces);
             }
-            if (now == 0 && texts.size() >= MOST_NAMES) {
-                return CommandResult.refused("there are " + MOST_NAMES + " texts already");
+            if (now == 0 && texts.size() >= MAX_NAMES) {
+                return CommandResult.refused("there are " + MAX_NAMES + " texts already");
             }
             texts.put(name, new Text(now + 1, text));
             return CommandResult.taken(new CborOut().number(now + 1).done());
@@ -74,8 +74,8 @@
     public void install(byte[] snapshot) {
         try {
             CborIn in = new CborIn(snapshot);
-            List<Kept> all = new ArrayList<>(in.list(MOST_NAMES, i -> new Kept(i.text(MOST_NAME_BYTES),
-                new Text(i.number(1, Long.MAX_VALUE), i.text(MOST_TEXT_BYTES)))));
+            List<Kept> all = new ArrayList<>(in.list(MAX_NAMES, i -> new Kept(i.text(MAX_NAME_BYTES),
+                new Text(i.number(1, Long.MAX_VALUE), i.text(MAX_TEXT_BYTES)))));
             in.end();
             texts.clear();
             all.forEach(k -> texts.put(k.name(), k.text()));
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Commands.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/Commands.java
@@ -10,7 +10,7 @@
 /** The replicated machine as MicroRaft drives it; its snapshots go in chunks that fit into a frame. */
 public final class Commands implements StateMachine {
     /** Of one command. */
-    public static final int MOST_BYTES = CommonCodec.MOST_COMMAND_BYTES;
+    public static final int MAX_BYTES = CommonCodec.MAX_COMMAND_BYTES;
 
     private final Replicated machine;
 
@@ -26,13 +26,13 @@
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
         byte[] whole = machine.snapshot();
-        if (whole.length > CommonCodec.MOST_CHUNKS * CommonCodec.MOST_CHUNK_BYTES) {
+        if (whole.length > CommonCodec.MAX_CHUNKS * CommonCodec.MAX_CHUNK_BYTES) {
             throw new IllegalStateException("the fleet's state has " + whole.length + " bytes, more than "
-                + CommonCodec.MOST_CHUNKS * CommonCodec.MOST_CHUNK_BYTES);
+                + CommonCodec.MAX_CHUNKS * CommonCodec.MAX_CHUNK_BYTES);
         }
         int at = 0;
         do {
-            int end = Math.min(whole.length, at + CommonCodec.MOST_CHUNK_BYTES);
+            int end = Math.min(whole.length, at + CommonCodec.MAX_CHUNK_BYTES);
             chunks.accept(Arrays.copyOfRange(whole, at, end));
             at = end;
         } while (at < whole.length);
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/CommonCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/CommonCodec.java
@@ -20,14 +20,14 @@
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     /** Voters and learners of one group: five voters while they are replaced one by one, and some room. */
-    static final int MOST_MEMBERS = 16;
+    static final int MAX_MEMBERS = 16;
     /** Of a command: the largest is a policy's text, and its names. */
-    static final int MOST_COMMAND_BYTES = 384 << 10;
+    static final int MAX_COMMAND_BYTES = 384 << 10;
     /** Of a snapshot's chunk, so that it fits into a frame with what stands around it. */
-    static final int MOST_CHUNK_BYTES = 256 << 10;
+    static final int MAX_CHUNK_BYTES = 256 << 10;
     /** Of one snapshot; as many as the store keeps. */
-    static final int MOST_CHUNKS = 64;
-    static final long MOST_INDEX = Long.MAX_VALUE >> 2;
+    static final int MAX_CHUNKS = 64;
+    static final long MAX_INDEX = Long.MAX_VALUE >> 2;
 
     private static final int NEW_TERM = 0;
     private static final int COMMAND = 1;
@@ -40,7 +40,7 @@
     }
 
     static Collection<RaftEndpoint> members(CborIn in) throws FaultyMessageException {
-        List<RaftEndpoint> members = in.list(MOST_MEMBERS, Endpoint::read);
+        List<RaftEndpoint> members = in.list(MAX_MEMBERS, Endpoint::read);
         Collection<RaftEndpoint> once = new LinkedHashSet<>(members);
         if (once.size() != members.size()) {
             throw in.wrong("repeats a member");
@@ -55,7 +55,7 @@
     }
 
     static RaftGroupMembersView view(CborIn in) throws FaultyMessageException {
-        long index = in.number(0, MOST_INDEX);
+        long index = in.number(0, MAX_INDEX);
         Collection<RaftEndpoint> members = members(in);
         Collection<RaftEndpoint> voting = members(in);
         if (!members.containsAll(voting)) {
@@ -75,7 +75,7 @@
     }
 
     static LogEntry entry(CborIn in) throws FaultyMessageException {
-        long index = in.number(1, MOST_INDEX);
+        long index = in.number(1, MAX_INDEX);
         int term = (int) in.number(1, Integer.MAX_VALUE);
         return MODEL.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(operation(in)).build();
     }
@@ -98,7 +98,7 @@
     static Object operation(CborIn in) throws FaultyMessageException {
         switch ((int) in.number(NEW_TERM, MEMBERS)) {
             case COMMAND:
-                return new LogOperation.Command(in.bytes(MOST_COMMAND_BYTES));
+                return new LogOperation.Command(in.bytes(MAX_COMMAND_BYTES));
             case MEMBERS:
                 Collection<RaftEndpoint> members = members(in);
                 Collection<RaftEndpoint> voting = members(in);
@@ -119,11 +119,11 @@
     }
 
     static SnapshotChunk chunk(CborIn in) throws FaultyMessageException {
-        long index = in.number(1, MOST_INDEX);
+        long index = in.number(1, MAX_INDEX);
         int term = (int) in.number(0, Integer.MAX_VALUE);
-        int number = (int) in.number(0, MOST_CHUNKS - 1);
-        int count = (int) in.number(number + 1, MOST_CHUNKS);
-        byte[] data = in.bytes(MOST_CHUNK_BYTES);
+        int number = (int) in.number(0, MAX_CHUNKS - 1);
+        int count = (int) in.number(number + 1, MAX_CHUNKS);
+        byte[] data = in.bytes(MAX_CHUNK_BYTES);
         return MODEL.createSnapshotChunkBuilder().setIndex(index).setTerm(term).setSnapshotChunkIndex(number)
             .setSnapshotChunkCount(count).setOperation(data).setGroupMembersView(view(in)).build();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Endpoint.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/Endpoint.java
@@ -7,23 +7,23 @@
 /**
  * Under what a gateway votes: its name and a number that grows each time its disk was lost or put back from a copy.
  * Whoever forgot what it voted may have voted already, so it never votes under that number again. Written
- * {@code name#number}; numbers are from 1 to {@value #MOST_NUMBER}.
+ * {@code name#number}; numbers are from 1 to {@value #MAX_NUMBER}.
  */
 public record Endpoint(String name, int number) implements RaftEndpoint {
     /** Of a name, in bytes of UTF-8. */
-    public static final int MOST_NAME_BYTES = 200;
+    public static final int MAX_NAME_BYTES = 200;
     /** A number above it is a fault, not a gateway that lost a million disks. */
-    public static final int MOST_NUMBER = 1_000_000;
+    public static final int MAX_NUMBER = 1_000_000;
 
-    private static final int MOST_BYTES = MOST_NAME_BYTES + 8;
+    private static final int MAX_BYTES = MAX_NAME_BYTES + 8;
 
     public Endpoint {
-        if (name.isEmpty() || name.length() > MOST_NAME_BYTES || name.indexOf('#') >= 0) {
+        if (name.isEmpty() || name.length() > MAX_NAME_BYTES || name.indexOf('#') >= 0) {
             throw new IllegalArgumentException("endpoint name \"" + name + "\" is empty, longer than "
-                + MOST_NAME_BYTES + " bytes or has a #");
+                + MAX_NAME_BYTES + " bytes or has a #");
         }
-        if (number < 1 || number > MOST_NUMBER) {
-            throw new IllegalArgumentException("endpoint number " + number + " is not from 1 to " + MOST_NUMBER);
+        if (number < 1 || number > MAX_NUMBER) {
+            throw new IllegalArgumentException("endpoint number " + number + " is not from 1 to " + MAX_NUMBER);
         }
     }
 
@@ -52,7 +52,7 @@
 
     /** Reads one from a message. */
     public static Endpoint read(CborIn in) throws FaultyMessageException {
-        String id = in.text(MOST_BYTES);
+        String id = in.text(MAX_BYTES);
         try {
             return of(id);
         } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
@@ -15,7 +15,7 @@
  */
 public final class LeadershipCheck {
     /** Callers that wait; further ones are told no. */
-    public static final int MOST_WAITING = 10_000;
+    public static final int MAX_WAITING = 10_000;
 
     private List<Consumer<Boolean>> asked = new ArrayList<>();
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
@@ -23,7 +23,7 @@
 
     /** Asks in the next round of {@code life}. */
     public void ask(RaftIncarnation life, Consumer<Boolean> leads) {
-        if (!life.isLeader() || waiting.size() >= MOST_WAITING) {
+        if (!life.isLeader() || waiting.size() >= MAX_WAITING) {
             leads.accept(false);
             return;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageReader.java
@@ -53,7 +53,7 @@
             case MessageWriter.SNAPSHOT_ANSWER -> CommonCodec.MODEL.createInstallSnapshotResponseBuilder()
                     .setGroupId(group)
                 .setSender(sender).setTerm(term).setSnapshotIndex(index())
-                .setRequestedSnapshotChunkIndex((int) in.number(0, CommonCodec.MOST_CHUNKS))
+                .setRequestedSnapshotChunkIndex((int) in.number(0, CommonCodec.MAX_CHUNKS))
                 .setQuerySequenceNumber(index()).setFlowControlSequenceNumber(index()).build();
             default -> CommonCodec.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender)
                 .setTerm(term).setLastLogTerm(term()).setLastLogIndex(index()).build();
@@ -67,7 +67,7 @@
     }
 
     private long index() throws FaultyMessageException {
-        return in.number(0, CommonCodec.MOST_INDEX);
+        return in.number(0, CommonCodec.MAX_INDEX);
     }
 
     private RaftMessage append() throws FaultyMessageException {
@@ -76,7 +76,7 @@
         long committed = index();
         long query = index();
         long flow = index();
-        List<LogEntry> entries = in.list(MessageWriter.MOST_ENTRIES, CommonCodec::entry);
+        List<LogEntry> entries = in.list(MessageWriter.MAX_ENTRIES, CommonCodec::entry);
         long next = before;
         int last = beforeTerm;
         for (LogEntry e : entries) {
@@ -95,7 +95,7 @@
         boolean leader = in.flag();
         int snapshotTerm = term();
         long snapshotIndex = index();
-        int chunks = (int) in.number(1, CommonCodec.MOST_CHUNKS);
+        int chunks = (int) in.number(1, CommonCodec.MAX_CHUNKS);
         SnapshotChunk chunk = in.flag() ? CommonCodec.chunk(in) : null;
         if (chunk != null && (chunk.getIndex() != snapshotIndex || chunk.getSnapshotChunkCount() != chunks)) {
             throw in.wrong("ends a chunk of another snapshot");
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageWriter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/MessageWriter.java
@@ -29,9 +29,9 @@
     static final int ELECT = 10;
 
     /** Entries of one message; MicroRaft bounds only their number, so their bytes are bounded here. */
-    static final int MOST_ENTRIES = 256;
+    static final int MAX_ENTRIES = 256;
     /** An entry that fits alone always goes; more go while they are shorter in sum. */
-    static final int MOST_BATCH_BYTES = 256 << 10;
+    static final int MAX_BATCH_BYTES = 256 << 10;
 
     private MessageWriter() { }
 
@@ -78,7 +78,7 @@
         int bytes = 0;
         for (int i = 0; i < entries.size(); i++) {
             bytes += entries.get(i).getOperation() instanceof LogOperation.Command c ? c.bytes().length + 32 : 1024;
-            if (i > 0 && (bytes > MOST_BATCH_BYTES || i >= MOST_ENTRIES)) {
+            if (i > 0 && (bytes > MAX_BATCH_BYTES || i >= MAX_ENTRIES)) {
                 return entries.subList(0, i);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
@@ -16,7 +16,7 @@
  */
 final class TurnExecutor implements RaftNodeExecutor {
     /** Tasks of one turn; the rest waits for the next, so that a turn always ends. */
-    static final int MOST_TASKS = 10_000;
+    static final int MAX_TASKS = 10_000;
 
     private record Timed(long at, long number, Runnable task) implements Comparable<Timed> {
         @Override
@@ -69,7 +69,7 @@
     /** Runs what is due at {@code now} (us); time never goes back. */
     void run(long at) {
         now = Math.max(now, at);
-        for (int i = 0; i < MOST_TASKS; i++) {
+        for (int i = 0; i < MAX_TASKS; i++) {
             Timed timed = timers.peek();
             if (timed != null && timed.at() <= now) {
                 ready.add(timers.poll().task());
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
@@ -52,7 +52,7 @@
     }
 
     private static Optional<Endpoint> endpoint(CborIn in) throws FaultyMessageException {
-        String id = in.text(Endpoint.MOST_NAME_BYTES + 8);
+        String id = in.text(Endpoint.MAX_NAME_BYTES + 8);
         try {
             return id.isEmpty() ? Optional.empty() : Optional.of(Endpoint.of(id));
         } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
@@ -25,9 +25,9 @@
     /** Between two looks at what is to be done. */
     static final long EVERY_US = 200_000;
     /** A change that takes longer is given up; its outcome is unknown, and what was done stays. */
-    static final long MOST_US = 120_000_000;
+    static final long MAX_US = 120_000_000;
     /** Endpoints that say that they are none; more than a group can have. */
-    static final int MOST_STRANGERS = 32;
+    static final int MAX_STRANGERS = 32;
 
     private record PendingChange(List<String> names, long since, Consumer<Outcome> outcome) { }
 
@@ -58,7 +58,7 @@
 
     /** A gateway says that this endpoint is not its own any more. */
     void stranger(Endpoint who) {
-        if (strangers.size() < MOST_STRANGERS) {
+        if (strangers.size() < MAX_STRANGERS) {
             strangers.add(who);
         }
     }
@@ -94,8 +94,8 @@
         lookAt = now + EVERY_US;
         Members members = life.committed();
         strangers.retainAll(members.all()); // others are gone already, or not yet there
-        if (asked.isPresent() && now - asked.get().since() > MOST_US) {
-            finish(new Outcome.Unknown("the voters are " + members.voting() + " after " + MOST_US / 1_000_000 + " s"));
+        if (asked.isPresent() && now - asked.get().since() > MAX_US) {
+            finish(new Outcome.Unknown("the voters are " + members.voting() + " after " + MAX_US / 1_000_000 + " s"));
         }
         if (asked.isEmpty() && strangers.isEmpty() && members.all().equals(members.voting())) {
             return;
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
@@ -16,7 +16,7 @@
 /** Proposals that have no outcome yet; each gets one, also where MicroRaft forgets it when its store failed. */
 final class Proposals {
     /** Further ones are answered at once: propose later. */
-    static final int MOST = 512;
+    static final int MAX_OPEN = 512;
 
     private static final class Open {
         private Consumer<Outcome> outcome;
@@ -29,7 +29,7 @@
     private final Set<Open> open = new LinkedHashSet<>();
 
     void propose(RaftIncarnation life, byte[] command, Consumer<Outcome> outcome) {
-        if (open.size() >= MOST) {
+        if (open.size() >= MAX_OPEN) {
             outcome.accept(new Outcome.NotLeader(Optional.empty()));
             return;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
@@ -160,9 +160,9 @@
 
     @Override
     public void propose(byte[] command, Consumer<Outcome> outcome) {
-        if (command.length > Commands.MOST_BYTES) {
+        if (command.length > Commands.MAX_BYTES) {
             throw new IllegalArgumentException("a command of " + command.length + " bytes, more than "
-                + Commands.MOST_BYTES);
+                + Commands.MAX_BYTES);
         }
         if (!isLeader()) {
             outcome.accept(new Outcome.NotLeader(leader()));
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
@@ -16,10 +16,10 @@
 
 /** What comes in from and goes out to other gateways: only admitted lives of endpoints reach Raft. */
 final class VoterTransport implements MembershipChanger.Callbacks {
-    private static final int MOST_WHY = 500;
-    private static final int MOST_MEMBERS = 16;
+    private static final int MAX_WHY = 500;
+    private static final int MAX_MEMBERS = 16;
     /** Faulty messages that are told one by one; after that only each thousandth is. */
-    private static final int MOST_TOLD = 10;
+    private static final int MAX_TOLD = 10;
 
     private final VoterState voter;
     private final Voter.Callbacks around;
@@ -39,7 +39,7 @@
             CborIn in = new CborIn(message);
             take(Envelope.read(from, in), from, in, now);
         } catch (FaultyMessageException e) {
-            if (malformed++ < MOST_TOLD || malformed % 1000 == 0) {
+            if (malformed++ < MAX_TOLD || malformed % 1000 == 0) {
                 around.said("dropped a message of the consensus from " + from + ": " + e.getMessage() + " (the "
                     + malformed + "th)");
             }
@@ -128,13 +128,13 @@
     }
 
     private static List<Endpoint> members(CborIn in) throws FaultyMessageException {
-        return in.list(MOST_MEMBERS, Endpoint::read);
+        return in.list(MAX_MEMBERS, Endpoint::read);
     }
 
     private void refused(Envelope e, CborIn in) throws FaultyMessageException {
         long life = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        String why = in.text(MOST_WHY);
-        in.number(0, Endpoint.MOST_NUMBER);
+        String why = in.text(MAX_WHY);
+        in.number(0, Endpoint.MAX_NUMBER);
         in.end();
         if (isMine(e, life)) {
             voter.retire("refused by " + e.from().orElseThrow() + ": " + why);
--- a/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
@@ -27,9 +27,9 @@
 
     /** Something failed; nothing is asked of the disk until a probe is due. */
     public void failed(StoreException.Kind kind, String reason, long now) {
-        boolean soon = back && now - backAt < StoreSettings.MOST_PROBE_STEPS * settings.probeUs();
+        boolean soon = back && now - backAt < StoreSettings.MAX_PROBE_STEPS * settings.probeUs();
         boolean again = !back && condition != Condition.CLOSED;
-        step = soon || again ? Math.min(2 * step, StoreSettings.MOST_PROBE_STEPS * settings.probeUs())
+        step = soon || again ? Math.min(2 * step, StoreSettings.MAX_PROBE_STEPS * settings.probeUs())
                 : settings.probeUs();
         back = false;
         slow = false;
--- a/gateway/src/main/java/sandpaddle/fleet/store/Identity.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/Identity.java
@@ -4,11 +4,11 @@
 
 /**
  * Whose store it is. {@code endpoint}: the name under which it votes ({@code name#N}), never used again after its store
- * was lost. Each text has {@value #MOST_BYTES} bytes of UTF-8 at most and is not empty.
+ * was lost. Each text has {@value #MAX_BYTES} bytes of UTF-8 at most and is not empty.
  */
 public record Identity(String cluster, String member, String endpoint) {
     /** Of each text, in UTF-8. */
-    public static final int MOST_BYTES = 255;
+    public static final int MAX_BYTES = 255;
 
     public Identity {
         check("cluster", cluster);
@@ -18,8 +18,8 @@
 
     private static void check(String what, String text) {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
-        if (length == 0 || length > MOST_BYTES) {
-            throw new IllegalArgumentException(what + " has " + length + " bytes, not from 1 to " + MOST_BYTES);
+        if (length == 0 || length > MAX_BYTES) {
+            throw new IllegalArgumentException(what + " has " + length + " bytes, not from 1 to " + MAX_BYTES);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/StoreSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/StoreSettings.java
@@ -3,17 +3,17 @@
 /**
  * Bounds of a store.
  *
- * @param mostBytes what it keeps at most: log, snapshots and values with 64 bytes for each record
+ * @param maxBytes what it keeps at most: log, snapshots and values with 64 bytes for each record
  * @param roomBytes the disk must have this much room before a failed store is opened again; at least twice
- *     {@code mostBytes}, since an opening writes the content anew
+ *     {@code maxBytes}, since an opening writes the content anew
  * @param slowFsyncUs a sync that takes longer makes the store SLOW (us)
- * @param probeUs from a failure to the first probe; the time to the next doubles up to {@link #MOST_PROBE_STEPS} times
+ * @param probeUs from a failure to the first probe; the time to the next doubles up to {@link #MAX_PROBE_STEPS} times
  *     when a probe or soon after it the store fails again (us)
  */
-public record StoreSettings(long mostBytes, long roomBytes, long slowFsyncUs, long probeUs) {
+public record StoreSettings(long maxBytes, long roomBytes, long slowFsyncUs, long probeUs) {
     /** The longest time between probes, in {@code probeUs}. */
-    public static final int MOST_PROBE_STEPS = 16;
-    private static final long LEAST_BYTES = 64 << 10;
+    public static final int MAX_PROBE_STEPS = 16;
+    private static final long MIN_BYTES = 64 << 10;
     private static final long LARGEST_BYTES = 256L << 20; // read into a heap of 128 MB only in part, see the notes
     private static final long LONGEST_US = 3_600_000_000L;
 
@@ -21,15 +21,15 @@
     public static final StoreSettings USUAL = new StoreSettings(32L << 20, 64L << 20, 500_000, 1_000_000);
 
     public StoreSettings {
-        check("most_bytes", mostBytes, LEAST_BYTES, LARGEST_BYTES);
-        check("room_bytes", roomBytes, 2 * mostBytes, Long.MAX_VALUE);
+        check("most_bytes", maxBytes, MIN_BYTES, LARGEST_BYTES);
+        check("room_bytes", roomBytes, 2 * maxBytes, Long.MAX_VALUE);
         check("slow_fsync", slowFsyncUs, 1, LONGEST_US);
         check("probe", probeUs, 1, LONGEST_US);
     }
 
-    private static void check(String what, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(what + " is " + value + ", not from " + least + " to " + most);
+    private static void check(String what, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(what + " is " + value + ", not from " + min + " to " + max);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
@@ -15,13 +15,13 @@
  */
 public interface VoterStore extends Closeable {
     /** Of one entry, one chunk of a snapshot, and one named value (bytes). */
-    int MOST_VALUE_BYTES = 1 << 20;
+    int MAX_VALUE_BYTES = 1 << 20;
     /** Entries kept: beyond it a snapshot has to be taken first. */
-    int MOST_ENTRIES = 100_000;
+    int MAX_ENTRIES = 100_000;
     /** Chunks of one snapshot. */
-    int MOST_CHUNKS = 64;
+    int MAX_CHUNKS = 64;
     /** Named values, and the length of a name (characters). */
-    int MOST_NAMES = 256;
+    int MAX_NAMES = 256;
 
     /** What is durable now; entries are read afresh at each call, so that the store holds no second copy. */
     RecoveredState found() throws StoreException;
--- a/gateway/src/main/java/sandpaddle/fleet/store/disk/NioDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/disk/NioDisk.java
@@ -20,7 +20,7 @@
 /** A directory of the operating system; it is made where it is missing. */
 public final class NioDisk implements Disk {
     private static final String LOCK = "voter.lock";
-    private static final int MOST_PID = 20; // characters of a process id
+    private static final int MAX_PID = 20; // characters of a process id
 
     private final Path directory;
 
@@ -85,7 +85,7 @@
     }
 
     private static String holder(FileChannel file) throws IOException {
-        ByteBuffer text = ByteBuffer.allocate(MOST_PID);
+        ByteBuffer text = ByteBuffer.allocate(MAX_PID);
         file.read(text, 0);
         String pid = new String(text.array(), 0, text.position(), StandardCharsets.US_ASCII).trim();
         return pid.matches("[0-9]+") ? pid : "of unknown id";
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/BytesType.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/BytesType.java
@@ -9,10 +9,10 @@
 final class BytesType extends BasicDataType<byte[]> {
     private static final int OVERHEAD = 24; // of an array, to MVStore's estimate of memory (bytes)
 
-    private final int most;
+    private final int max;
 
-    BytesType(int most) {
-        this.most = most;
+    BytesType(int max) {
+        this.max = max;
     }
 
     @Override
@@ -28,7 +28,7 @@
     @Override
     public byte[] read(ByteBuffer from) {
         int length = DataUtils.readVarInt(from);
-        if (length < 0 || length > most || length > from.remaining()) {
+        if (length < 0 || length > max || length > from.remaining()) {
             throw DataUtils.newMVStoreException(DataUtils.ERROR_FILE_CORRUPT, "a value of {0} bytes", length);
         }
         byte[] value = new byte[length];
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskSession.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskSession.java
@@ -74,8 +74,8 @@
         } finally {
             disk.delete(PROBE);
         }
-        opening = Opening.of(disk, cluster, member, VoterContent.MOST_RECORD);
-        content = new VoterContent(opening.content(), settings.mostBytes());
+        opening = Opening.of(disk, cluster, member, VoterContent.MAX_RECORD);
+        content = new VoterContent(opening.content(), settings.maxBytes());
         long now = clock.getAsLong();
         watch.opened(now);
         state = watch.state(now);
@@ -145,8 +145,8 @@
     /** What was flushed is durable whatever comes of this: its failure shows in the state and at the next write. */
     private void compact() {
         try {
-            long least = settings.mostBytes() / OUTGROWN;
-            if (opening.content().fileBytes() > Math.max(least, OUTGROWN * opening.content().bytes())) {
+            long min = settings.maxBytes() / OUTGROWN;
+            if (opening.content().fileBytes() > Math.max(min, OUTGROWN * opening.content().bytes())) {
                 opening.compact();
                 renewed();
             }
@@ -157,7 +157,7 @@
 
     /** The content lies in another file. */
     void renewed() throws IOException {
-        content = new VoterContent(opening.content(), settings.mostBytes());
+        content = new VoterContent(opening.content(), settings.maxBytes());
     }
 
     StoreState retry(long now) {
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/Opening.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/Opening.java
@@ -21,15 +21,15 @@
     private static final String BAD = ".bad";
 
     private final Disk disk;
-    private final int mostValue;
+    private final int maxValue;
     private final DiskFile slots;
     private final DiskFile mark;
     private Slot slot;
     private SealedFile content;
 
-    private Opening(Disk disk, int mostValue) throws IOException {
+    private Opening(Disk disk, int maxValue) throws IOException {
         this.disk = disk;
-        this.mostValue = mostValue;
+        this.maxValue = maxValue;
         slots = disk.open(Slots.NAME);
         try {
             mark = disk.open(FlushMark.NAME);
@@ -44,8 +44,8 @@
      *
      * @throws StoreException of kind FOREIGN where it is another's
      */
-    static Opening of(Disk disk, String cluster, String member, int mostValue) throws IOException {
-        Opening made = new Opening(disk, mostValue);
+    static Opening of(Disk disk, String cluster, String member, int maxValue) throws IOException {
+        Opening made = new Opening(disk, maxValue);
         boolean done = false;
         try {
             made.open(cluster, member);
@@ -98,7 +98,7 @@
     /** Null where it is corrupt, and the opening has gone on without it. */
     private SealedFile readable(DiskFile file, String name) throws IOException {
         try {
-            return SealedFile.read(file, mostValue);
+            return SealedFile.read(file, maxValue);
         } catch (CorruptException e) {
             renew(null, name + " is corrupt (" + e.getMessage() + "); term, vote, log and snapshot are lost");
             return null;
@@ -124,7 +124,7 @@
         try {
             DiskFile file = disk.open(name(number));
             try {
-                fresh = SealedFile.create(file, mostValue, flushes);
+                fresh = SealedFile.create(file, maxValue, flushes);
             } finally {
                 if (fresh == null) {
                     file.close();
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/SealedFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/SealedFile.java
@@ -34,7 +34,7 @@
     private final MultisetHash digest = new MultisetHash();
     private long flushes, bytes;
 
-    private SealedFile(DiskFile file, boolean readOnly, int mostValue) throws IOException {
+    private SealedFile(DiskFile file, boolean readOnly, int maxValue) throws IOException {
         channel = new DiskFileChannel(file);
         String name = DiskPath.offer(channel);
         try {
@@ -50,14 +50,14 @@
         store.setVersionsToKeep(KEPT);
         for (Part part : Part.values()) {
             maps.put(part, guarded(() -> store.openMap(part.name(), new MVMap.Builder<Long, byte[]>()
-                    .keyType(LongDataType.INSTANCE).valueType(new BytesType(mostValue + SLACK)))));
+                    .keyType(LongDataType.INSTANCE).valueType(new BytesType(maxValue + SLACK)))));
         }
     }
 
     /** An empty file to write; it closes the file with itself. */
-    static SealedFile create(DiskFile file, int mostValue, long flushes) throws IOException {
+    static SealedFile create(DiskFile file, int maxValue, long flushes) throws IOException {
         file.truncate(0);
-        SealedFile made = new SealedFile(file, false, mostValue);
+        SealedFile made = new SealedFile(file, false, maxValue);
         made.flushes = flushes;
         return made;
     }
@@ -68,12 +68,12 @@
      *
      * @throws CorruptException where neither the newest version nor the one before is whole
      */
-    static SealedFile read(DiskFile file, int mostValue) throws IOException {
+    static SealedFile read(DiskFile file, int maxValue) throws IOException {
         CorruptException fault = new CorruptException("it holds no version");
         for (VersionView version : VersionView.newest(file, VERSIONS)) {
             SealedFile read = null;
             try {
-                read = new SealedFile(version, true, mostValue);
+                read = new SealedFile(version, true, maxValue);
                 read.verify();
                 return read;
             } catch (CorruptException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/Slots.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/Slots.java
@@ -19,7 +19,7 @@
     private static final int SLOT = 4096; // bytes: no sector or page holds parts of both
     private static final int HEAD = 8; // length and checksum
     private static final int VERSION = 1;
-    private static final int MOST_FAULT = 1024; // bytes
+    private static final int MAX_FAULT = 1024; // bytes
 
     /** {@code file}: number of the file with the content, 0 for none yet; {@code fault}: empty while it is trusted. */
     record Slot(long sequence, Optional<Identity> identity, long generation, long file, String fault) {
@@ -38,7 +38,7 @@
         }
 
         private static String shortened(String text) {
-            return text.length() <= MOST_FAULT / 4 ? text : text.substring(0, MOST_FAULT / 4); // 4 bytes a character
+            return text.length() <= MAX_FAULT / 4 ? text : text.substring(0, MAX_FAULT / 4); // 4 bytes a character
         }
     }
 
@@ -79,11 +79,11 @@
             in.number(VERSION, VERSION);
             long sequence = in.number(0, Long.MAX_VALUE);
             Optional<Identity> id = in.flag()
-                    ? Optional.of(new Identity(in.text(Identity.MOST_BYTES), in.text(Identity.MOST_BYTES),
-                            in.text(Identity.MOST_BYTES)))
+                    ? Optional.of(new Identity(in.text(Identity.MAX_BYTES), in.text(Identity.MAX_BYTES),
+                            in.text(Identity.MAX_BYTES)))
                     : Optional.empty();
             Slot slot = new Slot(sequence, id, in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
-                    in.text(MOST_FAULT));
+                    in.text(MAX_FAULT));
             in.end();
             return Optional.of(slot);
         } catch (CborIn.FaultyMessageException | IllegalArgumentException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/VersionView.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/VersionView.java
@@ -43,8 +43,8 @@
         header = (text + ",fletcher:" + sum + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** The newest versions, newest first: as many as there are, up to {@code most}. */
-    static List<VersionView> newest(DiskFile file, int most) throws IOException {
+    /** The newest versions, newest first: as many as there are, up to {@code max}. */
+    static List<VersionView> newest(DiskFile file, int max) throws IOException {
         List<Chunk> chunks = new ArrayList<>();
         for (long block = HEADERS; block < file.size() / BLOCK; block++) {
             Matcher head = ENDS.matcher(text(file, block * BLOCK, LINE));
@@ -58,7 +58,7 @@
         }
         chunks.sort(Comparator.comparingLong(Chunk::version).reversed());
         List<VersionView> views = new ArrayList<>();
-        for (int i = 0; i < Math.min(most, chunks.size()); i++) {
+        for (int i = 0; i < Math.min(max, chunks.size()); i++) {
             views.add(new VersionView(file, chunks.get(i), chunks.subList(0, i)));
         }
         return views;
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
@@ -20,21 +20,21 @@
 /** How term, vote, log, snapshots and named values lie in a {@link SealedFile}, and their bounds. */
 final class VoterContent {
     /** Of a record: the largest value with its name and the figures before it (bytes). */
-    static final int MOST_RECORD = VoterStore.MOST_VALUE_BYTES + 2048;
-    private static final int MOST_NAME = 256; // characters
+    static final int MAX_RECORD = VoterStore.MAX_VALUE_BYTES + 2048;
+    private static final int MAX_NAME = 256; // characters
     private static final long TERM = 1; // in STATE
-    private static final int CHUNK_BITS = Integer.numberOfTrailingZeros(VoterStore.MOST_CHUNKS);
-    private static final long MOST_INDEX = Long.MAX_VALUE >> CHUNK_BITS;
+    private static final int CHUNK_BITS = Integer.numberOfTrailingZeros(VoterStore.MAX_CHUNKS);
+    private static final long MAX_INDEX = Long.MAX_VALUE >> CHUNK_BITS;
 
     private final SealedFile file;
-    private final long mostBytes;
-    private final Map<String, Long> names = new HashMap<>(); // at most MOST_NAMES
+    private final long maxBytes;
+    private final Map<String, Long> names = new HashMap<>(); // at most MAX_NAMES
     private long first = 1; // of the log; last < first where it is empty
     private long last;
 
-    VoterContent(SealedFile file, long mostBytes) throws IOException {
+    VoterContent(SealedFile file, long maxBytes) throws IOException {
         this.file = file;
-        this.mostBytes = mostBytes;
+        this.maxBytes = maxBytes;
         file.each(Part.LOG, (index, value) -> {
             if (last >= first && index != last + 1) {
                 throw new CorruptException("entry " + index + " follows " + last);
@@ -59,26 +59,26 @@
     }
 
     private void room(long more) throws StoreException {
-        if (file.bytes() + more > mostBytes) {
-            throw new StoreException(StoreException.Kind.FULL, "the store's bound of " + mostBytes
+        if (file.bytes() + more > maxBytes) {
+            throw new StoreException(StoreException.Kind.FULL, "the store's bound of " + maxBytes
                     + " bytes is met: a snapshot is wanted, or a larger bound");
         }
     }
 
     void term(int term, String vote) throws IOException {
         byte[] voted = vote == null ? new byte[0] : vote.getBytes(StandardCharsets.UTF_8);
-        require(term >= 0 && voted.length <= VoterStore.MOST_VALUE_BYTES, "term %d with a vote of %d bytes", term,
+        require(term >= 0 && voted.length <= VoterStore.MAX_VALUE_BYTES, "term %d with a vote of %d bytes", term,
                 voted.length);
         file.put(Part.STATE, TERM, ByteBuffer.allocate(Integer.BYTES + 1 + voted.length).putInt(term)
                 .put((byte) (vote == null ? 0 : 1)).put(voted).array());
     }
 
     void append(long index, int term, byte[] entry) throws IOException {
-        require(index > 0 && index <= MOST_INDEX, "entry %d is out of range", index);
+        require(index > 0 && index <= MAX_INDEX, "entry %d is out of range", index);
         require(last < first || index == last + 1, "entry %d does not follow %d", index, last);
-        require(entry.length <= VoterStore.MOST_VALUE_BYTES, "entry %d has %d bytes", index, entry.length);
-        if (last - first + 1 >= VoterStore.MOST_ENTRIES) {
-            throw new StoreException(StoreException.Kind.FULL, "the log has " + VoterStore.MOST_ENTRIES
+        require(entry.length <= VoterStore.MAX_VALUE_BYTES, "entry %d has %d bytes", index, entry.length);
+        if (last - first + 1 >= VoterStore.MAX_ENTRIES) {
+            throw new StoreException(StoreException.Kind.FULL, "the log has " + VoterStore.MAX_ENTRIES
                     + " entries: a snapshot is wanted");
         }
         room(entry.length);
@@ -100,9 +100,9 @@
     }
 
     void chunk(long index, int term, int chunk, int chunks, byte[] data) throws IOException {
-        require(index >= 0 && index <= MOST_INDEX, "snapshot %d is out of range", index);
-        require(chunk >= 0 && chunk < chunks && chunks <= VoterStore.MOST_CHUNKS, "chunk %d of %d", chunk, chunks);
-        require(data.length <= VoterStore.MOST_VALUE_BYTES, "chunk %d of snapshot %d has %d bytes", chunk, index,
+        require(index >= 0 && index <= MAX_INDEX, "snapshot %d is out of range", index);
+        require(chunk >= 0 && chunk < chunks && chunks <= VoterStore.MAX_CHUNKS, "chunk %d of %d", chunk, chunks);
+        require(data.length <= VoterStore.MAX_VALUE_BYTES, "chunk %d of snapshot %d has %d bytes", chunk, index,
                 data.length);
         room(data.length);
         file.put(Part.CHUNKS, index << CHUNK_BITS | chunk, ByteBuffer.allocate(2 * Integer.BYTES + data.length)
@@ -110,17 +110,17 @@
     }
 
     void drop(long index) throws IOException {
-        for (int chunk = 0; chunk < VoterStore.MOST_CHUNKS; chunk++) {
+        for (int chunk = 0; chunk < VoterStore.MAX_CHUNKS; chunk++) {
             file.remove(Part.CHUNKS, index << CHUNK_BITS | chunk);
         }
     }
 
     void put(String key, byte[] value) throws IOException {
-        require(key.length() <= MOST_NAME && value.length <= VoterStore.MOST_VALUE_BYTES,
+        require(key.length() <= MAX_NAME && value.length <= VoterStore.MAX_VALUE_BYTES,
                 "a name of %d characters for %d bytes", key.length(), value.length);
         Long at = names.get(key);
         if (at == null) {
-            require(names.size() < VoterStore.MOST_NAMES, "more than %d names", VoterStore.MOST_NAMES);
+            require(names.size() < VoterStore.MAX_NAMES, "more than %d names", VoterStore.MAX_NAMES);
             at = (long) names.size(); // names are never removed
         }
         room(value.length);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
@@ -54,9 +54,9 @@
         judge.roster(hallOf);
     }
 
-    /** The whole engine list of now, of which the first {@code enginesMost} count. */
+    /** The whole engine list of now, of which the first {@code maxEngines} count. */
     public void engines(long now, Collection<ListedEngine> whole) {
-        List<ListedEngine> lines = whole.stream().limit(settings.enginesMost()).toList();
+        List<ListedEngine> lines = whole.stream().limit(settings.maxEngines()).toList();
         watch.engines(now, lines);
         Map<String, Long> starts = new HashMap<>();
         lines.forEach(line -> starts.put(line.name(), line.startedUs()));
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
@@ -8,20 +8,20 @@
  *
  * @param evidenceUs between two sendings of a gateway's evidence, and of a hub's
  * @param leaseUs age at which evidence, and so each verdict that rests on it, is dropped
- * @param condemnedMost part of the engines that verdicts may close at once, 0 to 1
- * @param strengthLeast outcomes of all tellers that a new verdict on an engine rests on at least
+ * @param maxCondemned part of the engines that verdicts may close at once, 0 to 1
+ * @param minStrength outcomes of all tellers that a new verdict on an engine rests on at least
  * @param holdUs how long the second verdict within {@code flapUs} outlives its reasons; doubles with each further one
  * @param flapUs time after which an earlier verdict on the engine is forgotten
  * @param announceUs how long what the engine list says of a start or a drain is repeated to the fleet
  * @param drainGraceUs time after the earliest word of a drain for which that verdict stands at most
  * @param testers gateways that go on trying a condemned engine
- * @param enginesMost engines watched at most, those first in the list
- * @param membersMost gateways of the fleet, at most
- * @param perTellerMost subjects on which one gateway's evidence is kept, at most
+ * @param maxEngines engines watched at most, those first in the list
+ * @param maxMembers gateways of the fleet, at most
+ * @param maxPerTeller subjects on which one gateway's evidence is kept, at most
  */
-public record VerdictSettings(long evidenceUs, long leaseUs, double condemnedMost, int strengthLeast, long holdUs,
-        long flapUs, long announceUs, long drainGraceUs, int testers, int enginesMost,
-        int membersMost, int perTellerMost) {
+public record VerdictSettings(long evidenceUs, long leaseUs, double maxCondemned, int minStrength, long holdUs,
+        long flapUs, long announceUs, long drainGraceUs, int testers, int maxEngines,
+        int maxMembers, int maxPerTeller) {
 
     /** The defaults. */
     public static final VerdictSettings DEFAULT = new VerdictSettings(50_000, 3_000_000, 0.3, 3, 250_000, 30_000_000,
@@ -32,10 +32,10 @@
         List<String> faults = new ArrayList<>();
         within(faults, "evidence_ms", evidenceUs / 1000, 10, 1000);
         within(faults, "verdict_lease_ms", leaseUs / 1000, 10 * evidenceUs / 1000, 60_000);
-        if (!(condemnedMost >= 0 && condemnedMost <= 1)) {
-            faults.add("condemned_share is " + condemnedMost + ", not from 0 to 1");
+        if (!(maxCondemned >= 0 && maxCondemned <= 1)) {
+            faults.add("condemned_share is " + maxCondemned + ", not from 0 to 1");
         }
-        within(faults, "verdict_outcomes", strengthLeast, 1, 50);
+        within(faults, "verdict_outcomes", minStrength, 1, 50);
         within(faults, "verdict_hold_ms", holdUs / 1000, 0, 60_000);
         within(faults, "verdict_flap_ms", flapUs / 1000, 0, 3_600_000);
         within(faults, "list_announce_ms", announceUs / 1000, 0, 600_000);
@@ -44,9 +44,9 @@
         return faults;
     }
 
-    private static void within(List<String> faults, String key, long value, long least, long most) {
-        if (value < least || value > most) {
-            faults.add(key + " is " + value + ", not from " + least + " to " + most);
+    private static void within(List<String> faults, String key, long value, long min, long max) {
+        if (value < min || value > max) {
+            faults.add(key + " is " + value + ", not from " + min + " to " + max);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
@@ -22,7 +22,7 @@
  * <p>Ages travel, not times; of two copies of one piece the one that proves the smaller age counts, as each age is a
  * bound from above. For a data group's change it is the other way round, since there the later time is the safe one.
  *
- * <p>Bound: {@code membersMost} tellers (those of the roster) times {@code perTellerMost} subjects with a lease, and as
+ * <p>Bound: {@code maxMembers} tellers (those of the roster) times {@code maxPerTeller} subjects with a lease, and as
  * many data groups. Where a teller has more, its oldest pieces go; a change of a data group so dropped counts from then
  * on as one of every group.
  */
@@ -50,9 +50,9 @@
         this.settings = settings;
     }
 
-    /** Those whose evidence counts; what others told is dropped. At most {@code membersMost}, by name. */
+    /** Those whose evidence counts; what others told is dropped. At most {@code maxMembers}, by name. */
     public void members(Collection<String> names) {
-        members = new TreeSet<>(names).stream().limit(settings.membersMost()).collect(Collectors.toUnmodifiableSet());
+        members = new TreeSet<>(names).stream().limit(settings.maxMembers()).collect(Collectors.toUnmodifiableSet());
         for (String teller : List.copyOf(shelves.keySet())) {
             if (!members.contains(teller)) {
                 shelves.get(teller).all().forEach(this::remove);
@@ -78,7 +78,7 @@
             return Put.KNOWN;
         }
         ReporterEvidence shelf =
-                shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.perTellerMost()));
+                shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.maxPerTeller()));
         if (shelf.isOfOldLife(e)) {
             return Put.OLD_LIFE;
         }
@@ -133,7 +133,7 @@
     private void add(Entry entry) {
         Evidence e = entry.evidence;
         bySubject.computeIfAbsent(e.subject(), s -> new TreeMap<>()).put(e.teller(), entry);
-        shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.perTellerMost())).add(entry);
+        shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.maxPerTeller())).add(entry);
         (e.finding().isUrgent() ? urgent : calm).put(entry.version, entry);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -15,11 +15,11 @@
  * lasts also goes back from any gateway to voters that lost it.
  *
  * <p>Cost: each piece goes to each gateway once from each voter that did not get it from there. Bound: one place in the
- * line of changes for each peer with a link, at most {@code membersMost}; batches of at most {@link #PIECES_MOST}.
+ * line of changes for each peer with a link, at most {@code maxMembers}; batches of at most {@link #MAX_PIECES}.
  */
 public final class EvidenceDissemination {
     /** Pieces in one batch at most. */
-    public static final int PIECES_MOST = 200;
+    public static final int MAX_PIECES = 200;
     /** A batch without a piece goes this often, so that the time underway stays known: a sixth of the lease. */
     private static final int ECHOES_A_LEASE = 6;
 
@@ -74,7 +74,7 @@
         if (outlet == null) {
             return Optional.empty();
         }
-        Batch batch = outlet.next(now, book, e -> goesTo(e, peer), PIECES_MOST);
+        Batch batch = outlet.next(now, book, e -> goesTo(e, peer), MAX_PIECES);
         boolean echoDue = now - outlet.sentAt >= settings.leaseUs() / ECHOES_A_LEASE;
         if (batch.told().isEmpty() && !echoDue) {
             if (outlet.isBehind(batch)) {
@@ -112,7 +112,7 @@
         if (outlet == null) {
             return 0;
         }
-        long underway = outlet.underway.mostUs(now, batch);
+        long underway = outlet.underway.maxUs(now, batch);
         outlet.underway.heard(now, batch.stampUs());
         outlet.heard(batch);
         int changed = 0;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
@@ -35,19 +35,19 @@
     }
 
     /** What the peer lacks and should hear, urgent first, at most so many pieces. */
-    Batch next(long now, EvidenceBook book, Predicate<Entry> forPeer, int most) {
+    Batch next(long now, EvidenceBook book, Predicate<Entry> forPeer, int max) {
         List<EvidenceMessage> told = new ArrayList<>();
-        long urgentTo = take(book.lane(true), urgentSent, forPeer, now, book.leaseUs(), most, told);
-        long calmTo = take(book.lane(false), calmSent, forPeer, now, book.leaseUs(), most, told);
+        long urgentTo = take(book.lane(true), urgentSent, forPeer, now, book.leaseUs(), max, told);
+        long calmTo = take(book.lane(false), calmSent, forPeer, now, book.leaseUs(), max, told);
         return new Batch(now, underway.echoUs(), underway.heldUs(now), urgentTo, calmTo, urgentGot, calmGot, told);
     }
 
     private static long take(NavigableMap<Long, Entry> lane, long from, Predicate<Entry> forPeer, long now,
-            long leaseUs, int most, List<EvidenceMessage> told) {
+            long leaseUs, int max, List<EvidenceMessage> told) {
         long to = from;
         for (Entry e : lane.tailMap(from, false).values()) {
             if (forPeer.test(e) && !e.evidence().isOver(now, leaseUs)) {
-                if (told.size() >= most) {
+                if (told.size() >= max) {
                     break;
                 }
                 told.add(EvidenceMessage.of(e.evidence(), now));
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
@@ -11,12 +11,12 @@
     private static final Comparator<Entry> BY_AGE = Comparator.<Entry>comparingLong(e -> e.evidence().life())
             .thenComparingLong(e -> e.evidence().seq()).thenComparing(e -> e.evidence().subject());
 
-    private final int most;
+    private final int max;
     private final TreeSet<Entry> leased = new TreeSet<>(BY_AGE);
     private final TreeSet<Entry> lasting = new TreeSet<>(BY_AGE);
 
-    ReporterEvidence(int most) {
-        this.most = most;
+    ReporterEvidence(int max) {
+        this.max = max;
     }
 
     private TreeSet<Entry> of(Evidence e) {
@@ -51,14 +51,14 @@
     /** The oldest piece where there are too many, else null. The piece that stands for all groups comes on top. */
     Entry overBound(boolean lasts) {
         TreeSet<Entry> its = lasts ? lasting : leased;
-        if (its.size() <= most) {
+        if (its.size() <= max) {
             return null;
         }
         Entry first = its.first();
         if (!isForAll(first)) {
-            return its.stream().anyMatch(ReporterEvidence::isForAll) && its.size() == most + 1 ? null : first;
+            return its.stream().anyMatch(ReporterEvidence::isForAll) && its.size() == max + 1 ? null : first;
         }
-        return its.size() <= most + 1 ? null : its.higher(first);
+        return its.size() <= max + 1 ? null : its.higher(first);
     }
 
     private static boolean isForAll(Entry e) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
@@ -23,7 +23,7 @@
         heardStampUs = Batch.NO_ECHO;
     }
 
-    long mostUs(long now, Batch batch) {
+    long maxUs(long now, Batch batch) {
         long sinceUp = Math.max(0, now - upAt);
         boolean echoed = batch.echoUs() != Batch.NO_ECHO && batch.echoUs() >= upAt && batch.echoUs() <= now;
         if (!echoed) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/CondemnedEngines.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/CondemnedEngines.java
@@ -11,13 +11,13 @@
 import sandpaddle.fleet.verdict.judge.EngineVotes.Opinion;
 
 /**
- * Which engines are condemned: the worst by evidence, at most {@code condemnedMost} of those listed (at least one where
+ * Which engines are condemned: the worst by evidence, at most {@code maxCondemned} of those listed (at least one where
  * there are two). An engine that is let go and condemned again within {@code flapUs} is held a while the next time its
  * reasons go: {@code holdUs}, doubled with each further time, but never past the lease of its last evidence. Bound: a
  * few figures for each listed engine.
  */
 final class CondemnedEngines {
-    private static final int DOUBLINGS_MOST = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private static final class Case {
         Opinion opinion; // the last one
@@ -54,7 +54,7 @@
         }
         if (opinion != null) {
             if (!c.standing) {
-                c.flaps = now - c.letGoAt < settings.flapUs() ? Math.min(DOUBLINGS_MOST, c.flaps + 1) : 0;
+                c.flaps = now - c.letGoAt < settings.flapUs() ? Math.min(MAX_DOUBLINGS, c.flaps + 1) : 0;
                 c.standing = true;
             }
             c.opinion = opinion;
@@ -96,8 +96,8 @@
 
     /** Splits what stands into the closed and the spared, both by name. */
     void choose(int engines, List<String> closed, List<String> spared) {
-        int share = (int) Math.floor(engines * settings.condemnedMost());
-        int most = guards.contains(Guard.SHARE) ? Math.max(share, engines >= 2 ? 1 : 0) : engines;
+        int share = (int) Math.floor(engines * settings.maxCondemned());
+        int max = guards.contains(Guard.SHARE) ? Math.max(share, engines >= 2 ? 1 : 0) : engines;
         List<String> standing = new ArrayList<>();
         cases.forEach((engine, c) -> {
             if (c.standing) {
@@ -108,7 +108,7 @@
                 .thenComparingInt(e -> cases.get(e).closed ? 0 : 1) // among equals, no changing places
                 .thenComparingInt(e -> -opinion(e).strength())
                 .thenComparingLong(e -> opinion(e).sinceUs()).thenComparing(e -> e));
-        Set<String> in = new TreeSet<>(standing.subList(0, Math.min(most, standing.size())));
+        Set<String> in = new TreeSet<>(standing.subList(0, Math.min(max, standing.size())));
         cases.forEach((engine, c) -> {
             c.closed = in.contains(engine);
             if (c.standing) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -20,7 +20,7 @@
  * others, as long as its hall has another with fresh traffic; a fleet of one gateway gives no verdict.
  */
 final class EngineVotes {
-    private static final int STRENGTH_MOST = 50; // of one teller: so that nobody outweighs all others by a figure
+    private static final int MAX_STRENGTH = 50; // of one teller: so that nobody outweighs all others by a figure
 
     /** Against an engine: as a whole, or by halls whose link to it is down. */
     record Opinion(EngineVerdict.Kind kind, Set<String> links, int tellers, int strength, long sinceUs, long madeUs) { }
@@ -44,8 +44,8 @@
     Opinion weigh(List<Evidence> voices, boolean standing) {
         Map<String, int[]> byHall = new TreeMap<>(); // against, for
         List<Evidence> bad = voices.stream().filter(v -> v.finding().isBad()).toList();
-        int strength = bad.stream().mapToInt(v -> Math.min(STRENGTH_MOST, v.strength())).sum();
-        if (bad.isEmpty() || strength < (standing ? 1 : settings.strengthLeast())) {
+        int strength = bad.stream().mapToInt(v -> Math.min(MAX_STRENGTH, v.strength())).sum();
+        if (bad.isEmpty() || strength < (standing ? 1 : settings.minStrength())) {
             return null;
         }
         voices.forEach(v -> byHall.computeIfAbsent(roster.hall(v.teller()), h -> new int[2])
@@ -75,10 +75,10 @@
         if (hallsAgainst >= 2 && hallsAgainst > hallsFor) {
             return true;
         }
-        boolean most = 2 * bad.size() > voices.size();
+        boolean max = 2 * bad.size() > voices.size();
         boolean notAlone = bad.size() >= 2 || !guards.contains(Guard.NOT_ALONE);
         boolean twoHalls = halls.size() >= 2 || oneHall || !guards.contains(Guard.ONE_HALL_IS_A_LINK);
-        return most && notAlone && twoHalls;
+        return max && notAlone && twoHalls;
     }
 
     /** Of a hall with several gateways, two must say so; the only one of its hall speaks for it. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
@@ -137,7 +137,7 @@
             List<EngineVerdict> verdicts, List<String> spared) {
         String hall = roster.ownHall();
         HallLink own = hallLinks.get(hall);
-        int share = (int) Math.floor(listed.size() * settings.condemnedMost());
+        int share = (int) Math.floor(listed.size() * settings.maxCondemned());
         int room = Math.max(share, listed.size() >= 2 ? 1 : 0) - verdicts.size();
         boolean useless = own != null && own.state() == HallLink.State.ISOLATED;
         Set<String> near = new TreeSet<>(well);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
@@ -55,7 +55,7 @@
 
     void evaluate(long now, Map<String, Long> listed, EvidenceBook book, List<EngineVerdict> out) {
         drains.keySet().retainAll(listed.keySet());
-        int alone = (int) Math.max(1, Math.floor(listed.size() * settings.condemnedMost()));
+        int alone = (int) Math.max(1, Math.floor(listed.size() * settings.maxCondemned()));
         for (Map.Entry<String, Long> e : listed.entrySet()) {
             cold(now, e.getKey(), e.getValue(), book, out);
             alone -= drain(now, e.getKey(), e.getValue(), book, alone, out);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
@@ -16,18 +16,18 @@
     private ProbeAssignment() {
     }
 
-    static Set<String> of(String engine, Collection<String> live, HallRoster roster, int most) {
+    static Set<String> of(String engine, Collection<String> live, HallRoster roster, int max) {
         List<String> byWeight = new ArrayList<>(live);
         byWeight.sort(Comparator.<String>comparingLong(g -> weight(engine, g)).thenComparing(g -> g));
         Set<String> chosen = new HashSet<>();
         Set<String> halls = new HashSet<>();
         for (String g : byWeight) {
-            if (chosen.size() < most && halls.add(roster.hall(g))) {
+            if (chosen.size() < max && halls.add(roster.hall(g))) {
                 chosen.add(g);
             }
         }
         for (String g : byWeight) {
-            if (chosen.size() < most) {
+            if (chosen.size() < max) {
                 chosen.add(g);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineWatch.java
@@ -15,7 +15,7 @@
     private static final double BAD_TO = 0.2;
     private static final double OVER_OTHERS = 0.3; // above the share that fails everywhere: that is not the engine's
     private static final double SLOW_TIMES = 4; // the expected latency: slow
-    private static final int SLOW_LEAST = 3; // slow answers: one or two may be heavy queries
+    private static final int MIN_SLOW = 3; // slow answers: one or two may be heavy queries
     private static final int GOOD_RUN = 2;
 
     private enum Mark { GOOD, LATE, FAILED, SILENT }
@@ -121,17 +121,17 @@
         int failed = failed();
         int late = counted(Mark.LATE);
         int good = counted(Mark.GOOD);
-        double least = finding != null && finding.isBad() ? BAD_TO : BAD_FROM;
+        double min = finding != null && finding.isBad() ? BAD_TO : BAD_FROM;
         int answers = good + late + failed;
         Finding next = null;
-        if (silent > 0 && (double) silent / (silent + answers) >= least) {
+        if (silent > 0 && (double) silent / (silent + answers) >= min) {
             next = Finding.SILENT;
         } else if (finding != null && finding.isBad() && goodRun() >= GOOD_RUN && good > 0) {
             next = Finding.GOOD;
             forgetBad();
-        } else if (failed > 0 && share(failed, answers) >= Math.max(least, failingElsewhere + OVER_OTHERS)) {
+        } else if (failed > 0 && share(failed, answers) >= Math.max(min, failingElsewhere + OVER_OTHERS)) {
             next = Finding.SICK;
-        } else if (late >= SLOW_LEAST && share(late, answers) >= least) {
+        } else if (late >= MIN_SLOW && share(late, answers) >= min) {
             next = Finding.SLOW;
         } else if (good > 0) {
             next = Finding.GOOD;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
@@ -17,25 +17,25 @@
     private final long life;
     private final long leaseUs;
     private final long renewUs;
-    private final int strengthLeast;
+    private final int minStrength;
     private final Map<Subject, Evidence> last = new HashMap<>();
     private final Map<Subject, Long> toldAt = new HashMap<>();
     private List<Evidence> out = new ArrayList<>();
     private long seq;
 
-    EvidenceReporter(String self, long life, long leaseUs, long renewUs, int strengthLeast) {
+    EvidenceReporter(String self, long life, long leaseUs, long renewUs, int minStrength) {
         this.self = self;
         this.life = life;
         this.leaseUs = leaseUs;
         this.renewUs = renewUs;
-        this.strengthLeast = strengthLeast;
+        this.minStrength = minStrength;
     }
 
     void say(long now, Subject subject, Finding finding, long incarnation, int strength, double amount, long sinceUs,
             long madeUs) {
         Evidence before = last.get(subject);
         if (before != null && before.finding() == finding && before.incarnation() == incarnation) {
-            boolean grows = strength > before.strength() && before.strength() < strengthLeast;
+            boolean grows = strength > before.strength() && before.strength() < minStrength;
             boolean moves = Math.abs(amount - before.amount()) > before.amount() / 4; // less is noise
             boolean goesOn = madeUs > before.madeUs() && now - toldAt.get(subject) >= renewUs;
             if (!grows && !moves && !goesOn) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachWatch.java
@@ -6,12 +6,12 @@
 
 /**
  * Which engines answer this gateway: outside its hall, inside only, or none. Nothing outside: at least
- * {@link #FAILURES_LEAST} attempts at two engines (one, where there is but one) got no answer since the last answer
+ * {@link #MIN_FAILURES} attempts at two engines (one, where there is but one) got no answer since the last answer
  * from outside. Bound: a time for each engine of the list.
  */
 final class ReachWatch {
-    private static final int FAILURES_LEAST = 3;
-    private static final int ENGINES_LEAST = 2; // one may just be dead
+    private static final int MIN_FAILURES = 3;
+    private static final int MIN_ENGINES = 2; // one may just be dead
 
     private final long windowUs;
     private final Map<String, Long> unanswered = new HashMap<>(); // engines outside, since the last answer from there
@@ -51,7 +51,7 @@
             failures = 0;
         }
         Finding next = null;
-        if (failures >= FAILURES_LEAST && unanswered.size() >= Math.min(ENGINES_LEAST, outside)) {
+        if (failures >= MIN_FAILURES && unanswered.size() >= Math.min(MIN_ENGINES, outside)) {
             next = now - insideAt < windowUs ? Finding.ONLY_INSIDE : Finding.NOTHING_ANSWERS;
         } else if (now - outsideAt < windowUs) {
             next = Finding.OUTSIDE_ANSWERS;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/SelfDoubt.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/SelfDoubt.java
@@ -4,15 +4,15 @@
 
 /**
  * A gateway doubts itself before it accuses (Lifeguard, Dadgar et al., 2018: the local health multiplier). A score from
- * 0 to {@link #SCORE_MOST} grows with each timer that runs late and falls with time on time; while it is not 0, what
+ * 0 to {@link #MAX_SCORE} grows with each timer that runs late and falls with time on time; while it is not 0, what
  * the gateway finds of engines has no weight. So it is while most engines look bad to it at once.
  */
 final class SelfDoubt {
-    static final int SCORE_MOST = 8;
+    static final int MAX_SCORE = 8;
     private static final int LATE_TICKS = 4; // a tick this many late: the process stood still
     private static final long EASE_US = 500_000; // us on time that take one from the score
     private static final long A_SECOND_US = 1_000_000; // each second stood still adds one more
-    private static final int ENGINES_LEAST = 2; // heard of lately, before "most" means anything
+    private static final int MIN_ENGINES = 2; // heard of lately, before "most" means anything
 
     private final long tickUs;
     private long tickedAt;
@@ -34,14 +34,14 @@
 
     void tick(long now, int engines, int bad) {
         if (standsStill(now)) {
-            score = (int) Math.min(SCORE_MOST, score + 1 + (now - tickedAt) / A_SECOND_US);
+            score = (int) Math.min(MAX_SCORE, score + 1 + (now - tickedAt) / A_SECOND_US);
             easedAt = now;
         } else if (score > 0 && now - easedAt >= EASE_US) {
             score--;
             easedAt = now;
         }
         tickedAt = now;
-        if (engines >= ENGINES_LEAST && 2 * bad > engines) {
+        if (engines >= MIN_ENGINES && 2 * bad > engines) {
             mostBad = true;
             mostBadAt = now;
         } else if (now - mostBadAt >= EASE_US) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
@@ -17,11 +17,11 @@
  * Turns what one gateway sees into evidence: outcomes of attempts, load reports, the engine list, its own use by
  * tenants, its completed loads, its own timers. A good finding on an engine is said only where it contradicts somebody
  * or ends this gateway's own accusation, so that a fleet in health says next to nothing: its sign of life, and which
- * engines it reaches. Bounds: {@code enginesMost} engines of 16 outcomes each, {@link #TENANTS_MOST} tenants.
+ * engines it reaches. Bounds: {@code maxEngines} engines of 16 outcomes each, {@link #MAX_TENANTS} tenants.
  */
 public final class Watch {
     /** Tenants of which a gateway tells its use: those that use most. */
-    public static final int TENANTS_MOST = 64;
+    public static final int MAX_TENANTS = 64;
 
     private final String self;
     private final String hall;
@@ -41,19 +41,19 @@
         this.self = self;
         this.hall = hall;
         this.settings = settings;
-        teller = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.strengthLeast());
+        teller = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.minStrength());
         doubt = new SelfDoubt(settings.evidenceUs(), now);
         reach = new ReachWatch(settings.leaseUs());
         list = new ListWatch(settings.announceUs());
         wellSince = now;
     }
 
-    /** The whole engine list of now; those over {@code enginesMost} are not watched. */
+    /** The whole engine list of now; those over {@code maxEngines} are not watched. */
     public void engines(long now, Collection<ListedEngine> lines) {
         Map<String, EngineWatch> next = new LinkedHashMap<>();
         long listedAt = listKnown ? now : Long.MIN_VALUE / 2; // the first list's engines have no predecessors
         for (ListedEngine line : lines) {
-            if (next.size() >= settings.enginesMost()) {
+            if (next.size() >= settings.maxEngines()) {
                 break;
             }
             EngineWatch before = engines.get(line.name());
@@ -115,7 +115,7 @@
         used.entrySet().stream().filter(e -> e.getValue() > 0)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                         .thenComparing(Map.Entry.comparingByKey()))
-                .limit(TENANTS_MOST).forEach(e -> next.put(e.getKey(), e.getValue()));
+                .limit(MAX_TENANTS).forEach(e -> next.put(e.getKey(), e.getValue()));
         tenants.forEach((t, before) -> {
             if (before > 0) {
                 next.putIfAbsent(t, 0.0); // said once more, so that the sum falls at once
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
@@ -11,15 +11,15 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * A batch of evidence as a message, first its form's version. Bounds: {@link EvidenceDissemination#PIECES_MOST} pieces,
- * names of {@link #NAME_MOST} bytes, so a message is under 80 kB; what is outside is a fault that names the value.
+ * A batch of evidence as a message, first its form's version. Bounds: {@link EvidenceDissemination#MAX_PIECES} pieces,
+ * names of {@link #MAX_NAME} bytes, so a message is under 80 kB; what is outside is a fault that names the value.
  */
 public final class EvidenceCodec {
     /** Of the message's form; a newer one is refused by its number. */
     public static final int VERSION = 1;
     /** Bytes of a name at most. */
-    public static final int NAME_MOST = 128;
-    private static final int STRENGTH_MOST = 1_000_000;
+    public static final int MAX_NAME = 128;
+    private static final int MAX_STRENGTH = 1_000_000;
     private static final Topic[] TOPICS = Topic.values();
     private static final Finding[] FINDINGS = Finding.values();
 
@@ -49,15 +49,15 @@
         long held = in.number(0, Long.MAX_VALUE);
         Batch batch = new Batch(stamp, echo, held, in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
                 in.number(0, Long.MAX_VALUE), in.number(0, Long.MAX_VALUE),
-                in.list(EvidenceDissemination.PIECES_MOST, EvidenceCodec::told));
+                in.list(EvidenceDissemination.MAX_PIECES, EvidenceCodec::told));
         in.end();
         return batch;
     }
 
     private static EvidenceMessage told(CborIn in) throws FaultyMessageException {
         Topic topic = TOPICS[(int) in.number(0, TOPICS.length - 1)];
-        Subject subject = new Subject(topic, in.text(NAME_MOST));
-        String teller = in.text(NAME_MOST);
+        Subject subject = new Subject(topic, in.text(MAX_NAME));
+        String teller = in.text(MAX_NAME);
         long life = in.number(0, Long.MAX_VALUE);
         long seq = in.number(0, Long.MAX_VALUE);
         Finding finding = FINDINGS[(int) in.number(0, FINDINGS.length - 1)];
@@ -65,7 +65,7 @@
             throw in.wrong("says " + finding + ", which evidence on " + topic + " cannot");
         }
         long incarnation = in.number(0, Long.MAX_VALUE);
-        int strength = (int) in.number(0, STRENGTH_MOST);
+        int strength = (int) in.number(0, MAX_STRENGTH);
         double amount = in.real();
         if (amount < 0) {
             throw in.wrong("is " + amount + ", less than 0");
--- a/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
@@ -9,10 +9,10 @@
  * The counting of one gateway, on the loop's thread. A start is counted first and the view is read after, with a full
  * fence between: whoever lowers a ceiling publishes first and reads the counts after, so one of the two sees the other,
  * and no attempt starts on rights that were given back. Nothing is allocated once an engine, tenant and class have met;
- * bounded by {@link #MOST} of them, past which those that are idle are forgotten.
+ * bounded by {@link #MAX_COUNTERS} of them, past which those that are idle are forgotten.
  */
 public final class AttemptCounters {
-    static final int MOST = 1 << 15;
+    static final int MAX_COUNTERS = 1 << 15;
 
     private final Publication<FleetView> views;
     private final Publication<SlotUsage> usages;
@@ -62,7 +62,7 @@
     }
 
     private AttemptCounter make(int cls, String tenant, String engine) {
-        if (cells >= MOST) {
+        if (cells >= MAX_COUNTERS) {
             byEngine.values().removeIf(t -> {
                 t.values().removeIf(this::isIdle);
                 return t.isEmpty();
--- a/gateway/src/main/java/sandpaddle/fleet/wire/CborIn.java
+++ b/gateway/src/main/java/sandpaddle/fleet/wire/CborIn.java
@@ -68,25 +68,25 @@
     }
 
     /** A text of so many bytes of UTF-8 at most. */
-    public String text(int mostBytes) throws FaultyMessageException {
+    public String text(int maxBytes) throws FaultyMessageException {
         if (next() != JsonToken.VALUE_STRING) {
             throw wrong("is no text");
         }
         String value = guarded(from::getText);
-        if (value.length() > mostBytes || value.getBytes(StandardCharsets.UTF_8).length > mostBytes) {
-            throw wrong("is longer than " + mostBytes + " bytes");
+        if (value.length() > maxBytes || value.getBytes(StandardCharsets.UTF_8).length > maxBytes) {
+            throw wrong("is longer than " + maxBytes + " bytes");
         }
         return value;
     }
 
     /** A whole number within bounds. */
-    public long number(long least, long most) throws FaultyMessageException {
+    public long number(long min, long max) throws FaultyMessageException {
         if (next() != JsonToken.VALUE_NUMBER_INT) {
             throw wrong("is no whole number");
         }
         long value = guarded(from::getLongValue);
-        if (value < least || value > most) {
-            throw wrong("is " + value + ", not from " + least + " to " + most);
+        if (value < min || value > max) {
+            throw wrong("is " + value + ", not from " + min + " to " + max);
         }
         return value;
     }
@@ -113,20 +113,20 @@
     }
 
     /** So many bytes at most. */
-    public byte[] bytes(int most) throws FaultyMessageException {
+    public byte[] bytes(int max) throws FaultyMessageException {
         if (next() != JsonToken.VALUE_EMBEDDED_OBJECT) {
             throw wrong("is no byte string");
         }
         byte[] value = guarded(from::getBinaryValue);
-        if (value.length > most) {
-            throw wrong("is longer than " + most + " bytes");
+        if (value.length > max) {
+            throw wrong("is longer than " + max + " bytes");
         }
         return value;
     }
 
     /** A list of so many items at most. */
-    public <T> List<T> list(int most, Item<T> item) throws FaultyMessageException {
-        int size = (int) number(0, most);
+    public <T> List<T> list(int max, Item<T> item) throws FaultyMessageException {
+        int size = (int) number(0, max);
         List<T> values = new ArrayList<>(Math.min(size, 64)); // what is claimed costs nothing before it is there
         for (int i = 0; i < size; i++) {
             values.add(item.read(this));
--- a/gateway/src/main/java/sandpaddle/storm/Admission.java
+++ b/gateway/src/main/java/sandpaddle/storm/Admission.java
@@ -128,8 +128,8 @@
     /** Whether a request may enter; what does is told by {@link #entered}. Call {@link #fill} first. */
     boolean admits(int cls, Kind kind, double workUs) {
         int f = cls * KINDS + kind.ordinal();
-        double most = mostWait(f);
-        if (rate > 0 && workAhead(cls) <= most / US * (rate + rate(at, at + (long) most)) / 2) {
+        double max = maxWait(f);
+        if (rate > 0 && workAhead(cls) <= max / US * (rate + rate(at, at + (long) max)) / 2) {
             return true;
         }
         if (rate > 0 && reserve[f] > 0) {
@@ -149,7 +149,7 @@
     }
 
     /** A part of the time in which a request of the class is wanted, the less the less worth it can still earn. */
-    private double mostWait(int flow) {
+    private double maxWait(int flow) {
         Gateway.RequestClass c = classes.get(flow / KINDS);
         double earns = switch (Kind.values()[flow % KINDS]) {
             case FIRST -> 1;
--- a/gateway/src/main/java/sandpaddle/storm/ConnectionGate.java
+++ b/gateway/src/main/java/sandpaddle/storm/ConnectionGate.java
@@ -15,7 +15,7 @@
 
     ConnectionGate(StormSettings.Connections settings, long now) {
         this.settings = settings;
-        tokens = settings.leastPerS() * BURST_S;
+        tokens = settings.minPerS() * BURST_S;
         at = now;
     }
 
@@ -25,7 +25,7 @@
 
     /** Whether one more may be taken now; in calm all may. */
     boolean takes(long now, Phase phase, double usualPerSecond) {
-        double rate = Math.max(settings.leastPerS(), settings.overUsual() * usualPerSecond);
+        double rate = Math.max(settings.minPerS(), settings.overUsual() * usualPerSecond);
         tokens = Math.min(tokens + rate * Math.max(0, now - at) / US, rate * BURST_S);
         at = Math.max(at, now);
         if (phase == Phase.CALM) {
--- a/gateway/src/main/java/sandpaddle/storm/PauseComplianceEstimate.java
+++ b/gateway/src/main/java/sandpaddle/storm/PauseComplianceEstimate.java
@@ -10,7 +10,7 @@
     private static final double PRIOR = 10; // cases that the prior weighs as much as
     private static final double PRIOR_HONOURS = 0.6;
     private static final double PRIOR_RETURNS = 0.7;
-    private static final double LEAST = 0.05;
+    private static final double MIN_SHARE = 0.05;
     /** Told in whole milliseconds and waited for by clocks of others. */
     static final long TOLERANCE_US = 10_000;
 
@@ -42,12 +42,12 @@
     /** Of those that come back after advice, the share that waits for its time. */
     double honours(long now) {
         double h = honoured.sum(now);
-        return Math.max(LEAST, (h + PRIOR * PRIOR_HONOURS) / (h + early.sum(now) + PRIOR));
+        return Math.max(MIN_SHARE, (h + PRIOR * PRIOR_HONOURS) / (h + early.sum(now) + PRIOR));
     }
 
     /** Of those sent away, the share that comes back. */
     double returns(long now) {
         double share = (returned.sum(now) + PRIOR * PRIOR_RETURNS) / (sentAway.sum(now) + PRIOR);
-        return Math.max(LEAST, Math.min(1, share));
+        return Math.max(MIN_SHARE, Math.min(1, share));
     }
 }
--- a/gateway/src/main/java/sandpaddle/storm/ReturnCalendar.java
+++ b/gateway/src/main/java/sandpaddle/storm/ReturnCalendar.java
@@ -13,7 +13,7 @@
 public final class ReturnCalendar {
     private static final double US = 1e6;
 
-    private final long slotUs, leastUs;
+    private final long slotUs, minUs;
     private final int slots;
     private final double[] filled; // work expected (us), by slot number modulo the ring
     private final double[] room;
@@ -22,11 +22,11 @@
     private long firstFree; // no slot before it has room
     private double farRoom; // of slots beyond the forecast
 
-    /** Slots of {@code slotUs} up to {@code mostUs} ahead; no pause is under {@code leastUs}, jitter apart. */
-    public ReturnCalendar(long slotUs, long leastUs, long mostUs, SplittableRandom random) {
+    /** Slots of {@code slotUs} up to {@code maxUs} ahead; no pause is under {@code minUs}, jitter apart. */
+    public ReturnCalendar(long slotUs, long minUs, long maxUs, SplittableRandom random) {
         this.slotUs = slotUs;
-        this.leastUs = Math.min(leastUs, mostUs);
-        slots = (int) Math.max(1, mostUs / slotUs);
+        this.minUs = Math.min(minUs, maxUs);
+        slots = (int) Math.max(1, maxUs / slotUs);
         filled = new double[slots + 1];
         room = new double[slots + 1];
         stamp = new long[slots + 1];
@@ -56,14 +56,14 @@
 
     /** A pause (us) for a client whose return is expected to bring so much work; never over the longest. */
     public long place(long now, double workUs) {
-        long first = (now + leastUs + slotUs - 1) / slotUs;
+        long first = (now + minUs + slotUs - 1) / slotUs;
         long last = Math.max(first, now / slotUs + slots - 1);
         long chosen = -1;
         for (long n = Math.max(first, firstFree); n <= last && chosen < 0; n++) {
             int i = index(n);
             if (filled[i] + workUs <= room[i]) {
                 chosen = n;
-            } else if (n == firstFree && filled[i] + leastWork(workUs) > room[i]) {
+            } else if (n == firstFree && filled[i] + minWork(workUs) > room[i]) {
                 firstFree++;
             }
         }
@@ -75,21 +75,21 @@
     }
 
     /** A slot that has no room for a tenth of this has none worth looking at again. */
-    private static double leastWork(double workUs) {
+    private static double minWork(double workUs) {
         return workUs / 10;
     }
 
     /** Of slots with the same filling any may be chosen: a fixed one would draw all of a burst. */
     private long emptiest(long from, long to) {
         long best = from;
-        double least = Double.POSITIVE_INFINITY;
+        double min = Double.POSITIVE_INFINITY;
         long offset = random.nextLong(to - from + 1);
         for (long k = 0; k <= to - from; k++) {
             long n = from + (k + offset) % (to - from + 1);
             int i = index(n);
             double over = filled[i] - room[i];
-            if (over < least) {
-                least = over;
+            if (over < min) {
+                min = over;
                 best = n;
             }
         }
--- a/gateway/src/main/java/sandpaddle/storm/ReturnTable.java
+++ b/gateway/src/main/java/sandpaddle/storm/ReturnTable.java
@@ -12,7 +12,7 @@
 final class ReturnTable {
     static final int WAYS = 4;
     private static final long NONE = 0; // no fingerprint
-    private static final int MOST = Short.MAX_VALUE; // returns waited for, and tries, of one statement
+    private static final int MAX_COUNT = Short.MAX_VALUE; // returns waited for, and tries, of one statement
 
     /**
      * A statement that came again. {@code tries}: how often it had come before; {@code firstAt}: when it came first;
@@ -68,8 +68,8 @@
             used++;
         }
         boolean fresh = waiting[i] == 0;
-        waiting[i] = (short) Math.min(MOST, waiting[i] + 1);
-        tries[i] = (short) Math.min(MOST, fresh ? triesSoFar : Math.max(tries[i], triesSoFar));
+        waiting[i] = (short) Math.min(MAX_COUNT, waiting[i] + 1);
+        tries[i] = (short) Math.min(MAX_COUNT, fresh ? triesSoFar : Math.max(tries[i], triesSoFar));
         firstAt[i] = fresh ? first : Math.min(firstAt[i], first);
         endedAt[i] = now;
         backAt[i] = Math.max(fresh ? 0 : backAt[i], back);
--- a/gateway/src/main/java/sandpaddle/storm/Storm.java
+++ b/gateway/src/main/java/sandpaddle/storm/Storm.java
@@ -85,10 +85,10 @@
     }
 
     private ReturnCalendar calendar(StormSettings s) {
-        long most = site.limits().maxRetryAfterUs();
-        long asked = s.calendar().mostUs();
-        most = asked > 0 ? Math.min(asked, most) : most;
-        return new ReturnCalendar(s.calendar().slotUs(), s.calendar().leastUs(), most, random.split());
+        long max = site.limits().maxRetryAfterUs();
+        long asked = s.calendar().maxUs();
+        max = asked > 0 ? Math.min(asked, max) : max;
+        return new ReturnCalendar(s.calendar().slotUs(), s.calendar().minUs(), max, random.split());
     }
 
     /** Takes new settings over; what was learnt stays. The table keeps its size until the next start. */
@@ -191,8 +191,8 @@
 
     /** The pause for a connection for which there is no room. */
     public long noRoom(long now) {
-        long most = site.limits().maxRetryAfterUs();
-        return pause(now, meanWork(), most > 1 ? most / 2 + random.nextLong(most / 2) : 0);
+        long max = site.limits().maxRetryAfterUs();
+        return pause(now, meanWork(), max > 1 ? max / 2 + random.nextLong(max / 2) : 0);
     }
 
     /** What a connection's query may be, before it is read: a mean over the classes. */
@@ -231,14 +231,14 @@
             double newcomers = unplanned.perSecond(now);
             calendar.forecast(now, t -> {
                 double planned = admission.rate(now, t);
-                return Math.max(planned * (1 - settings.calendar().newcomersShare()) - newcomers, planned * LEAST_ROOM);
+                return Math.max(planned * (1 - settings.calendar().newcomersShare()) - newcomers, planned * MIN_ROOM);
             });
         }
         return change == null ? null : new Change(change.from(), change.to(), change.signs(), capacity,
                 admission.rate(), honour.honours(now), honour.returns(now));
     }
 
-    private static final double LEAST_ROOM = 0.1; // of what is admitted: returns are planned even beside many newcomers
+    private static final double MIN_ROOM = 0.1; // of what is admitted: returns are planned even beside many newcomers
 
     // ---- What others may look at.
 
@@ -255,6 +255,6 @@
 
     /** {@code admittedPerS} in microseconds of work a second; counts are since the start. */
     public record Figures(Phase phase, StormSignals signs, double capacityCores, double admittedPerS, double waitingUs,
-            long turnedAway, long connectionsTurnedAway, int remembered, int rememberedMost, long forgotten,
+            long turnedAway, long connectionsTurnedAway, int remembered, int maxRemembered, long forgotten,
             double honours, double returns) { }
 }
--- a/gateway/src/main/java/sandpaddle/storm/StormSettings.java
+++ b/gateway/src/main/java/sandpaddle/storm/StormSettings.java
@@ -17,10 +17,10 @@
             long memoryUs, int entries) { }
 
     /**
-     * Where refused clients are sent: slots of {@code slotUs}, pauses from {@code leastUs} to {@code mostUs} (0: the
+     * Where refused clients are sent: slots of {@code slotUs}, pauses from {@code minUs} to {@code maxUs} (0: the
      * most that the platform's settings allow). Of what the fleet can take, {@code newcomersShare} is never planned.
      */
-    public record Calendar(long slotUs, long leastUs, long mostUs, double newcomersShare) { }
+    public record Calendar(long slotUs, long minUs, long maxUs, double newcomersShare) { }
 
     /**
      * The door while no calm holds. A request may meet a wait of {@code holdShare} of the time in which its class is
@@ -30,7 +30,7 @@
     public record Recovery(double startShare, double holdShare, double reserveShare) { }
 
     /** While no calm holds, new connections are taken up to {@code overUsual} times the usual rate, or this many. */
-    public record Connections(double leastPerS, double overUsual) { }
+    public record Connections(double minPerS, double overUsual) { }
 
     /** Repeats of loads that say which load they are; {@code resultBytes}: of all results kept for them. */
     public record Loads(boolean enabled, long keepUs, int entries, long resultBytes) { }
--- a/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
@@ -70,11 +70,11 @@
         assertEquals(List.of(0.01, 0.1, 0.2), List.of(s.limits().drift(), s.limits().floorShare(), s.limits().band()));
         assertEquals(List.of(5L, 30_000_000L, 3_000_000L, 2_000_000L), List.of((long) s.voters().voters(),
                 s.voters().replaceUs(), s.voters().steadyUs(), s.voters().settleUs()));
-        assertEquals(List.of(2_097_152L, 4_194_304L, 40_000L, 200_000L), List.of(s.store().mostBytes(),
+        assertEquals(List.of(2_097_152L, 4_194_304L, 40_000L, 200_000L), List.of(s.store().maxBytes(),
                 s.store().roomBytes(), s.store().slowFsyncUs(), s.store().probeUs()));
         assertFalse(s.verdictsOn());
         assertEquals(List.of(60_000L, 2_000_000L, 0.2, 3), List.<Object>of(s.verdicts().evidenceUs(),
-                s.verdicts().leaseUs(), s.verdicts().condemnedMost(), s.verdicts().testers()));
+                s.verdicts().leaseUs(), s.verdicts().maxCondemned(), s.verdicts().testers()));
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
@@ -104,7 +104,7 @@
         ContentKey half = new ContentKey("t\ud800", "u", "c", new byte[1]);
         assertFalse(store.put(new StoredAnswer(new AnswerMetadata(half, Set.of(), WALL, 0, 0, 1000, 1),
                 new ResultSet(List.of())), 0, WALL));
-        ContentKey large = new ContentKey("t", "u", "c", new byte[ContentKey.STATEMENT_MOST + 1]);
+        ContentKey large = new ContentKey("t", "u", "c", new byte[ContentKey.MAX_STATEMENT + 1]);
         assertFalse(large.isStorable());
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/content/copy/AnswerReplicationProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/copy/AnswerReplicationProperties.java
@@ -84,7 +84,7 @@
                 send(f.to, nodes.get(f.to).copies.received(f.from, f.message, now));
             }
         }
-        nodes.values().forEach(n -> assertTrue(n.copies.incomingBytes() <= SETTINGS.bytesMost()));
+        nodes.values().forEach(n -> assertTrue(n.copies.incomingBytes() <= SETTINGS.maxBytes()));
     }
 
     private void offer(String from, String to, int count, int rows) {
--- a/gateway/src/test/java/sandpaddle/fleet/content/copy/ReplicationMessageCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/copy/ReplicationMessageCodecProperties.java
@@ -52,10 +52,10 @@
 
     @Example
     void aChunkStaysWithinAFrame() {
-        ReplicationMessage m = new ReplicationMessage.Chunk(ID, 0, 0, new byte[ReplicationMessageCodec.CHUNK_MOST]);
+        ReplicationMessage m = new ReplicationMessage.Chunk(ID, 0, 0, new byte[ReplicationMessageCodec.MAX_CHUNK]);
         assertTrue(ReplicationMessageCodec.write(m).length < 1 << 20);
         byte[] larger = ReplicationMessageCodec.write(new ReplicationMessage.Chunk(ID, 0, 0,
-                new byte[ReplicationMessageCodec.CHUNK_MOST + 1]));
+                new byte[ReplicationMessageCodec.MAX_CHUNK + 1]));
         assertThrows(CborIn.FaultyMessageException.class, () -> ReplicationMessageCodec.read(larger));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/DiskTierTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/DiskTierTest.java
@@ -224,7 +224,7 @@
             files.files.put(String.format("content-00000000000001%02x.seg", i), new byte[] {1});
         }
         disk = open();
-        assertEquals(Recovery.ASIDE_MOST, files.files.keySet().stream().filter(n -> n.endsWith(".aside")).count());
+        assertEquals(Recovery.MAX_ASIDE, files.files.keySet().stream().filter(n -> n.endsWith(".aside")).count());
     }
 
     @Test
@@ -233,7 +233,7 @@
             disk.put(Stored.answer(n, WALL, 1, 2), 0, WALL);
             disk.flush(0, WALL);
         }
-        assertTrue(disk.segments() <= SETTINGS.filesMost(), disk.segments() + " segments");
+        assertTrue(disk.segments() <= SETTINGS.maxFiles(), disk.segments() + " segments");
         assertEquals(300, disk.answers());
         assertEquals(300, open().answers());
     }
@@ -244,7 +244,7 @@
             disk.put(Stored.answer(n, WALL, n, 0), 0, WALL);
         }
         disk.flush(0, WALL);
-        assertTrue(disk.answers() <= SETTINGS.entriesMost(), disk.answers() + " answers");
+        assertTrue(disk.answers() <= SETTINGS.maxEntries(), disk.answers() + " answers");
         assertTrue(DiskTier.open(files, new DiskSettings(100_000, 10_000, 100, 64, 0), WALL).answers() <= 100);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/FaultyFiles.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/FaultyFiles.java
@@ -56,9 +56,9 @@
     }
 
     @Override
-    public List<String> list(int most) throws IOException {
+    public List<String> list(int max) throws IOException {
         call(Call.LIST);
-        return files.keySet().stream().limit(most).toList();
+        return files.keySet().stream().limit(max).toList();
     }
 
     @Override
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/SavedStateTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/SavedStateTest.java
@@ -26,7 +26,7 @@
         assertEquals(Optional.empty(), state.save(new byte[] {4}));
         files.crash();
         assertArrayEquals(new byte[] {4}, state.load().state().orElseThrow());
-        assertTrue(state.save(new byte[SavedState.MOST + 1]).isPresent());
+        assertTrue(state.save(new byte[SavedState.MAX_BYTES + 1]).isPresent());
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
@@ -153,7 +153,7 @@
     @Test
     void whatIsForgottenOutdatesMoreAndNeverLess() {
         changes.changed(3, (ASKED + 1) * 1000, ASKED + 1);
-        for (int g = 100; g < 100 + DataChanges.MOST; g++) {
+        for (int g = 100; g < 100 + DataChanges.MAX_GROUPS; g++) {
             changes.changed(g, (ASKED + 10) * 1000, ASKED + 10);
         }
         refuses(Reason.OUTDATED);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/bound/BoundsProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/bound/BoundsProperties.java
@@ -29,8 +29,8 @@
         }
         long now = 0;
         long passed = 0;
-        double least = 0; // of passed minus what the limit allows: any window counts, not the first only
-        double most = 0;
+        double min = 0; // of passed minus what the limit allows: any window counts, not the first only
+        double max = 0;
         for (int step = 0; step < 2000; step++) {
             now += r.nextInt(20_000);
             int i = r.nextInt(gateways);
@@ -46,13 +46,13 @@
                 buckets[i] = new TokenBucket(now, spec.burst()); // a restart
                 buckets[i].rate(now, rates[i]);
             }
-            least = Math.min(least, passed - now * (limit / 1e6));
+            min = Math.min(min, passed - now * (limit / 1e6));
             while (buckets[i].take(now, TokenBucket.ONE)) {
                 passed += TokenBucket.ONE;
             }
-            most = Math.max(most, passed - now * (limit / 1e6) - least);
+            max = Math.max(max, passed - now * (limit / 1e6) - min);
         }
-        assertTrue(most <= bound + 1e-3, most + " over, stated " + bound);
+        assertTrue(max <= bound + 1e-3, max + " over, stated " + bound);
     }
 
     @Property(seed = "42", tries = 200)
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
@@ -62,8 +62,8 @@
         fleet.gateways.get(0).demand = 1000;
         fleet.run(2 * S);
         LimitSpec spec = new LimitSpec(Fleet.LIMIT, Scope.WHOLE, Unit.RUNNING, 200, 0);
-        double least = new LimitBounds(SETTINGS, 100_000).leastUse(spec, 10);
-        assertTrue(ceiling(fleet, 0) >= 200 * least, ceiling(fleet, 0) + " of 200, stated " + least);
+        double min = new LimitBounds(SETTINGS, 100_000).leastUse(spec, 10);
+        assertTrue(ceiling(fleet, 0) >= 200 * min, ceiling(fleet, 0) + " of 200, stated " + min);
         assertTrue(ceiling(fleet, 0) >= 190, ceiling(fleet, 0) + " of 200");
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
@@ -20,7 +20,7 @@
     private final List<Past> former = new ArrayList<>(); // amounts that may still show
     private final long lowering;
     private long amount;
-    long most; // running at the engines over what was allowed, the worst
+    long max; // running at the engines over what was allowed, the worst
     long started;
     long overAt;
 
@@ -52,8 +52,8 @@
         former.removeIf(p -> p.until < fleet.now);
         long allowed = Math.max(amount, former.stream().mapToLong(Past::amount).max().orElse(0));
         long over = fleet.engines.running(Fleet.LIMIT) - allowed;
-        if (over > most) {
-            most = over;
+        if (over > max) {
+            max = over;
             overAt = fleet.now;
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDaysTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDaysTest.java
@@ -27,7 +27,7 @@
     void limitIsNeverExceededOnDrawnDays() {
         List<DrawnDay> days = IntStream.range(0, DAYS).parallel().mapToObj(seed -> day(seed, SETTINGS)).toList();
         for (int seed = 0; seed < DAYS; seed++) {
-            assertEquals(0, days.get(seed).most, "seed " + seed + " at " + days.get(seed).overAt);
+            assertEquals(0, days.get(seed).max, "seed " + seed + " at " + days.get(seed).overAt);
         }
         long started = days.stream().mapToLong(d -> d.started).sum();
         assertTrue(started > 40 * DAYS, "what refuses everything keeps limits too; started " + started);
@@ -36,6 +36,6 @@
     @ParameterizedTest
     @EnumSource(value = Guard.class, names = {"VERSION", "SHRINK_FIRST", "ELECTION_RENEWS"})
     void drawnDaysFindGuardsTakenAway(Guard guard) {
-        assertTrue(IntStream.range(0, 100).parallel().anyMatch(seed -> day(seed, SETTINGS.without(guard)).most > 0));
+        assertTrue(IntStream.range(0, 100).parallel().anyMatch(seed -> day(seed, SETTINGS.without(guard)).max > 0));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
@@ -102,11 +102,11 @@
         for (boolean guarded : new boolean[] {true, false}) {
             RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
             List<SlotGrant> many = new ArrayList<>();
-            for (int i = 0; i <= Heartbeat.MOST_TOLD; i++) { // one more than a beat tells, so one has promised nothing
+            for (int i = 0; i <= Heartbeat.MAX_TOLD; i++) { // one more than a beat tells, so one has promised nothing
                 many.add(given("l" + (10_000 + i), 1, 8, 2, 8));
             }
             holder.granted(0, grant(5, 1, 0, many.toArray(new SlotGrant[0])));
-            String last = "l" + (10_000 + Heartbeat.MOST_TOLD);
+            String last = "l" + (10_000 + Heartbeat.MAX_TOLD);
             long sequence = holder.beat(FRESH).sequence(); // after a reclaim: the table holds the floors only
             holder.granted(FRESH + 1, grant(5, 2, sequence));
             assertEquals(guarded ? 2 : 8, holder.ceiling(FRESH + 2, last, ""), "with the guard: " + guarded);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
@@ -76,8 +76,8 @@
             return;
         }
         lingering.removeIf(at -> at <= clock);
-        long most = holder.ceiling(clock, World.LIMIT, "");
-        while (engine.live > most) {
+        long max = holder.ceiling(clock, World.LIMIT, "");
+        while (engine.live > max) {
             if (clock < holder.lapse()) {
                 engine.end();
             } else {
@@ -85,7 +85,7 @@
                 lingering.add(clock + settings.surely(settings.engineForget()));
             }
         }
-        while (used(World.LIMIT, "") < most) {
+        while (used(World.LIMIT, "") < max) {
             engine.start(now);
         }
         engine.ask(now);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SmallCaseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SmallCaseTest.java
@@ -42,11 +42,11 @@
         Search search = new Search(CALM + 7).from(world);
         assertNull(search.fault, () -> "over the limit after " + search.fault);
         System.out.println("small case: " + search.states() + " states, " + search.steps + " steps");
-        assertTrue(search.states() >= LEAST_STATES, search.states() + " states");
+        assertTrue(search.states() >= MIN_STATES, search.states() + " states");
         assertEquals(World.AMOUNT, search.busiest, "the limit was used up to its amount");
     }
 
-    private static final int LEAST_STATES = 25_000;
+    private static final int MIN_STATES = 25_000;
 
     @ParameterizedTest
     @EnumSource(value = Guard.class, names = {"SESSION", "INCARNATION"}, mode = EnumSource.Mode.EXCLUDE)
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
@@ -73,7 +73,7 @@
         broken[at % broken.length] ^= (byte) (1 + seed % 127);
         for (byte[] message : List.of(broken, Arrays.copyOf(whole, at % whole.length))) {
             try {
-                assertTrue(LimitCodec.readBeat(new CborIn(message)).told().size() <= Heartbeat.MOST_TOLD);
+                assertTrue(LimitCodec.readBeat(new CborIn(message)).told().size() <= Heartbeat.MAX_TOLD);
             } catch (FaultyMessageException e) {
                 assertTrue(e.getMessage().contains("value") || e.getMessage().contains("CBOR"), e.getMessage());
             }
--- a/gateway/src/test/java/sandpaddle/fleet/link/frame/FrameProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/frame/FrameProperties.java
@@ -94,9 +94,9 @@
         stream.flip();
         FrameReader reader = new FrameReader(50_000);
         List<byte[]> got = new ArrayList<>();
-        int most = 1 + random.nextInt(random.nextBoolean() ? 8 : 30_000);
+        int max = 1 + random.nextInt(random.nextBoolean() ? 8 : 30_000);
         while (stream.hasRemaining()) {
-            int n = Math.min(stream.remaining(), 1 + random.nextInt(most));
+            int n = Math.min(stream.remaining(), 1 + random.nextInt(max));
             ByteBuffer piece = stream.slice(stream.position(), n);
             assertEquals(Optional.empty(), reader.feed(piece, got::add));
             stream.position(stream.position() + n);
@@ -176,22 +176,22 @@
     @Property(seed = "35", tries = 200)
     void aReasonOfAnyTextFitsAndIsReadable(@ForAll @StringLength(max = 2000) String reason) {
         assertTrue(readable(body(new Frame.Bye(reason))));
-        assertTrue(body(new Frame.Rejected(Refusal.NAME, reason)).length < Frame.MOST_GREETING_BYTES);
+        assertTrue(body(new Frame.Rejected(Refusal.NAME, reason)).length < Frame.MAX_GREETING_BYTES);
     }
 
     @Property(seed = "36", tries = 300)
     void bothSidesFindTheSameVersionOrNone(@ForAll @IntRange(min = 1, max = 5) int a,
             @ForAll @IntRange(min = 1, max = 5) int b, @ForAll @IntRange(min = 1, max = 5) int c,
             @ForAll @IntRange(min = 1, max = 5) int d) {
-        int least = Math.min(a, b);
-        int most = Math.max(a, b);
+        int min = Math.min(a, b);
+        int max = Math.max(a, b);
         int otherLeast = Math.min(c, d);
         int otherMost = Math.max(c, d);
         int expected = 0;
         for (int v = 1; v <= 5; v++) {
-            expected = v >= least && v <= most && v >= otherLeast && v <= otherMost ? v : expected;
+            expected = v >= min && v <= max && v >= otherLeast && v <= otherMost ? v : expected;
         }
-        assertEquals(expected, Greeting.common(least, most, otherLeast, otherMost));
-        assertEquals(expected, Greeting.common(otherLeast, otherMost, least, most));
+        assertEquals(expected, Greeting.common(min, max, otherLeast, otherMost));
+        assertEquals(expected, Greeting.common(otherLeast, otherMost, min, max));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
@@ -17,7 +17,7 @@
 import sandpaddle.fleet.link.Kind;
 
 class SendQueueProperties {
-    private static final List<Kind> MOST_URGENT_FIRST = List.of(Kind.RAFT, Kind.GRANT, Kind.PROPOSAL, Kind.BEAT,
+    private static final List<Kind> MAX_URGENT_FIRST = List.of(Kind.RAFT, Kind.GRANT, Kind.PROPOSAL, Kind.BEAT,
             Kind.EVIDENCE, Kind.CONTENT);
 
     private static ByteBuffer frame(int kind, int number, int size) {
@@ -30,11 +30,11 @@
         SplittableRandom random = new SplittableRandom(seed);
         SendQueue outbox = new SendQueue(20_000, 40);
         List<List<Integer>> model = new ArrayList<>();
-        MOST_URGENT_FIRST.forEach(k -> model.add(new ArrayList<>()));
+        MAX_URGENT_FIRST.forEach(k -> model.add(new ArrayList<>()));
         for (int i = 0; i < 300; i++) {
             if (random.nextInt(5) < 3) {
-                int k = random.nextInt(MOST_URGENT_FIRST.size());
-                if (outbox.offer(MOST_URGENT_FIRST.get(k), frame(k, i, random.nextInt(3000)))) {
+                int k = random.nextInt(MAX_URGENT_FIRST.size());
+                if (outbox.offer(MAX_URGENT_FIRST.get(k), frame(k, i, random.nextInt(3000)))) {
                     model.get(k).add(i);
                 }
             } else {
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkLogTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkLogTest.java
@@ -13,7 +13,7 @@
         for (int i = 0; i < 1000; i++) {
             written += log.mayWrite(i * 60_000L) ? 1 : 0;
         }
-        assertEquals(LinkLog.MOST_REFUSALS, written);
+        assertEquals(LinkLog.MAX_REFUSALS, written);
         assertEquals(true, log.mayWrite(60_000_000));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
@@ -48,7 +48,7 @@
                 () -> Roster.EMPTY.with(new Member("a", "h", "10.0.0.1", 0))).getMessage());
         assertThrows(IllegalArgumentException.class, () -> Roster.EMPTY.with(member("a b", "h")));
         Roster full = Roster.EMPTY;
-        for (int i = 0; i < Roster.MOST_MEMBERS; i++) {
+        for (int i = 0; i < Roster.MAX_MEMBERS; i++) {
             full = full.with(member("m" + i, "h"));
         }
         Roster last = full;
--- a/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
@@ -117,21 +117,21 @@
                 names.add((char) ('a' + h) + "" + m);
             }
         }
-        int most = five ? 5 : 3;
-        List<String> first = VoterPlan.first(roster(names.toArray(String[]::new)), most);
-        assertEquals(Math.min(most, names.size() - 1 + names.size() % 2), first.size());
+        int max = five ? 5 : 3;
+        List<String> first = VoterPlan.first(roster(names.toArray(String[]::new)), max);
+        assertEquals(Math.min(max, names.size() - 1 + names.size() % 2), first.size());
         assertEquals(first.size(), new TreeSet<>(first).size());
         Map<Character, Integer> perHall = new HashMap<>();
         first.forEach(v -> perHall.merge(v.charAt(0), 1, Integer::sum));
-        assertEquals(first.isEmpty() ? 0 : leastPeak(halls, first.size()),
+        assertEquals(first.isEmpty() ? 0 : minPeak(halls, first.size()),
                 perHall.values().stream().mapToInt(n -> n).max().orElse(0));
     }
 
     /** The most even spread of so many voters over halls of so many members, found by trying all. */
-    private static int leastPeak(List<Integer> halls, int voters) {
+    private static int minPeak(List<Integer> halls, int voters) {
         for (int peak = 1;; peak++) {
-            int most = peak;
-            if (halls.stream().mapToInt(n -> Math.min(n, most)).sum() >= voters) {
+            int max = peak;
+            if (halls.stream().mapToInt(n -> Math.min(n, max)).sum() >= voters) {
                 return peak;
             }
         }
@@ -200,8 +200,8 @@
             Map<Character, Integer> peaks = new HashMap<>();
             voters.forEach(v -> peaks.merge(v.charAt(0), 1, Integer::sum));
             int peak = peaks.values().stream().mapToInt(n -> n).max().orElseThrow();
-            assertTrue(peak <= leastPeak(halls, voters.size()) + 1, "uneven: " + voters + " of live " + live);
-            if (peak > leastPeak(halls, voters.size())) {
+            assertTrue(peak <= minPeak(halls, voters.size()) + 1, "uneven: " + voters + " of live " + live);
+            if (peak > minPeak(halls, voters.size())) {
                 assertFalse(peaks.values().stream().anyMatch(n -> n < peak - 1) && uneven(peaks, perHall, peak),
                         "a hall has two voters less than another and a member to spare: " + voters);
             }
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
@@ -24,12 +24,12 @@
         TenantNumbers tenants = new TenantNumbers();
         assertEquals(TenantNumbers.OTHERS, tenants.counted(""));
         assertFalse(tenants.hasGrown());
-        for (int i = 1; i < TenantNumbers.MOST; i++) {
+        for (int i = 1; i < TenantNumbers.MAX_TENANTS; i++) {
             assertEquals("t" + i, tenants.counted("t" + i));
             assertEquals(i, tenants.number("t" + i));
         }
         assertTrue(tenants.hasGrown());
-        for (int i = 0; i < 2 * TenantNumbers.MOST; i++) {
+        for (int i = 0; i < 2 * TenantNumbers.MAX_TENANTS; i++) {
             assertEquals(TenantNumbers.OTHERS, tenants.counted("late" + i));
         }
         assertFalse(tenants.hasGrown());
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -44,7 +44,7 @@
     private final Set<String> stalled = new HashSet<>(); // whose loop takes no turn, while its other threads go on
     private final List<Runnable> links = new ArrayList<>(); // a message takes a step
     private long now;
-    private int most;
+    private int max;
 
     private static Policy policy(int acme, int borea) {
         return policy(acme, borea, " each");
@@ -75,7 +75,7 @@
         links.clear();
         arrived.forEach(Runnable::run);
         gateways.stream().filter(g -> !stalled.contains(g.name)).forEach(g -> g.turn(now));
-        most = Math.max(most, gateways.stream().mapToInt(StandInGateway::open).sum());
+        max = Math.max(max, gateways.stream().mapToInt(StandInGateway::open).sum());
         lead();
         if (now % settings.beat() == 0) {
             gateways.forEach(g -> {
@@ -144,7 +144,7 @@
         run(8_000_000);
         assertEquals(2, mean(2_000_000, "acme", gateways), 0.8);
         assertEquals(6, mean(2_000_000, "borea", gateways), 0.8);
-        assertEquals(BUDGET, most);
+        assertEquals(BUDGET, max);
     }
 
     /** Guards against rights that are given back while idle connections are still open by them. */
@@ -167,7 +167,7 @@
         stalled.clear();
         run(4_000_000);
         assertEquals(BUDGET, gateways.get(1).open());
-        assertEquals(BUDGET, most);
+        assertEquals(BUDGET, max);
     }
 
     /** Guards against a gateway that holds what a policy gave it that it cannot read. */
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
@@ -111,7 +111,7 @@
     @Test
     void anEngineWhoseIdCannotBeToldHasNoRightsAndSpoilsNoBeat() throws Exception {
         LimitSpec each = limit("each", null, null, null, "*");
-        String tooLong = "e".repeat(LimitSpec.MOST_NAME + 1);
+        String tooLong = "e".repeat(LimitSpec.MAX_NAME + 1);
         keeper.engines(List.of("e", tooLong));
         keeper.granted(1, grant(0, List.of(each)));
         FleetView view = publish();
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
@@ -103,7 +103,7 @@
         Member blank = new Member("a b", "h", "10.0.0.1", 1);
         assertThrows(FaultyMessageException.class,
                 () -> FleetConfig.of(new FleetConfig(1, List.of(blank), List.of(), "", "").text()));
-        String tooLong = new String(new byte[FleetConfig.MOST_TEXT + 1], StandardCharsets.US_ASCII);
+        String tooLong = new String(new byte[FleetConfig.MAX_TEXT + 1], StandardCharsets.US_ASCII);
         assertThrows(FaultyMessageException.class,
                 () -> FleetConfig.of(new FleetConfig(1, List.of(), List.of(), tooLong, "").text()));
         StatusMessage crowded = new StatusMessage(1, "", java.util.Collections.nCopies(17, "a"), 1, "");
--- a/gateway/src/test/java/sandpaddle/fleet/outage/back/ReturnSchedulerTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/back/ReturnSchedulerTest.java
@@ -29,12 +29,12 @@
         double[] work = new double[61];
         for (int i = 0; i < 1000; i++) {
             long pause = back.pause(0, 40_000);
-            assertTrue(pause <= BackSettings.DEFAULT.mostUs());
+            assertTrue(pause <= BackSettings.DEFAULT.maxUs());
             work[(int) (pause / 1_000_000)] += 40_000;
         }
         for (int s = 0; s < 60; s++) {
-            double most = BackSettings.DEFAULT.clientShare() * warm((s + 1) * 1_000_000L);
-            assertTrue(work[s] <= most + 100_000, work[s] + " us of work in second " + s + ", of " + most);
+            double max = BackSettings.DEFAULT.clientShare() * warm((s + 1) * 1_000_000L);
+            assertTrue(work[s] <= max + 100_000, work[s] + " us of work in second " + s + ", of " + max);
         }
         assertEquals(0, work[5]);
     }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
@@ -95,11 +95,11 @@
 
     @Test
     void holdsABoundedNumberOfRules() throws Exception {
-        for (int i = 0; i < 2 * Margins.RULES_MOST; i++) {
+        for (int i = 0; i < 2 * Margins.MAX_RULES; i++) {
             margins.learn(new WindowOutcome("ship", Set.of("r" + i), false, false, -5 * MIN, 0));
         }
         assertEquals(MIN, margins.before("ship", Set.of("r0")));
-        assertEquals(5 * MIN, margins.before("ship", Set.of("r" + (2 * Margins.RULES_MOST - 1))));
+        assertEquals(5 * MIN, margins.before("ship", Set.of("r" + (2 * Margins.MAX_RULES - 1))));
         new Margins(MarginSettings.DEFAULT).take(margins.export());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallStory.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallStory.java
@@ -26,7 +26,7 @@
     Evidence evidence = new Evidence(Link.REACHABLE, now);
 
     HallPhase hall(Schedule s) {
-        return new HallPhase("ship", s, margins, MARGIN.mostMs(), PhaseSettings.DEFAULT);
+        return new HallPhase("ship", s, margins, MARGIN.maxMs(), PhaseSettings.DEFAULT);
     }
 
     static long at(String time) {
--- a/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
@@ -36,10 +36,10 @@
                 had += s.floor();
                 has += f;
             } else {
-                assertTrue(f <= s.floor() && f >= Math.min(s.floor(), S.leastEach()), s + " got " + f);
+                assertTrue(f <= s.floor() && f >= Math.min(s.floor(), S.minEach()), s + " got " + f);
             }
         }
-        assertTrue(has == had || has <= limit * S.mostShare(), has + " of " + limit);
+        assertTrue(has == had || has <= limit * S.maxShare(), has + " of " + limit);
     }
 
     @Example
--- a/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
@@ -69,7 +69,7 @@
                 .rules().get(0);
         long from = at("2026-11-02T00:00:00Z");
         assertEquals(6 * 24 + 1, Expansion.of(r, new TimeRange(from, from + DAY)).size());
-        assertTrue(Expansion.of(r, new TimeRange(from, from + 100 * DAY)).size() <= Expansion.MOST);
+        assertTrue(Expansion.of(r, new TimeRange(from, from + 100 * DAY)).size() <= Expansion.MAX_OCCURRENCES);
     }
 
     @Test
@@ -120,7 +120,7 @@
         assertEquals(List.of("name", "zone", "start", "duration", "exdates[0]", "name"), read.faults().stream()
                 .map(f -> f.path().substring("fleet.outages[0].".length())).toList());
         List<RawRule> many = new ArrayList<>();
-        for (int i = 0; i <= Schedule.RULES_MOST; i++) {
+        for (int i = 0; i <= Schedule.MAX_RULES; i++) {
             many.add(raw("r" + i, "UTC", "2026-01-01T00:00", "PT1H", ""));
         }
         assertEquals("at most 256", RuleReader.read(many).faults().get(0).allowed());
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
@@ -34,12 +34,12 @@
 
     /** Answers by the time that they were last used, within so many bytes. */
     static class Lru implements Keeper {
-        private final long bytesMost;
+        private final long maxBytes;
         protected final Map<ContentId, Candidate> held = new LinkedHashMap<>(16, 0.75f, true);
         private long bytes;
 
-        Lru(long bytesMost) {
-            this.bytesMost = bytesMost;
+        Lru(long maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
         @Override
@@ -47,7 +47,7 @@
             Candidate old = held.put(what.key().id(), new Candidate(what.key(), what.fingerprint(), what.groups(),
                     what.size(), what.workUs(), what.maxAgeMs(), what.worthEach(), wall));
             bytes += what.size() - (old == null ? 0 : old.size());
-            for (var i = held.values().iterator(); bytes > bytesMost && i.hasNext();) {
+            for (var i = held.values().iterator(); bytes > maxBytes && i.hasNext();) {
                 bytes -= i.next().size();
                 i.remove();
             }
@@ -75,16 +75,16 @@
         private final AskHistory history = new AskHistory(0.3);
         private final Prefetcher prefetch;
         private final Allowance allowance;
-        private final long bytesMost;
+        private final long maxBytes;
         private final Map<ContentId, Held> held = new HashMap<>();
         private final TreeSet<Held> byDensity = new TreeSet<>(Comparator.comparingDouble(Held::density)
                 .thenComparing(h -> h.what.key().id()).thenComparingLong(Held::at));
         private long bytes;
 
-        Prefetching(long bytesMost, long workPerSecond) {
-            this.bytesMost = bytesMost;
+        Prefetching(long maxBytes, long workPerSecond) {
+            this.maxBytes = maxBytes;
             allowance = new Allowance(8, workPerSecond);
-            prefetch = new Prefetcher("gw", new Budget(bytesMost, workPerSecond, 0.9, 15_000), 120_000_000, history,
+            prefetch = new Prefetcher("gw", new Budget(maxBytes, workPerSecond, 0.9, 15_000), 120_000_000, history,
                     new Catalogue(Drawn.STATEMENTS, 10_000_000));
             hall = new HallPhase("ship", RuleReader.read(List.of(new RawRule("o", "daily", "ship", "UTC",
                     "2000-01-01T13:00", "PT2H", "FREQ=DAILY", List.of()))).schedule().orElseThrow(), margins,
@@ -121,10 +121,10 @@
             if (old != null && byDensity.remove(old)) {
                 bytes -= old.what.size();
             }
-            while (bytes > bytesMost) {
-                Held least = byDensity.pollFirst();
-                held.remove(least.what.key().id());
-                bytes -= least.what.size();
+            while (bytes > maxBytes) {
+                Held min = byDensity.pollFirst();
+                held.remove(min.what.key().id());
+                bytes -= min.what.size();
             }
         }
 
@@ -169,13 +169,13 @@
     /** Knows the loss, the return and every ask between them, and has the same bytes and work as the others. */
     static final class Oracle implements Keeper {
         private final Drawn drawn;
-        private final long bytesMost;
+        private final long maxBytes;
         private final long workPerSecond;
         private final Map<ContentId, Long> held = new HashMap<>();
 
-        Oracle(Drawn drawn, long bytesMost, long workPerSecond) {
+        Oracle(Drawn drawn, long maxBytes, long workPerSecond) {
             this.drawn = drawn;
-            this.bytesMost = bytesMost;
+            this.maxBytes = maxBytes;
             this.workPerSecond = workPerSecond;
         }
 
@@ -195,7 +195,7 @@
             drawn.asks.stream().filter(a -> a.statement() >= 0 && outage.has(a.wall()))
                     .forEach(a -> times.computeIfAbsent(a.statement(), n -> new ArrayList<>()).add(a.wall()));
             List<Candidate> asked = times.keySet().stream().map(drawn.statements::get).toList();
-            Plan plan = Planner.plan(outage.from() - 30 * 60_000, outage, asked, new Budget(bytesMost, workPerSecond, 1,
+            Plan plan = Planner.plan(outage.from() - 30 * 60_000, outage, asked, new Budget(maxBytes, workPerSecond, 1,
                     0), (n, span) -> times.get((int) n).stream().filter(span::has).count());
             plan.fetches().forEach(f -> held.put(f.what().key().id(), f.beginAt()));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyBoundsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyBoundsTest.java
@@ -34,7 +34,7 @@
     @Test
     void aFileTooLarge() {
         assertEquals("1:1: found a file of 262145 bytes; allowed: 262144 bytes at most",
-                only("#".repeat(Limits.MOST_BYTES + 1)));
+                only("#".repeat(Limits.MAX_BYTES + 1)));
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
@@ -25,7 +25,7 @@
 class PolicyFuzzProperties {
     private static PoolPolicyCheck check(byte[] file) {
         PoolPolicyCheck check = PoolPolicyCheck.check(file, KnownNames.NONE);
-        assertTrue(check.faults().size() <= FaultList.MOST + FaultList.MOST_WARNINGS);
+        assertTrue(check.faults().size() <= FaultList.MAX_ERRORS + FaultList.MAX_WARNINGS);
         assertEquals(check.policy().isEmpty(), !check.errors().isEmpty());
         check.faults().forEach(f -> assertTrue(f.toString().length() < 600 && f.toString().lines().count() == 1,
                 f::toString));
@@ -80,7 +80,7 @@
     void longFilesOfOneThing() {
         for (String unit : List.of("(", "\"", "a", "0", "\n", ",", "when ", "when storm and ", "group a = \"x\", ",
                 "tenant ", "tenant \"a\" ", "weight 1 ", "x\n", "#", "group g = group g\n", "\"a\",\n", "\r\r", "=")) {
-            String text = unit.repeat(Limits.MOST_BYTES / unit.length());
+            String text = unit.repeat(Limits.MAX_BYTES / unit.length());
             assertTrue(check(text).policy().isEmpty(), unit);
             check("policy \"p\" version 1\ntenant \"a\" weight 1\n" + text.substring(0, text.length() - 100));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -35,7 +35,7 @@
     final List<String[]> results = new ArrayList<>();
     private final Map<String, Set<String>> known = new HashMap<>();
     private final Map<String, Set<String>> knownEngines = new HashMap<>();
-    private int mostGateways = 1;
+    private int maxGateways = 1;
     private final List<SolverInput.Engine> engines = new ArrayList<>();
     private final List<SolverInput.Gateway> gateways = new ArrayList<>();
     private final List<SolverInput.Demand> demands = new ArrayList<>();
@@ -84,7 +84,7 @@
                 }
                 knownEngines.put(words[2], names);
             }
-            case "most-gateways" -> mostGateways = Integer.parseInt(words[2]);
+            case "most-gateways" -> maxGateways = Integer.parseInt(words[2]);
             default -> known.put(words[1], Set.of(words).stream().filter(w -> !w.equals("known")
                     && !w.equals(words[1])).collect(Collectors.toSet()));
         }
@@ -106,7 +106,7 @@
     KnownNames known() {
         return new KnownNames(knownEngines.isEmpty() ? Optional.empty() : Optional.of(knownEngines),
                 Optional.ofNullable(known.get("classes")), Optional.ofNullable(known.get("halls")),
-                Optional.ofNullable(known.get("gateways")), Optional.ofNullable(known.get("tenants")), mostGateways);
+                Optional.ofNullable(known.get("gateways")), Optional.ofNullable(known.get("tenants")), maxGateways);
     }
 
     SolverInput facts() {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
@@ -31,7 +31,7 @@
     void noWholeDivisionIsFairerThanTheExactOne(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 4, 4, 3);
         double[] best = normalised(net, ProgressiveFilling.fill(net).value());
-        int[] each = net.least().clone();
+        int[] each = net.min().clone();
         do {
             if (Networks.fits(net, each)) {
                 double[] other = normalised(net, Arrays.stream(each).asDoubleStream().toArray());
@@ -46,7 +46,7 @@
     void noWholeDivisionGivesSomebodyMoreAndNobodyLess(@ForAll long seed) {
         Network net = Networks.draw(new Random(seed), 4, 4, 3);
         int[] whole = solve(net, new int[net.rows()]);
-        int[] each = net.least().clone();
+        int[] each = net.min().clone();
         do {
             boolean noLess = true;
             int more = 0;
@@ -65,7 +65,7 @@
         int[] whole = solve(net, new int[net.rows()]);
         assertTrue(Networks.fits(net, whole));
         for (int row = 0; row < whole.length; row++) {
-            assertTrue(whole[row] >= net.least()[row] && whole[row] <= net.most()[row]);
+            assertTrue(whole[row] >= net.min()[row] && whole[row] <= net.max()[row]);
             assertTrue(whole[row] > shares[row] - 1, "less than a connection under its share");
         }
     }
@@ -87,7 +87,7 @@
         int raised = random.nextInt(net.rows());
         long[] weight = net.weight().clone();
         weight[raised] = weight[raised] * (2 + random.nextInt(20)) / (1 + random.nextInt(2)) + 1;
-        Network heavier = new Network(weight, net.least(), net.most(), net.links(), net.capacity());
+        Network heavier = new Network(weight, net.min(), net.max(), net.links(), net.capacity());
         int[] none = new int[net.rows()];
         assertTrue(ProgressiveFilling.fill(heavier).value()[raised] >= ProgressiveFilling.fill(net)
                 .value()[raised] - 1e-9);
@@ -107,7 +107,7 @@
         Random random = new Random(seed);
         Network net = Networks.draw(random, 40, 30, 1);
         int[] first = solve(net, new int[net.rows()]);
-        Network more = new Network(net.weight(), net.least(), net.most(), net.links(),
+        Network more = new Network(net.weight(), net.min(), net.max(), net.links(),
                 new long[] {net.capacity()[0] + 1});
         int[] second = solve(more, first);
         int moved = 0;
@@ -132,14 +132,14 @@
     private static Network large(Random random, int rows) {
         int groups = rows / 20;
         long[] weight = random.longs(rows, 10_000, 5_000_000).toArray();
-        int[] most = random.ints(rows, 0, 100).toArray();
+        int[] max = random.ints(rows, 0, 100).toArray();
         int[][] links = new int[rows][];
         long[] capacity = random.longs(1 + 2L * groups, 100, 600).toArray();
         capacity[0] = rows * 10L;
         for (int row = 0; row < rows; row++) {
             links[row] = new int[] {0, 1 + random.nextInt(groups), 1 + groups + random.nextInt(groups)};
         }
-        return new Network(weight, new int[rows], most, links, capacity);
+        return new Network(weight, new int[rows], max, links, capacity);
     }
 
     private static double[] normalised(Network net, double[] value) {
@@ -163,11 +163,11 @@
     /** The next vector between least and most. */
     private static boolean next(Network net, int[] each) {
         for (int row = 0; row < each.length; row++) {
-            if (each[row] < net.most()[row]) {
+            if (each[row] < net.max()[row]) {
                 each[row]++;
                 return true;
             }
-            each[row] = net.least()[row];
+            each[row] = net.min()[row];
         }
         return false;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
@@ -30,7 +30,7 @@
     }
 
     /** Gateways g0.. in halls h0.. to h2, engines of kinds k0 and k1, tenants t0.. with demand on some gateways. */
-    static SolverInput draw(Random random, int tenants, int gateways, int engines, int mostDemand) {
+    static SolverInput draw(Random random, int tenants, int gateways, int engines, int maxDemand) {
         List<SolverInput.Gateway> g = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             g.add(new SolverInput.Gateway("g" + i, "h" + i % 3));
@@ -44,7 +44,7 @@
             for (int i = 0; i < gateways; i++) {
                 if (random.nextInt(4) > 0) {
                     d.add(new SolverInput.Demand("t" + t, random.nextBoolean() ? "dash" : "adhoc", "g" + i,
-                            "k" + random.nextInt(2), random.nextInt(mostDemand + 1)));
+                            "k" + random.nextInt(2), random.nextInt(maxDemand + 1)));
                 }
             }
         }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/Networks.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/Networks.java
@@ -8,19 +8,19 @@
 final class Networks {
     private Networks() { }
 
-    /** Rows from 1 to {@code mostRows} in up to three links each, with least values that fit. */
-    static Network draw(Random random, int mostRows, int mostEach, int mostLinks) {
-        int rows = 1 + random.nextInt(mostRows);
-        int links = 1 + random.nextInt(mostLinks);
+    /** Rows from 1 to {@code maxRows} in up to three links each, with least values that fit. */
+    static Network draw(Random random, int maxRows, int maxEach, int maxLinks) {
+        int rows = 1 + random.nextInt(maxRows);
+        int links = 1 + random.nextInt(maxLinks);
         long[] weight = new long[rows];
-        int[] least = new int[rows];
-        int[] most = new int[rows];
+        int[] min = new int[rows];
+        int[] max = new int[rows];
         int[][] of = new int[rows][];
         long[] sum = new long[links];
         for (int row = 0; row < rows; row++) {
             weight[row] = 1_000_000L * (1 + random.nextInt(4)) / (1 + random.nextInt(3));
-            most[row] = random.nextInt(mostEach + 1);
-            least[row] = random.nextInt(4) == 0 ? random.nextInt(most[row] + 1) : 0;
+            max[row] = random.nextInt(maxEach + 1);
+            min[row] = random.nextInt(4) == 0 ? random.nextInt(max[row] + 1) : 0;
             List<Integer> in = new ArrayList<>(List.of(0)); // as the fleet's budget is
             for (int link = 1; link < links; link++) {
                 if (random.nextBoolean()) {
@@ -29,14 +29,14 @@
             }
             of[row] = in.stream().mapToInt(Integer::intValue).toArray();
             for (int link : in) {
-                sum[link] += least[row];
+                sum[link] += min[row];
             }
         }
         long[] capacity = new long[links];
         for (int link = 0; link < links; link++) {
-            capacity[link] = sum[link] + random.nextInt(mostEach * rows / 2 + 1);
+            capacity[link] = sum[link] + random.nextInt(maxEach * rows / 2 + 1);
         }
-        return new Network(weight, least, most, of, capacity);
+        return new Network(weight, min, max, of, capacity);
     }
 
     /** The fair shares by halving the level until it is found, then freezing what is at a bound; O(n^2 m). */
@@ -76,7 +76,7 @@
         double[] value = frozen.clone();
         for (int row = 0; row < value.length; row++) {
             if (!done[row]) {
-                value[row] = Math.max(net.least()[row], Math.min(net.most()[row], net.weight()[row] * level));
+                value[row] = Math.max(net.min()[row], Math.min(net.max()[row], net.weight()[row] * level));
             }
         }
         return value;
--- a/gateway/src/test/java/sandpaddle/fleet/state/machine/MachineTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/machine/MachineTest.java
@@ -56,7 +56,7 @@
 
     @Test
     void membersAreBounded() {
-        for (int i = 0; i < Membership.MOST_MEMBERS; i++) {
+        for (int i = 0; i < Membership.MAX_MEMBERS; i++) {
             assertTrue(apply(membership, Membership.join(member("m" + i, 1 + i))).taken());
         }
         assertEquals("the fleet has 1024 members already",
@@ -81,7 +81,7 @@
         assertEquals("the text pool has epoch 1 now, not 0", apply(texts, VersionedTexts.put("pool", 0, "two")).why());
         assertTrue(apply(texts, VersionedTexts.put("pool", 1, "two")).taken());
         assertEquals(Optional.of(new VersionedTexts.Text(2, "two")), policy.text("pool"));
-        assertFalse(apply(texts, VersionedTexts.put("pool", 2, "x".repeat(VersionedTexts.MOST_TEXT_BYTES + 1)))
+        assertFalse(apply(texts, VersionedTexts.put("pool", 2, "x".repeat(VersionedTexts.MAX_TEXT_BYTES + 1)))
             .taken());
         assertEquals(2, policy.text("pool").orElseThrow().epoch());
     }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
@@ -7,8 +7,8 @@
 
 /** A network in virtual time (us): it delays, loses, repeats, reorders, and is cut one way. */
 public final class SimNet {
-    /** How links are: delay in us from {@code least} to {@code most}; parts of messages lost and sent twice. */
-    public record NetworkConditions(long least, long most, double lost, double twice) { }
+    /** How links are: delay in us from {@code min} to {@code max}; parts of messages lost and sent twice. */
+    public record NetworkConditions(long min, long max, double lost, double twice) { }
 
     public static final NetworkConditions FAIR = new NetworkConditions(200, 2_000, 0, 0);
 
@@ -51,7 +51,7 @@
         }
         int copies = random.nextDouble() < weather.twice() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delay = weather.least() + (long) (random.nextDouble() * (weather.most() - weather.least()));
+            long delay = weather.min() + (long) (random.nextDouble() * (weather.max() - weather.min()));
             underWay.add(new InFlightMessage(now + delay, number++, from, to, message));
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/store/disk/Content.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/disk/Content.java
@@ -39,8 +39,8 @@
         }
     }
 
-    byte[] read(int at, int most) {
-        return at >= length ? new byte[0] : Arrays.copyOfRange(bytes, at, Math.min(length, at + most));
+    byte[] read(int at, int max) {
+        return at >= length ? new byte[0] : Arrays.copyOfRange(bytes, at, Math.min(length, at + max));
     }
 
     void garble(int at, int count) {
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
@@ -176,17 +176,17 @@
     @Test
     void fileSizeStaysBoundedUnderALongLog() throws StoreException {
         try (MvVoterStore store = open(disk)) {
-            long most = 0;
+            long max = 0;
             for (int i = 21; i < 1500; i++) {
                 store.append(i, 7, new byte[300]);
                 store.truncateUntil(i - 40);
                 store.flush();
                 for (String name : disk.names()) {
-                    most = Math.max(most, disk.bytes(name).length);
+                    max = Math.max(max, disk.bytes(name).length);
                 }
             }
             assertEquals(40, store.found().entries().size());
-            assertTrue(most <= 4 * CrashTest.SMALL.mostBytes(), "grew to " + most);
+            assertTrue(max <= 4 * CrashTest.SMALL.maxBytes(), "grew to " + max);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
@@ -109,8 +109,8 @@
         steps.add(s -> s.dropSnapshot(old));
     }
 
-    private static byte[] bytes(Random random, int most) {
-        byte[] bytes = new byte[random.nextInt(most)];
+    private static byte[] bytes(Random random, int max) {
+        byte[] bytes = new byte[random.nextInt(max)];
         random.nextBytes(bytes);
         return bytes;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
@@ -60,7 +60,7 @@
         VirtualFleet fleet = new VirtualFleet(3 + (int) seed, 3, 3, VerdictSettings.DEFAULT, seed);
         fleet.engines(VirtualFleet.lines(ENGINES, 3));
         fleet.loss = 0.02;
-        fleet.mostDelay = 100_000;
+        fleet.maxDelay = 100_000;
         List<String> names = List.copyOf(fleet.gateways.keySet());
         String liar = names.get(fleet.random.nextInt(names.size()));
         String stops = names.get(fleet.random.nextInt(names.size()));
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
@@ -108,7 +108,7 @@
         outcomes(fleet, "g000", "e1", Outcome.FAILED, 3);
         outcomes(fleet, "g001", "e1", Outcome.FAILED, 3);
         long made = fleet.now;
-        fleet.mostDelay = 8_000_000;
+        fleet.maxDelay = 8_000_000;
         while (fleet.now < made + 12_000_000) {
             fleet.runTo(fleet.now + 20_000);
             boolean late = fleet.now - made > VerdictSettings.DEFAULT.leaseUs();
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/VirtualFleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/VirtualFleet.java
@@ -37,7 +37,7 @@
     private final Map<String, Long> downUntil = new HashMap<>();
     BiPredicate<String, String> cut = (from, to) -> false;
     double loss; // of a frame; it breaks the link for a while
-    long mostDelay = 40_000;
+    long maxDelay = 40_000;
     long now;
     boolean silent; // the gateways say nothing to each other
     long bytes;
@@ -132,7 +132,7 @@
             });
             return;
         }
-        long arrives = Math.max(now + 1_000 + random.nextLong(mostDelay), linkFreeAt.getOrDefault(from + to, 0L));
+        long arrives = Math.max(now + 1_000 + random.nextLong(maxDelay), linkFreeAt.getOrDefault(from + to, 0L));
         linkFreeAt.put(from + to, arrives);
         at(arrives, () -> receive(from, to, message));
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
@@ -76,7 +76,7 @@
             long seq = Math.floorMod(n, 1000);
             book.put(piece(n % 2 == 0 ? "a" : "b", seq % 2 == 0 ? Topic.GROUP : Topic.HEALTH, "s" + seq, 1, seq, NOW),
                     "b", NOW);
-            assertTrue(book.size() <= 2 * (2 * SMALL.perTellerMost() + 1), "size " + book.size());
+            assertTrue(book.size() <= 2 * (2 * SMALL.maxPerTeller() + 1), "size " + book.size());
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
@@ -75,12 +75,12 @@
     @Test
     void newCondemnationsGoAheadOfTheRestInAFullBatch() {
         Node a = Node.of("a");
-        for (int i = 0; i < EvidenceDissemination.PIECES_MOST + 50; i++) {
+        for (int i = 0; i < EvidenceDissemination.MAX_PIECES + 50; i++) {
             a.says(Topic.HEALTH, "good" + i, Finding.GOOD, i, NOW);
         }
         a.says(Topic.HEALTH, "bad", Finding.SILENT, 999, NOW);
         List<EvidenceMessage> first = a.toldTo("v");
-        assertEquals(EvidenceDissemination.PIECES_MOST, first.size());
+        assertEquals(EvidenceDissemination.MAX_PIECES, first.size());
         assertEquals("bad", first.get(0).subject().name());
         a.spread.sent("v", a.spread.next(NOW, "v").orElseThrow());
         assertEquals(51, a.toldTo("v").size(), "the rest follows");
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/watch/WatchTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/watch/WatchTest.java
@@ -207,10 +207,10 @@
             used.put("t" + i, 1.0 + i);
         }
         watch.tenants(used);
-        assertEquals(Watch.TENANTS_MOST, found(tick(), Topic.TENANT).size());
+        assertEquals(Watch.MAX_TENANTS, found(tick(), Topic.TENANT).size());
         watch.tenants(Map.of("t199", 300.0));
         List<Evidence> told = tick();
-        assertEquals(Watch.TENANTS_MOST, told.stream().filter(e -> e.subject().topic() == Topic.TENANT).count());
+        assertEquals(Watch.MAX_TENANTS, told.stream().filter(e -> e.subject().topic() == Topic.TENANT).count());
         assertEquals(300, told.stream().mapToDouble(Evidence::amount).sum());
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/view/AttemptCountersProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/view/AttemptCountersProperties.java
@@ -82,8 +82,8 @@
         for (int i = 0; i < v.slots().size(); i++) {
             Slot s = v.slots().get(i);
             FleetView.Share share = v.shares().get(i);
-            long most = now < FRESH ? 0 : now < LAPSE ? share.ceiling() : share.floor();
-            if (s.counts() == Slot.Counts.RUNNING && counts(s, o) && count(s, out) >= most) {
+            long max = now < FRESH ? 0 : now < LAPSE ? share.ceiling() : share.floor();
+            if (s.counts() == Slot.Counts.RUNNING && counts(s, o) && count(s, out) >= max) {
                 return false;
             }
         }
@@ -160,7 +160,7 @@
                 FleetView.Isolation.NONE));
         cells.adopt();
         assertTrue(cells.begin(0, "kept", "e", 1));
-        for (int i = 0; i < AttemptCounters.MOST + 5; i++) {
+        for (int i = 0; i < AttemptCounters.MAX_COUNTERS + 5; i++) {
             assertTrue(cells.begin(1, "t" + i, "e", 1));
             cells.end(1, "t" + i, "e");
         }
--- a/gateway/src/test/java/sandpaddle/fleet/wire/CborProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/wire/CborProperties.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 class CborProperties {
-    private static final int MOST = 1 << 20;
+    private static final int MAX_LENGTH = 1 << 20;
 
     @Property(seed = "61", tries = 300)
     void whatWasWrittenIsRead(@ForAll @StringLength(max = 100) String text, @ForAll long number, @ForAll double real,
@@ -24,12 +24,12 @@
             throws FaultyMessageException {
         CborIn in = new CborIn(new CborOut().text(text).number(number).real(real).flag(flag).bytes(bytes)
                 .list(list, (out, n) -> out.number(n)).done());
-        String got = in.text(MOST);
+        String got = in.text(MAX_LENGTH);
         assertEquals(text.length(), got.length());
         assertEquals(number, in.number(Long.MIN_VALUE, Long.MAX_VALUE));
         assertEquals(real, in.real());
         assertEquals(flag, in.flag());
-        assertArrayEquals(bytes, in.bytes(MOST));
+        assertArrayEquals(bytes, in.bytes(MAX_LENGTH));
         assertEquals(list, in.list(40, i -> (int) i.number(Integer.MIN_VALUE, Integer.MAX_VALUE)));
         in.end();
     }
--- a/gateway/src/test/java/sandpaddle/storm/ReturnCalendarProperties.java
+++ b/gateway/src/test/java/sandpaddle/storm/ReturnCalendarProperties.java
@@ -12,11 +12,11 @@
 
 class ReturnCalendarProperties {
     private static final long SLOT = 50_000;
-    private static final long LEAST = 100_000;
-    private static final long MOST = 1_000_000;
+    private static final long MIN_PAUSE_US = 100_000;
+    private static final long MAX_PAUSE_US = 1_000_000;
 
     private static ReturnCalendar calendar(long seed) {
-        return new ReturnCalendar(SLOT, LEAST, MOST, new SplittableRandom(seed));
+        return new ReturnCalendar(SLOT, MIN_PAUSE_US, MAX_PAUSE_US, new SplittableRandom(seed));
     }
 
     @Property(seed = "12", tries = 200)
@@ -29,7 +29,7 @@
                 calendar.forecast(now, t -> rate);
             }
             long pause = calendar.place(now, 100_000);
-            assertTrue(pause >= LEAST && pause <= MOST, "pause " + pause);
+            assertTrue(pause >= MIN_PAUSE_US && pause <= MAX_PAUSE_US, "pause " + pause);
             now += gap;
         }
     }
@@ -42,8 +42,8 @@
         for (int i = 0; i < clients; i++) {
             calendar.place(0, 100_000);
         }
-        for (long t = 0; t < MOST; t += SLOT) {
-            boolean taken = t >= LEAST && t < LEAST + clients * SLOT;
+        for (long t = 0; t < MAX_PAUSE_US; t += SLOT) {
+            boolean taken = t >= MIN_PAUSE_US && t < MIN_PAUSE_US + clients * SLOT;
             assertEquals(taken ? 100_000 : 0, calendar.expected(t), "slot at " + t);
         }
     }
@@ -54,11 +54,11 @@
         ReturnCalendar calendar = calendar(5);
         calendar.forecast(0, t -> 0);
         long[] pauses = IntStream.range(0, 1000).mapToLong(i -> calendar.place(0, 100_000)).toArray();
-        double middle = (LEAST + MOST) / 2.0;
+        double middle = (MIN_PAUSE_US + MAX_PAUSE_US) / 2.0;
         for (long p : pauses) {
-            assertTrue(p >= middle - 2 * SLOT && p <= MOST, "pause " + p);
+            assertTrue(p >= middle - 2 * SLOT && p <= MAX_PAUSE_US, "pause " + p);
         }
-        double[] filled = IntStream.range(0, (int) (MOST / SLOT)).mapToDouble(i -> calendar.expected(i * SLOT))
+        double[] filled = IntStream.range(0, (int) (MAX_PAUSE_US / SLOT)).mapToDouble(i -> calendar.expected(i * SLOT))
                 .filter(x -> x > 0).toArray();
         double mean = IntStream.range(0, filled.length).mapToDouble(i -> filled[i]).average().orElseThrow();
         assertTrue(filled.length >= 9, "slots used: " + filled.length);
--- a/gateway/src/test/java/sandpaddle/storm/StormProperties.java
+++ b/gateway/src/test/java/sandpaddle/storm/StormProperties.java
@@ -66,7 +66,7 @@
     }
 
     private static void check(Storm.Figures f) {
-        assertTrue(f.remembered() <= f.rememberedMost());
+        assertTrue(f.remembered() <= f.maxRemembered());
         assertTrue(f.capacityCores() >= 0 && f.admittedPerS() >= 0 && f.waitingUs() >= 0);
         assertTrue(f.honours() > 0 && f.honours() <= 1 && f.returns() > 0 && f.returns() <= 1);
     }
@@ -98,8 +98,8 @@
             now += 200;
             taken += storm.connection(now) == 0 ? 1 : 0;
         }
-        assertTrue(taken <= 2 * ON.connections().leastPerS() + 1, "taken in a second: " + taken);
-        assertTrue(taken >= ON.connections().leastPerS() / 2, "taken in a second: " + taken);
+        assertTrue(taken <= 2 * ON.connections().minPerS() + 1, "taken in a second: " + taken);
+        assertTrue(taken >= ON.connections().minPerS() / 2, "taken in a second: " + taken);
     }
 
     /** All engines refuse connections though the list names them; what is refused comes back. Returns the time. */
--- a/lab/src/main/java/sandpaddle/lab/AuditCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/AuditCommand.java
@@ -44,8 +44,8 @@
             Map<String, Double> told = numbers(against);
             for (String name : COMPARED) {
                 double mine = ((Number) counted.get(name)).doubleValue();
-                double most = name.equals("recoverySeconds") ? SECOND : 0;
-                if (Math.abs(mine - told.getOrDefault(name, Double.NaN)) > most || !told.containsKey(name)) {
+                double max = name.equals("recoverySeconds") ? SECOND : 0;
+                if (Math.abs(mine - told.getOrDefault(name, Double.NaN)) > max || !told.containsKey(name)) {
                     System.out.println("differs: " + name + " counted " + mine + ", told " + told.get(name));
                     good = false;
                 }
--- a/lab/src/main/java/sandpaddle/lab/EngineModel.java
+++ b/lab/src/main/java/sandpaddle/lab/EngineModel.java
@@ -24,7 +24,7 @@
 
     private static final long STEP_US = 20_000; // within which speeds are taken as constant
     private static final int[] WEIGHTS = {1, 4, 8, 16};
-    private static final double LEAST_EFFICIENCY = 0.35;
+    private static final double MIN_EFFICIENCY = 0.35;
 
     private static final class Running {
         private final int threads;
@@ -131,7 +131,7 @@
         double threads = threads();
         double able = spec.cores * warmth(now);
         double over = threads / able - spec.knee;
-        double left = able * (over > 0 ? Math.max(LEAST_EFFICIENCY, 1 - spec.thrash * over) : 1);
+        double left = able * (over > 0 ? Math.max(MIN_EFFICIENCY, 1 - spec.thrash * over) : 1);
         List<Running> open = new ArrayList<>(running.values());
         open.forEach(r -> r.speed = 0);
         for (boolean full = true; full && !open.isEmpty();) {
--- a/lab/src/main/java/sandpaddle/lab/FleetLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetLimits.java
@@ -49,14 +49,14 @@
 
     /** The largest amount that may hold: the one said last, and those before it until it holds for certain. */
     private static long allowed(List<Said> said, long us) {
-        long most = 0;
+        long max = 0;
         for (int i = said.size() - 1; i >= 0; i--) {
-            most = Math.max(most, said.get(i).amount);
+            max = Math.max(max, said.get(i).amount);
             if (said.get(i).holds <= us) {
                 break;
             }
         }
-        return most;
+        return max;
     }
 
     private static boolean covers(Said s, String cls) {
--- a/lab/src/main/java/sandpaddle/lab/FleetScript.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetScript.java
@@ -13,7 +13,7 @@
         void run() throws IOException;
     }
 
-    private static final Duration HEARD_LEAST = Duration.ofSeconds(4); // what is asked, before the loss
+    private static final Duration MIN_HEARD = Duration.ofSeconds(4); // what is asked, before the loss
 
     static final int POOL = 16; // connections for each engine
     private static final int POOL_LESS = 10;
@@ -138,7 +138,7 @@
     /** The line goes when the files say so; how long until it is back. */
     private Duration outage(OutagePlan plan) throws IOException {
         Duration wait = Duration.between(fleet.loop.now(), plan.from());
-        if (wait.compareTo(HEARD_LEAST) < 0) {
+        if (wait.compareTo(MIN_HEARD) < 0) {
             throw new IOException("the machine is too slow: the gateways were ready " + wait.toMillis()
                     + " ms before the outage that their files foresee");
         }
--- a/lab/src/main/java/sandpaddle/lab/Front.java
+++ b/lab/src/main/java/sandpaddle/lab/Front.java
@@ -14,7 +14,7 @@
 final class Front {
     private static final Duration IDLE = Duration.ofSeconds(4);
     private static final Duration SWEEP = Duration.ofMillis(250);
-    private static final int MOST_SESSIONS = Site.SOCKETS / 3;
+    private static final int MAX_SESSIONS = Site.SOCKETS / 3;
 
     private record Idle(ClientSession session, Instant since) { }
 
@@ -47,7 +47,7 @@
 
         /** A new session; null where there are as many as may be. */
         ClientSession open(Loop loop) throws IOException {
-            if (open >= MOST_SESSIONS) {
+            if (open >= MAX_SESSIONS) {
                 return null;
             }
             ClientSession s = new ClientSession(loop, address);
--- a/lab/src/main/java/sandpaddle/lab/OutageAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/OutageAudit.java
@@ -42,7 +42,7 @@
     private long cutAt = -1;
     private long backAt = -1;
     private long alone = Long.MAX_VALUE; // when the hall knew that it is cut off
-    private long staleMostMs;
+    private long maxStaleMs;
     private long staleBoundMs;
     private long storedServed;
     private long foreign;
@@ -150,7 +150,7 @@
         loadsStored += ask.cls.equals("load") ? 1 : 0;
         if (run != null) {
             long age = (us - run.began) / 1000;
-            staleMostMs = Math.max(staleMostMs, age);
+            maxStaleMs = Math.max(maxStaleMs, age);
             staleBoundMs = Math.max(staleBoundMs, ages.getOrDefault(ask.cls, 0L));
             outdated += isOutdated(ask, run.began) ? 1 : 0;
         }
@@ -191,7 +191,7 @@
         f.put("loadsFromStore", loadsStored);
         f.put("outdatedServed", outdated);
         f.put("foreignServed", foreign);
-        f.put("staleServedMostMs", staleMostMs);
+        f.put("staleServedMostMs", maxStaleMs);
         f.put("staleServedBoundMs", staleBoundMs);
         f.put("outageWorthKept", all == 0 ? -1.0 : mine / all);
         f.put("outageWorthLru", all == 0 ? -1.0 : lru / all);
--- a/lab/src/main/java/sandpaddle/lab/OutagePlan.java
+++ b/lab/src/main/java/sandpaddle/lab/OutagePlan.java
@@ -15,13 +15,13 @@
     /** What the store's own clock may be off by; it makes answers older than they are. */
     static final long SLACK_MS = 200;
     private static final Duration LEAD = Duration.ofSeconds(18);
-    private static final Duration LEAD_MOST = Duration.ofSeconds(100);
+    private static final Duration MAX_LEAD = Duration.ofSeconds(100);
     private static final int SLOWER = 3; // times as long as founding took, which tells how loaded the machine is
 
     /** The gateways start now: the window begins once they had time to come up, and to hear what is asked. */
     static OutagePlan after(Instant now, Duration founding, boolean brief) {
         Duration lead = LEAD.plus(founding.multipliedBy(SLOWER)).plusSeconds(brief ? 0 : 20);
-        Instant from = Instant.ofEpochSecond(now.plus(lead.compareTo(LEAD_MOST) < 0 ? lead : LEAD_MOST)
+        Instant from = Instant.ofEpochSecond(now.plus(lead.compareTo(MAX_LEAD) < 0 ? lead : MAX_LEAD)
                 .getEpochSecond());
         return brief ? new OutagePlan(from, Duration.ofSeconds(9), Duration.ofSeconds(9))
                 : new OutagePlan(from, Duration.ofSeconds(20), Duration.ofSeconds(14));
--- a/lab/src/main/java/sandpaddle/lab/OutageReplay.java
+++ b/lab/src/main/java/sandpaddle/lab/OutageReplay.java
@@ -25,15 +25,15 @@
     private final LinkedHashMap<String, Held> lru = new LinkedHashMap<>(64, 0.75f, true);
     private final Map<String, Long> agesUs = new HashMap<>();
     private long bytes;
-    private long most;
+    private long max;
     private long fillUs;
 
     void age(String cls, long us) {
         agesUs.put(cls, us);
     }
 
-    void store(long bytesMost, long fillWorkUs) {
-        most = bytesMost;
+    void store(long maxBytes, long fillWorkUs) {
+        max = maxBytes;
         fillUs = fillWorkUs;
     }
 
@@ -45,7 +45,7 @@
         Held held = lru.put(ask.key(), new Held(began, ENTRY + BODY));
         bytes += ENTRY + BODY - (held == null ? 0 : held.bytes);
         Iterator<Held> eldest = lru.values().iterator();
-        while (bytes > most && eldest.hasNext()) {
+        while (bytes > max && eldest.hasNext()) {
             bytes -= eldest.next().bytes;
             eldest.remove();
         }
--- a/lab/src/main/java/sandpaddle/lab/PoolAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/PoolAudit.java
@@ -20,7 +20,7 @@
     private final Map<String, Long> overSince = new HashMap<>();
     private final Map<String, Long> overNow = new HashMap<>();
     private long overMost;
-    private long mostOpen;
+    private long maxOpen;
 
     /** {@code each}: connections that an engine may carry, for certain from {@code holds} on. */
     void budget(long each, long us, long holds) {
@@ -29,20 +29,20 @@
 
     /** The largest budget that may hold. */
     private long allowed(long us) {
-        long most = 0;
+        long max = 0;
         for (int i = said.size() - 1; i >= 0; i--) {
-            most = Math.max(most, said.get(i).each);
+            max = Math.max(max, said.get(i).each);
             if (said.get(i).holds <= us) {
                 break;
             }
         }
-        return most;
+        return max;
     }
 
     void connections(String engine, long count, long us) {
         settle(engine, us);
         open.put(engine, count);
-        mostOpen = Math.max(mostOpen, count);
+        maxOpen = Math.max(maxOpen, count);
         long over = said.isEmpty() ? 0 : count - allowed(us);
         if (over > 0) {
             overSince.putIfAbsent(engine, us);
@@ -68,6 +68,6 @@
 
     void figures(Map<String, Object> f) {
         f.put("poolOverMost", overMost);
-        f.put("poolOpenMost", mostOpen);
+        f.put("poolOpenMost", maxOpen);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/Readiness.java
+++ b/lab/src/main/java/sandpaddle/lab/Readiness.java
@@ -12,7 +12,7 @@
 
 /** Asks each gateway a small query until it has served one: a loaded machine starts them late, and spoils no run. */
 final class Readiness {
-    private static final Duration MOST = Duration.ofSeconds(40);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(40);
     private static final Duration AGAIN = Duration.ofMillis(250);
     private static final long WORK_US = 5_000;
 
@@ -26,7 +26,7 @@
         this.loop = loop;
         this.random = random;
         this.then = then;
-        until = loop.now().plus(MOST);
+        until = loop.now().plus(MAX_WAIT);
     }
 
     void gateway(String name, InetSocketAddress address) {
@@ -37,7 +37,8 @@
     /** Fails where it took too long, with what each gateway said last. */
     void check() throws IOException {
         if (!waitsFor.isEmpty() && loop.now().isAfter(until)) {
-            throw new IOException("after " + MOST.toSeconds() + " s these gateways have served no query: " + waitsFor);
+            throw new IOException("after " + MAX_WAIT.toSeconds() + " s these gateways have served no query: "
+                    + waitsFor);
         }
     }
 
--- a/lab/src/main/java/sandpaddle/lab/Relay.java
+++ b/lab/src/main/java/sandpaddle/lab/Relay.java
@@ -30,7 +30,7 @@
     }
 
     private static final int HEADER = 4; // a frame's length
-    private static final int MOST_FRAME = 1 << 21;
+    private static final int MAX_FRAME = 1 << 21;
 
     private final Loop loop;
     private final InetSocketAddress target;
@@ -189,7 +189,7 @@
             int from = 0;
             while (all.length - from >= HEADER) {
                 int length = ByteBuffer.wrap(all, from, HEADER).getInt();
-                if (length < 0 || length > MOST_FRAME || all.length - from < HEADER + length) {
+                if (length < 0 || length > MAX_FRAME || all.length - from < HEADER + length) {
                     break;
                 }
                 frame(java.util.Arrays.copyOfRange(all, from, from + HEADER + length));
--- a/lab/src/main/java/sandpaddle/lab/Site.java
+++ b/lab/src/main/java/sandpaddle/lab/Site.java
@@ -16,7 +16,7 @@
             new Kind("report", 0.16, 3_200_000, 3, 0.5, 3_000_000, 2.5, 25_000_000, 4, 0.4, true, 420),
             new Kind("load", 0.06, 3_850_000, 2, 0.42, 4_000_000, 2.5, 20_000_000, 3, 0.6, false, 210));
     static final double SCATTER = 0.9; // of the logarithm of work within a class
-    static final long MOST_PAUSE_US = 1_000_000;
+    static final long MAX_PAUSE_US = 1_000_000;
     static final int SOCKETS = 1024;
     static final List<String> HALLS = List.of("hall-a", "hall-b", "hall-c");
 
@@ -65,7 +65,7 @@
                 "kind_memory_mb":[16384.0],"progress_us":500000}}}
                 """, name, Loopback.HOST, port, seed, SOCKETS, Loopback.HOST, feed.getPort(), known, gateways,
                 index, index % HALLS.size(),
-                String.join("\",\"", HALLS), classes, MOST_PAUSE_US, engine.coldFrom(),
+                String.join("\",\"", HALLS), classes, MAX_PAUSE_US, engine.coldFrom(),
                 Math.max(engine.coldUs(), 15_000_000), engine.tipMultiple(), engine.fallUs());
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -32,7 +32,7 @@
     private static final long HOLD_US = 250_000; // a poll
     private static final long FORGOTTEN_US = 2_000_000; // not asked for: given up
     private static final long KEPT_US = 5_000_000; // results after their end
-    private static final int MOST_CALL = 256 * 1024;
+    private static final int MAX_CALL = 256 * 1024;
 
     private static final class Query {
         private final String id, request, cls;
@@ -248,7 +248,7 @@
         @Override
         public void received(ByteBuffer bytes) {
             text.append(StandardCharsets.ISO_8859_1.decode(bytes));
-            if (text.length() > MOST_CALL) {
+            if (text.length() > MAX_CALL) {
                 connection.close();
                 links.remove(this);
                 connections();
--- a/lab/src/main/java/sandpaddle/lab/StormExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/StormExperiment.java
@@ -147,8 +147,8 @@
         }
     }
 
-    private Duration millis(int least, int most) {
-        return Duration.ofMillis(least + random.nextInt(most - least));
+    private Duration millis(int min, int max) {
+        return Duration.ofMillis(min + random.nextInt(max - min));
     }
 
     private void listed(StandInEngine e, String health, long bornUs) {
--- a/lab/src/main/java/sandpaddle/lab/TryCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/TryCommand.java
@@ -37,7 +37,7 @@
 
     @Option(names = "--for", paramLabel = "10s", converter = StormCommand.Seconds.class,
             description = "Ends by itself after so long.")
-    private Duration most;
+    private Duration max;
 
     @Override
     public Integer call() throws IOException {
@@ -66,7 +66,7 @@
                     "\"listen\":\"127.0.0.1"), Files.exists(operator) ? operator : null, true);
             gateway[0].awaitUp("127.0.0.1");
             System.out.print(words());
-            long until = most == null ? Long.MAX_VALUE : System.nanoTime() + most.toNanos();
+            long until = max == null ? Long.MAX_VALUE : System.nanoTime() + max.toNanos();
             while (!ended.get() && gateway[0].isAlive() && System.nanoTime() < until) {
                 loop.turn(() -> { }, Duration.ofMillis(100));
             }
--- a/lab/src/main/java/sandpaddle/lab/VerdictAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/VerdictAudit.java
@@ -16,7 +16,7 @@
     private final Map<String, Map<String, Long>> verdicts = new HashMap<>(); // by engine's illness: who heard when
     private long linksCutUntil; // to engines; until then a verdict on a link may be right
     private long wrong;
-    private long staleMostUs;
+    private long maxStaleUs;
 
     void sick(String engine, long us) {
         sickSince.put(engine, us);
@@ -49,14 +49,14 @@
             Map<String, Long> all = verdicts.computeIfAbsent(engine + " " + e.get("outcome") + " " + sick,
                     k -> new LinkedHashMap<>());
             if (all.putIfAbsent(e.get("gateway"), us) == null) { // one that ends and begins again is no late hearing
-                staleMostUs = Math.max(staleMostUs, us - all.values().iterator().next());
+                maxStaleUs = Math.max(maxStaleUs, us - all.values().iterator().next());
             }
         }
     }
 
     void figures(Map<String, Object> f) {
         f.put("verdictsHeard", verdicts.values().stream().mapToLong(Map::size).sum());
-        f.put("verdictStaleMostMs", staleMostUs / 1000);
+        f.put("verdictStaleMostMs", maxStaleUs / 1000);
         f.put("verdictStaleBoundMs", BOUND_MS);
         f.put("wrongVerdicts", wrong);
     }
