--- a/gateway/src/main/java/sandpaddle/config/FleetReader.java
+++ b/gateway/src/main/java/sandpaddle/config/FleetReader.java
@@ -152,6 +152,6 @@
                 us(s, "lease_ms", d.leaseUs(), Duration.ofMillis(500), MINUTE),
                 s.number("condemned_most", d.maxCondemned(), 0, 0.9), d.minStrength(), d.holdUs(), d.flapUs(),
                 d.announceUs(), d.drainGraceUs(), (int) s.integer("testers", d.testers(), 1, 16), d.maxEngines(),
-                d.maxMembers(), d.maxPerTeller());
+                d.maxMembers(), d.maxPerReporter());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/AnswerMetadata.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/AnswerMetadata.java
@@ -16,8 +16,7 @@
  * @param worth of all asks that are expected to find it
  */
 public record AnswerMetadata(ContentKey key, Set<Long> groups, long askedWall, long askedMono, long incarnation,
-        long maxAgeMs,
-        double worth) {
+        long maxAgeMs, double worth) {
     public static final int MAX_GROUPS = 64;
     private static final long MAX_AGE_MS = 366L * 24 * 3_600_000;
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
@@ -41,19 +41,19 @@
     private static final int MAX_DEFERRED = 1024;
 
     private final ReplicationSettings settings;
-    private final ReplicaStore shelf;
+    private final ReplicaStore store;
     private final Map<ContentId, Deferred> deferred = new LinkedHashMap<>();
     private final Map<ContentId, Partial> partials = new LinkedHashMap<>();
     private long bytes;
     private long broken;
 
-    ReplicaReceiver(ReplicationSettings settings, ReplicaStore shelf) {
+    ReplicaReceiver(ReplicationSettings settings, ReplicaStore store) {
         this.settings = settings;
-        this.shelf = shelf;
+        this.store = store;
     }
 
     List<OutgoingMessage> offered(String from, ReplicationMessage.Offer o, long now) {
-        if (shelf.askedAt(o.id()) >= o.askedWall()) {
+        if (store.askedAt(o.id()) >= o.askedWall()) {
             return List.of(new OutgoingMessage(from, new ReplicationMessage.Have(o.id())));
         }
         Partial p = partials.get(o.id());
@@ -95,7 +95,7 @@
         for (Iterator<Deferred> i = deferred.values().iterator(); i.hasNext();) {
             Deferred d = i.next();
             boolean isOver = now - d.at > settings.answerUs() * settings.tries() || partials.containsKey(d.offer.id())
-                    || shelf.askedAt(d.offer.id()) >= d.offer.askedWall();
+                    || store.askedAt(d.offer.id()) >= d.offer.askedWall();
             if (!isOver && !hasRoom(d.offer)) {
                 break;
             }
@@ -142,7 +142,7 @@
                 StoredAnswer answer = StoredAnswer.read(p.bytes);
                 AnswerMetadata m = answer.meta();
                 if (m.key().id().equals(id)) {
-                    shelf.take(answer, p.ageMs + Math.max(0, now - p.offeredAt) / 1000);
+                    store.take(answer, p.ageMs + Math.max(0, now - p.offeredAt) / 1000);
                     return true;
                 }
             }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
@@ -34,14 +34,14 @@
     private record Body(ContentId id, byte[] bytes, int crc, long askedWall) { }
 
     private final ReplicationSettings settings;
-    private final ReplicaStore shelf;
+    private final ReplicaStore store;
     private final ToLongFunction<StoredAnswer> age;
     private final Map<String, Neighbour> neighbours = new TreeMap<>();
     private Body last;
 
-    ReplicaSender(ReplicationSettings settings, ReplicaStore shelf, ToLongFunction<StoredAnswer> age) {
+    ReplicaSender(ReplicationSettings settings, ReplicaStore store, ToLongFunction<StoredAnswer> age) {
         this.settings = settings;
-        this.shelf = shelf;
+        this.store = store;
         this.age = age;
     }
 
@@ -87,13 +87,13 @@
     }
 
     private ReplicationMessage offerOf(Body b) {
-        long ageMs = shelf.find(b.id).map(age::applyAsLong).orElse(0L);
+        long ageMs = store.find(b.id).map(age::applyAsLong).orElse(0L);
         return new ReplicationMessage.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
     }
 
     private Optional<Body> body(ContentId id, boolean fresh) {
-        if (last == null || !last.id.equals(id) || fresh && last.askedWall != shelf.askedAt(id)) {
-            last = shelf.find(id).map(a -> {
+        if (last == null || !last.id.equals(id) || fresh && last.askedWall != store.askedAt(id)) {
+            last = store.find(id).map(a -> {
                 byte[] bytes = a.body();
                 return new Body(id, bytes, StoredAnswer.crc(bytes), a.meta().askedWall());
             }).orElse(null);
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
@@ -25,7 +25,7 @@
     private final DiskSettings settings;
     private final FaultLog faults = new FaultLog();
     private final Index index = new Index();
-    private final WriteBuffer gathering = new WriteBuffer();
+    private final WriteBuffer writeBuffer = new WriteBuffer();
     private final Segments segments;
     private long number;
     private long restsUntil = Long.MIN_VALUE;
@@ -39,7 +39,7 @@
     /** Opens what is there; {@code wall} (ms) tells what is too old to be worth keeping. */
     public static DiskTier open(Files files, DiskSettings settings, long wall) {
         DiskTier tier = new DiskTier(files, settings);
-        tier.segments.makeRoom(tier.gathering, wall);
+        tier.segments.makeRoom(tier.writeBuffer, wall);
         return tier;
     }
 
@@ -50,15 +50,15 @@
 
     /** Takes an answer, which is on disk after the next {@link #flush}; writes where enough has gathered. */
     public void put(StoredAnswer answer, long now, long wall) {
-        gathering.put(EncodedAnswer.of(answer));
-        if (gathering.diskBytes() >= settings.segmentBytes() || gathering.size() >= SegmentCodec.MAX_ANSWERS / 4) {
+        writeBuffer.put(EncodedAnswer.of(answer));
+        if (writeBuffer.diskBytes() >= settings.segmentBytes() || writeBuffer.size() >= SegmentCodec.MAX_ANSWERS / 4) {
             flush(now, wall);
         }
     }
 
     /** Reads and checks an answer; one that cannot be read, or is not what it says, is dropped and told. */
     public Optional<StoredAnswer> get(ContentId id) {
-        byte[] bytes = gathering.get(id).map(EncodedAnswer::bytes).or(() -> segments.read(id)).orElse(null);
+        byte[] bytes = writeBuffer.get(id).map(EncodedAnswer::bytes).or(() -> segments.read(id)).orElse(null);
         if (bytes == null) {
             return Optional.empty();
         }
@@ -76,26 +76,26 @@
     }
 
     public void remove(ContentId id) {
-        gathering.remove(id);
+        writeBuffer.remove(id);
         index.drop(id);
     }
 
     /** Writes what has gathered as a segment; whether nothing waits to be durable after it. */
     public boolean flush(long now, long wall) {
-        if (gathering.size() > 0 && now >= restsUntil) {
+        if (writeBuffer.size() > 0 && now >= restsUntil) {
             segments.retryRemovals();
-            WriteBuffer batch = gathering.copy();
+            WriteBuffer batch = writeBuffer.copy();
             List<Segment> joined = segments.join(batch);
             if (write(batch, wall)) {
                 joined.forEach(segments::remove);
-                gathering.clear();
+                writeBuffer.clear();
             } else {
-                gathering.putAll(batch); // what was saved from segments given up may still win a place
+                writeBuffer.putAll(batch); // what was saved from segments given up may still win a place
                 restsUntil = now + settings.retryUs();
             }
         }
-        gathering.trim(settings.segmentBytes(), SegmentCodec.MAX_ANSWERS / 4, wall);
-        return gathering.size() == 0;
+        writeBuffer.trim(settings.segmentBytes(), SegmentCodec.MAX_ANSWERS / 4, wall);
+        return writeBuffer.size() == 0;
     }
 
     /** Guards against a disk fuller than the quota says: the least valuable segments make room, a few a write. */
@@ -127,14 +127,14 @@
 
     /** When (wall, ms) an answer here was asked for, -1 where there is none. */
     public long askedAt(ContentId id) {
-        return gathering.get(id).map(EncodedAnswer::askedWall)
+        return writeBuffer.get(id).map(EncodedAnswer::askedWall)
                 .or(() -> index.find(id).map(s -> s.live().get(id).askedWall())).orElse(-1L);
     }
 
     /** All answers on disk or about to be, at most {@code maxEntries} and what gathers. */
     public Set<ContentId> ids() {
         Set<ContentId> all = new TreeSet<>(index.ids());
-        all.addAll(gathering.ids());
+        all.addAll(writeBuffer.ids());
         return all;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/FairShares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/FairShares.java
@@ -20,14 +20,14 @@
     private FairShares() { }
 
     /** The shares, not yet whole; the floors sum to the amount at most. */
-    public static double[] of(long now, long amount, long[] floors, List<SlotDemand> claims) {
+    public static double[] of(long now, long amount, long[] floors, List<SlotDemand> slotDemands) {
         int n = floors.length;
-        double[] min = leasts(now, amount, floors, claims);
+        double[] min = leasts(now, amount, floors, slotDemands);
         double[] wish = new double[n];
         double wishes = 0;
         double leasts = 0;
         for (int i = 0; i < n; i++) {
-            wish[i] = Math.max(min[i], claims.get(i).demand());
+            wish[i] = Math.max(min[i], slotDemands.get(i).demand());
             wishes += wish[i];
             leasts += min[i];
         }
@@ -60,19 +60,19 @@
         return wish;
     }
 
-    private static double[] leasts(long now, long amount, long[] floors, List<SlotDemand> claims) {
+    private static double[] leasts(long now, long amount, long[] floors, List<SlotDemand> slotDemands) {
         double[] min = new double[floors.length];
         long left = amount;
         List<Integer> without = new ArrayList<>();
         for (int i = 0; i < floors.length; i++) {
             min[i] = floors[i];
             left -= floors[i];
-            if (floors[i] == 0 && claims.get(i).demand() > 0) {
+            if (floors[i] == 0 && slotDemands.get(i).demand() > 0) {
                 without.add(i);
             }
         }
         if (without.size() > left && left > 0) {
-            without.sort(Comparator.comparingLong(i -> RendezvousHash.hash(claims.get(i).slot().member(), "")));
+            without.sort(Comparator.comparingLong(i -> RendezvousHash.hash(slotDemands.get(i).slot().member(), "")));
             Collections.rotate(without, -(int) (now / TURN_US % without.size() * left % without.size()));
         }
         for (int i : without) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
@@ -23,34 +23,34 @@
         this.table = table;
     }
 
-    List<Grant> grants(long now, Map<String, GatewayState> peers, Map<String, LimitAllocator> desks) {
+    List<Grant> grants(long now, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
         Map<String, List<SlotGrant>> news = new TreeMap<>();
-        desks.forEach((limit, desk) -> {
+        allocators.forEach((limit, allocator) -> {
             var row = table.limits().get(limit);
-            if (row != null && !desk.quiet) {
-                desk.quiet = true;
-                desk.asks.forEach((name, ask) -> {
-                    if (ask.open(row.slot(name))) {
-                        desk.quiet = false;
-                        one(now, limit, name, ask, row.slot(name), news, peers);
+            if (row != null && !allocator.quiet) {
+                allocator.quiet = true;
+                allocator.states.forEach((name, state) -> {
+                    if (state.open(row.slot(name))) {
+                        allocator.quiet = false;
+                        one(now, limit, name, state, row.slot(name), news, gateways);
                     }
                 });
             }
         });
         List<Grant> grants = new ArrayList<>();
-        peers.forEach((name, peer) -> {
+        gateways.forEach((name, gateway) -> {
             MemberRow row = table.members().get(name);
-            if (row == null || peer.incarnation == 0 || peer.incarnation != row.incarnation()) {
+            if (row == null || gateway.incarnation == 0 || gateway.incarnation != row.incarnation()) {
                 return;
             }
-            long confirmed = peer.confirmed(row);
-            boolean stale = peer.session != row.session() || peer.epoch != table.epoch();
+            long confirmed = gateway.confirmed(row);
+            boolean stale = gateway.session != row.session() || gateway.epoch != table.epoch();
             List<SlotGrant> given = news.getOrDefault(name, List.of());
-            if (!given.isEmpty() || confirmed > peer.sentConfirmed
-                    || stale && now - peer.grantAt >= settings.repeat()) {
-                peer.sentConfirmed = confirmed;
-                peer.grantAt = now;
-                boolean whole = peer.epoch != table.epoch();
+            if (!given.isEmpty() || confirmed > gateway.sentConfirmed
+                    || stale && now - gateway.grantAt >= settings.repeat()) {
+                gateway.sentConfirmed = confirmed;
+                gateway.grantAt = now;
+                boolean whole = gateway.epoch != table.epoch();
                 List<LimitSpec> limits = whole ? List.copyOf(table.specs().values()) : List.of();
                 grants.add(new Grant(name, row.incarnation(), row.session(), confirmed, table.epoch(), whole, limits,
                     given));
@@ -59,17 +59,17 @@
         return grants;
     }
 
-    private void one(long now, String limit, SlotName name, SlotState ask, Slot slot,
-            Map<String, List<SlotGrant>> news, Map<String, GatewayState> peers) {
-        GatewayState peer = peers.get(name.member());
-        if (peer == null || peer.incarnation == 0) {
+    private void one(long now, String limit, SlotName name, SlotState state, Slot slot,
+            Map<String, List<SlotGrant>> news, Map<String, GatewayState> gateways) {
+        GatewayState gateway = gateways.get(name.member());
+        if (gateway == null || gateway.incarnation == 0) {
             return; // nobody to tell
         }
-        SlotGrant given = ask.toSend(now, limit, name.sub(), slot, settings);
+        SlotGrant given = state.toSend(now, limit, name.sub(), slot, settings);
         List<SlotGrant> all = news.computeIfAbsent(name.member(), m -> new ArrayList<>());
         if (given != null && all.size() < Grant.MAX_GIVEN) {
             all.add(given);
-            ask.sent(now, given);
+            state.sent(now, given);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
@@ -18,14 +18,14 @@
  */
 final class LimitAllocator {
     /** The most slots of one limit that a leader looks at. */
-    static final int MAX_ASKS = 65_536;
+    static final int MAX_SLOTS = 65_536;
     private static final long IDLE_US = 2_000_000; // a quiet limit is looked at this often, for turns and the lost
     private static final double SHORT = 0.75; // of one: the least that counts as short
     private static final double SPARE = 0.25; // three quarters over is one to give: that leaves nobody short
 
     private final String limit;
     private final LimitSettings settings;
-    final TreeMap<SlotName, SlotState> asks = new TreeMap<>();
+    final TreeMap<SlotName, SlotState> states = new TreeMap<>();
     boolean news = true;
     boolean quiet; // nothing to tell anybody
     private long touched = -1;
@@ -36,19 +36,19 @@
         this.settings = settings;
     }
 
-    SlotState ask(SlotName name) {
-        SlotState ask = asks.get(name);
-        if (ask == null && asks.size() < MAX_ASKS) {
-            ask = new SlotState();
-            asks.put(name, ask);
+    SlotState state(SlotName name) {
+        SlotState state = states.get(name);
+        if (state == null && states.size() < MAX_SLOTS) {
+            state = new SlotState();
+            states.put(name, state);
         }
-        return ask;
+        return state;
     }
 
-    void told(long now, String member, SlotReport told) {
-        SlotState ask = ask(new SlotName(member, told.sub()));
-        if (ask != null) {
-            news |= ask.told(now, told);
+    void report(long now, String member, SlotReport report) {
+        SlotState state = state(new SlotName(member, report.sub()));
+        if (state != null) {
+            news |= state.report(now, report);
         }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** What a slot has and should have. */
-    private record SlotPlan(SlotName name, SlotState ask, Slot slot, Target target, boolean fit) {
+    private record SlotPlan(SlotName name, SlotState state, Slot slot, Target target, boolean fit) {
         double gap() {
             return target.share() - slot.held();
         }
@@ -80,24 +80,25 @@
      * Changes to propose; what to ask back is left in the asks. {@code fit}: whether the slot's gateway holds a lease
      * now, in the claims' order.
      */
-    List<SlotChange> plan(long now, LimitRow row, List<SlotDemand> claims, List<Target> targets, List<Boolean> fit) {
+    List<SlotChange> plan(long now, LimitRow row, List<SlotDemand> slotDemands, List<Target> targets,
+            List<Boolean> fit) {
         List<SlotChange> changes = new ArrayList<>();
         List<SlotPlan> places = new ArrayList<>();
         long free = row.amount() - row.sum();
-        asks.forEach((name, ask) -> { // who is not heard is asked for nothing
-            ask.sinkTo = row.slot(name).held();
-            ask.floorTo = row.slot(name).floor();
+        states.forEach((name, state) -> { // who is not heard is asked for nothing
+            state.targetCeiling = row.slot(name).held();
+            state.targetFloor = row.slot(name).floor();
         });
-        for (int i = 0; i < claims.size(); i++) {
-            SlotName name = claims.get(i).slot();
-            SlotState ask = ask(name);
-            if (ask != null) {
+        for (int i = 0; i < slotDemands.size(); i++) {
+            SlotName name = slotDemands.get(i).slot();
+            SlotState state = state(name);
+            if (state != null) {
                 Slot slot = row.slot(name);
                 Target target = targets.get(i);
-                free -= ask.coming(now, slot, settings);
-                ask.sinkTo = slot.held();
-                ask.floorTo = Math.min(slot.floor(), target.floor());
-                places.add(new SlotPlan(name, ask, slot, target, fit.get(i)));
+                free -= state.coming(now, slot, settings);
+                state.targetCeiling = slot.held();
+                state.targetFloor = Math.min(slot.floor(), target.floor());
+                places.add(new SlotPlan(name, state, slot, target, fit.get(i)));
             }
         }
         places.sort((a, b) -> Double.compare(b.gap(), a.gap()));
@@ -105,7 +106,7 @@
         sink(places, missing, row.sum() > row.amount());
         free += settings.has(Guard.SHRINK_FIRST) ? 0 : sinking(places);
         for (SlotPlan place : places) {
-            if (place.ask.proposed(now, place.slot, settings)) {
+            if (place.state.proposed(now, place.slot, settings)) {
                 continue;
             }
             SlotChange change = lower(place);
@@ -114,7 +115,7 @@
                 free -= change == null ? 0 : change.held() - place.slot.held();
             }
             if (change != null) {
-                place.ask.propose(now, change);
+                place.state.propose(now, change);
                 changes.add(change);
             }
         }
@@ -122,8 +123,8 @@
     }
 
     private boolean knows(SlotPlan place) {
-        return place.slot.version() == 0 || place.ask.told != null
-            && (place.ask.told.version() == place.slot.version() || !settings.has(Guard.VERSION));
+        return place.slot.version() == 0 || place.state.report != null
+            && (place.state.report.version() == place.slot.version() || !settings.has(Guard.VERSION));
     }
 
     /** How much has to be asked back for those that are short. */
@@ -143,9 +144,9 @@
             SlotPlan place = places.get(i);
             double surplus = -place.gap();
             long take = Math.min(left, (long) Math.floor(surplus + (over ? 1 - 1e-9 : SPARE)));
-            take = Math.min(take, place.slot.held() - place.ask.floorTo);
+            take = Math.min(take, place.slot.held() - place.state.targetFloor);
             if (take > 0) {
-                place.ask.sinkTo = place.slot.held() - take;
+                place.state.targetCeiling = place.slot.held() - take;
                 left -= take;
             } else if (last == null && place.slot.held() > Math.max(1, place.target.floor()) && surplus > 0) {
                 last = place;
@@ -154,30 +155,31 @@
         // a gateway that asks and has nothing at all gets one, also where nobody has a whole one over
         boolean starving = places.stream().anyMatch(p -> p.slot.held() == 0 && p.target.share() >= 1);
         if (left > 0 && left >= missing && last != null && starving) {
-            last.ask.sinkTo = last.slot.held() - 1;
+            last.state.targetCeiling = last.slot.held() - 1;
         }
     }
 
     private static long sinking(List<SlotPlan> places) {
-        return places.stream().mapToLong(p -> p.slot.held() - p.ask.sinkTo).sum();
+        return places.stream().mapToLong(p -> p.slot.held() - p.state.targetCeiling).sum();
     }
 
     /** What the gateway promised to do without is free once this is agreed on. */
     private SlotChange lower(SlotPlan place) {
-        SlotReport told = place.ask.told;
+        SlotReport report = place.state.report;
         Slot slot = place.slot;
-        if (told == null || slot.version() == 0 || told.version() != slot.version() && settings.has(Guard.VERSION)) {
+        if (report == null || slot.version() == 0 || report.version() != slot.version()
+                && settings.has(Guard.VERSION)) {
             return null;
         }
-        long floor = Math.min(slot.floor(), told.floor());
-        long held = Math.max(floor, Math.min(slot.held(), told.ceiling()));
+        long floor = Math.min(slot.floor(), report.floor());
+        long held = Math.max(floor, Math.min(slot.held(), report.ceiling()));
         return held < slot.held() || floor < slot.floor()
             ? new SlotChange(limit, place.name, slot.version(), held, floor) : null;
     }
 
     private SlotChange raise(SlotPlan place, long free) {
         Slot slot = place.slot;
-        long more = place.ask.sinkTo < slot.held() ? 0
+        long more = place.state.targetCeiling < slot.held() ? 0
             : Math.max(0, Math.min(free, (long) Math.ceil(place.gap() - 1e-9)));
         long held = slot.held() + more;
         long floor = Math.max(slot.floor(), Math.min(place.target.floor(), held));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitPlanner.java
@@ -30,17 +30,17 @@
         this.targets = targets;
     }
 
-    List<SlotChange> plan(long now, LimitRow row, LimitAllocator desk, Map<String, GatewayState> peers) {
+    List<SlotChange> plan(long now, LimitRow row, LimitAllocator allocator, Map<String, GatewayState> gateways) {
         LimitSpec spec = row.spec();
         boolean decided = targets.decide(spec);
-        List<SlotDemand> claims = new ArrayList<>();
+        List<SlotDemand> slotDemands = new ArrayList<>();
         List<SlotDemand> away = new ArrayList<>(); // has to give up all
         List<Boolean> fit = new ArrayList<>();
         List<String> members = new ArrayList<>();
         long amount = row.amount();
         for (MemberRow member : table.members().values()) {
-            GatewayState peer = peers.get(member.name());
-            boolean alive = peer != null && peer.alive(now, member);
+            GatewayState gateway = gateways.get(member.name());
+            boolean alive = gateway != null && gateway.alive(now, member);
             boolean in = !row.dropped() && !member.leaving()
                 && (spec.scope().hall() == null || spec.scope().hall().equals(member.hall()));
             if (in) {
@@ -50,49 +50,49 @@
                 amount -= RightsTable.of(row, member.name()).values().stream().mapToLong(Slot::held).sum();
                 continue;
             }
-            for (SlotName name : names(row, desk, member.name(), in && !decided)) {
+            for (SlotName name : names(row, allocator, member.name(), in && !decided)) {
                 boolean claimed = in && (decided != name.sub().isEmpty());
-                double demand = claimed ? desk.ask(name) == null ? 0 : desk.ask(name).demand.level() : 0;
-                (claimed ? claims : away).add(new SlotDemand(name, demand));
+                double demand = claimed ? allocator.state(name) == null ? 0 : allocator.state(name).demand.level() : 0;
+                (claimed ? slotDemands : away).add(new SlotDemand(name, demand));
                 if (claimed) {
-                    fit.add(peer.leased);
+                    fit.add(gateway.leased);
                 }
             }
         }
         List<Target> wish = new ArrayList<>(decided
-            ? targets.targets(now, spec, Math.max(0, amount), claims)
-            : even(now, row, Math.max(0, amount), members, claims));
-        for (SlotDemand claim : away) {
-            claims.add(claim);
+            ? targets.targets(now, spec, Math.max(0, amount), slotDemands)
+            : even(now, row, Math.max(0, amount), members, slotDemands));
+        for (SlotDemand slotDemand : away) {
+            slotDemands.add(slotDemand);
             wish.add(new Target(0, 0));
             fit.add(false);
         }
-        return desk.plan(now, row, claims, wish, fit);
+        return allocator.plan(now, row, slotDemands, wish, fit);
     }
 
     /** The slots of a gateway: those it told of or holds, and the plain one. */
-    private static Set<SlotName> names(LimitRow row, LimitAllocator desk, String member, boolean plain) {
+    private static Set<SlotName> names(LimitRow row, LimitAllocator allocator, String member, boolean plain) {
         Set<SlotName> names = new java.util.TreeSet<>(RightsTable.of(row, member).keySet());
-        names.addAll(desk.asks.subMap(new SlotName(member, ""), new SlotName(member + "\0", "")).keySet());
+        names.addAll(allocator.states.subMap(new SlotName(member, ""), new SlotName(member + "\0", "")).keySet());
         if (plain) {
             names.add(new SlotName(member, ""));
         }
         return names;
     }
 
-    private List<Target> even(long now, LimitRow row, long amount, List<String> members, List<SlotDemand> claims) {
+    private List<Target> even(long now, LimitRow row, long amount, List<String> members, List<SlotDemand> slotDemands) {
         long[] all = floors(row, members);
         Map<String, Long> of = new HashMap<>();
         for (int i = 0; i < all.length; i++) {
             of.put(members.get(i), all[i]);
         }
-        long[] floors = new long[claims.size()];
+        long[] floors = new long[slotDemands.size()];
         long left = amount;
         for (int i = 0; i < floors.length; i++) {
-            floors[i] = Math.min(left, of.get(claims.get(i).slot().member()));
+            floors[i] = Math.min(left, of.get(slotDemands.get(i).slot().member()));
             left -= floors[i];
         }
-        double[] shares = FairShares.of(now, amount, floors, claims);
+        double[] shares = FairShares.of(now, amount, floors, slotDemands);
         List<Target> wish = new ArrayList<>();
         for (int i = 0; i < floors.length; i++) {
             wish.add(new Target(shares[i], floors[i]));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
@@ -31,8 +31,8 @@
     private final LimitSettings settings;
     private final RightsTable table;
     private final LimitPlanner sharing;
-    private final Map<String, GatewayState> peers = new TreeMap<>();
-    private final Map<String, LimitAllocator> desks = new TreeMap<>();
+    private final Map<String, GatewayState> gateways = new TreeMap<>();
+    private final Map<String, LimitAllocator> allocators = new TreeMap<>();
     private final Map<InstanceRequest, Long> wanted = new LinkedHashMap<>();
     private long lead; // 0: does not lead
     private boolean open; // the voters have taken this one's first command
@@ -51,8 +51,8 @@
         this.lead = lead;
         open = false;
         ledAt = Long.MIN_VALUE / 2;
-        peers.clear();
-        desks.clear();
+        gateways.clear();
+        allocators.clear();
         wanted.clear();
     }
 
@@ -73,13 +73,13 @@
         if (row == null || !leads()) {
             return;
         }
-        GatewayState peer = peers.computeIfAbsent(member, m -> new GatewayState(settings, opened));
-        if (!peer.beat(now, row, beat)) {
+        GatewayState gateway = gateways.computeIfAbsent(member, m -> new GatewayState(settings, opened));
+        if (!gateway.beat(now, row, beat)) {
             return;
         }
-        for (SlotReport told : beat.told()) {
-            if (table.limits().containsKey(told.limit())) {
-                desk(told.limit()).told(now, member, told);
+        for (SlotReport report : beat.reports()) {
+            if (table.limits().containsKey(report.limit())) {
+                allocator(report.limit()).report(now, member, report);
             }
         }
         for (InstanceRequest name : beat.wanted()) {
@@ -89,23 +89,23 @@
         }
     }
 
-    private LimitAllocator desk(String limit) {
-        return desks.computeIfAbsent(limit, l -> new LimitAllocator(l, settings));
+    private LimitAllocator allocator(String limit) {
+        return allocators.computeIfAbsent(limit, l -> new LimitAllocator(l, settings));
     }
 
     /** A majority confirmed, by a question asked at {@code asOf}, that no other leader was elected before that. */
     public void confirmed(long asOf) {
-        peers.forEach((name, peer) -> {
+        gateways.forEach((name, gateway) -> {
             MemberRow row = table.members().get(name);
             if (row != null) {
-                peer.confirmed(asOf, row);
+                gateway.confirmed(asOf, row);
             }
         });
     }
 
     /** The targets have changed, so every limit has to be looked at. */
     public void retarget() {
-        desks.values().forEach(desk -> desk.news = true);
+        allocators.values().forEach(allocator -> allocator.news = true);
     }
 
     /** What is to be done now. */
@@ -129,46 +129,46 @@
         table.members().values().forEach(row -> member(now, row, propose));
         names(now, propose);
         move(now, propose);
-        return new AllocatorOutput(propose, new GrantBuilder(settings, table).grants(now, peers, desks));
+        return new AllocatorOutput(propose, new GrantBuilder(settings, table).grants(now, gateways, allocators));
     }
 
     /** Forgets who left and limits that are gone; all is looked at again when the fleet changed. */
     private void refresh(long now) {
-        desks.keySet().retainAll(table.limits().keySet());
-        table.limits().keySet().forEach(this::desk);
+        allocators.keySet().retainAll(table.limits().keySet());
+        table.limits().keySet().forEach(this::allocator);
         if (roster != table.roster()) {
             roster = table.roster();
-            peers.keySet().retainAll(table.members().keySet());
-            desks.values().forEach(desk -> {
-                desk.asks.keySet().removeIf(name -> !table.members().containsKey(name.member()));
-                desk.news = true;
+            gateways.keySet().retainAll(table.members().keySet());
+            allocators.values().forEach(allocator -> {
+                allocator.states.keySet().removeIf(name -> !table.members().containsKey(name.member()));
+                allocator.news = true;
             });
         }
         boolean changed = false;
         for (MemberRow row : table.members().values()) {
-            GatewayState peer = peers.computeIfAbsent(row.name(), m -> new GatewayState(settings, opened));
-            changed |= peer.changed(now, row);
+            GatewayState gateway = gateways.computeIfAbsent(row.name(), m -> new GatewayState(settings, opened));
+            changed |= gateway.changed(now, row);
         }
         if (changed) {
-            desks.values().forEach(desk -> desk.news = true);
+            allocators.values().forEach(allocator -> allocator.news = true);
         }
     }
 
     /** A new process of a gateway, or one that must be taken for lost. */
     private void member(long now, MemberRow row, List<Command> propose) {
-        GatewayState peer = peers.get(row.name());
-        if (now - peer.proposedAt < settings.repeat()) {
+        GatewayState gateway = gateways.get(row.name());
+        if (now - gateway.proposedAt < settings.repeat()) {
             return;
         }
-        if (peer.incarnation != 0 && peer.incarnation != row.incarnation()) {
-            peer.proposedAt = now;
-            propose.add(new Command.Enter(lead, row.name(), row.session(), peer.incarnation, peer.hold));
+        if (gateway.incarnation != 0 && gateway.incarnation != row.incarnation()) {
+            gateway.proposedAt = now;
+            propose.add(new Command.Enter(lead, row.name(), row.session(), gateway.incarnation, gateway.hold));
             return;
         }
-        boolean lost = now - peer.heard >= settings.reclaimAfter(row.hold());
+        boolean lost = now - gateway.heard >= settings.reclaimAfter(row.hold());
         if (lost && (row.leaving() || holds(row.name(), false)) || row.leaving() && !holds(row.name(), true)) {
-            peer.proposedAt = now;
-            peer.reclaiming = row.session();
+            gateway.proposedAt = now;
+            gateway.reclaiming = row.session();
             propose.add(new Command.Reclaim(lead, row.name(), row.session()));
         }
     }
@@ -202,9 +202,9 @@
         List<SlotChange> changes = new ArrayList<>();
         int max = MAX_MOVES * CommandCodec.MAX_CHANGES;
         for (Map.Entry<String, LimitRow> e : table.limits().entrySet()) {
-            LimitAllocator desk = desk(e.getKey());
-            if (changes.size() < max && desk.due(now, e.getValue())) {
-                changes.addAll(sharing.plan(now, e.getValue(), desk, peers));
+            LimitAllocator allocator = allocator(e.getKey());
+            if (changes.size() < max && allocator.due(now, e.getValue())) {
+                changes.addAll(sharing.plan(now, e.getValue(), allocator, gateways));
             }
         }
         for (int i = 0; i < changes.size(); i += CommandCodec.MAX_CHANGES) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SlotState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SlotState.java
@@ -10,20 +10,20 @@
 final class SlotState {
     private static final double STIR = 0.01; // part by which demand has to change to be looked at
     final SmoothedDemand demand = new SmoothedDemand();
-    SlotReport told; // last, null where nothing was
-    long sinkTo;
-    long floorTo;
+    SlotReport report; // last, null where nothing was
+    long targetCeiling;
+    long targetFloor;
     private SlotGrant sent;
     private long sentAt;
     private SlotChange proposed;
     private long proposedAt;
 
     /** Whether this is news. */
-    boolean told(long now, SlotReport next) {
-        boolean news = told == null || !told.equals(next);
-        told = next;
+    boolean report(long now, SlotReport next) {
+        boolean news = report == null || !report.equals(next);
+        report = next;
         double before = demand.level();
-        demand.told(now, next.demand());
+        demand.report(now, next.demand());
         return news || Math.abs(demand.level() - before) > STIR * Math.max(1, before);
     }
 
@@ -47,7 +47,8 @@
         if (!open(slot)) {
             return null;
         }
-        SlotGrant given = new SlotGrant(limit, sub, slot.version(), slot.held(), slot.floor(), sinkTo, floorTo);
+        SlotGrant given = new SlotGrant(limit, sub, slot.version(), slot.held(), slot.floor(), targetCeiling,
+                targetFloor);
         if (given.equals(sent) && now - sentAt < settings.repeat()) {
             return null;
         }
@@ -56,8 +57,8 @@
 
     /** Whether the gateway has not acknowledged what it should have. */
     boolean open(Slot slot) {
-        return slot.version() != 0 && (told == null || told.version() != slot.version()
-            || told.ceiling() > Math.max(sinkTo, slot.floor()) || told.floor() > floorTo);
+        return slot.version() != 0 && (report == null || report.version() != slot.version()
+            || report.ceiling() > Math.max(targetCeiling, slot.floor()) || report.floor() > targetFloor);
     }
 
     void sent(long now, SlotGrant given) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
@@ -15,7 +15,7 @@
     private int steps;
     private boolean known;
 
-    void told(long now, double value) {
+    void report(long now, double value) {
         if (!known) {
             known = true;
             level = value;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/TargetPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/TargetPolicy.java
@@ -12,7 +12,7 @@
      * What each claim should have, in their order. {@code amount}: what there is for these claims, without what is held
      * by gateways not heard. The shares sum to it at most; a floor is at most its share.
      */
-    List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims);
+    List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> slotDemands);
 
     /** Everything by demand, see {@link FairShares}. */
     TargetPolicy NONE = new TargetPolicy() {
@@ -22,7 +22,7 @@
         }
 
         @Override
-        public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> claims) {
+        public List<Target> targets(long now, LimitSpec limit, long amount, List<SlotDemand> slotDemands) {
             return List.of();
         }
     };
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
@@ -25,8 +25,7 @@
         in.number(FORMAT, FORMAT);
         FloorFile file = new FloorFile(in.text(LimitSpec.MAX_NAME), in.number(Long.MIN_VALUE, Long.MAX_VALUE),
             in.number(0, Long.MAX_VALUE), in.list(RightsHolder.MAX_SLOTS, i -> new SavedFloor(
-                i.text(LimitSpec.MAX_ID), i.text(LimitSpec.MAX_NAME),
-                i.number(0, LimitSpec.MAX_AMOUNT))));
+                i.text(LimitSpec.MAX_ID), i.text(LimitSpec.MAX_NAME), i.number(0, LimitSpec.MAX_AMOUNT))));
         in.end();
         return file;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
@@ -43,7 +43,7 @@
     private long session;
     private long epoch;
     private long sequence;
-    private Rights.Key toldLast; // where the next beat goes on when there are more slots than it holds
+    private Rights.Key lastReported; // where the next beat goes on when there are more slots than it holds
 
     /**
      * A process that starts now. {@code incarnation}: drawn at the start, not 0, so that no two processes of a name
@@ -101,19 +101,20 @@
         boolean leased = lease.holds(now);
         List<SlotReport> told = new ArrayList<>();
         List<Rights.Key> idle = new ArrayList<>();
-        Map.Entry<Rights.Key, SlotRights> next = toldLast == null ? slots.firstEntry() : slots.higherEntry(toldLast);
+        Map.Entry<Rights.Key, SlotRights> next = lastReported == null ? slots.firstEntry()
+                : slots.higherEntry(lastReported);
         for (int i = slots.size(); i > 0 && told.size() < Heartbeat.MAX_TOLD; i--) {
             if (next == null) {
                 next = slots.firstEntry();
             }
             Rights.Key key = next.getKey();
-            if (next.getValue().news(used(key), demand(key))) {
+            if (next.getValue().needsReport(used(key), demand(key))) {
                 told.add(told(now, leased, key, next.getValue()));
             } else if (idle.size() < Heartbeat.MAX_IDLE) {
                 idle.add(key);
             }
             // the next beat goes on behind the last idle slot of this one, and so meets all of them in turn
-            toldLast = idle.size() < Heartbeat.MAX_IDLE || idle.get(idle.size() - 1) == key ? key : toldLast;
+            lastReported = idle.size() < Heartbeat.MAX_IDLE || idle.get(idle.size() - 1) == key ? key : lastReported;
             next = slots.higherEntry(key);
         }
         idle.stream().limit(Heartbeat.MAX_TOLD - told.size())
@@ -131,12 +132,13 @@
         return Math.min(LimitSpec.MAX_AMOUNT, Math.max(used(key), usage.demand(key.limit(), key.sub())));
     }
 
-    private SlotReport told(long now, boolean leased, Rights.Key key, SlotRights held) {
+    private SlotReport told(long now, boolean leased, Rights.Key key, SlotRights slotRights) {
         long used = used(key); // read after the rights that it may exceed were published
         if (now >= freshAt) { // until then a former process may use what was given, though this one does not
-            held.sink(now, used, leased, settings.floorKeep());
+            slotRights.release(now, used, leased, settings.floorKeep());
         }
-        return held.told(new SlotReport(key.limit(), key.sub(), held.version, held.ceiling(), held.floor(), used,
+        return slotRights.told(new SlotReport(key.limit(), key.sub(), slotRights.version, slotRights.ceiling(),
+                slotRights.floor(), used,
             Math.max(used, demand(key))));
     }
 
@@ -148,14 +150,14 @@
 
     /** What may be used at this moment; 0 where nothing was ever given. */
     public long ceiling(long now, String limit, String sub) {
-        SlotRights held = slots.get(new Rights.Key(limit, sub));
-        return held == null || now < freshAt ? 0 : lease.holds(now) ? held.leased() : held.unleased();
+        SlotRights slotRights = slots.get(new Rights.Key(limit, sub));
+        return slotRights == null || now < freshAt ? 0 : lease.holds(now) ? slotRights.leased() : slotRights.unleased();
     }
 
     /** The same for the request path, all slots at one moment. Publish it after each grant, before the next beat. */
     public Rights rights() {
         Map<Rights.Key, Rights.Pair> pairs = new HashMap<>();
-        slots.forEach((key, held) -> pairs.put(key, new Rights.Pair(held.leased(), held.unleased())));
+        slots.forEach((key, slotRights) -> pairs.put(key, new Rights.Pair(slotRights.leased(), slotRights.unleased())));
         return new Rights(freshAt, lease.until(), pairs);
     }
 
@@ -191,8 +193,8 @@
     public Optional<LimitSpec> seen(LimitSpec spec, Scope query) {
         Optional<LimitSpec> made = spec.instance(query);
         if (made.isPresent() && spec.scope().each()) {
-            SlotRights held = slots.get(new Rights.Key(made.get().id(), ""));
-            if ((held == null || held.version == 0) && wanted.size() < Heartbeat.MAX_WANTED) {
+            SlotRights slotRights = slots.get(new Rights.Key(made.get().id(), ""));
+            if ((slotRights == null || slotRights.version == 0) && wanted.size() < Heartbeat.MAX_WANTED) {
                 // again with each query until rights come
                 wanted.add(new InstanceRequest(spec.id(), made.get().scope()));
             }
@@ -211,16 +213,16 @@
     /** What to write down, so that a restart while cut off has it. */
     public List<SavedFloor> floors() {
         List<SavedFloor> kept = new ArrayList<>();
-        slots.forEach((key, held) -> kept.add(new SavedFloor(key.limit(), key.sub(), held.unleased())));
+        slots.forEach((key, slotRights) -> kept.add(new SavedFloor(key.limit(), key.sub(), slotRights.unleased())));
         return kept;
     }
 
     /** These are on disk. A lowered floor is told to the leader once every older file is too old to be used. */
     public void floorsWritten(long now, List<SavedFloor> kept) {
         for (SavedFloor floor : kept) {
-            SlotRights held = slots.get(new Rights.Key(floor.limit(), floor.sub()));
-            if (held != null) {
-                held.written(now, floor.floor());
+            SlotRights slotRights = slots.get(new Rights.Key(floor.limit(), floor.sub()));
+            if (slotRights != null) {
+                slotRights.written(now, floor.floor());
             }
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
@@ -8,7 +8,7 @@
  * and outliving, as its settings may differ from the leader's; {@code epoch}: of the limits that it knows.
  */
 public record Heartbeat(long incarnation, long sequence, long session, boolean leased, long hold, long epoch,
-        List<SlotReport> told, List<InstanceRequest> wanted) {
+        List<SlotReport> reports, List<InstanceRequest> wanted) {
     /** The most slots of one beat; a gateway with more tells them in turn. */
     public static final int MAX_TOLD = 2048;
     /** The most slots of one beat that nothing happens to. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
@@ -28,7 +28,7 @@
 
     private void say(long now, Session s, Frame frame) {
         s.own(frame, now);
-        board.wires.ready(s.wire);
+        board.transport.ready(s.wire);
     }
 
     void malformed(long now, Session s, String fault) {
@@ -203,7 +203,7 @@
             board.events.received(s.peer, d.kind(), d.payload());
         } else if (frame instanceof Frame.Ping ping) {
             if (s.answer(ping, now)) {
-                board.wires.ready(s.wire);
+                board.transport.ready(s.wire);
             }
         } else if (frame instanceof Frame.Pong pong) {
             long us = s.measure(pong, now);
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
@@ -25,7 +25,7 @@
 public final class LinkManager {
     private final LinkSettings settings;
     private final GreetingValidator greeter;
-    final LinkTransport wires;
+    final LinkTransport transport;
     final LinkEvents events;
     private final Map<Long, Session> sessions = new LinkedHashMap<>(); // in the order of their making
     final Peers peers;
@@ -34,18 +34,17 @@
     private long lastWire;
     private long tickedAt = Long.MIN_VALUE;
 
-    public LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
+    public LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport transport,
             LinkEvents events) {
-        this(settings, known, random, wires, events, GreetingValidator.MIN_VERSION, GreetingValidator.MAX_VERSION);
+        this(settings, known, random, transport, events, GreetingValidator.MIN_VERSION, GreetingValidator.MAX_VERSION);
     }
 
     /** Of a program that speaks other versions. */
-    LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport wires,
-            LinkEvents events,
-            int min, int max) {
+    LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport transport,
+            LinkEvents events, int min, int max) {
         this.settings = settings;
         peers = new Peers(settings, random);
-        this.wires = wires;
+        this.transport = transport;
         this.events = events;
         greeter = new GreetingValidator(settings, known, min, max);
         handshake = new Handshake(this, settings.self().name(), greeter);
@@ -77,7 +76,7 @@
             p.attempt = s;
             sessions.put(s.wire, s);
             counts.attempts++;
-            wires.dial(s.wire, to);
+            transport.dial(s.wire, to);
         }
     }
 
@@ -153,7 +152,7 @@
         boolean taken = p.link.offer(kind, payload, now);
         counts.queueFull += taken ? 0 : 1;
         if (taken) {
-            wires.ready(p.link.wire);
+            transport.ready(p.link.wire);
         }
         return taken;
     }
@@ -175,7 +174,7 @@
                 end(now, s, Loss.REJECTED, why, new Frame.Rejected(Refusal.NAME, why));
             }
             if (s.keepAlive(now)) {
-                wires.ready(s.wire);
+                transport.ready(s.wire);
             }
         }
         dial(now);
@@ -203,7 +202,7 @@
     void drop(Session s, Frame last) {
         s.stage = Session.Stage.ENDED;
         sessions.remove(s.wire);
-        wires.close(s.wire, last == null ? null : last.encode());
+        transport.close(s.wire, last == null ? null : last.encode());
     }
 
     /** Makes a connection the link of its peer in the place of another. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Session.java
@@ -37,7 +37,7 @@
     final FrameReader reader = new FrameReader(Frame.MAX_GREETING_BYTES);
     final boolean opener; // whether this gateway dialled
     private final LinkSettings settings;
-    private final SendQueue outbox;
+    private final SendQueue sendQueue;
 
     Stage stage;
     String peer = "";    // of a dialled one whom it looks for, else who it said it is
@@ -55,7 +55,7 @@
         this.wire = wire;
         this.address = address;
         this.settings = settings;
-        outbox = new SendQueue(settings.bounds().queueBytes(), settings.bounds().queueFrames());
+        sendQueue = new SendQueue(settings.bounds().queueBytes(), settings.bounds().queueFrames());
         this.stage = stage;
         opener = stage == Stage.DIALLING;
         since = now;
@@ -75,15 +75,15 @@
     }
 
     void own(Frame frame, long now) {
-        outbox.own(frame.encode());
+        sendQueue.own(frame.encode());
         queued(now);
     }
 
     boolean offer(Kind kind, byte[] payload, long now) {
-        if (!outbox.hasRoom(kind, payload.length + Frame.DATA_OVERHEAD + FrameReader.HEADER)) {
+        if (!sendQueue.hasRoom(kind, payload.length + Frame.DATA_OVERHEAD + FrameReader.HEADER)) {
             return false; // before it costs an encoding
         }
-        boolean taken = outbox.offer(kind, new Frame.Data(kind, payload).encode());
+        boolean taken = sendQueue.offer(kind, new Frame.Data(kind, payload).encode());
         queued(now);
         return taken;
     }
@@ -94,12 +94,12 @@
     }
 
     ByteBuffer nextFrame() {
-        return outbox.poll();
+        return sendQueue.poll();
     }
 
     /** The peer took bytes; {@code all}: nothing of a frame handed out is left. */
     void wrote(long now, boolean all) {
-        untakenSince = all && outbox.isEmpty() ? -1 : now;
+        untakenSince = all && sendQueue.isEmpty() ? -1 : now;
     }
 
     void heard(long now) {
@@ -111,7 +111,7 @@
     boolean keepAlive(long now) {
         long every = settings.times().pingUs();
         boolean due = stage == Stage.UP || stage == Stage.WELCOMED;
-        if (!due || now - sentAt < every && now - pingedAt < 4 * every || outbox.ownFrames() > MAX_OWN_FRAMES) {
+        if (!due || now - sentAt < every && now - pingedAt < 4 * every || sendQueue.ownFrames() > MAX_OWN_FRAMES) {
             return false;
         }
         pingedAt = now;
@@ -120,7 +120,7 @@
     }
 
     boolean answer(Frame.Ping ping, long now) {
-        if (outbox.ownFrames() > MAX_OWN_FRAMES) {
+        if (sendQueue.ownFrames() > MAX_OWN_FRAMES) {
             return false;
         }
         own(new Frame.Pong(ping.stamp()), now);
@@ -164,7 +164,7 @@
                     yield end(Loss.SILENT, "nothing heard for " + ms(now - heardAt));
                 }
                 yield untakenSince < 0 || now - untakenSince < t.cloggedUs() ? Optional.empty()
-                        : end(Loss.CLOGGED, outbox.bytes() + " bytes wait, none taken for "
+                        : end(Loss.CLOGGED, sendQueue.bytes() + " bytes wait, none taken for "
                         + ms(now - untakenSince));
             }
             case ENDED -> Optional.empty();
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
@@ -13,24 +13,24 @@
     static final int MAX_CONNECTIONS = 128;
     static final long LASTING_US = 1_000_000;
 
-    private final Set<FramedSocket> wires = new LinkedHashSet<>();
+    private final Set<FramedSocket> transport = new LinkedHashSet<>();
 
     boolean add(FramedSocket w, long now) {
-        if (wires.size() >= MAX_CONNECTIONS) {
+        if (transport.size() >= MAX_CONNECTIONS) {
             return false;
         }
         w.closeAt = now + LASTING_US;
-        return wires.add(w);
+        return transport.add(w);
     }
 
     void end(FramedSocket w) {
-        if (wires.remove(w)) {
+        if (transport.remove(w)) {
             w.close();
         }
     }
 
     void expire(long now) {
-        for (Iterator<FramedSocket> i = wires.iterator(); i.hasNext();) {
+        for (Iterator<FramedSocket> i = transport.iterator(); i.hasNext();) {
             FramedSocket w = i.next();
             if (now >= w.closeAt) {
                 w.close();
@@ -40,7 +40,7 @@
     }
 
     void closeAll() {
-        wires.forEach(FramedSocket::close);
-        wires.clear();
+        transport.forEach(FramedSocket::close);
+        transport.clear();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
@@ -29,7 +29,7 @@
 
     private final Selector selector;
     private final Resolver resolver = new Resolver();
-    private final Map<Long, FramedSocket> wires = new HashMap<>();
+    private final Map<Long, FramedSocket> transport = new HashMap<>();
     private final ClosingConnections farewells = new ClosingConnections();
     private final Queue<FramedSocket> dirty = new ArrayDeque<>();
     private final Queue<Runnable> later = new ConcurrentLinkedQueue<>();
@@ -56,7 +56,7 @@
         try {
             SocketChannel channel = SocketChannel.open(StandardProtocolFamily.INET);
             FramedSocket w = new FramedSocket(wire, channel);
-            wires.put(wire, w);
+            transport.put(wire, w);
             resolver.resolve(to, channel::isOpen, (address, fault) -> {
                 later.add(() -> connect(w, address, fault));
                 selector.wakeup();
@@ -67,7 +67,7 @@
     }
 
     private void connect(FramedSocket w, InetSocketAddress address, String fault) {
-        if (wires.get(w.number) != w) {
+        if (transport.get(w.number) != w) {
             return;
         }
         if (address == null) {
@@ -111,7 +111,7 @@
             w.close();
             return;
         }
-        wires.put(w.number, w);
+        transport.put(w.number, w);
         try {
             set(channel);
             w.key = channel.register(selector, reading ? SelectionKey.OP_READ : 0, w);
@@ -126,7 +126,7 @@
 
     @Override
     public void ready(long wire) {
-        FramedSocket w = wires.get(wire);
+        FramedSocket w = transport.get(wire);
         if (w != null && !w.dirty) {
             w.dirty = true;
             dirty.add(w);
@@ -135,7 +135,7 @@
 
     @Override
     public void close(long wire, ByteBuffer last) {
-        FramedSocket w = wires.remove(wire);
+        FramedSocket w = transport.remove(wire);
         if (w == null) {
             return;
         }
@@ -149,7 +149,7 @@
     }
 
     private void end(FramedSocket w, Loss how, String why) {
-        if (wires.remove(w.number) != null) {
+        if (transport.remove(w.number) != null) {
             w.close();
             board.ended(now, w.number, how, why);
         }
@@ -229,14 +229,14 @@
     void reading(boolean on) {
         if (on != reading) {
             reading = on;
-            wires.values().stream().filter(w -> w.channel.isConnected())
+            transport.values().stream().filter(w -> w.channel.isConnected())
                     .forEach(w -> w.interest(SelectionKey.OP_READ, on));
         }
     }
 
     void closeAll() {
         farewells.closeAll();
-        wires.values().forEach(FramedSocket::close);
+        transport.values().forEach(FramedSocket::close);
         resolver.close();
         try {
             selector.close();
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -45,8 +45,8 @@
 
     private final TaskThread thread = new TaskThread("fleet");
     private final TcpLinks links;
-    private final NodeComponents parts;
-    private final FleetTopology course;
+    private final NodeComponents components;
+    private final FleetTopology topology;
     private final QueryPathFetcher fetching;
     private final LoopSide side;
 
@@ -69,49 +69,48 @@
         RightsManager rights = new RightsManager(name, incarnation, self.hall(), classes,
                 floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(), shared, now);
-        rights.ownFile(settings.agreed().limits());
+        rights.localLimits(settings.agreed().limits());
         PoolCoordinator pools =
                 new PoolCoordinator(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
-        CommittedConfig ruling = new CommittedConfig();
-        ruling.offer(settings.agreed().text());
-        course = new FleetTopology(settings.agreed());
-        MessageDispatcher reception = new MessageDispatcher(course);
+        CommittedConfig committedConfig = new CommittedConfig();
+        committedConfig.offer(settings.agreed().text());
+        topology = new FleetTopology(settings.agreed());
+        MessageDispatcher dispatcher = new MessageDispatcher(topology);
         links = new TcpLinks(new LinkSettings(settings.cluster(), self, incarnation, settings.links(),
-                LinkSettings.Bounds.USUAL, settings.routes()), settings.listen(), course::knows, reception, thread,
+                LinkSettings.Bounds.USUAL, settings.routes()), settings.listen(), topology::knows, dispatcher, thread,
                 seed);
         EvidenceFlow evidence = new EvidenceFlow(self, incarnation, settings.verdicts(), settings.limits().drift(),
                 links, halls, classes.size(), now);
         VoterSetup agreement = settings.directory() == null ? null
                 : VoterSetup.start(settings, name, links, clock, thread, seed);
         VoterThread voter = agreement == null ? null : agreement.voter();
-        FleetLeader leading = agreement == null ? null
-                : new FleetLeader(name, voter, agreement.parts(), settings.limits(), pools.desk(), ruling,
+        FleetLeader leader = agreement == null ? null
+                : new FleetLeader(name, voter, agreement.components(), settings.limits(), pools.allocator(),
+                committedConfig,
                         settings.voters());
         fetching = new QueryPathFetcher(classes, site, tasks, wake, seed);
         OutageThread outage = !settings.outages().isOn() ? null : new OutageThread(settings.outages(),
                 new LocalNode(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links,
-                fetching,
-                this::isBusy, seed);
+                fetching, this::isBusy, seed);
         side = new LoopSide(site, loop, clock, shared, new LoopSide.Channels(heard, tasks, wake),
                 outage == null ? null : outage::lookUp, pools.budget(),
                 settings.limits().surely(settings.limits().engineForget()), settings.limits().lease());
-        parts = new NodeComponents(settings, self, clock, links, rights, floors, evidence, ruling, pools, voter,
-                leading, outage,
-                wake);
-        PeriodicTasks rounds = new PeriodicTasks(parts, course, reception, heard, thread, site);
+        components = new NodeComponents(settings, self, clock, links, rights, floors, evidence, committedConfig, pools,
+                voter, leader, outage, wake);
+        PeriodicTasks periodicTasks = new PeriodicTasks(components, topology, dispatcher, heard, thread, site);
         new LimitBounds(settings.limits(), MAX_LINK_US).lines(settings.agreed().limits(),
                 settings.agreed().members().size()).forEach(line -> Logger.info("fleet: {}", line));
         Logger.info("fleet {}: {} of hall {} listens on {} for {} gateways", settings.cluster(), name, self.hall(),
                 settings.listen(), settings.agreed().members().size());
-        reception.begin(parts, rounds);
-        course.begin(parts);
-        rounds.publish(); // before the first query: until rights come, what is limited may use nothing
+        dispatcher.begin(components, periodicTasks);
+        topology.begin(components);
+        periodicTasks.publish(); // before the first query: until rights come, what is limited may use nothing
         thread.begin();
-        thread.every(settings.limits().beat(), rounds::beat);
-        thread.every(settings.verdicts().evidenceUs(), rounds::spread);
-        if (leading != null) {
-            thread.every(LEAD_TICK_US, rounds::lead);
-            thread.every(FLOORS_EVERY_US, rounds::keepFloors);
+        thread.every(settings.limits().beat(), periodicTasks::beat);
+        thread.every(settings.verdicts().evidenceUs(), periodicTasks::exchangeEvidence);
+        if (leader != null) {
+            thread.every(LEAD_TICK_US, periodicTasks::runLeaderTasks);
+            thread.every(FLOORS_EVERY_US, periodicTasks::keepFloors);
         }
     }
 
@@ -126,7 +125,7 @@
 
     /** By which connections to engines are opened. */
     public ConnectionBudget connections() {
-        return parts.pools().budget();
+        return components.pools().budget();
     }
 
     /** What answers to be stored are asked of. */
@@ -136,18 +135,18 @@
 
     /** A new operator's file, of which only what holds for the whole fleet is taken over while serving. */
     public void reload(FleetSettings next) {
-        thread.execute(() -> course.file(next.agreed()));
+        thread.execute(() -> topology.file(next.agreed()));
     }
 
     @Override
     public void close() {
         thread.close();
-        if (parts.outage() != null) {
-            parts.outage().close();
+        if (components.outage() != null) {
+            components.outage().close();
         }
         links.close();
-        if (parts.voter() != null) {
-            parts.voter().close();
+        if (components.voter() != null) {
+            components.voter().close();
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -22,24 +22,24 @@
 final class FleetTopology {
     private static final int MAX_NEIGHBOURS = 8; // of the hall, to which links are kept for stored answers
 
-    private final Map<String, Long> rulingOf = new HashMap<>(); // the version that a peer goes by
+    private final Map<String, Long> configVersionOf = new HashMap<>(); // the version that a peer goes by
     private final Set<String> up = new HashSet<>();
     private volatile Set<String> known; // names that may link
-    private NodeComponents parts;
-    private FleetConfig ownFile;
-    private FleetConfig followed = FleetConfig.NONE; // what rules, as a gateway without a vote has heard it
-    private StatusMessage lastNews = new StatusMessage(0, "", List.of(), 0, "");
+    private NodeComponents components;
+    private FleetConfig localConfig;
+    private FleetConfig learnedConfig = FleetConfig.NONE; // what rules, as a gateway without a vote has heard it
+    private StatusMessage lastStatus = new StatusMessage(0, "", List.of(), 0, "");
     private Map<String, String> hallOf = Map.of();
-    private Set<String> votersSeen = Set.of();
+    private Set<String> linkedVoters = Set.of();
 
-    FleetTopology(FleetConfig ownFile) {
-        this.ownFile = ownFile;
-        known = names(ownFile, FleetConfig.NONE);
+    FleetTopology(FleetConfig localConfig) {
+        this.localConfig = localConfig;
+        known = names(localConfig, FleetConfig.NONE);
     }
 
     void begin(NodeComponents all) {
-        parts = all;
-        rewire();
+        components = all;
+        updateLinks();
     }
 
     private static Set<String> names(FleetConfig a, FleetConfig b) {
@@ -56,40 +56,42 @@
 
     /** A new operator's file. */
     void file(FleetConfig next) {
-        ownFile = next;
-        parts.rights().ownFile(next.limits());
-        parts.ruling().offer(next.text());
-        rewire();
+        localConfig = next;
+        components.rights().localLimits(next.limits());
+        components.committedConfig().offer(next.text());
+        updateLinks();
     }
 
     /** What rules as far as known; this gateway's own file before anything was heard. */
-    private FleetConfig ruled() {
-        FleetConfig agreed = parts.voter() != null && parts.ruling().agreed().version() >= followed.version()
-                ? parts.ruling().agreed() : followed;
-        return agreed.version() == 0 ? ownFile : agreed;
+    private FleetConfig effectiveConfig() {
+        FleetConfig agreed = components.voter() != null && components.committedConfig().agreed()
+                .version() >= learnedConfig.version()
+                ? components.committedConfig().agreed() : learnedConfig;
+        return agreed.version() == 0 ? localConfig : agreed;
     }
 
-    long rulingVersion() {
-        FleetConfig ruled = ruled();
-        return ruled == ownFile ? 0 : ruled.version();
+    long configVersion() {
+        FleetConfig effectiveConfig = effectiveConfig();
+        return effectiveConfig == localConfig ? 0 : effectiveConfig.version();
     }
 
     long fileVersion() {
-        return ownFile.version();
+        return localConfig.version();
     }
 
     private List<String> voters() {
-        List<String> own = parts.voter() == null ? List.of() : parts.voter().status().voters();
-        return !own.isEmpty() ? own : !lastNews.voters().isEmpty() ? lastNews.voters() : parts.settings().founders();
+        List<String> own = components.voter() == null ? List.of() : components.voter().status().voters();
+        return !own.isEmpty() ? own : !lastStatus.voters().isEmpty() ? lastStatus.voters() : components.settings()
+                .founders();
     }
 
-    /** Who is told beats: the voters as of the last {@link #rewire}. */
-    Set<String> votersSeen() {
-        return votersSeen;
+    /** Who is told beats: the voters as of the last {@link #updateLinks}. */
+    Set<String> linkedVoters() {
+        return linkedVoters;
     }
 
     boolean votersChanged() {
-        return !Set.copyOf(voters()).equals(votersSeen);
+        return !Set.copyOf(voters()).equals(linkedVoters);
     }
 
     /** The hall of a member, null for a stranger. */
@@ -98,38 +100,38 @@
     }
 
     /** Members, voters or the file have changed: who may link, and to whom this gateway keeps links. */
-    void rewire() {
-        FleetConfig agreed = ruled();
-        parts.pools().rules(agreed);
-        known = names(agreed, ownFile);
+    void updateLinks() {
+        FleetConfig agreed = effectiveConfig();
+        components.pools().rules(agreed);
+        known = names(agreed, localConfig);
         List<String> voting = voters();
-        String hall = parts.self().hall();
+        String hall = components.self().hall();
         Set<Member> wanted = new HashSet<>();
-        Map<String, String> halls = new HashMap<>(Map.of(parts.self().name(), hall));
+        Map<String, String> halls = new HashMap<>(Map.of(components.self().name(), hall));
         agreed.members().forEach(m -> halls.put(m.name(), m.hall()));
         agreed.members().stream().filter(m -> isOther(m, voting)).forEach(wanted::add);
-        ownFile.members().stream().filter(m -> isOther(m, voting) && agreed.member(m.name()).isEmpty())
+        localConfig.members().stream().filter(m -> isOther(m, voting) && agreed.member(m.name()).isEmpty())
                 .forEach(wanted::add); // a founder that is not agreed on yet has to be reached for that
-        if (parts.outage() != null) { // neighbours hold copies for each other, and hear each other when cut off
-            agreed.members().stream().filter(m -> m.hall().equals(hall) && !parts.isSelf(m.name()))
+        if (components.outage() != null) { // neighbours hold copies for each other, and hear each other when cut off
+            agreed.members().stream().filter(m -> m.hall().equals(hall) && !components.isSelf(m.name()))
                     .limit(MAX_NEIGHBOURS).forEach(wanted::add);
             Set<String> near = new TreeSet<>();
             wanted.stream().filter(m -> m.hall().equals(hall)).forEach(m -> near.add(m.name()));
-            parts.outage().neighbours(near);
+            components.outage().neighbours(near);
         }
         hallOf = Map.copyOf(halls);
-        parts.links().want(wanted);
-        votersSeen = Set.copyOf(voting);
-        parts.evidence().roster(halls, votersSeen);
+        components.links().want(wanted);
+        linkedVoters = Set.copyOf(voting);
+        components.evidence().roster(halls, linkedVoters);
     }
 
     private boolean isOther(Member m, List<String> voting) {
-        return voting.contains(m.name()) && !parts.isSelf(m.name());
+        return voting.contains(m.name()) && !components.isSelf(m.name());
     }
 
     void up(String peer) {
         up.add(peer);
-        rulingOf.remove(peer);
+        configVersionOf.remove(peer);
     }
 
     /** Whether it was up. */
@@ -138,42 +140,43 @@
     }
 
     /** A peer's beat tells by which version it goes. */
-    void goesBy(String peer, long version) {
-        rulingOf.put(peer, version);
+    void configVersionReported(String peer, long version) {
+        configVersionOf.put(peer, version);
     }
 
     void heard(StatusMessage news) throws FaultyMessageException {
-        if (news.term() < lastNews.term()) {
+        if (news.term() < lastStatus.term()) {
             return;
         }
-        boolean changed = !news.voters().equals(lastNews.voters());
-        lastNews = news;
+        boolean changed = !news.voters().equals(lastStatus.voters());
+        lastStatus = news;
         FleetConfig agreed = news.text().isEmpty() ? FleetConfig.NONE : news.agreed();
-        if (agreed.version() > followed.version()) {
-            followed = agreed;
+        if (agreed.version() > learnedConfig.version()) {
+            learnedConfig = agreed;
             changed = true;
             Logger.info("fleet: version {} rules, {} gateways, {} limits", agreed.version(), agreed.members().size(),
                     agreed.limits().size());
         }
         if (changed) {
-            rewire();
+            updateLinks();
         }
     }
 
     /** Has the file of this gateway ruled, where it is newer than what does. */
-    void offerFile(String voter) {
-        if (ownFile.version() > lastNews.version() && ownFile.version() > parts.ruling().agreed().version()) {
-            parts.links().send(voter, Kind.PROPOSAL, ownFile.text().getBytes(StandardCharsets.US_ASCII));
+    void proposeLocalConfig(String voter) {
+        if (localConfig.version() > lastStatus.version() && localConfig.version() > components.committedConfig()
+                .agreed().version()) {
+            components.links().send(voter, Kind.PROPOSAL, localConfig.text().getBytes(StandardCharsets.US_ASCII));
         }
     }
 
     /** As a voter, tells all that are linked. */
-    void tellNews() {
-        VoterThread.Status status = parts.voter().status();
-        FleetConfig agreed = parts.ruling().agreed();
+    void broadcastStatus() {
+        VoterThread.Status status = components.voter().status();
+        FleetConfig agreed = components.committedConfig().agreed();
         for (String peer : up) {
-            boolean has = rulingOf.getOrDefault(peer, 0L) >= agreed.version();
-            parts.links().send(peer, Kind.NEWS,
+            boolean has = configVersionOf.getOrDefault(peer, 0L) >= agreed.version();
+            components.links().send(peer, Kind.NEWS,
                     new StatusMessage(status.term(), status.leader().orElse(""), status.voters(),
                     agreed.version(), has || agreed.version() == 0 ? "" : agreed.text()).encode());
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -12,17 +12,17 @@
 
 /** What comes over the links, handed to the part that it is for. A message that cannot be used is named and dropped. */
 final class MessageDispatcher implements Links.Listener {
-    private final FleetTopology course;
-    private NodeComponents parts;
-    private PeriodicTasks rounds;
+    private final FleetTopology topology;
+    private NodeComponents components;
+    private PeriodicTasks periodicTasks;
 
-    MessageDispatcher(FleetTopology course) {
-        this.course = course;
+    MessageDispatcher(FleetTopology topology) {
+        this.topology = topology;
     }
 
     void begin(NodeComponents all, PeriodicTasks its) {
-        parts = all;
-        rounds = its;
+        components = all;
+        periodicTasks = its;
     }
 
     @Override
@@ -35,67 +35,68 @@
     }
 
     private void take(String from, Kind kind, byte[] payload) throws FaultyMessageException {
-        long now = parts.clock().now();
-        if (parts.outage() != null && !parts.self().hall().equals(course.hallOf(from))) {
-            parts.outage().heardOutside(now);
+        long now = components.clock().now();
+        if (components.outage() != null && !components.self().hall().equals(topology.hallOf(from))) {
+            components.outage().heardOutside(now);
         }
         switch (kind) {
             case RAFT -> {
-                if (parts.voter() != null) {
-                    parts.voter().received(from, payload);
+                if (components.voter() != null) {
+                    components.voter().received(from, payload);
                 }
             }
-            case BEAT -> beaten(now, from, HeartbeatMessage.decode(payload));
+            case BEAT -> heartbeatReceived(now, from, HeartbeatMessage.decode(payload));
             case GRANT -> granted(HeartbeatMessage.grant(payload));
-            case EVIDENCE -> parts.evidence().received(now, from, payload);
-            case PROPOSAL -> parts.ruling().offer(new String(payload, StandardCharsets.US_ASCII));
-            case NEWS -> course.heard(StatusMessage.decode(payload));
+            case EVIDENCE -> components.evidence().received(now, from, payload);
+            case PROPOSAL -> components.committedConfig().offer(new String(payload, StandardCharsets.US_ASCII));
+            case NEWS -> topology.heard(StatusMessage.decode(payload));
             case CONTENT -> {
-                if (parts.outage() != null && parts.self().hall().equals(course.hallOf(from))) {
-                    parts.outage().received(from, payload);
+                if (components.outage() != null && components.self().hall().equals(topology.hallOf(from))) {
+                    components.outage().received(from, payload);
                 }
             }
             default -> { } // of no use here
         }
     }
 
-    void beaten(long now, String from, HeartbeatMessage m) {
-        course.goesBy(from, m.ruling());
-        if (parts.leading() != null) {
-            parts.leading().beat(now, from, m.beat());
+    void heartbeatReceived(long now, String from, HeartbeatMessage m) {
+        topology.configVersionReported(from, m.configVersion());
+        if (components.leader() != null) {
+            components.leader().beat(now, from, m.beat());
         }
     }
 
     /** Rights from the leader: into the view at once, and the loop looks. */
     void granted(Grant grant) {
-        parts.rights().granted(parts.clock().now(), grant);
-        rounds.publish();
-        parts.wake().run();
+        components.rights().granted(components.clock().now(), grant);
+        periodicTasks.publish();
+        components.wake().run();
     }
 
     @Override
     public void up(Member peer, long incarnation) {
-        long now = parts.clock().now();
-        course.up(peer.name());
-        parts.evidence().up(peer.name(), incarnation, now - parts.settings().links().greetUs()); // began after that
-        if (parts.outage() != null) {
-            parts.outage().up(peer.name());
+        long now = components.clock().now();
+        topology.up(peer.name());
+        // began after that
+        components.evidence().up(peer.name(), incarnation, now - components.settings().links().greetUs());
+        if (components.outage() != null) {
+            components.outage().up(peer.name());
         }
-        if (parts.leading() != null) {
-            parts.leading().met(peer.name(), now);
+        if (components.leader() != null) {
+            components.leader().met(peer.name(), now);
         }
         Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.hall());
     }
 
     @Override
     public void down(String peer, Links.Loss how, String why) {
-        boolean was = course.down(peer);
-        parts.evidence().down(peer);
-        if (parts.outage() != null) {
-            parts.outage().down(peer);
+        boolean was = topology.down(peer);
+        components.evidence().down(peer);
+        if (components.outage() != null) {
+            components.outage().down(peer);
         }
-        if (parts.leading() != null) {
-            parts.leading().lost(peer);
+        if (components.leader() != null) {
+            components.leader().lost(peer);
         }
         if (was || how == Links.Loss.REJECTED) {
             Logger.warn("fleet: link to {} is down: {} ({})", peer, how, why);
--- a/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -13,14 +13,13 @@
 import sandpaddle.fleet.node.spread.EvidenceFlow;
 
 /**
- * The parts of one gateway in a fleet, all of the fleet's thread. {@code voter} and {@code leading} are null without a
+ * The parts of one gateway in a fleet, all of the fleet's thread. {@code voter} and {@code leader} are null without a
  * directory, {@code floors} with them; {@code outage} is null where nothing is stored. {@code wake}: has the loop take
  * a turn.
  */
 record NodeComponents(FleetSettings settings, Member self, MonotonicClock clock, Links links, RightsManager rights,
-        FloorStore floors, EvidenceFlow evidence, CommittedConfig ruling, PoolCoordinator pools, VoterThread voter,
-        FleetLeader leading,
-        OutageThread outage, Runnable wake) {
+        FloorStore floors, EvidenceFlow evidence, CommittedConfig committedConfig, PoolCoordinator pools,
+        VoterThread voter, FleetLeader leader, OutageThread outage, Runnable wake) {
 
     boolean isSelf(String name) {
         return self.name().equals(name);
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -16,21 +16,20 @@
 final class PeriodicTasks {
     private static final long NEWS_EVERY_US = 1_000_000;
 
-    private final NodeComponents parts;
-    private final FleetTopology course;
-    private final MessageDispatcher reception;
+    private final NodeComponents components;
+    private final FleetTopology topology;
+    private final MessageDispatcher dispatcher;
     private final Queue<LoopEvent> heard;
     private final TaskThread thread;
     private final Gateway.Settings site;
     private final Set<String> engines = new TreeSet<>();
     private long newsAt = Long.MIN_VALUE / 2;
 
-    PeriodicTasks(NodeComponents parts, FleetTopology course, MessageDispatcher reception, Queue<LoopEvent> heard,
-            TaskThread thread,
-            Gateway.Settings site) {
-        this.parts = parts;
-        this.course = course;
-        this.reception = reception;
+    PeriodicTasks(NodeComponents components, FleetTopology topology, MessageDispatcher dispatcher,
+            Queue<LoopEvent> heard, TaskThread thread, Gateway.Settings site) {
+        this.components = components;
+        this.topology = topology;
+        this.dispatcher = dispatcher;
         this.heard = heard;
         this.thread = thread;
         this.site = site;
@@ -39,17 +38,17 @@
     /** Takes what the loop has told since. */
     private void drain() {
         for (LoopEvent h = heard.poll(); h != null; h = heard.poll()) {
-            parts.evidence().heard(h);
-            if (parts.outage() != null) {
-                parts.outage().heard(h);
+            components.evidence().heard(h);
+            if (components.outage() != null) {
+                components.outage().heard(h);
             }
             if (h instanceof LoopEvent.TenantSeen m) {
-                parts.rights().met(m.tenant());
+                components.rights().met(m.tenant());
             } else if (h instanceof LoopEvent.EngineListChanged l) {
                 listed(l.list());
             } else if (h instanceof LoopEvent.AttemptEnded e && e.rows() != null && site.classes().get(e.cls())
                     .load()) {
-                parts.evidence().loaded(e.now(), Long.toString(e.query().tableGroup()));
+                components.evidence().loaded(e.now(), Long.toString(e.query().tableGroup()));
             }
         }
     }
@@ -65,77 +64,80 @@
                 engines.remove(e.id());
             }
         }
-        parts.rights().engines(engines);
-        parts.pools().listed(parts.clock().now(), list);
+        components.rights().engines(engines);
+        components.pools().listed(components.clock().now(), list);
     }
 
     /** The view of now; counts are read only after it. */
     void publish() {
-        long now = parts.clock().now();
-        parts.pools().tick(now);
-        parts.rights().publish(parts.settings().verdictsOn() ? parts.evidence().forModule(now) : List.of(), Map.of(),
-                parts.outage() == null ? FleetView.Isolation.NONE : parts.outage().isolation());
+        long now = components.clock().now();
+        components.pools().tick(now);
+        components.rights().publish(components.settings().verdictsOn() ? components.evidence().forModule(now)
+                : List.of(), Map.of(),
+                components.outage() == null ? FleetView.Isolation.NONE : components.outage().isolation());
     }
 
     void beat() {
         drain();
         publish();
-        long now = parts.clock().now();
+        long now = components.clock().now();
         HeartbeatMessage message =
-                new HeartbeatMessage(course.rulingVersion(), course.fileVersion(), parts.rights().beat(now));
+                new HeartbeatMessage(topology.configVersion(), topology.fileVersion(), components.rights().beat(now));
         byte[] bytes = message.encode();
-        for (String v : course.votersSeen()) {
-            if (parts.isSelf(v)) {
-                reception.beaten(now, v, message);
+        for (String v : topology.linkedVoters()) {
+            if (components.isSelf(v)) {
+                dispatcher.heartbeatReceived(now, v, message);
             } else {
-                parts.links().send(v, Kind.BEAT, bytes);
-                course.offerFile(v);
+                components.links().send(v, Kind.BEAT, bytes);
+                topology.proposeLocalConfig(v);
             }
         }
-        parts.wake().run();
+        components.wake().run();
     }
 
-    void spread() {
+    void exchangeEvidence() {
         drain();
-        long now = parts.clock().now();
-        parts.evidence().tick(now);
-        if (parts.outage() != null) {
-            parts.outage().link(parts.evidence().ownHall());
-            parts.evidence().changedGroups(now, parts.outage()::changed);
+        long now = components.clock().now();
+        components.evidence().tick(now);
+        if (components.outage() != null) {
+            components.outage().link(components.evidence().ownHall());
+            components.evidence().changedGroups(now, components.outage()::changed);
         }
     }
 
     /** So that a restart while cut off has its floors. The thread that waits for the disk writes them. */
     void keepFloors() {
-        List<SavedFloor> kept = parts.rights().holder().floors();
-        parts.voter().execute(() -> {
-            if (parts.floors().write(kept)) {
-                thread.execute(() -> parts.rights().holder().floorsWritten(parts.clock().now(), kept));
+        List<SavedFloor> kept = components.rights().holder().floors();
+        components.voter().execute(() -> {
+            if (components.floors().write(kept)) {
+                thread.execute(() -> components.rights().holder().floorsWritten(components.clock().now(), kept));
             }
         });
     }
 
     private Set<String> isolated() {
-        return parts.outage() != null && parts.outage().isolation().isolated() ? Set.of(parts.self().hall()) : Set.of();
+        return components.outage() != null && components.outage().isolation().isolated()
+                ? Set.of(components.self().hall()) : Set.of();
     }
 
-    void lead() {
-        long now = parts.clock().now();
-        long ruledBefore = parts.ruling().agreed().version();
-        parts.leading().tick(now, parts.pools().state(now, parts.evidence().forModule(now), isolated()), grant -> {
-            if (parts.isSelf(grant.member())) {
-                reception.granted(grant);
+    void runLeaderTasks() {
+        long now = components.clock().now();
+        long ruledBefore = components.committedConfig().agreed().version();
+        components.leader().tick(now, components.pools().state(now, components.evidence().forModule(now), isolated()),
+                grant -> {
+            if (components.isSelf(grant.member())) {
+                dispatcher.granted(grant);
             } else {
-                parts.links().send(grant.member(), Kind.GRANT, HeartbeatMessage.encode(grant));
+                components.links().send(grant.member(), Kind.GRANT, HeartbeatMessage.encode(grant));
             }
         });
-        if (parts.ruling().agreed().version() != ruledBefore || course.votersChanged()) {
-            course.rewire();
+        if (components.committedConfig().agreed().version() != ruledBefore || topology.votersChanged()) {
+            topology.updateLinks();
             newsAt = Long.MIN_VALUE / 2;
         }
-        if (now - newsAt >= NEWS_EVERY_US && parts.voter().status().voters().contains(parts.self().name())) {
+        if (now - newsAt >= NEWS_EVERY_US && components.voter().status().voters().contains(components.self().name())) {
             newsAt = now;
-            course.tellNews();
+            topology.broadcastStatus();
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -37,16 +37,15 @@
 public final class FleetLeader {
     /** The replicated parts that this stands on. */
     public record Components(MachinePart members, Membership membership, MachinePart policies, VersionedTexts policy,
-            MachinePart rights,
-            RightsTable table) { }
+            MachinePart rights, RightsTable table) { }
 
     private static final long LINE_UP_US = 200_000; // between two looks at whether members and limits are in line
     private static final long ANSWER_US = 1_000_000; // a proposal that was not answered is made again
 
     private final VoterThread voters;
     private final Components parts;
-    private final RightsAllocator allotter;
-    private final CommittedConfig ruling;
+    private final RightsAllocator allocator;
+    private final CommittedConfig committedConfig;
     private final PoolAllocator pools;
     private final VoterPlan plan;
     private final String self;
@@ -60,14 +59,13 @@
     private int pending;
 
     public FleetLeader(String self, VoterThread voters, Components parts, LimitSettings limits, PoolAllocator pools,
-            CommittedConfig ruling,
-            VoterPlan.Settings plan) {
+            CommittedConfig committedConfig, VoterPlan.Settings plan) {
         this.self = self;
         this.voters = voters;
         this.parts = parts;
-        this.ruling = ruling;
+        this.committedConfig = committedConfig;
         this.plan = new VoterPlan(plan);
-        allotter = new RightsAllocator(limits, parts.table(), pools);
+        allocator = new RightsAllocator(limits, parts.table(), pools);
         this.pools = pools;
     }
 
@@ -93,7 +91,7 @@
     public void beat(long now, String member, Heartbeat beat) {
         heard(member, now);
         voters.read(() -> {
-            allotter.beat(now, member, beat);
+            allocator.beat(now, member, beat);
             return null;
         });
     }
@@ -101,11 +99,11 @@
     /** To be called every few tens of milliseconds, with what conditions are judged by; grants go to {@code send}. */
     public void tick(long now, FleetState state, Consumer<Grant> send) {
         VoterThread.Status status = voters.status();
-        voters.read(() -> ruling.read(parts.policy().text(FleetConfig.NAME)));
+        voters.read(() -> committedConfig.read(parts.policy().text(FleetConfig.NAME)));
         if (!status.leads()) {
             if (term != 0) {
                 term = 0;
-                allotter.deposed();
+                allocator.deposed();
                 Logger.info("fleet: {} leads no more; leader {}", self, status.leader().orElse("unknown"));
             }
             return;
@@ -115,13 +113,13 @@
             ledSince = now;
             pending = 0;
             confirming = false;
-            allotter.elected(term);
+            allocator.elected(term);
             Logger.info("fleet: {} leads in term {}, voters {}", self, term, status.voters());
         }
         confirm(now);
         if (pools.solve(now, state)) {
             voters.read(() -> {
-                allotter.retarget();
+                allocator.retarget();
                 return null;
             });
         }
@@ -129,7 +127,7 @@
             linedUpAt = now;
             lineUp(now, status);
         }
-        AllocatorOutput turn = voters.read(() -> allotter.tick(now));
+        AllocatorOutput turn = voters.read(() -> allocator.tick(now));
         turn.propose().forEach(c -> voters.propose(parts.rights().command(CommandCodec.write(c)), this::told));
         turn.grants().forEach(send);
     }
@@ -144,7 +142,7 @@
                     confirming = false;
                     if (leads) {
                         voters.read(() -> {
-                            allotter.confirmed(now);
+                            allocator.confirmed(now);
                             return null;
                         });
                     }
@@ -178,8 +176,8 @@
 
     private List<byte[]> missing() {
         List<byte[]> commands = new ArrayList<>();
-        ruling.toPropose().ifPresent(c -> commands.add(parts.policies().command(c)));
-        FleetConfig agreed = ruling.agreed();
+        committedConfig.toPropose().ifPresent(c -> commands.add(parts.policies().command(c)));
+        FleetConfig agreed = committedConfig.agreed();
         if (agreed.version() == 0) {
             return commands;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -26,11 +26,11 @@
         this.leaseUs = leaseUs;
     }
 
-    /** {@code lingering}: what counts there and is out no more as the module knows it. */
-    Gateway.Allowances of(FleetView view, AttemptCounters cells, OrphanedAttempts lingering, Set<String> listed,
+    /** {@code orphaned}: what counts there and is out no more as the module knows it. */
+    Gateway.Allowances of(FleetView view, AttemptCounters cells, OrphanedAttempts orphaned, Set<String> listed,
             long now) {
         List<Gateway.Allowance> all = new ArrayList<>();
-        long[] lingers = lingering.bySlot(cells, view.slots().size());
+        long[] lingers = orphaned.bySlot(cells, view.slots().size());
         long pause = 0;
         for (int i = 0; i < view.slots().size(); i++) {
             Slot s = view.slots().get(i);
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
@@ -17,8 +17,7 @@
     }
 
     static List<String> of(FleetView view, AttemptCounters cells, TenantNumbers tenants, Gateway.Settings site,
-            List<FleetSide.Out> out,
-            long now) {
+            List<FleetSide.Out> out, long now) {
         long[] over = new long[view.slots().size()];
         for (int i = 0; i < over.length; i++) {
             over[i] = view.slots().get(i).counts() == Slot.Counts.RUNNING
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopSide.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopSide.java
@@ -50,7 +50,7 @@
     private final TenantNumbers tenants = new TenantNumbers();
     private final AttemptCounters cells;
     private final RateBuckets buckets = new RateBuckets();
-    private final OrphanedAttempts lingering;
+    private final OrphanedAttempts orphaned;
     private final AllowanceCalculator allowing;
     private final PoolBudget pools;
     private final ListedEngines listed;
@@ -74,7 +74,7 @@
         this.stored = stored;
         this.pools = pools;
         cells = new AttemptCounters(shared.views(), shared.usages(), site.classes().size());
-        lingering = new OrphanedAttempts(forgetUs);
+        orphaned = new OrphanedAttempts(forgetUs);
         listed = new ListedEngines(site.zone());
         allowing = new AllowanceCalculator(buckets, tenants, leaseUs);
         refresh();
@@ -83,7 +83,7 @@
     /** Buckets fill and lapses come while nothing else happens on the loop. */
     private void refresh() {
         long now = clock.now();
-        if (!buckets.isEmpty() && waiting > 0 || lingering.next() <= now || view.holds(now) != leased) {
+        if (!buckets.isEmpty() && waiting > 0 || orphaned.next() <= now || view.holds(now) != leased) {
             stale = true;
             loop.again();
         }
@@ -97,7 +97,7 @@
         }
         long now = clock.now();
         FleetView next = cells.adopt();
-        boolean freed = lingering.free(now, cells::end);
+        boolean freed = orphaned.free(now, cells::end);
         boolean holds = next.holds(now) && now >= next.freshUs();
         if (next == view && holds == leased && !freed && !stale && !tenants.hasGrown()) {
             return List.of();
@@ -110,7 +110,7 @@
         buckets.adopt(view, now);
         pools.less();
         List<Gateway.Event> events = new ArrayList<>(2);
-        Gateway.Allowances rights = allowing.of(view, cells, lingering, listed.up(), now);
+        Gateway.Allowances rights = allowing.of(view, cells, orphaned, listed.up(), now);
         if (!rights.equals(told)) {
             told = rights;
             Logger.debug("fleet: rights by view {}, leased {}: {}", view.numbering(), leased, rights);
@@ -187,14 +187,13 @@
         if (e.gone()) {
             cells.end(e.cls(), tenant, e.engine());
         } else {
-            lingering.add(e.cls(), tenant, e.engine(), now);
+            orphaned.add(e.cls(), tenant, e.engine(), now);
             stale = true;
         }
         Outcome outcome = outcome(e.result());
         if (outcome != null) {
             heard.offer(new LoopEvent.AttemptEnded(now, e.engine(), e.cls(), tenant, e.query(), outcome,
-                    Micros.of(e.elapsed()),
-                    e.rows()));
+                    Micros.of(e.elapsed()), e.rows()));
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -83,8 +83,7 @@
 
     /** {@code over}: carries copies to neighbours. */
     public OutageService(OutageSettings settings, LocalNode itself, ContentStore store, Links over,
-            AnswerFetcher fetching,
-            long seed) {
+            AnswerFetcher fetching, long seed) {
         this.settings = settings;
         self = itself.name();
         storable = new StorableClasses(settings.maxAgeMs(), itself.classes(), itself.site());
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
@@ -28,7 +28,7 @@
     private final PoolBudget budget;
     private final PoolEngines engines;
     private final ActivePoolPolicy ruling = new ActivePoolPolicy();
-    private final PoolAllocator desk = new PoolAllocator();
+    private final PoolAllocator allocator = new PoolAllocator();
     private Map<String, String> halls = Map.of();
 
     /** {@code kinds}: of engines, their names by number. */
@@ -38,8 +38,8 @@
         engines = new PoolEngines(kinds);
     }
 
-    public PoolAllocator desk() {
-        return desk;
+    public PoolAllocator allocator() {
+        return allocator;
     }
 
     public PoolBudget budget() {
@@ -62,7 +62,7 @@
 
     /** What conditions are judged by, once all that is known here was handed on. */
     public FleetState state(long now, List<FleetView.Verdict> verdicts, Set<String> isolated) {
-        desk.known(new PoolAllocator.Known(ruling.policy(), engines.all(now), halls));
+        allocator.known(new PoolAllocator.Known(ruling.policy(), engines.all(now), halls));
         return state(engines.all(now), verdicts, isolated);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
@@ -38,7 +38,7 @@
     private final PoolSlots pools = new PoolSlots();
     private final Set<String> engines = new HashSet<>();
     private final Set<String> tenants = new HashSet<>();
-    private Collection<LimitSpec> ownFile = List.of();
+    private Collection<LimitSpec> localLimits = List.of();
     private boolean behind; // by what this gateway could read, not by what rules
 
     /** {@code classes}: their names, by number. */
@@ -63,8 +63,8 @@
     }
 
     /** The limits of this gateway's own file: they bind, with nothing given, until the fleet's are heard. */
-    public void ownFile(Collection<LimitSpec> limits) {
-        ownFile = List.copyOf(limits);
+    public void localLimits(Collection<LimitSpec> limits) {
+        localLimits = List.copyOf(limits);
     }
 
     /** The engines that are listed now. */
@@ -93,7 +93,7 @@
 
     private Collection<LimitSpec> inForce() {
         Map<String, LimitSpec> limits = holder.limits();
-        return limits.isEmpty() ? ownFile : limits.values();
+        return limits.isEmpty() ? localLimits : limits.values();
     }
 
     /** Rights from the leader. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
@@ -8,10 +8,10 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /** A gateway's beat: the version of what it goes by and of its own file, and the use of its rights. */
-public record HeartbeatMessage(long ruling, long ownFile, Heartbeat beat) {
+public record HeartbeatMessage(long configVersion, long localVersion, Heartbeat beat) {
 
     public byte[] encode() {
-        CborOut out = new CborOut().number(ruling).number(ownFile);
+        CborOut out = new CborOut().number(configVersion).number(localVersion);
         LimitCodec.write(out, beat);
         return out.done();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/JoinRequest.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/JoinRequest.java
@@ -7,23 +7,23 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What a voter says of itself before it takes part: {@code life}, drawn at this opening of its store; {@code former},
- * the lives before it as its disk has them, the newest last; and how far its disk is.
+ * What a voter says of itself before it takes part: {@code incarnation}, drawn at this opening of its store; {@code
+ * former}, the lives before it as its disk has them, the newest last; and how far its disk is.
  *
  * @param former at most {@value #MAX_FORMER}
  * @param index of the last entry
  */
-public record JoinRequest(Endpoint who, long life, List<Long> former, int term, long index) {
+public record JoinRequest(Endpoint who, long incarnation, List<Long> former, int term, long index) {
     /** A peer that missed more openings than this refuses the voter, which then comes back under a new number. */
     public static final int MAX_FORMER = 64;
 
-    /** Writes all but {@code who} and {@code life}, which every message has. */
+    /** Writes all but {@code who} and {@code incarnation}, which every message has. */
     public void write(CborOut out) {
         out.list(former, CborOut::number).number(term).number(index);
     }
 
-    public static JoinRequest read(Endpoint who, long life, CborIn in) throws FaultyMessageException {
-        return new JoinRequest(who, life, in.list(MAX_FORMER, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)),
+    public static JoinRequest read(Endpoint who, long incarnation, CborIn in) throws FaultyMessageException {
+        return new JoinRequest(who, incarnation, in.list(MAX_FORMER, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)),
             (int) in.number(0, Integer.MAX_VALUE), in.number(0, Long.MAX_VALUE));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -16,7 +16,7 @@
 
 /** What a gateway keeps on its disk about itself as a voter, and about the others. */
 public class LocalVoterState {
-    private static final String LIVES = "raft.lives";
+    private static final String INCARNATIONS = "raft.lives";
     private static final String RETIRED = "raft.retired";
     private static final String FAULTS = "raft.faults";
     private static final String SEEN = "raft.seen";
@@ -86,22 +86,22 @@
 
     /** Draws a life for this opening; durable when it returns, so that no two openings ever claim the same. */
     public JoinRequest open(Endpoint self, RecoveredState found, Random random) throws StoreException {
-        List<Long> former = lives();
-        long life = random.nextLong();
+        List<Long> former = incarnations();
+        long incarnation = random.nextLong();
         List<Long> all = new ArrayList<>(former);
-        all.add(life);
+        all.add(incarnation);
         int drop = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
-        store.put(LIVES, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
-        return new JoinRequest(self, life, former, found.term(), found.lastIndex());
+        store.put(INCARNATIONS, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
+        return new JoinRequest(self, incarnation, former, found.term(), found.lastIndex());
     }
 
-    private List<Long> lives() throws StoreException {
-        Optional<byte[]> kept = store.get(LIVES);
+    private List<Long> incarnations() throws StoreException {
+        Optional<byte[]> kept = store.get(INCARNATIONS);
         try {
             return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(JoinRequest.MAX_FORMER,
                 i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         } catch (FaultyMessageException e) {
-            throw new StoreException(StoreException.Kind.CORRUPT, LIVES + ": " + e.getMessage(), e);
+            throw new StoreException(StoreException.Kind.CORRUPT, INCARNATIONS + ": " + e.getMessage(), e);
         }
     }
 
@@ -116,7 +116,7 @@
             store.identity(id); // empties it, and makes it take writes again
         }
         StateRestorer.prepare(store, first, false);
-        store.put(LIVES, new CborOut().list(List.<Long>of(), CborOut::number).done());
+        store.put(INCARNATIONS, new CborOut().list(List.<Long>of(), CborOut::number).done());
         store.put(FAULTS, new CborOut().text(faults(found)).done());
         if (found.trusted()) {
             store.identity(id);
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -22,7 +22,7 @@
     public static final int MAX_NAMES = 64;
 
     /** The newest endpoint of a name: its life, and the highest term and index at that term that it told. */
-    private record Sighting(int number, long life, int term, long index) { }
+    private record Sighting(int number, long incarnation, int term, long index) { }
 
     private final Map<String, Sighting> sights = new LinkedHashMap<>();
 
@@ -36,7 +36,7 @@
         if (!why.isEmpty()) {
             return Optional.of(new Refusal(why, known.number()));
         }
-        if (known == null || known.number() != c.who().number() || known.life() != c.life()) {
+        if (known == null || known.number() != c.who().number() || known.incarnation() != c.incarnation()) {
             meet(c);
         }
         return Optional.empty();
@@ -44,17 +44,17 @@
 
     /** From now on this life is the one that counts. */
     protected final void meet(JoinRequest c) {
-        keep(c.who().name(), new Sighting(c.who().number(), c.life(), c.term(), c.index()));
+        keep(c.who().name(), new Sighting(c.who().number(), c.incarnation(), c.term(), c.index()));
     }
 
     private static String fault(Sighting known, JoinRequest c) {
         if (known.number() > c.who().number()) {
             return "the name votes as number " + known.number() + " since";
         }
-        if (known.number() < c.who().number() || known.life() == c.life()) {
+        if (known.number() < c.who().number() || known.incarnation() == c.incarnation()) {
             return "";
         }
-        if (!c.former().contains(known.life())) {
+        if (!c.former().contains(known.incarnation())) {
             return "its disk does not know of a life that was met: it is empty or an old copy";
         }
         if (c.term() < known.term() || c.term() == known.term() && c.index() < known.index()) {
@@ -65,9 +65,9 @@
     }
 
     /** Whether messages of this life of an endpoint may be handed on. */
-    public boolean admits(Endpoint who, long life) {
+    public boolean admits(Endpoint who, long incarnation) {
         Sighting known = sights.get(who.name());
-        return known != null && known.number() == who.number() && known.life() == life;
+        return known != null && known.number() == who.number() && known.incarnation() == incarnation;
     }
 
     /** Whether this endpoint was ever welcomed here. */
@@ -88,7 +88,7 @@
             return false;
         }
         boolean isNew = term > known.term();
-        keep(who.name(), new Sighting(known.number(), known.life(), term, isNew ? index
+        keep(who.name(), new Sighting(known.number(), known.incarnation(), term, isNew ? index
             : Math.max(index, known.index())));
         return isNew;
     }
@@ -103,7 +103,7 @@
 
     public byte[] write() {
         return new CborOut().list(sights.entrySet(), (out, e) -> out.text(e.getKey()).number(e.getValue().number())
-            .number(e.getValue().life()).number(e.getValue().term()).number(e.getValue().index())).done();
+            .number(e.getValue().incarnation()).number(e.getValue().term()).number(e.getValue().index())).done();
     }
 
     public static PeerIncarnations read(byte[] kept) throws FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
@@ -21,17 +21,17 @@
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
     private boolean underWay;
 
-    /** Asks in the next round of {@code life}. */
-    public void ask(RaftIncarnation life, Consumer<Boolean> leads) {
-        if (!life.isLeader() || waiting.size() >= MAX_WAITING) {
+    /** Asks in the next round of {@code incarnation}. */
+    public void ask(RaftIncarnation incarnation, Consumer<Boolean> leads) {
+        if (!incarnation.isLeader() || waiting.size() >= MAX_WAITING) {
             leads.accept(false);
             return;
         }
         waiting.add(leads);
-        start(life);
+        start(incarnation);
     }
 
-    private void start(RaftIncarnation life) {
+    private void start(RaftIncarnation incarnation) {
         if (underWay || waiting.isEmpty()) {
             return;
         }
@@ -39,10 +39,10 @@
         asked = waiting;
         waiting = new ArrayList<>();
         List<Consumer<Boolean>> round = asked;
-        life.ask((answer, failure) -> {
+        incarnation.ask((answer, failure) -> {
             if (round == asked) {
                 finish(failure == null);
-                start(life);
+                start(incarnation);
             }
         });
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
@@ -52,7 +52,7 @@
     private final long silentUs; // MicroRaft gives up a leader before this, where it does
     private long heardUs; // from a leader of the present term
     private boolean ended;
-    private boolean startAgain;
+    private boolean needsRestart;
     private long have = -1; // up to where this follower's log is known to match, while a message is handled
     private Optional<Throwable> startFault = Optional.empty();
 
@@ -62,8 +62,7 @@
      * @throws StoreException where it cannot be read as a voter's state
      */
     public RaftIncarnation(String group, Endpoint self, VoterStore store, RecoveredState found, Commands commands,
-            Sender sender,
-            RaftSettings settings, Random random, long now) throws StoreException {
+            Sender sender, RaftSettings settings, Random random, long now) throws StoreException {
         this.group = group;
         this.sender = sender;
         this.log = new DurableLog(store, found.entries());
@@ -88,7 +87,7 @@
     public void run(long now) {
         if (!isOver()) {
             turns.run(now);
-            startAgain |= leader().isPresent() && !isLeader() && !isLearner() && now - heardUs > silentUs;
+            needsRestart |= leader().isPresent() && !isLeader() && !isLearner() && now - heardUs > silentUs;
         }
     }
 
@@ -111,18 +110,18 @@
 
     /** Whether it has ended by itself: a failed write, or the group removed this endpoint. */
     public boolean isOver() {
-        return ended || startAgain || log.fault().isPresent() || RaftNodeStatus.isTerminal(node.getStatus());
+        return ended || needsRestart || log.fault().isPresent() || RaftNodeStatus.isTerminal(node.getStatus());
     }
 
     /** Whether the group removed this endpoint. */
     public boolean isRemoved() {
-        return !ended && !startAgain && startFault.isEmpty() && log.fault().isEmpty()
+        return !ended && !needsRestart && startFault.isEmpty() && log.fault().isEmpty()
             && RaftNodeStatus.isTerminal(node.getStatus());
     }
 
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-        if (ended || startAgain || log.fault().isPresent()) {
+        if (ended || needsRestart || log.fault().isPresent()) {
             return;
         }
         RaftMessage said = have >= 0 && message instanceof AppendEntriesFailureResponse no && no.getTerm() == term()
@@ -168,7 +167,7 @@
         if (way instanceof SnapshotRepair.Action.Conflict conflict) {
             try {
                 log.cutFrom(conflict.index());
-                startAgain = true;
+                needsRestart = true;
             } catch (StoreException e) {
                 ended = true; // the log keeps the fault
             }
@@ -186,8 +185,8 @@
     }
 
     /** Whether the store holds what MicroRaft does not: a new life is to be made from it, which forgets nothing. */
-    public boolean startsAgain() {
-        return startAgain;
+    public boolean needsRestart() {
+        return needsRestart;
     }
 
     public int term() {
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
@@ -80,11 +80,9 @@
             RaftEndpoint vote = found.vote().map(Endpoint::of).orElse(null);
             return new RestoredRaftState(
                 CommonCodec.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(self).setVoting(votes)
-                .build(),
-                CommonCodec.view(0, first, first),
+                .build(), CommonCodec.view(0, first, first),
                 CommonCodec.MODEL.createRaftTermPersistentStateBuilder().setTerm(found.term()).setVotedFor(vote)
-                .build(),
-                found.snapshot().isPresent() ? snapshot(found.snapshot().get()) : null, entries);
+                .build(), found.snapshot().isPresent() ? snapshot(found.snapshot().get()) : null, entries);
         } catch (FaultyMessageException | IllegalArgumentException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, "what was stored cannot be read: " + e.getMessage(),
                 e);
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Admission.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Admission.java
@@ -97,7 +97,7 @@
             return Optional.of(new PeerIncarnations.Refusal("the fleet has taken it out of use", theirs.who()
                     .number()));
         }
-        boolean known = seen.admits(theirs.who(), theirs.life());
+        boolean known = seen.admits(theirs.who(), theirs.incarnation());
         Optional<PeerIncarnations.Refusal> refusal = seen.judge(theirs);
         if (refusal.isEmpty() && !known) {
             disk.keep(seen);
@@ -107,8 +107,8 @@
         return refusal;
     }
 
-    boolean admits(Endpoint who, long life) {
-        return seen.admits(who, life);
+    boolean admits(Endpoint who, long incarnation) {
+        return seen.admits(who, incarnation);
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
@@ -11,7 +11,7 @@
  * endpoint. A message for an endpoint that this gateway was once, or from a life that is over, is thereby never taken
  * for one of now.
  */
-record Envelope(Type what, Optional<Endpoint> from, long life, Endpoint to) {
+record Envelope(Type what, Optional<Endpoint> from, long incarnation, Endpoint to) {
     /** Raised with any change of a message's form; another version is refused by the links already. */
     static final int VERSION = 1;
 
@@ -33,7 +33,7 @@
 
     CborOut open() {
         return new CborOut().number(VERSION).number(what.ordinal()).text(from.map(Endpoint::toString).orElse(""))
-            .number(life).text(to.toString());
+            .number(incarnation).text(to.toString());
     }
 
     /** Reads the head, and checks that it comes from whom the link says. */
@@ -47,8 +47,8 @@
         if (from.isEmpty() && what != Type.STRANGER) {
             throw in.wrong("names no sender");
         }
-        long life = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        return new Envelope(what, from, life, endpoint(in).orElseThrow(() -> in.wrong("names no receiver")));
+        long incarnation = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
+        return new Envelope(what, from, incarnation, endpoint(in).orElseThrow(() -> in.wrong("names no receiver")));
     }
 
     private static Optional<Endpoint> endpoint(CborIn in) throws FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
@@ -44,16 +44,16 @@
 
     private final Endpoint self;
     private final MachinePart membership;
-    private final Callbacks around;
+    private final Callbacks callbacks;
     private final Set<Endpoint> strangers = new LinkedHashSet<>();
     private Optional<PendingChange> asked = Optional.empty();
     private boolean busy;
     private long lookAt;
 
-    MembershipChanger(Endpoint self, MachinePart membership, Callbacks around) {
+    MembershipChanger(Endpoint self, MachinePart membership, Callbacks callbacks) {
         this.self = self;
         this.membership = membership;
-        this.around = around;
+        this.callbacks = callbacks;
     }
 
     /** A gateway says that this endpoint is not its own any more. */
@@ -87,12 +87,12 @@
         return lookAt;
     }
 
-    void step(RaftIncarnation life, long now) {
+    void step(RaftIncarnation incarnation, long now) {
         if (busy || now < lookAt) {
             return;
         }
         lookAt = now + EVERY_US;
-        Members members = life.committed();
+        Members members = incarnation.committed();
         strangers.retainAll(members.all()); // others are gone already, or not yet there
         if (asked.isPresent() && now - asked.get().since() > MAX_US) {
             finish(new Outcome.Unknown("the voters are " + members.voting() + " after " + MAX_US / 1_000_000 + " s"));
@@ -100,66 +100,66 @@
         if (asked.isEmpty() && strangers.isEmpty() && members.all().equals(members.voting())) {
             return;
         }
-        if (members.index() != life.effective().index()) {
+        if (members.index() != incarnation.effective().index()) {
             return; // a change is not committed yet
         }
         busy = true;
-        life.report((report, failure) -> {
+        incarnation.report((report, failure) -> {
             busy = false;
             if (failure == null) {
-                act(life, members, report.getResult());
+                act(incarnation, members, report.getResult());
             }
         });
     }
 
-    private void act(RaftIncarnation life, Members members, RaftNodeReport report) {
+    private void act(RaftIncarnation incarnation, Members members, RaftNodeReport report) {
         List<String> wanted = asked.map(PendingChange::names)
             .orElseGet(() -> new ArrayList<>(new LinkedHashSet<>(names(members.voting()))));
-        Function<String, Membership.Numbers> numbers = around::numbers;
+        Function<String, Membership.Numbers> numbers = callbacks::numbers;
         Set<Endpoint> met = wanted.stream().map(n -> new Endpoint(n, numbers.apply(n).issued()))
-            .filter(around::met).collect(Collectors.toSet());
+            .filter(callbacks::met).collect(Collectors.toSet());
         Map<Endpoint, Long> matched = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
         for (Map.Entry<RaftEndpoint, Long> e : report.getLog().getFollowerMatchIndices().entrySet()) {
             matched.put((Endpoint) e.getKey(), e.getValue());
         }
         VoterChange.Step step = VoterChange.next(new VoterChange.View(self, members.all(), members.voting(), wanted,
             strangers, met, matched, report.getLog().getLastLogOrSnapshotIndex(), numbers));
-        take(life, members, step);
+        take(incarnation, members, step);
     }
 
     private static List<String> names(List<Endpoint> endpoints) {
         return endpoints.stream().map(Endpoint::name).toList();
     }
 
-    private void take(RaftIncarnation life, Members members, VoterChange.Step step) {
+    private void take(RaftIncarnation incarnation, Members members, VoterChange.Step step) {
         if (step instanceof VoterChange.Step.Issue issue) {
-            replicate(life, Membership.issue(issue.name(), issue.number()));
+            replicate(incarnation, Membership.issue(issue.name(), issue.number()));
         } else if (step instanceof VoterChange.Step.Invite invite) {
-            around.invite(invite.who(), members.voting());
+            callbacks.invite(invite.who(), members.voting());
         } else if (step instanceof VoterChange.Step.Change change) {
-            change(life, members, change);
+            change(incarnation, members, change);
         } else if (step instanceof VoterChange.Step.HandOver over) {
-            around.said("hands the leadership to " + over.to() + ", to leave the voters");
-            life.transfer(over.to());
+            callbacks.said("hands the leadership to " + over.to() + ", to leave the voters");
+            incarnation.transfer(over.to());
         } else if (step instanceof VoterChange.Step.Done) {
             finish(new Outcome.Done(members.index(), new byte[0]));
         }
     }
 
-    private void change(RaftIncarnation life, Members members, VoterChange.Step.Change change) {
+    private void change(RaftIncarnation incarnation, Members members, VoterChange.Step.Change change) {
         busy = true;
-        around.said("changes the voters " + members.voting() + ": " + change.mode() + " " + change.who());
-        life.change(change.who(), change.mode(), members.index(), (done, failure) -> {
+        callbacks.said("changes the voters " + members.voting() + ": " + change.mode() + " " + change.who());
+        incarnation.change(change.who(), change.mode(), members.index(), (done, failure) -> {
             busy = false;
             if (failure == null && change.mode() == MembershipChangeMode.REMOVE_MEMBER) {
                 strangers.remove(change.who());
-                replicate(life, Membership.retire(change.who().name(), change.who().number()));
+                replicate(incarnation, Membership.retire(change.who().name(), change.who().number()));
             }
         });
     }
 
-    private void replicate(RaftIncarnation life, byte[] command) {
+    private void replicate(RaftIncarnation incarnation, byte[] command) {
         busy = true;
-        life.replicate(membership.command(command), (done, failure) -> busy = false);
+        incarnation.replicate(membership.command(command), (done, failure) -> busy = false);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
@@ -28,14 +28,14 @@
 
     private final Set<Open> open = new LinkedHashSet<>();
 
-    void propose(RaftIncarnation life, byte[] command, Consumer<Outcome> outcome) {
+    void propose(RaftIncarnation incarnation, byte[] command, Consumer<Outcome> outcome) {
         if (open.size() >= MAX_OPEN) {
             outcome.accept(new Outcome.NotLeader(Optional.empty()));
             return;
         }
         Open one = new Open(outcome);
         open.add(one);
-        life.replicate(command, (done, failure) -> finish(one, failure == null ? done(done) : failed(failure)));
+        incarnation.replicate(command, (done, failure) -> finish(one, failure == null ? done(done) : failed(failure)));
     }
 
     private void finish(Open one, Outcome how) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
@@ -50,7 +50,7 @@
 
     private static final long PROBE_EVERY_US = 100_000;
 
-    private final VoterState standing;
+    private final VoterState voterState;
     private boolean led;
     private long now;
     private long probeAt;
@@ -58,18 +58,18 @@
     private long highestTerm;
 
     /** Opens the store; {@code machine} is in its first state and changed only by this from now on. */
-    public Voter(Settings settings, VoterStore store, Replicated machine, Callbacks around, Random random, long now) {
-        this(settings, store, new LocalVoterState(store, settings.cluster(), settings.name()), machine, around, random,
-                now);
+    public Voter(Settings settings, VoterStore store, Replicated machine, Callbacks callbacks, Random random,
+            long now) {
+        this(settings, store, new LocalVoterState(store, settings.cluster(), settings.name()), machine, callbacks,
+                random, now);
     }
 
     /** The same with another memory of who was met; tests show with one what happens without it. */
-    public Voter(Settings settings, VoterStore store, LocalVoterState disk, Replicated machine, Callbacks around,
-            Random random,
-            long now) {
+    public Voter(Settings settings, VoterStore store, LocalVoterState disk, Replicated machine, Callbacks callbacks,
+            Random random, long now) {
         this.now = now;
-        this.standing = new VoterState(settings, store, disk, machine, around, random);
-        standing.open(now);
+        this.voterState = new VoterState(settings, store, disk, machine, callbacks, random);
+        voterState.open(now);
     }
 
     /** Runs what is due at {@code at}. */
@@ -77,85 +77,86 @@
         now = Math.max(now, at);
         if (now >= probeAt) {
             probeAt = now + PROBE_EVERY_US;
-            if (standing.store().retry(now).writable() && standing.phase() == Phase.FAILED) {
-                standing.open(now);
+            if (voterState.store().retry(now).writable() && voterState.phase() == Phase.FAILED) {
+                voterState.open(now);
             }
         }
-        standing.step(now);
-        standing.life().ifPresent(l -> l.run(now));
+        voterState.step(now);
+        voterState.incarnation().ifPresent(l -> l.run(now));
         settle();
     }
 
     /** Takes a message that came from the gateway {@code from}. */
     public void received(String from, byte[] message, long at) {
         now = Math.max(now, at);
-        standing.door().received(from, message, now);
+        voterState.transport().received(from, message, now);
         settle();
     }
 
     /** Looks at what a step changed. */
     private void settle() {
-        if (!standing.lives()) {
+        if (!voterState.isActive()) {
             led = false;
             membersAt = -1;
             return;
         }
-        RaftIncarnation life = standing.life().orElseThrow();
-        highestTerm = Math.max(highestTerm, life.term());
-        if (life.effectiveIndex() != membersAt) {
-            membersAt = life.effectiveIndex();
-            standing.admission().orElseThrow().members(life.effective());
+        RaftIncarnation incarnation = voterState.incarnation().orElseThrow();
+        highestTerm = Math.max(highestTerm, incarnation.term());
+        if (incarnation.effectiveIndex() != membersAt) {
+            membersAt = incarnation.effectiveIndex();
+            voterState.admission().orElseThrow().members(incarnation.effective());
         }
-        MembershipChanger changer = standing.changer().orElseThrow();
-        if (life.isLeader()) {
-            changer.step(life, now);
-            life.run(now);
+        MembershipChanger changer = voterState.changer().orElseThrow();
+        if (incarnation.isLeader()) {
+            changer.step(incarnation, now);
+            incarnation.run(now);
         } else if (led) {
             changer.end(leader());
         }
-        led = life.isLeader();
+        led = incarnation.isLeader();
     }
 
     /** When to call {@link #step} again (us). */
     public long next() {
-        long next = Math.min(probeAt, standing.admission().map(Admission::next).orElse(Long.MAX_VALUE));
-        return Math.min(next, standing.life().map(RaftIncarnation::next).orElse(Long.MAX_VALUE));
+        long next = Math.min(probeAt, voterState.admission().map(Admission::next).orElse(Long.MAX_VALUE));
+        return Math.min(next, voterState.incarnation().map(RaftIncarnation::next).orElse(Long.MAX_VALUE));
     }
 
     /** Ends it for good: leaves the store as it is. */
     public void close() {
-        standing.stop("this gateway ends");
+        voterState.stop("this gateway ends");
     }
 
     public Phase phase() {
-        return standing.phase();
+        return voterState.phase();
     }
 
     /** Under which this gateway votes, or did last. */
     public Optional<Endpoint> endpoint() {
-        return standing.self();
+        return voterState.self();
     }
 
     /** The committed members, learners too; empty where this gateway takes no part. */
     public List<Endpoint> members() {
-        return standing.life().map(l -> l.committed().all()).orElse(List.of());
+        return voterState.incarnation().map(l -> l.committed().all()).orElse(List.of());
     }
 
     /** Messages that were dropped because they cannot be read. */
     public long malformed() {
-        return standing.door().malformed();
+        return voterState.transport().malformed();
     }
 
-    Optional<RaftIncarnation> life() {
-        return standing.life();
+    Optional<RaftIncarnation> incarnation() {
+        return voterState.incarnation();
     }
 
     /** For the log: phase, endpoint, term, and the members as committed. */
     @Override
     public String toString() {
         return phase() + " " + endpoint().map(Endpoint::toString).orElse("") + " term " + highestTerm + " leader "
-            + leader().orElse("none") + life().map(l -> " committed " + l.committed() + " newest " + l.effective())
-            .orElse("") + standing.admission().map(a -> " " + a).orElse("");
+            + leader().orElse("none") + incarnation()
+            .map(l -> " committed " + l.committed() + " newest " + l.effective())
+            .orElse("") + voterState.admission().map(a -> " " + a).orElse("");
     }
 
     @Override
@@ -168,21 +169,21 @@
             outcome.accept(new Outcome.NotLeader(leader()));
             return;
         }
-        standing.proposals().propose(standing.life().orElseThrow(), command, outcome);
+        voterState.proposals().propose(voterState.incarnation().orElseThrow(), command, outcome);
     }
 
     @Override
     public void confirm(Consumer<Boolean> leads) {
-        if (standing.life().isEmpty()) {
+        if (voterState.incarnation().isEmpty()) {
             leads.accept(false);
             return;
         }
-        standing.rounds().ask(standing.life().get(), leads);
+        voterState.rounds().ask(voterState.incarnation().get(), leads);
     }
 
     @Override
     public boolean isLeader() {
-        return standing.life().map(RaftIncarnation::isLeader).orElse(false);
+        return voterState.incarnation().map(RaftIncarnation::isLeader).orElse(false);
     }
 
     @Override
@@ -192,12 +193,13 @@
 
     @Override
     public Optional<String> leader() {
-        return standing.life().flatMap(RaftIncarnation::leader).map(Endpoint::name);
+        return voterState.incarnation().flatMap(RaftIncarnation::leader).map(Endpoint::name);
     }
 
     @Override
     public List<String> voters() {
-        return standing.life().map(l -> l.committed().voting().stream().map(Endpoint::name).distinct().toList())
+        return voterState.incarnation()
+                .map(l -> l.committed().voting().stream().map(Endpoint::name).distinct().toList())
             .orElse(List.of());
     }
 
@@ -207,6 +209,6 @@
             outcome.accept(new Outcome.NotLeader(leader()));
             return;
         }
-        standing.changer().orElseThrow().change(names, now, outcome);
+        voterState.changer().orElseThrow().change(names, now, outcome);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -25,31 +25,31 @@
     private final LocalVoterState disk;
     private final Replicated machine;
     private final byte[] initial;
-    private final Voter.Callbacks around;
+    private final Voter.Callbacks callbacks;
     private final Random random;
     private final LeadershipCheck rounds = new LeadershipCheck();
     private final Proposals proposals = new Proposals();
-    private final VoterTransport door;
+    private final VoterTransport transport;
 
     private Phase phase = Phase.FAILED;
     private String failure = "";
     private Optional<Endpoint> self = Optional.empty();
     private Optional<Admission> admission = Optional.empty();
-    private Optional<RaftIncarnation> life = Optional.empty();
+    private Optional<RaftIncarnation> incarnation = Optional.empty();
     private Optional<MembershipChanger> changer = Optional.empty();
     private long now;
 
     VoterState(Voter.Settings settings, VoterStore store, LocalVoterState disk, Replicated machine,
-        Voter.Callbacks around,
+        Voter.Callbacks callbacks,
             Random random) {
         this.settings = settings;
         this.store = store;
         this.disk = disk;
         this.machine = machine;
         this.initial = machine.snapshot();
-        this.around = around;
+        this.callbacks = callbacks;
         this.random = random;
-        this.door = new VoterTransport(this, around);
+        this.transport = new VoterTransport(this, callbacks);
     }
 
     /** Looks at the disk, and asks to take part where it says that this gateway votes. */
@@ -89,29 +89,29 @@
         if (phase != Phase.ASKING || !admission.orElseThrow().isAdmitted(now)) {
             return;
         }
-        around.said("takes part in the agreement as " + self.orElseThrow());
+        callbacks.said("takes part in the agreement as " + self.orElseThrow());
         begin();
     }
 
     private void begin() throws StoreException {
         Endpoint me = self.orElseThrow();
         machine.install(initial); // what the log has is applied again from the snapshot on
-        life = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.found(), new Commands(machine),
-        door::raft,
+        incarnation = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.found(),
+        new Commands(machine), transport::raft,
             settings.raft(), random, now));
-        changer = Optional.of(new MembershipChanger(me, settings.membership(), door));
+        changer = Optional.of(new MembershipChanger(me, settings.membership(), transport));
         phase = Phase.VOTING;
-        life.get().start();
+        incarnation.get().start();
     }
 
     /** What a step of Raft made of its life; whether it still has one. */
-    boolean lives() {
-        if (life.isEmpty()) {
+    boolean isActive() {
+        if (incarnation.isEmpty()) {
             return false;
         }
-        RaftIncarnation l = life.get();
-        if (l.startsAgain()) {
-            startAgain(l);
+        RaftIncarnation l = incarnation.get();
+        if (l.needsRestart()) {
+            needsRestart(l);
         } else if (l.fault().isPresent()) {
             fail(l.fault().get());
         } else if (l.startFault().isPresent()) {
@@ -120,10 +120,10 @@
         } else if (l.isRemoved()) {
             retire("the group removed it");
         }
-        return life.isPresent();
+        return incarnation.isPresent();
     }
 
-    private void startAgain(RaftIncarnation old) {
+    private void needsRestart(RaftIncarnation old) {
         changer.ifPresent(c -> c.end(Optional.empty()));
         old.end();
         proposals.end("this gateway follows another leader");
@@ -145,17 +145,17 @@
         phase = Phase.FAILED;
         if (!why.equals(failure)) {
             failure = why;
-            around.said("neither votes nor acknowledges: " + why);
+            callbacks.said("neither votes nor acknowledges: " + why);
         }
     }
 
     void stop(String why) {
-        life.ifPresent(l -> {
+        incarnation.ifPresent(l -> {
             Optional<String> leader = l.leader().map(Endpoint::name).filter(n -> !n.equals(settings.name()));
             l.end();
             changer.ifPresent(c -> c.end(leader));
         });
-        life = Optional.empty();
+        incarnation = Optional.empty();
         changer = Optional.empty();
         admission = Optional.empty();
         proposals.end(why);
@@ -167,7 +167,7 @@
         Endpoint old = self.orElseThrow();
         stop(old + " is out of use: " + why);
         phase = Phase.RETIRED;
-        around.said(old + " votes no more, and waits to be invited under a new number: " + why);
+        callbacks.said(old + " votes no more, and waits to be invited under a new number: " + why);
         try {
             disk.retire(old);
         } catch (StoreException e) {
@@ -196,7 +196,7 @@
     /** Asks whom it is time to ask. */
     void step(long at) {
         now = at;
-        admission.ifPresent(a -> a.due(now).forEach(door::ask));
+        admission.ifPresent(a -> a.due(now).forEach(transport::ask));
         try {
             takePart();
         } catch (StoreException e) {
@@ -216,8 +216,8 @@
         return self;
     }
 
-    Optional<RaftIncarnation> life() {
-        return life;
+    Optional<RaftIncarnation> incarnation() {
+        return incarnation;
     }
 
     Optional<Admission> admission() {
@@ -236,8 +236,8 @@
         return proposals;
     }
 
-    VoterTransport door() {
-        return door;
+    VoterTransport transport() {
+        return transport;
     }
 
     VoterStore store() {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
@@ -22,12 +22,12 @@
     private static final int MAX_TOLD = 10;
 
     private final VoterState voter;
-    private final Voter.Callbacks around;
+    private final Voter.Callbacks callbacks;
     private long malformed;
 
-    VoterTransport(VoterState voter, Voter.Callbacks around) {
+    VoterTransport(VoterState voter, Voter.Callbacks callbacks) {
         this.voter = voter;
-        this.around = around;
+        this.callbacks = callbacks;
     }
 
     long malformed() {
@@ -40,7 +40,7 @@
             take(Envelope.read(from, in), from, in, now);
         } catch (FaultyMessageException e) {
             if (malformed++ < MAX_TOLD || malformed % 1000 == 0) {
-                around.said("dropped a message of the consensus from " + from + ": " + e.getMessage() + " (the "
+                callbacks.said("dropped a message of the consensus from " + from + ": " + e.getMessage() + " (the "
                     + malformed + "th)");
             }
         } catch (StoreException e) {
@@ -70,10 +70,11 @@
             send(from, new Envelope(Envelope.Type.STRANGER, Optional.empty(), 0, e.to()).open());
             return;
         }
-        if (voter.life().isEmpty() || !voter.admission().orElseThrow().admits(e.from().orElseThrow(), e.life())) {
+        if (voter.incarnation().isEmpty() || !voter.admission().orElseThrow()
+                .admits(e.from().orElseThrow(), e.incarnation())) {
             return; // it will ask, or has been refused
         }
-        RaftIncarnation.SenderProgress told = voter.life().get().received(e.from().get(), in, now);
+        RaftIncarnation.SenderProgress told = voter.incarnation().get().received(e.from().get(), in, now);
         voter.admission().orElseThrow().told(e.from().get(), told);
     }
 
@@ -88,40 +89,40 @@
 
     private void asked(Envelope e, CborIn in) throws FaultyMessageException, StoreException {
         Endpoint who = e.from().orElseThrow();
-        JoinRequest claim = JoinRequest.read(who, e.life(), in);
+        JoinRequest claim = JoinRequest.read(who, e.incarnation(), in);
         in.end();
         if (voter.admission().isEmpty() || !e.to().name().equals(voter.name())) {
             return; // who does not take part remembers nothing that another could rely on
         }
         Optional<PeerIncarnations.Refusal> refusal = voter.admission().get().judge(claim);
         if (refusal.isPresent()) {
-            around.said("refuses " + who + ": " + refusal.get().why());
-            send(who.name(), mine(Envelope.Type.REFUSE, who).open().number(e.life()).text(refusal.get().why())
+            callbacks.said("refuses " + who + ": " + refusal.get().why());
+            send(who.name(), mine(Envelope.Type.REFUSE, who).open().number(e.incarnation()).text(refusal.get().why())
                 .number(refusal.get().highest()));
             return;
         }
-        long index = voter.life().map(l -> l.effective().index()).orElse(0L);
-        List<Endpoint> members = voter.life().map(l -> l.effective().voting()).orElse(List.of());
-        send(who.name(), mine(Envelope.Type.WELCOME, who).open().number(e.life()).number(index)
+        long index = voter.incarnation().map(l -> l.effective().index()).orElse(0L);
+        List<Endpoint> members = voter.incarnation().map(l -> l.effective().voting()).orElse(List.of());
+        send(who.name(), mine(Envelope.Type.WELCOME, who).open().number(e.incarnation()).number(index)
             .list(members, (o, m) -> o.text(m.toString())));
     }
 
     private Envelope mine(Envelope.Type what, Endpoint to) {
-        long life = voter.admission().map(a -> a.claim().life()).orElse(0L);
-        return new Envelope(what, voter.self(), life, to);
+        long incarnation = voter.admission().map(a -> a.claim().incarnation()).orElse(0L);
+        return new Envelope(what, voter.self(), incarnation, to);
     }
 
-    private boolean isMine(Envelope e, long life) {
+    private boolean isMine(Envelope e, long incarnation) {
         return voter.admission().isPresent() && voter.self().equals(Optional.of(e.to()))
-            && voter.admission().get().claim().life() == life;
+            && voter.admission().get().claim().incarnation() == incarnation;
     }
 
     private void welcomed(Envelope e, CborIn in) throws FaultyMessageException, StoreException {
-        long life = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
+        long incarnation = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
         long index = in.number(0, Long.MAX_VALUE);
         List<Endpoint> members = members(in);
         in.end();
-        if (isMine(e, life)) {
+        if (isMine(e, incarnation)) {
             voter.admission().get().members(new Members(members.isEmpty() ? 0 : index, members, members));
             voter.welcomed(e.from().orElseThrow());
         }
@@ -132,11 +133,11 @@
     }
 
     private void refused(Envelope e, CborIn in) throws FaultyMessageException {
-        long life = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
+        long incarnation = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
         String why = in.text(MAX_WHY);
         in.number(0, Endpoint.MAX_NUMBER);
         in.end();
-        if (isMine(e, life)) {
+        if (isMine(e, incarnation)) {
             voter.retire("refused by " + e.from().orElseThrow() + ": " + why);
         }
     }
@@ -152,7 +153,7 @@
     }
 
     private void send(String to, CborOut message) {
-        around.send(to, message.done());
+        callbacks.send(to, message.done());
     }
 
     /** A message of Raft, as {@link RaftIncarnation} has begun it. */
@@ -174,7 +175,7 @@
             CborOut out = mine(Envelope.Type.INVITE, who).open()
                 .list(StateRestorer.first(voter.store()), (o, m) -> o.text(m.toString()))
                 .list(voters, (o, m) -> o.text(m.toString()));
-            around.said("invites " + who + " to vote");
+            callbacks.said("invites " + who + " to vote");
             send(who.name(), out);
         } catch (StoreException e) {
             voter.fail(e);
@@ -193,6 +194,6 @@
 
     @Override
     public void said(String what) {
-        around.said(what);
+        callbacks.said(what);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/RecoveredState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/RecoveredState.java
@@ -17,8 +17,7 @@
  *     things may be missing, so this endpoint may not vote again under its old name
  */
 public record RecoveredState(Optional<Identity> identity, long generation, long flushes, int term,
-        Optional<String> vote,
-        Optional<Snapshot> snapshot, List<Entry> entries, List<String> faults) {
+        Optional<String> vote, Optional<Snapshot> snapshot, List<Entry> entries, List<String> faults) {
     /** Of a directory that could not be opened yet. */
     public static final RecoveredState NOTHING =
         new RecoveredState(Optional.empty(), 0, 0, 0, Optional.empty(), Optional.empty(), List.of(), List.of());
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
@@ -17,11 +17,11 @@
  * @param testers gateways that go on trying a condemned engine
  * @param maxEngines engines watched at most, those first in the list
  * @param maxMembers gateways of the fleet, at most
- * @param maxPerTeller subjects on which one gateway's evidence is kept, at most
+ * @param maxPerReporter subjects on which one gateway's evidence is kept, at most
  */
 public record VerdictSettings(long evidenceUs, long leaseUs, double maxCondemned, int minStrength, long holdUs,
         long flapUs, long announceUs, long drainGraceUs, int testers, int maxEngines,
-        int maxMembers, int maxPerTeller) {
+        int maxMembers, int maxPerReporter) {
 
     /** The defaults. */
     public static final VerdictSettings DEFAULT = new VerdictSettings(50_000, 3_000_000, 0.3, 3, 250_000, 30_000_000,
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Batch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Batch.java
@@ -14,6 +14,6 @@
  * @param calmAck the same for the other changes
  */
 public record Batch(long stampUs, long echoUs, long heldUs, long urgentUpTo, long calmUpTo, long urgentAck,
-        long calmAck, List<EvidenceMessage> told) {
+        long calmAck, List<EvidenceMessage> messages) {
     public static final long NO_ECHO = -1;
 }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Evidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Evidence.java
@@ -3,7 +3,7 @@
 /**
  * What one gateway says of one subject. A teller has one piece of evidence on each subject; a later one replaces it.
  *
- * @param teller the gateway's name; its hall is what the roster says, never what the message says
+ * @param reporter the gateway's name; its hall is what the roster says, never what the message says
  * @param life grows with each start of the teller
  * @param seq grows with each piece that the teller makes in a life, so that reordering and copies do no harm
  * @param incarnation start of the engine that was seen (us, the platform's time), 0: long ago or no engine
@@ -13,7 +13,7 @@
  * @param madeUs when the latest outcome came that it rests on, in this gateway's monotonic time: never later than it
  *     was, but for {@link Topic#GROUP}, where it is never earlier
  */
-public record Evidence(Subject subject, String teller, long life, long seq, Finding finding, long incarnation,
+public record Evidence(Subject subject, String reporter, long life, long seq, Finding finding, long incarnation,
         int strength, double amount, long sinceUs, long madeUs) {
 
     /** Whether it replaces the other, of the same teller and subject. */
@@ -26,7 +26,7 @@
     }
 
     Evidence madeAt(long us) {
-        return new Evidence(subject, teller, life, seq, finding, incarnation, strength, amount,
+        return new Evidence(subject, reporter, life, seq, finding, incarnation, strength, amount,
                 Math.min(sinceUs, us), us);
     }
 
@@ -35,11 +35,11 @@
         boolean lasts = subject.topic().lasts();
         long since = lasts ? Math.min(sinceUs, copy.sinceUs) : Math.max(sinceUs, copy.sinceUs);
         long made = lasts ? Math.min(madeUs, copy.madeUs) : Math.max(madeUs, copy.madeUs);
-        return new Evidence(subject, teller, life, seq, finding, incarnation, strength, amount, since, made);
+        return new Evidence(subject, reporter, life, seq, finding, incarnation, strength, amount, since, made);
     }
 
     Evidence about(Subject other) {
-        return new Evidence(other, teller, life, seq, finding, incarnation, strength, amount, sinceUs, madeUs);
+        return new Evidence(other, reporter, life, seq, finding, incarnation, strength, amount, sinceUs, madeUs);
     }
 
     /** Whether its lease is over. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
@@ -22,7 +22,7 @@
  * <p>Ages travel, not times; of two copies of one piece the one that proves the smaller age counts, as each age is a
  * bound from above. For a data group's change it is the other way round, since there the later time is the safe one.
  *
- * <p>Bound: {@code maxMembers} tellers (those of the roster) times {@code maxPerTeller} subjects with a lease, and as
+ * <p>Bound: {@code maxMembers} tellers (those of the roster) times {@code maxPerReporter} subjects with a lease, and as
  * many data groups. Where a teller has more, its oldest pieces go; a change of a data group so dropped counts from then
  * on as one of every group.
  */
@@ -38,7 +38,7 @@
 
     private final VerdictSettings settings;
     private final NavigableMap<Subject, NavigableMap<String, Entry>> bySubject = new TreeMap<>();
-    private final Map<String, ReporterEvidence> shelves = new HashMap<>();
+    private final Map<String, ReporterEvidence> byReporter = new HashMap<>();
     private final NavigableMap<Long, Entry> urgent = new TreeMap<>();
     private final NavigableMap<Long, Entry> calm = new TreeMap<>();
     private Set<String> members = Set.of();
@@ -53,39 +53,39 @@
     /** Those whose evidence counts; what others told is dropped. At most {@code maxMembers}, by name. */
     public void members(Collection<String> names) {
         members = new TreeSet<>(names).stream().limit(settings.maxMembers()).collect(Collectors.toUnmodifiableSet());
-        for (String teller : List.copyOf(shelves.keySet())) {
-            if (!members.contains(teller)) {
-                shelves.get(teller).all().forEach(this::remove);
-                shelves.remove(teller);
+        for (String reporter : List.copyOf(byReporter.keySet())) {
+            if (!members.contains(reporter)) {
+                byReporter.get(reporter).all().forEach(this::remove);
+                byReporter.remove(reporter);
             }
         }
     }
 
     /** Merges a piece that {@code from} brought, the teller itself or a hub. */
     public Put put(Evidence told, String from, long now) {
-        if (!members.contains(told.teller())) {
+        if (!members.contains(told.reporter())) {
             return Put.STRANGER;
         }
         Evidence e = told.madeUs() > now ? told.madeAt(now) : told;
         if (e.isOver(now, settings.leaseUs())) {
             return Put.OVER;
         }
-        Entry known = entry(e.subject(), e.teller());
+        Entry known = entry(e.subject(), e.reporter());
         if (known != null && !e.isNewerThan(known.evidence)) {
             if (e.isSamePieceAs(known.evidence)) {
                 refine(known, e);
             }
             return Put.KNOWN;
         }
-        ReporterEvidence shelf =
-                shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.maxPerTeller()));
-        if (shelf.isOfOldLife(e)) {
+        ReporterEvidence reporterEvidence =
+                byReporter.computeIfAbsent(e.reporter(), t -> new ReporterEvidence(settings.maxPerReporter()));
+        if (reporterEvidence.isOfOldLife(e)) {
             return Put.OLD_LIFE;
         }
         if (known != null) {
             remove(known);
         }
-        shelf.ofLivesBefore(e).forEach(this::remove);
+        reporterEvidence.ofLivesBefore(e).forEach(this::remove);
         Entry entry = new Entry(e, ++version, from);
         add(entry);
         return makeRoom(entry) ? Put.CHANGED : Put.NO_ROOM;
@@ -104,7 +104,7 @@
     private boolean makeRoom(Entry added) {
         Evidence e = added.evidence;
         boolean stays = true;
-        Entry oldest = shelves.get(e.teller()).overBound(e.subject().topic().lasts());
+        Entry oldest = byReporter.get(e.reporter()).overBound(e.subject().topic().lasts());
         while (oldest != null) {
             remove(oldest);
             droppedForRoom++;
@@ -112,45 +112,45 @@
             if (oldest.evidence.subject().topic().lasts()) {
                 standForAll(oldest.evidence);
             }
-            ReporterEvidence shelf = shelves.get(e.teller());
-            oldest = shelf == null ? null : shelf.overBound(e.subject().topic().lasts());
+            ReporterEvidence reporterEvidence = byReporter.get(e.reporter());
+            oldest = reporterEvidence == null ? null : reporterEvidence.overBound(e.subject().topic().lasts());
         }
         return stays;
     }
 
     /** A teller's loads end in the order of its pieces, so the newest one dropped bounds all that were. */
     private void standForAll(Evidence dropped) {
-        Entry before = entry(new Subject(Topic.GROUP, ANY_GROUP), dropped.teller());
+        Entry before = entry(new Subject(Topic.GROUP, ANY_GROUP), dropped.reporter());
         Evidence any = dropped.about(new Subject(Topic.GROUP, ANY_GROUP));
         if (before == null || any.isNewerThan(before.evidence)) {
             if (before != null) {
                 remove(before);
             }
-            add(new Entry(any, ++version, dropped.teller()));
+            add(new Entry(any, ++version, dropped.reporter()));
         }
     }
 
     private void add(Entry entry) {
         Evidence e = entry.evidence;
-        bySubject.computeIfAbsent(e.subject(), s -> new TreeMap<>()).put(e.teller(), entry);
-        shelves.computeIfAbsent(e.teller(), t -> new ReporterEvidence(settings.maxPerTeller())).add(entry);
+        bySubject.computeIfAbsent(e.subject(), s -> new TreeMap<>()).put(e.reporter(), entry);
+        byReporter.computeIfAbsent(e.reporter(), t -> new ReporterEvidence(settings.maxPerReporter())).add(entry);
         (e.finding().isUrgent() ? urgent : calm).put(entry.version, entry);
     }
 
     private void remove(Entry entry) {
         Evidence e = entry.evidence;
-        Map<String, Entry> tellers = bySubject.get(e.subject());
-        tellers.remove(e.teller());
-        if (tellers.isEmpty()) {
+        Map<String, Entry> reporters = bySubject.get(e.subject());
+        reporters.remove(e.reporter());
+        if (reporters.isEmpty()) {
             bySubject.remove(e.subject());
         }
-        shelves.get(e.teller()).remove(entry);
+        byReporter.get(e.reporter()).remove(entry);
         (e.finding().isUrgent() ? urgent : calm).remove(entry.version);
     }
 
-    private Entry entry(Subject subject, String teller) {
-        Map<String, Entry> tellers = bySubject.get(subject);
-        return tellers == null ? null : tellers.get(teller);
+    private Entry entry(Subject subject, String reporter) {
+        Map<String, Entry> reporters = bySubject.get(subject);
+        return reporters == null ? null : reporters.get(reporter);
     }
 
     /** Drops what is over, to be called often; what is read is judged by its age in any case. */
@@ -160,7 +160,7 @@
         }
         sweptAt = now;
         List<Entry> over = new ArrayList<>();
-        shelves.values().forEach(shelf -> shelf.all().stream()
+        byReporter.values().forEach(reporterEvidence -> reporterEvidence.all().stream()
                 .filter(e -> e.evidence.isOver(now, settings.leaseUs())).forEach(over::add));
         over.forEach(this::remove);
     }
@@ -168,11 +168,11 @@
     /** Each piece on a topic that is not over, by subject, then by teller. */
     public void each(Topic topic, long now, Consumer<Evidence> to) {
         Subject first = new Subject(topic, "");
-        for (var tellers : bySubject.tailMap(first, true).entrySet()) {
-            if (tellers.getKey().topic() != topic) {
+        for (var reporters : bySubject.tailMap(first, true).entrySet()) {
+            if (reporters.getKey().topic() != topic) {
                 return;
             }
-            tellers.getValue().values().forEach(e -> {
+            reporters.getValue().values().forEach(e -> {
                 if (!e.evidence.isOver(now, settings.leaseUs())) {
                     to.accept(e.evidence);
                 }
@@ -182,11 +182,11 @@
 
     /** What each teller says of a subject, as far as it is not over. */
     public List<Evidence> on(Subject subject, long now) {
-        NavigableMap<String, Entry> tellers = bySubject.get(subject);
-        if (tellers == null) {
+        NavigableMap<String, Entry> reporters = bySubject.get(subject);
+        if (reporters == null) {
             return List.of(); // the usual case: most engines are not spoken of
         }
-        return tellers.values().stream().map(Entry::evidence).filter(e -> !e.isOver(now, settings.leaseUs()))
+        return reporters.values().stream().map(Entry::evidence).filter(e -> !e.isOver(now, settings.leaseUs()))
                 .toList();
     }
 
@@ -203,7 +203,7 @@
 
     /** A peer started again, with an empty book: what it brought must go to it like the rest. */
     void forgetFrom(String peer) {
-        List<Entry> its = shelves.values().stream().flatMap(shelf -> shelf.all().stream())
+        List<Entry> its = byReporter.values().stream().flatMap(reporterEvidence -> reporterEvidence.all().stream())
                 .filter(e -> e.from.equals(peer)).toList();
         for (Entry e : its) {
             remove(e);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -27,7 +27,7 @@
     private final VerdictSettings settings;
     private final double drift;
     private final EvidenceBook book;
-    private final Map<String, PeerCursor> outlets = new TreeMap<>();
+    private final Map<String, PeerCursor> cursors = new TreeMap<>();
     private final Map<String, Long> lives = new TreeMap<>();
     private Set<String> voters = Set.of();
     private Map<String, String> halls = Map.of();
@@ -56,29 +56,29 @@
         if (!halls.containsKey(peer)) {
             return; // a stranger gets nothing, and its place would not be bounded
         }
-        PeerCursor outlet = outlets.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedAt)));
-        outlet.underway.up(openedAt);
+        PeerCursor cursor = cursors.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedAt)));
+        cursor.underway.up(openedAt);
         Long before = lives.put(peer, incarnation);
         boolean isSameLife = before != null && before == incarnation;
-        outlet.up(isSameLife);
+        cursor.up(isSameLife);
         if (!isSameLife) {
             book.forgetFrom(peer);
         }
-        outlets.keySet().retainAll(halls.keySet());
+        cursors.keySet().retainAll(halls.keySet());
         lives.keySet().retainAll(halls.keySet());
     }
 
     /** What to send to a peer now, if anything: to be asked every {@code evidenceUs}. */
     public Optional<Batch> next(long now, String peer) {
-        PeerCursor outlet = outlets.get(peer);
-        if (outlet == null) {
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor == null) {
             return Optional.empty();
         }
-        Batch batch = outlet.next(now, book, e -> goesTo(e, peer), MAX_PIECES);
-        boolean echoDue = now - outlet.sentAt >= settings.leaseUs() / ECHOES_A_LEASE;
-        if (batch.told().isEmpty() && !echoDue) {
-            if (outlet.isBehind(batch)) {
-                outlet.passed(batch);
+        Batch batch = cursor.next(now, book, e -> goesTo(e, peer), MAX_PIECES);
+        boolean echoDue = now - cursor.sentAt >= settings.leaseUs() / ECHOES_A_LEASE;
+        if (batch.messages().isEmpty() && !echoDue) {
+            if (cursor.isBehind(batch)) {
+                cursor.passed(batch);
             }
             return Optional.empty();
         }
@@ -86,39 +86,39 @@
     }
 
     private boolean goesTo(EvidenceBook.Entry e, String peer) {
-        String teller = e.evidence().teller();
+        String reporter = e.evidence().reporter();
         boolean lasts = e.evidence().subject().topic().lasts();
-        if (e.from().equals(peer) || teller.equals(peer) && !lasts) {
+        if (e.from().equals(peer) || reporter.equals(peer) && !lasts) {
             return false;
         }
         if (voters.contains(self)) {
             return true;
         }
         boolean near = halls.getOrDefault(peer, "").equals(halls.get(self));
-        return (near || voters.contains(peer)) && (lasts || teller.equals(self));
+        return (near || voters.contains(peer)) && (lasts || reporter.equals(self));
     }
 
     /** The batch was queued on the link; one that was not is built anew the next time. */
     public void sent(String peer, Batch batch) {
-        PeerCursor outlet = outlets.get(peer);
-        if (outlet != null) {
-            outlet.sent(batch);
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor != null) {
+            cursor.sent(batch);
         }
     }
 
     /** Merges a peer's batch into the book; the number of pieces that were new. */
     public int received(long now, String peer, Batch batch) {
-        PeerCursor outlet = outlets.get(peer);
-        if (outlet == null) {
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor == null) {
             return 0;
         }
-        long underway = outlet.underway.maxUs(now, batch);
-        outlet.underway.heard(now, batch.stampUs());
-        outlet.heard(batch);
+        long underway = cursor.underway.maxUs(now, batch);
+        cursor.underway.heard(now, batch.stampUs());
+        cursor.heard(batch);
         int changed = 0;
-        for (EvidenceMessage told : batch.told()) {
+        for (EvidenceMessage told : batch.messages()) {
             // Nobody knows better what this gateway says, but for loads that it ran before it started again.
-            boolean isOwn = told.teller().equals(self) && !told.subject().topic().lasts();
+            boolean isOwn = told.reporter().equals(self) && !told.subject().topic().lasts();
             if (!isOwn && book.put(told.at(now, underway, drift), peer, now) == EvidenceBook.Put.CHANGED) {
                 changed++;
             }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/CondemnedEngines.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/CondemnedEngines.java
@@ -104,7 +104,7 @@
                 standing.add(engine);
             }
         });
-        standing.sort(Comparator.<String>comparingInt(e -> -opinion(e).tellers())
+        standing.sort(Comparator.<String>comparingInt(e -> -opinion(e).reporters())
                 .thenComparingInt(e -> cases.get(e).closed ? 0 : 1) // among equals, no changing places
                 .thenComparingInt(e -> -opinion(e).strength())
                 .thenComparingLong(e -> opinion(e).sinceUs()).thenComparing(e -> e));
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -23,7 +23,8 @@
     private static final int MAX_STRENGTH = 50; // of one teller: so that nobody outweighs all others by a figure
 
     /** Against an engine: as a whole, or by halls whose link to it is down. */
-    record Opinion(EngineVerdict.Kind kind, Set<String> links, int tellers, int strength, long sinceUs, long madeUs) { }
+    record Opinion(EngineVerdict.Kind kind, Set<String> links, int reporters, int strength, long sinceUs,
+            long madeUs) { }
 
     private final VerdictSettings settings;
     private final HallRoster roster;
@@ -48,7 +49,7 @@
         if (bad.isEmpty() || strength < (standing ? 1 : settings.minStrength())) {
             return null;
         }
-        voices.forEach(v -> byHall.computeIfAbsent(roster.hall(v.teller()), h -> new int[2])
+        voices.forEach(v -> byHall.computeIfAbsent(roster.hall(v.reporter()), h -> new int[2])
                 [v.finding().isBad() ? 0 : 1]++);
         Set<String> against = new TreeSet<>();
         byHall.forEach((hall, n) -> {
@@ -70,7 +71,7 @@
 
     private boolean isTheEngines(List<Evidence> voices, List<Evidence> bad, int hallsFor, int hallsAgainst) {
         Set<String> halls = new HashSet<>();
-        bad.forEach(v -> halls.add(roster.hall(v.teller())));
+        bad.forEach(v -> halls.add(roster.hall(v.reporter())));
         boolean oneHall = roster.halls().size() <= 1;
         if (hallsAgainst >= 2 && hallsAgainst > hallsFor) {
             return true;
@@ -84,9 +85,9 @@
     /** Of a hall with several gateways, two must say so; the only one of its hall speaks for it. */
     private boolean isTheLinks(String hall, List<Evidence> bad) {
         long gateways = roster.hallOf().values().stream().filter(hall::equals).count();
-        long tellers = bad.stream().filter(v -> roster.hall(v.teller()).equals(hall)).count();
+        long reporters = bad.stream().filter(v -> roster.hall(v.reporter()).equals(hall)).count();
         return roster.halls().size() > 1
-                && (tellers >= Math.min(2, gateways) || !guards.contains(Guard.NOT_ALONE));
+                && (reporters >= Math.min(2, gateways) || !guards.contains(Guard.NOT_ALONE));
     }
 
     /** What most say; where as many say this as that, what harms queries more: waiting in vain, then failing. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
@@ -113,7 +113,7 @@
         }
         List<Evidence> voices = all.stream()
                 .filter(v -> v.incarnation() == start || !guards.contains(Guard.INCARNATION))
-                .filter(v -> !doubting.contains(v.teller()) || !guards.contains(Guard.DOUBT)).toList();
+                .filter(v -> !doubting.contains(v.reporter()) || !guards.contains(Guard.DOUBT)).toList();
         Opinion opinion = new EngineVotes(settings, roster, guards).weigh(voices, condemned.isStanding(engine));
         boolean isLink = opinion != null && opinion.kind() == EngineVerdict.Kind.LINK;
         if (isLink) {
@@ -160,8 +160,8 @@
     private Map<String, Evidence> byTeller(Topic topic, long now) {
         Map<String, Evidence> found = new TreeMap<>();
         book.each(topic, now, e -> {
-            if (e.subject().name().equals(e.teller()) && roster.hallOf().containsKey(e.teller())) {
-                found.put(e.teller(), e);
+            if (e.subject().name().equals(e.reporter()) && roster.hallOf().containsKey(e.reporter())) {
+                found.put(e.reporter(), e);
             }
         });
         return found;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
@@ -42,12 +42,12 @@
             return listed;
         }
         int words = guards.contains(Guard.ONE_WORD) ? WORDS : 1;
-        Map<Long, Integer> tellers = new TreeMap<>();
+        Map<Long, Integer> reporters = new TreeMap<>();
         for (Evidence e : told) {
-            tellers.merge(e.incarnation(), 1, Integer::sum);
+            reporters.merge(e.incarnation(), 1, Integer::sum);
         }
         long start = listed;
-        for (Map.Entry<Long, Integer> e : tellers.entrySet()) {
+        for (Map.Entry<Long, Integer> e : reporters.entrySet()) {
             start = e.getValue() >= words ? Math.max(start, e.getKey()) : start;
         }
         return start;
@@ -85,7 +85,7 @@
                 if (e.finding() == Finding.DRAINING) {
                     words.add(e);
                 } else {
-                    withdrawn.add(e.teller());
+                    withdrawn.add(e.reporter());
                 }
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/TenantRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/TenantRule.java
@@ -22,7 +22,7 @@
             String tenant = use.subject().name();
             Double share = shares.get(tenant);
             if (share != null) {
-                boolean whole = use.teller().equals(self) || !guards.contains(Guard.NOT_ALONE);
+                boolean whole = use.reporter().equals(self) || !guards.contains(Guard.NOT_ALONE);
                 sums.merge(tenant, whole ? use.amount() : Math.min(use.amount(), share), Double::sum);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListWatch.java
@@ -37,23 +37,23 @@
         }
     }
 
-    void tell(long now, Map<String, EngineWatch> engines, EvidenceReporter teller) {
+    void tell(long now, Map<String, EngineWatch> engines, EvidenceReporter reporter) {
         startSeen.keySet().retainAll(engines.keySet());
         drainSeen.keySet().retainAll(engines.keySet());
         drainOver.keySet().retainAll(engines.keySet());
-        tell(now, startSeen, Topic.START, Finding.COLD, engines, teller);
-        tell(now, drainSeen, Topic.DRAIN, Finding.DRAINING, engines, teller);
-        tell(now, drainOver, Topic.DRAIN, Finding.WITHDRAWN, engines, teller);
+        tell(now, startSeen, Topic.START, Finding.COLD, engines, reporter);
+        tell(now, drainSeen, Topic.DRAIN, Finding.DRAINING, engines, reporter);
+        tell(now, drainOver, Topic.DRAIN, Finding.WITHDRAWN, engines, reporter);
         startSeen.values().removeIf(at -> now - at >= announceUs);
         drainOver.values().removeIf(at -> now - at >= announceUs);
     }
 
     private void tell(long now, Map<String, Long> seen, Topic topic, Finding finding, Map<String, EngineWatch> engines,
-            EvidenceReporter teller) {
+            EvidenceReporter reporter) {
         seen.forEach((name, at) -> {
             if (now - at < announceUs) {
                 long start = engines.get(name).listed.startedUs();
-                teller.say(now, new Subject(topic, name), finding, start, 1, 0, at, now);
+                reporter.say(now, new Subject(topic, name), finding, start, 1, 0, at, now);
             }
         });
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
@@ -26,7 +26,7 @@
     private final String self;
     private final String hall;
     private final VerdictSettings settings;
-    private final EvidenceReporter teller;
+    private final EvidenceReporter reporter;
     private final SelfDoubt doubt;
     private final ReachWatch reach;
     private final ListWatch list;
@@ -41,7 +41,7 @@
         this.self = self;
         this.hall = hall;
         this.settings = settings;
-        teller = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.minStrength());
+        reporter = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.minStrength());
         doubt = new SelfDoubt(settings.evidenceUs(), now);
         reach = new ReachWatch(settings.leaseUs());
         list = new ListWatch(settings.announceUs());
@@ -106,7 +106,7 @@
 
     /** A load on a data group completed here. */
     public void loaded(long now, String group) {
-        teller.say(now, new Subject(Topic.GROUP, group), Finding.CHANGED, 0, 1, 0, now, now);
+        reporter.say(now, new Subject(Topic.GROUP, group), Finding.CHANGED, 0, 1, 0, now, now);
     }
 
     /** What each tenant uses here now, in the unit of the tenants' shares; replaces what was said before. */
@@ -149,9 +149,10 @@
         doubt.tick(now, known, bad);
         tellSelf(now);
         engines.values().forEach(e -> tellHealth(now, e, accused));
-        list.tell(now, engines, teller);
-        tenants.forEach((t, used) -> teller.say(now, new Subject(Topic.TENANT, t), Finding.USE, 0, 1, used, now, now));
-        return teller.take(now);
+        list.tell(now, engines, reporter);
+        tenants.forEach((t, used) ->
+                reporter.say(now, new Subject(Topic.TENANT, t), Finding.USE, 0, 1, used, now, now));
+        return reporter.take(now);
     }
 
     private void tellSelf(long now) {
@@ -160,10 +161,10 @@
             lastSelf = self;
             wellSince = now;
         }
-        teller.say(now, new Subject(Topic.SELF, this.self), self, 0, doubt.score(), 0, wellSince, now);
+        reporter.say(now, new Subject(Topic.SELF, this.self), self, 0, doubt.score(), 0, wellSince, now);
         reach.judge(now, (int) engines.values().stream().filter(e -> !e.listed.hall().equals(hall)).count());
         if (reach.finding() != null) {
-            teller.say(now, new Subject(Topic.REACH, this.self), reach.finding(), 0, reach.strength(), 0,
+            reporter.say(now, new Subject(Topic.REACH, this.self), reach.finding(), 0, reach.strength(), 0,
                     reach.sinceUs(), reach.madeUs());
         }
     }
@@ -174,9 +175,9 @@
         if (finding == null) {
             return; // what was said before lapses with its lease
         }
-        Finding said = teller.said(now, subject);
+        Finding said = reporter.said(now, subject);
         if (finding.isBad() || accused.contains(e.listed.name()) || said != null && said.isBad()) {
-            teller.say(now, subject, finding, e.listed.startedUs(), e.strength(), 0, e.sinceUs(), e.madeUs());
+            reporter.say(now, subject, finding, e.listed.startedUs(), e.strength(), 0, e.sinceUs(), e.madeUs());
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
@@ -29,11 +29,11 @@
     public static byte[] encode(Batch batch) {
         return new CborOut().number(VERSION).number(batch.stampUs()).number(batch.echoUs()).number(batch.heldUs())
                 .number(batch.urgentUpTo()).number(batch.calmUpTo()).number(batch.urgentAck())
-                .number(batch.calmAck()).list(batch.told(), EvidenceCodec::told).done();
+                .number(batch.calmAck()).list(batch.messages(), EvidenceCodec::told).done();
     }
 
     private static void told(CborOut out, EvidenceMessage t) {
-        out.number(t.subject().topic().ordinal()).text(t.subject().name()).text(t.teller()).number(t.life())
+        out.number(t.subject().topic().ordinal()).text(t.subject().name()).text(t.reporter()).number(t.life())
                 .number(t.seq()).number(t.finding().ordinal()).number(t.incarnation()).number(t.strength())
                 .real(t.amount()).number(t.sinceAgeUs()).number(t.madeAgeUs());
     }
@@ -57,7 +57,7 @@
     private static EvidenceMessage told(CborIn in) throws FaultyMessageException {
         Topic topic = TOPICS[(int) in.number(0, TOPICS.length - 1)];
         Subject subject = new Subject(topic, in.text(MAX_NAME));
-        String teller = in.text(MAX_NAME);
+        String reporter = in.text(MAX_NAME);
         long life = in.number(0, Long.MAX_VALUE);
         long seq = in.number(0, Long.MAX_VALUE);
         Finding finding = FINDINGS[(int) in.number(0, FINDINGS.length - 1)];
@@ -71,7 +71,7 @@
             throw in.wrong("is " + amount + ", less than 0");
         }
         long sinceAge = in.number(0, Long.MAX_VALUE / 4); // so that no sum of ages overflows
-        return new EvidenceMessage(subject, teller, life, seq, finding, incarnation, strength, amount, sinceAge,
+        return new EvidenceMessage(subject, reporter, life, seq, finding, incarnation, strength, amount, sinceAge,
                 in.number(0, Long.MAX_VALUE / 4));
     }
 }
--- a/gateway/src/main/java/sandpaddle/storm/Storm.java
+++ b/gateway/src/main/java/sandpaddle/storm/Storm.java
@@ -53,8 +53,7 @@
 
     /** A change of state, with the signs and the figures that it came with. */
     public record Change(Phase from, Phase to, StormSignals signs, double capacityCores, double admittedPerS,
-            double honours,
-            double returns) { }
+            double honours, double returns) { }
 
     private final Gateway.Settings site;
     private final SplittableRandom random;
--- a/gateway/src/main/java/sandpaddle/storm/StormSignals.java
+++ b/gateway/src/main/java/sandpaddle/storm/StormSignals.java
@@ -7,8 +7,7 @@
  * fleet's cores that answers.
  */
 public record StormSignals(double firsts, double returns, double good, double bad, double connections,
-        double usualFirsts,
-        double answeringPart) {
+        double usualFirsts, double answeringPart) {
     private static final double QUIET = 2; // arrivals and answers a second that tell nothing
     private static final double MOST_OF = 0.5;
 
--- a/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
@@ -132,8 +132,7 @@
     void anAnswerOfUnknownGroupsIsOutdatedByAnyLoad() {
         AnswerMetadata m = answer.meta();
         found = Optional.of(new StoredAnswer(new AnswerMetadata(m.key(), java.util.Set.of(), m.askedWall(),
-                m.askedMono(),
-                m.incarnation(), m.maxAgeMs(), 1), answer.rows()));
+                m.askedMono(), m.incarnation(), m.maxAgeMs(), 1), answer.rows()));
         assertEquals(Decision.Stored.class, decide(Stored.key(3)).getClass());
         changes.changed(99, (ASKED + 1) * 1000, ASKED + 1);
         refuses(Reason.OUTDATED);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/allot/FairSharesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/allot/FairSharesProperties.java
@@ -21,21 +21,21 @@
         int n = 1 + r.nextInt(30);
         long amount = n + r.nextInt(200);
         List<String> names = new ArrayList<>();
-        List<SlotDemand> claims = new ArrayList<>();
+        List<SlotDemand> slotDemands = new ArrayList<>();
         double demands = 0;
         for (int i = 0; i < n; i++) {
             names.add("g" + i);
-            claims.add(new SlotDemand(new SlotName("g" + i, ""), r.nextInt(3) == 0 ? 0 : r.nextInt(60)));
-            demands += claims.get(i).demand();
+            slotDemands.add(new SlotDemand(new SlotName("g" + i, ""), r.nextInt(3) == 0 ? 0 : r.nextInt(60)));
+            demands += slotDemands.get(i).demand();
         }
         long[] floors = Floors.of("l", amount, names, 0.05);
-        double[] shares = FairShares.of(0, amount, floors, claims);
+        double[] shares = FairShares.of(0, amount, floors, slotDemands);
         double sum = Arrays.stream(shares).sum();
         assertTrue(sum <= amount + 1e-6, sum + " of " + amount);
         assertTrue(sum >= Math.min(amount, demands) - 1e-6, "nothing lies idle while it is wanted");
         double level = 0;
         for (int i = 0; i < n; i++) {
-            double demand = claims.get(i).demand();
+            double demand = slotDemands.get(i).demand();
             assertTrue(shares[i] >= floors[i] && (demand == 0 || shares[i] >= 1), "floor, and one for who asks");
             if (shares[i] > floors[i] + 1e-6 && shares[i] > 1 + 1e-6 && demand > 0 && demands > amount) {
                 assertTrue(level == 0 || Math.abs(level - shares[i] / demand) < 1e-6, "one level for all above it");
@@ -49,14 +49,14 @@
         Random r = new Random(seed);
         int n = 5 + r.nextInt(40);
         int amount = 1 + r.nextInt(4);
-        List<SlotDemand> claims = new ArrayList<>();
+        List<SlotDemand> slotDemands = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            claims.add(new SlotDemand(new SlotName("g" + i, ""), 3));
+            slotDemands.add(new SlotDemand(new SlotName("g" + i, ""), 3));
         }
         boolean[] had = new boolean[n];
         long at = r.nextLong(1L << 40);
         for (int turn = 0; turn < n; turn++) {
-            double[] shares = FairShares.of(at + turn * FairShares.TURN_US, amount, new long[n], claims);
+            double[] shares = FairShares.of(at + turn * FairShares.TURN_US, amount, new long[n], slotDemands);
             for (int i = 0; i < n; i++) {
                 had[i] |= shares[i] >= 1;
             }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
@@ -75,7 +75,7 @@
         Gateway gateway = gateways.get(m.gateway);
         if (m.beat != null) {
             Voters.Voter voter = voters.voters.get(m.voter);
-            voter.allotter.beat(voter.clock(now), gateway.name, m.beat);
+            voter.allocator.beat(voter.clock(now), gateway.name, m.beat);
         } else {
             gateway.granted(now, m.grant);
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
@@ -21,7 +21,7 @@
     /** One that may lead. */
     static final class Voter {
         final RightsTable table;
-        final RightsAllocator allotter;
+        final RightsAllocator allocator;
         final double rate;
         final List<long[]> asked = new ArrayList<>(); // confirmations: its clock then, whether it led, when it hears
         int applied;
@@ -29,7 +29,7 @@
 
         Voter(LimitSettings settings, TargetPolicy targets, double rate) {
             table = new RightsTable(settings);
-            allotter = new RightsAllocator(settings, table, targets);
+            allocator = new RightsAllocator(settings, table, targets);
             this.rate = rate;
         }
 
@@ -72,7 +72,7 @@
         catchUp(voter);
         voter.term = term;
         voter.asked.clear();
-        voter.allotter.elected(term);
+        voter.allocator.elected(term);
     }
 
     private void catchUp(Voter voter) {
@@ -98,17 +98,17 @@
             }
             if (voter.term == 0 || !leads && random.nextInt(60) == 0) {
                 voter.term = 0;
-                voter.allotter.deposed();
+                voter.allocator.deposed();
                 continue;
             }
             voter.asked.removeIf(a -> {
                 if (a[2] <= now && a[1] == 1) {
-                    voter.allotter.confirmed(a[0]);
+                    voter.allocator.confirmed(a[0]);
                 }
                 return a[2] <= now;
             });
             voter.asked.add(new long[] {voter.clock(now), leads ? 1 : 0, now + agreeUs});
-            AllocatorOutput turn = voter.allotter.tick(voter.clock(now));
+            AllocatorOutput turn = voter.allocator.tick(voter.clock(now));
             for (Command command : turn.propose()) {
                 boolean late = random.nextInt(20) == 0;
                 if (leads || late) {
--- a/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
@@ -35,8 +35,8 @@
         return new Grant("g", incarnation, session, confirmed, 1, false, List.of(), List.of(given));
     }
 
-    private static SlotGrant given(String limit, long version, long ceiling, long floor, long sinkTo) {
-        return new SlotGrant(limit, "", version, ceiling, floor, sinkTo, Math.min(floor, sinkTo));
+    private static SlotGrant given(String limit, long version, long ceiling, long floor, long targetCeiling) {
+        return new SlotGrant(limit, "", version, ceiling, floor, targetCeiling, Math.min(floor, targetCeiling));
     }
 
     /** One with rights of eight, two of them its floor, leased from just before it is fresh. */
@@ -66,9 +66,9 @@
         RightsHolder holder = holder(SETTINGS, List.of(new SavedFloor("l", "", 2)));
         holder.granted(10, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(0, holder.ceiling(FRESH - 1, "l", ""));
-        assertEquals(8, holder.beat(FRESH - 1).told().get(0).ceiling(), "its former self may use eight still");
+        assertEquals(8, holder.beat(FRESH - 1).reports().get(0).ceiling(), "its former self may use eight still");
         assertEquals(2, holder.ceiling(FRESH, "l", ""));
-        assertEquals(2, holder.beat(FRESH).told().get(0).ceiling());
+        assertEquals(2, holder.beat(FRESH).reports().get(0).ceiling());
     }
 
     @Test
@@ -77,9 +77,9 @@
         used = 7;
         holder.granted(FRESH + 1000, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(3, holder.ceiling(FRESH + 1000, "l", ""), "nothing starts above what is asked");
-        assertEquals(7, holder.beat(FRESH + 1001).told().get(0).ceiling(), "what runs is not promised");
+        assertEquals(7, holder.beat(FRESH + 1001).reports().get(0).ceiling(), "what runs is not promised");
         used = 1;
-        assertEquals(3, holder.beat(FRESH + 1002).told().get(0).ceiling());
+        assertEquals(3, holder.beat(FRESH + 1002).reports().get(0).ceiling());
         holder.granted(FRESH + 1003, grant(5, 1, 0, given("l", 1, 8, 2, 8)));
         assertEquals(3, holder.ceiling(FRESH + 1004, "l", ""), "an old message of the same version");
         holder.granted(FRESH + 1005, grant(5, 1, 0, given("l", 2, 5, 2, 5)));
@@ -120,10 +120,10 @@
         long wrote = FRESH + 2;
         FloorFile old = new FloorFile("b", wrote - 1, SETTINGS.floorKeep(), List.of(new SavedFloor("l", "", 2)));
         assertEquals(List.of(new SavedFloor("l", "", 1)), holder.floors());
-        assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep()).told().get(0).floor(), "nothing was written");
+        assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep()).reports().get(0).floor(), "nothing was written");
         holder.floorsWritten(wrote, holder.floors());
-        assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep() - 1).told().get(0).floor());
-        assertEquals(1, holder.beat(wrote + SETTINGS.floorKeep()).told().get(0).floor());
+        assertEquals(2, holder.beat(wrote + SETTINGS.floorKeep() - 1).reports().get(0).floor());
+        assertEquals(1, holder.beat(wrote + SETTINGS.floorKeep()).reports().get(0).floor());
         assertTrue(old.usable("b", wrote + SETTINGS.floorKeep() - 1).isEmpty());
         assertTrue(old.usable("c", wrote).isEmpty(), "another boot");
     }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -58,7 +58,7 @@
         VoterReplica seat = seats.get(next);
         seat.term = ++term;
         catchUp(seat);
-        seat.allotter.elected(term);
+        seat.allocator.elected(term);
     }
 
     private void catchUp(VoterReplica seat) {
@@ -121,7 +121,7 @@
             case GO -> site.stopped = false;
             case HUNGRY -> sites.forEach(s -> s.hungry = s == site);
             case GRANT_AGAIN -> site.granted(site.grants.get(event.which()));
-            case BEAT_AGAIN -> seats.get(leader).allotter.beat(clock(), site.name, site.beats.get(event.which()));
+            case BEAT_AGAIN -> seats.get(leader).allocator.beat(clock(), site.name, site.beats.get(event.which()));
             case ELECT -> elect(1 - leader);
             case LATE_LOG -> lateLog = true;
             default -> site.links = event.what();
@@ -172,7 +172,7 @@
         }
         for (int v = 0; v < 2; v++) {
             if (site.links != Event.What.FORMER || v != leader) {
-                seats.get(v).allotter.beat(clock(), site.name, beat);
+                seats.get(v).allocator.beat(clock(), site.name, beat);
             }
         }
     }
@@ -196,9 +196,9 @@
         }
         boolean leads = v == leader;
         if (leads) {
-            seat.allotter.confirmed(clock());
+            seat.allocator.confirmed(clock());
         }
-        AllocatorOutput turn = seat.allotter.tick(clock());
+        AllocatorOutput turn = seat.allocator.tick(clock());
         for (Command command : turn.propose()) {
             if (leads && !lateLog) {
                 log.add(command);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
@@ -27,8 +27,7 @@
         List<SlotReport> told = new ArrayList<>();
         for (int i = r.nextInt(20); i > 0; i--) {
             told.add(new SlotReport("l" + i, i % 2 == 0 ? "" : "tenant ä", r.nextLong(1L << 60), r.nextInt(9),
-                r.nextInt(9),
-                r.nextInt(9), r.nextInt(9)));
+                r.nextInt(9), r.nextInt(9), r.nextInt(9)));
         }
         return new Heartbeat(r.nextLong(), r.nextInt(99), r.nextInt(9), r.nextBoolean(), r.nextInt(99), r.nextInt(9),
             told,
@@ -73,7 +72,7 @@
         broken[at % broken.length] ^= (byte) (1 + seed % 127);
         for (byte[] message : List.of(broken, Arrays.copyOf(whole, at % whole.length))) {
             try {
-                assertTrue(LimitCodec.readBeat(new CborIn(message)).told().size() <= Heartbeat.MAX_TOLD);
+                assertTrue(LimitCodec.readBeat(new CborIn(message)).reports().size() <= Heartbeat.MAX_TOLD);
             } catch (FaultyMessageException e) {
                 assertTrue(e.getMessage().contains("value") || e.getMessage().contains("CBOR"), e.getMessage());
             }
--- a/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
@@ -28,49 +28,49 @@
     @Property(seed = "41", tries = 200)
     void nothingTakenIsLostAndTheUrgentGoesFirst(@ForAll @IntRange(max = 1_000_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        SendQueue outbox = new SendQueue(20_000, 40);
+        SendQueue sendQueue = new SendQueue(20_000, 40);
         List<List<Integer>> model = new ArrayList<>();
         MAX_URGENT_FIRST.forEach(k -> model.add(new ArrayList<>()));
         for (int i = 0; i < 300; i++) {
             if (random.nextInt(5) < 3) {
                 int k = random.nextInt(MAX_URGENT_FIRST.size());
-                if (outbox.offer(MAX_URGENT_FIRST.get(k), frame(k, i, random.nextInt(3000)))) {
+                if (sendQueue.offer(MAX_URGENT_FIRST.get(k), frame(k, i, random.nextInt(3000)))) {
                     model.get(k).add(i);
                 }
             } else {
                 List<Integer> first = model.stream().filter(l -> !l.isEmpty()).findFirst().orElse(null);
-                ByteBuffer got = outbox.poll();
+                ByteBuffer got = sendQueue.poll();
                 assertEquals(first == null ? null : first.remove(0), got == null ? null : got.getInt(4));
             }
-            assertTrue(outbox.bytes() <= 20_000 && outbox.frames() <= 40);
-            assertEquals(model.stream().mapToInt(List::size).sum(), outbox.frames());
+            assertTrue(sendQueue.bytes() <= 20_000 && sendQueue.frames() <= 40);
+            assertEquals(model.stream().mapToInt(List::size).sum(), sendQueue.frames());
         }
     }
 
     @Test
     void aQueueFullOfContentHasRoomForAgreement() {
-        SendQueue outbox = new SendQueue(1 << 20, 100);
+        SendQueue sendQueue = new SendQueue(1 << 20, 100);
         int content = 0;
-        while (outbox.offer(Kind.CONTENT, frame(5, content, 100))) {
+        while (sendQueue.offer(Kind.CONTENT, frame(5, content, 100))) {
             content++;
         }
         assertEquals(50, content, "content takes half");
-        assertTrue(outbox.offer(Kind.EVIDENCE, frame(4, 0, 100)));
+        assertTrue(sendQueue.offer(Kind.EVIDENCE, frame(4, 0, 100)));
         for (int i = 0; i < 49; i++) {
-            assertTrue(outbox.offer(Kind.RAFT, frame(0, i, 100)));
+            assertTrue(sendQueue.offer(Kind.RAFT, frame(0, i, 100)));
         }
-        assertFalse(outbox.offer(Kind.RAFT, frame(0, 49, 100)), "the queue is bounded for all");
-        assertEquals(0, outbox.poll().getInt(0));
+        assertFalse(sendQueue.offer(Kind.RAFT, frame(0, 49, 100)), "the queue is bounded for all");
+        assertEquals(0, sendQueue.poll().getInt(0));
     }
 
     @Test
     void anEmptyOneGivesNothing() {
-        SendQueue outbox = new SendQueue(100, 16);
-        assertNull(outbox.poll());
-        outbox.own(frame(9, 1, 8));
-        assertEquals(1, outbox.ownFrames());
-        assertEquals(1, outbox.poll().getInt(4));
-        assertTrue(outbox.isEmpty());
+        SendQueue sendQueue = new SendQueue(100, 16);
+        assertNull(sendQueue.poll());
+        sendQueue.own(frame(9, 1, 8));
+        assertEquals(1, sendQueue.ownFrames());
+        assertEquals(1, sendQueue.poll().getInt(4));
+        assertTrue(sendQueue.isEmpty());
     }
 
     @Property(seed = "42", tries = 100)
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
@@ -105,19 +105,19 @@
                 new FleetView.Share(9, 9, 0), new FleetView.Share(9, 9, 0)));
         AttemptCounters cells = new AttemptCounters(views, new Publication<>(new SlotUsage(0, 0)), 2);
         cells.adopt();
-        OrphanedAttempts lingering = new OrphanedAttempts(100);
-        assertEquals(Long.MAX_VALUE, lingering.next());
-        lingering.add(0, "t", "e", 10);
-        lingering.add(1, "t", "e", 20);
-        lingering.add(1, "t", "f", 20);
-        assertArrayEquals(new long[] {2, 2}, lingering.bySlot(cells, 2));
+        OrphanedAttempts orphaned = new OrphanedAttempts(100);
+        assertEquals(Long.MAX_VALUE, orphaned.next());
+        orphaned.add(0, "t", "e", 10);
+        orphaned.add(1, "t", "e", 20);
+        orphaned.add(1, "t", "f", 20);
+        assertArrayEquals(new long[] {2, 2}, orphaned.bySlot(cells, 2));
         List<String> ended = new ArrayList<>();
-        assertFalse(lingering.free(109, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
-        assertEquals(110, lingering.next());
-        assertTrue(lingering.free(110, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
+        assertFalse(orphaned.free(109, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
+        assertEquals(110, orphaned.next());
+        assertTrue(orphaned.free(110, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
         assertEquals(List.of("0te"), ended);
-        assertArrayEquals(new long[] {1, 2}, lingering.bySlot(cells, 2));
-        assertTrue(lingering.free(500, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
+        assertArrayEquals(new long[] {1, 2}, orphaned.bySlot(cells, 2));
+        assertTrue(orphaned.free(500, (cls, tenant, engine) -> ended.add(cls + tenant + engine)));
         assertEquals(List.of("0te", "1te", "1tf"), ended);
     }
 }
