--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -35,8 +35,8 @@
 
     private final LimitSettings settings = LimitSettings.DEFAULTS;
     private final RightsTable table = new RightsTable(settings);
-    private final PoolAllocator desk = new PoolAllocator();
-    private final RightsAllocator allotter = new RightsAllocator(settings, table, desk);
+    private final PoolAllocator poolAllocator = new PoolAllocator();
+    private final RightsAllocator allocator = new RightsAllocator(settings, table, poolAllocator);
     private final List<StandInGateway> gateways = List.of(
             new StandInGateway("g0", List.of("acme", "borea"), settings, 1),
             new StandInGateway("g1", List.of("acme", "borea"), settings, 2));
@@ -64,7 +64,7 @@
     }
 
     private void rules(Policy policy) {
-        desk.known(new PoolAllocator.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
+        poolAllocator.known(new PoolAllocator.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
                 Map.of("g0", "hall", "g1", "hall")));
         gateways.stream().filter(g -> !cut.contains(g.name)).forEach(g -> g.policy(policy, false));
     }
@@ -81,22 +81,22 @@
             gateways.forEach(g -> {
                 Heartbeat beat = g.beat();
                 if (!cut.contains(g.name)) {
-                    links.add(() -> allotter.beat(now, g.name, beat));
+                    links.add(() -> allocator.beat(now, g.name, beat));
                 }
             });
         }
     }
 
     private void lead() {
-        if (desk.solve(now, CALM)) {
-            allotter.retarget();
+        if (poolAllocator.solve(now, CALM)) {
+            allocator.retarget();
         }
-        List<LimitSpec> limits = desk.limits(table, 0);
+        List<LimitSpec> limits = poolAllocator.limits(table, 0);
         if (!Map.copyOf(table.specs()).values().containsAll(limits) || limits.size() != table.specs().size()) {
             table.apply(new Command.SetLimits(table.epoch() + 1, limits));
         }
-        allotter.confirmed(now);
-        AllocatorOutput turn = allotter.tick(now);
+        allocator.confirmed(now);
+        AllocatorOutput turn = allocator.tick(now);
         turn.propose().forEach(table::apply);
         turn.grants().forEach(grant -> gateways.stream()
                 .filter(g -> g.name.equals(grant.member()) && !cut.contains(g.name))
@@ -123,7 +123,7 @@
     void theEngineNeverMeetsMoreWhilePolicyAndLinksChange() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(3, 1));
         run(8_000_000);
         assertEquals(6, mean(2_000_000, "acme", gateways), 0.8);
@@ -152,7 +152,7 @@
     void anIdleConnectionIsNotGivenAway() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(1, 1, ""));
         gateways.get(1).wants(false);
         run(8_000_000);
@@ -175,7 +175,7 @@
     void whoCannotReadWhatRulesUsesFloorsOnly() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(1, 1));
         run(8_000_000);
         StandInGateway old = gateways.get(0);
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
@@ -73,7 +73,7 @@
     @Test
     void viewFollowsWhatWasGivenAndItsLease() {
         LimitSpec all = limit("all", null, null, null, null);
-        keeper.ownFile(List.of(all));
+        keeper.localLimits(List.of(all));
         FleetView before = publish();
         assertEquals(List.of("all"), before.slots().stream().map(Slot::id).toList());
         assertEquals(0, before.allowed(0, FRESH + 1), "its own file binds, with nothing given");
@@ -101,9 +101,9 @@
         assertTrue(cells.begin(0, "t", "e", FRESH) && cells.begin(0, "t", "f", FRESH));
         cells.waits(0, "t", 4);
         Heartbeat beat = keeper.beat(FRESH + 1);
-        SlotReport told = beat.told().stream().filter(t -> t.limit().equals("all")).findFirst().orElseThrow();
+        SlotReport told = beat.reports().stream().filter(t -> t.limit().equals("all")).findFirst().orElseThrow();
         assertEquals(List.of(2L, 6L), List.of(told.used(), told.demand()));
-        told = beat.told().stream().filter(t -> t.limit().equals("one")).findFirst().orElseThrow();
+        told = beat.reports().stream().filter(t -> t.limit().equals("one")).findFirst().orElseThrow();
         assertEquals(List.of(1L, 3L), List.of(told.used(), told.demand()), "of the four that wait, its part of three");
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
@@ -61,8 +61,7 @@
         FleetConfig agreed = agreed(r);
         assertEquals(agreed, FleetConfig.of(agreed.text()));
         StatusMessage news = new StatusMessage(r.nextInt(99), r.nextBoolean() ? "" : "a", List.of("a", "b"),
-                agreed.version(),
-                agreed.text());
+                agreed.version(), agreed.text());
         assertEquals(news, StatusMessage.decode(news.encode()));
         assertEquals(agreed, news.agreed());
         HeartbeatMessage beat = beat(r);
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
@@ -96,11 +96,11 @@
         lost.disk(new SimDisk());
         lost.start();
         assertTrue(fleet.runUntil(() -> lost.voter().phase() == Phase.VOTING
-            && !lost.voter().life().orElseThrow().isLearner(), 60 * SECOND), () -> fleet.said().toString());
+            && !lost.voter().incarnation().orElseThrow().isLearner(), 60 * SECOND), () -> fleet.said().toString());
         assertEquals(new Endpoint(name, 2), lost.voter().endpoint().orElseThrow());
         fleet.run(10 * SECOND);
         assertEquals(THREE, leader(fleet).voter().voters());
-        assertEquals(3, leader(fleet).voter().life().orElseThrow().committed().all().size());
+        assertEquals(3, leader(fleet).voter().incarnation().orElseThrow().committed().all().size());
         assertTrue(lost.register().values().containsAll(fleet.acknowledged()));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
@@ -26,9 +26,9 @@
         return book;
     }
 
-    private static Evidence piece(String teller, Topic topic, String name, long life, long seq, long made) {
+    private static Evidence piece(String reporter, Topic topic, String name, long life, long seq, long made) {
         Finding finding = topic == Topic.GROUP ? Finding.CHANGED : seq % 2 == 0 ? Finding.GOOD : Finding.SICK;
-        return new Evidence(new Subject(topic, name), teller, life, seq, finding, 0, 1, 0, made, made);
+        return new Evidence(new Subject(topic, name), reporter, life, seq, finding, 0, 1, 0, made, made);
     }
 
     /** A piece by its number: what it says follows from teller, life and seq; copies differ in their times alone. */
@@ -43,7 +43,7 @@
     private static TreeMap<String, Evidence> content(EvidenceBook book) {
         TreeMap<String, Evidence> all = new TreeMap<>();
         for (Topic topic : List.of(Topic.HEALTH, Topic.GROUP)) {
-            book.each(topic, NOW, e -> all.put(e.subject() + e.teller(), e));
+            book.each(topic, NOW, e -> all.put(e.subject() + e.reporter(), e));
         }
         return all;
     }
@@ -76,7 +76,7 @@
             long seq = Math.floorMod(n, 1000);
             book.put(piece(n % 2 == 0 ? "a" : "b", seq % 2 == 0 ? Topic.GROUP : Topic.HEALTH, "s" + seq, 1, seq, NOW),
                     "b", NOW);
-            assertTrue(book.size() <= 2 * (2 * SMALL.maxPerTeller() + 1), "size " + book.size());
+            assertTrue(book.size() <= 2 * (2 * SMALL.maxPerReporter() + 1), "size " + book.size());
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
@@ -31,7 +31,7 @@
         }
 
         List<EvidenceMessage> toldTo(String peer) {
-            return spread.next(NOW, peer).map(Batch::told).orElse(List.of());
+            return spread.next(NOW, peer).map(Batch::messages).orElse(List.of());
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
@@ -38,7 +38,7 @@
         byte[] message = EvidenceCodec.encode(batch(5, Finding.SICK, "e"));
         message[at % message.length] = value;
         try {
-            assertTrue(EvidenceCodec.decode(message).told().size() <= EvidenceDissemination.MAX_PIECES);
+            assertTrue(EvidenceCodec.decode(message).messages().size() <= EvidenceDissemination.MAX_PIECES);
         } catch (FaultyMessageException e) {
             assertTrue(e.getMessage().startsWith("value "), e.getMessage());
         }
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -66,8 +66,7 @@
 
     /** {@code port} 0: any; {@code startedUs} 0: warm; {@code fell}: it fell over, and is dead by then. */
     StandInEngine(Loop loop, Events events, ClientStatistics tally, String id, int port, EngineModel.Spec spec,
-            long startedUs,
-            Runnable fell) throws IOException {
+            long startedUs, Runnable fell) throws IOException {
         this.loop = loop;
         this.events = events;
         this.tally = tally;
--- a/lab/src/main/java/sandpaddle/lab/StormResult.java
+++ b/lab/src/main/java/sandpaddle/lab/StormResult.java
@@ -21,8 +21,7 @@
     private final double cpuMsPerTry;
 
     StormResult(StormExperiment.Plan plan, ClientStatistics tally, long countFrom, long outageAt, long returnAt,
-            long countUntil,
-            double cpuMsPerTry) {
+            long countUntil, double cpuMsPerTry) {
         this.plan = plan;
         this.tally = tally;
         this.countFrom = countFrom;
