--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/AnswerReplication.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/AnswerReplication.java
@@ -8,9 +8,10 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * Copies of stored answers between the gateways of a hall: who has one offers it, who lacks it asks for it part by
- * part. Lost, repeated and late messages are mended by offering and asking again; a copy goes on where it stood. The
- * receiver bounds what is under way, the sender what is offered. No I/O of its own: messages come in and go out.
+ * Replicates stored answers between the gateways of a hall: the holder offers an answer, whoever lacks it requests it
+ * part by part. Lost, repeated and late messages are repaired by offering and requesting again; a transfer resumes
+ * where it stopped. The receiver bounds what is in flight, the sender what is offered. No I/O of its own: messages come
+ * in and go out.
  */
 public final class AnswerReplication {
     private final ReplicaReceiver incoming;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ContentReplicaStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ContentReplicaStore.java
@@ -6,9 +6,9 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * A gateway's store as copying sees it. An answer that comes is taken as of this process, with the age that it came
- * with; one whose age cannot be told, since it is of an earlier process and the wall clock was set back, is not
- * offered. Tell the time by {@link #at} before each call to {@link AnswerReplication}.
+ * A gateway's content store as replication sees it. A received answer is taken as of this process, with the age that it
+ * came with; one whose age is unknown, since it is of an earlier process and the wall clock was set back, is not
+ * offered. Set the time by {@link #at} before each call to {@link AnswerReplication}.
  */
 public final class ContentReplicaStore implements ReplicaStore {
     private final ContentStore store;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
@@ -11,9 +11,9 @@
 import sandpaddle.fleet.wire.CborIn;
 
 /**
- * Copies coming in. The receiver asks for each part, so that what is under way is bounded by what it asked for, and a
- * copy goes on where it stood after a link was lost, from whoever offers the same bytes again. A part that comes twice,
- * or for another place, changes nothing.
+ * Transfers coming in. The receiver requests each part, so that what is in flight is bounded by what it requested, and
+ * a transfer resumes where it stopped after a link was lost, from whoever offers the same bytes again. A duplicate or
+ * misplaced part changes nothing.
  */
 final class ReplicaReceiver {
     private static final class Partial {
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaSender.java
@@ -14,8 +14,8 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * Copies going out: names wait for each neighbour, some of them are offered, and parts go out as they are asked for.
- * Apart from names nothing is kept but the body last read, since its parts are asked for one after the other.
+ * Transfers going out: ids queue for each neighbour, some of them are offered, and parts are sent on request. Apart
+ * from ids nothing is kept but the body last read, since its parts are requested one after the other.
  */
 final class ReplicaSender {
     private static final int MAX_NEIGHBOURS = 256;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaStore.java
@@ -4,7 +4,7 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.StoredAnswer;
 
-/** The stored answers of this gateway, as copying sees them. */
+/** The stored answers of this gateway, as replication sees them. */
 public interface ReplicaStore {
     /** When (wall, ms) the copy here was asked for, -1 where there is none. */
     long askedAt(ContentId id);
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationLinks.java
@@ -6,7 +6,7 @@
 import sandpaddle.fleet.wire.CborIn;
 
 /**
- * Carries the messages of {@link AnswerReplication} over the fleet's links. What a full queue refuses is mended by a
+ * Carries the messages of {@link AnswerReplication} over the fleet's links. What a full queue refuses is repaired by a
  * repeat.
  */
 public final class ReplicationLinks {
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessage.java
@@ -3,7 +3,7 @@
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 
-/** What neighbours of a hall tell each other about stored answers. Every one may come twice, late, or not at all. */
+/** A message between the neighbours of a hall about stored answers. Each may come twice, late, or not at all. */
 public sealed interface ReplicationMessage {
     /** The sender expects so many asks of it in the window that comes; the receiver is who fetches it. */
     record Want(Candidate what, double asks) implements ReplicationMessage { }
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessageCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessageCodec.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
-/** The messages' form on the wire: version, number of the message, its values. */
+/** Encodes replication messages: version, number of the message, its values. */
 public final class ReplicationMessageCodec {
     /** Bytes of a part: four of them and their heads stay under a frame's 1 MiB. */
     public static final int MAX_CHUNK = 256 * 1024;
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/AnswerLocation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/AnswerLocation.java
@@ -2,7 +2,7 @@
 
 import sandpaddle.fleet.content.ContentId;
 
-/** Where an answer lies in a segment, with its CRC-32C and what its value is judged by. */
+/** The location of an answer in a segment, with its CRC-32C and what its value is judged by. */
 record AnswerLocation(ContentId id, long at, int length, int crc, long askedWall, long maxAgeMs, double worth) {
     double worth(long wall) {
         return wall - askedWall > maxAgeMs ? 0 : worth;
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/EncodedAnswer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/EncodedAnswer.java
@@ -4,7 +4,7 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.content.StoredAnswer;
 
-/** An answer as it is written: its form on disk, and what the index knows of it. */
+/** An answer encoded for the disk, and what the index knows of it. */
 record EncodedAnswer(ContentId id, long askedWall, long maxAgeMs, double worth, byte[] bytes) {
     static EncodedAnswer of(StoredAnswer answer) {
         AnswerMetadata m = answer.meta();
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
@@ -12,8 +12,8 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * The form of a segment: eight letters, the length and the CRC-32C of its head, the head (what answers lie in it, and
- * where), then their bodies. The start of a gateway reads heads alone; a body is checked when it is read.
+ * The format of a segment: eight letters, the length and the CRC-32C of its head, the head (which answers lie in it,
+ * and where), then their bodies. A start reads heads alone; a body is checked when it is read.
  */
 final class SegmentCodec {
     static final int PRELUDE = 16;
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import sandpaddle.fleet.content.ContentId;
 
-/** Answers that wait to be written together, the last one of each name. */
+/** Answers buffered to be written together, the latest version of each. */
 final class WriteBuffer {
     /** What one answer takes in a segment's head, at most. */
     private static final int HEAD_EACH = 128;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
@@ -10,7 +10,7 @@
     ENGINE_FORGETS,
     /** A lease is renewed only after a majority confirmed the leader. */
     MAJORITY,
-    /** A lease counts from when the gateway sent its beat, not from when the answer came. */
+    /** A lease counts from when the gateway sent its heartbeat, not from when the answer came. */
     FROM_SEND,
     /** The leader waits longer by what two clocks may differ. */
     DRIFT,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Times in microseconds. {@code lease}: how long a gateway uses its rights after the beat that was confirmed.
+ * Times in microseconds. {@code lease}: how long a gateway uses its rights after the heartbeat that was confirmed.
  * {@code engineForget}: how long an engine keeps what nobody asks for any more. {@code outlive}: how long attempts that
  * may not be repeated may run on after a lapse. {@code slack}: for what a thread may be late. {@code repeat}: between
  * two tellings of the same. {@code floorKeep}: how old a written floor may be that a restart uses. {@code drift}: part
@@ -51,12 +51,14 @@
         return has(Guard.DRIFT) ? (long) Math.ceil(time * (1 + drift) / (1 - drift)) : time;
     }
 
-    /** How long after a beat that was vouched for this gateway may use what it holds. */
+    /** How long after a heartbeat that was vouched for this gateway may use what it holds. */
     public long hold() {
         return lease + outlive;
     }
 
-    /** How long after the last beat heard from a gateway with these settings its rights above the floor are unused. */
+    /**
+     * How long after the last heartbeat heard from a gateway with these settings its rights above the floor are unused.
+     */
     public long reclaimAfter() {
         return reclaimAfter(hold());
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/AllocatorOutput.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/AllocatorOutput.java
@@ -4,5 +4,8 @@
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.wire.Grant;
 
-/** What a leader does now: commands to propose, in order, and grants to send, each lost without harm. */
+/**
+ * The output of one step of the allocator: commands to propose, in order, and grants to send. Any of them may be lost
+ * without harm.
+ */
 public record AllocatorOutput(List<Command> propose, List<Grant> grants) { }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/GatewayState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GatewayState.java
@@ -6,7 +6,7 @@
 import sandpaddle.fleet.limit.table.MemberRow;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 
-/** What the leader knows of one gateway: when it was heard, and which of its beats it may vouch for. */
+/** The leader's state of one gateway: when it was last heard, and which of its heartbeats may be confirmed. */
 final class GatewayState {
     private static final int MAX_PENDING = 64;
 
@@ -14,7 +14,7 @@
 
     private final LimitSettings settings;
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
-    private long former; // the process before, of which beats may still be under way
+    private long former; // the process before, of which heartbeats may still be under way
     private long switchedAt;
     private long leasedAt;
     private long leasedSession = -1;
@@ -27,7 +27,7 @@
     long epoch;
     long hold;
     boolean leased;
-    long heard; // the last beat that a lease may count from; at first the election
+    long heard; // the last heartbeat that a lease may count from; at first the election
     long reclaiming = -1; // the session that is being ended: nothing of it is vouched for any more
     long proposedAt = Long.MIN_VALUE / 2;
     long sentConfirmed;
@@ -39,7 +39,7 @@
         heard = settings.has(Guard.ELECTION_RENEWS) ? opened : opened - settings.reclaimAfter();
     }
 
-    /** Whether the beat is news of this gateway's process now. */
+    /** Whether the heartbeat is news of this gateway's process now. */
     boolean beat(long now, MemberRow row, Heartbeat beat) {
         if (beat.incarnation() != incarnation) {
             boolean old = beat.incarnation() == (incarnation == 0 ? row.former() : former);
@@ -84,7 +84,7 @@
             && (session == row.session() || !settings.has(Guard.SESSION));
     }
 
-    /** A majority confirmed the leader since then: beats heard before are vouched for. */
+    /** A majority confirmed the leader since then: heartbeats heard before are vouched for. */
     void confirmed(long asOf, MemberRow row) {
         while (!pending.isEmpty() && pending.peek().at <= asOf) {
             Pending beat = pending.poll();
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The highest beat to vouch for in this session, 0 for none. */
+    /** The highest heartbeat to vouch for in this session, 0 for none. */
     long confirmed(MemberRow row) {
         return confirmedSession == row.session() && reclaiming != row.session() ? confirmed : 0;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/GrantBuilder.java
@@ -13,7 +13,10 @@
 import sandpaddle.fleet.limit.wire.Grant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 
-/** What to tell gateways now: rights not acknowledged, limits that they do not know, beats that are vouched for. */
+/**
+ * Builds the grants due now: rights not acknowledged, limits that a gateway does not know, heartbeats that are
+ * confirmed.
+ */
 final class GrantBuilder {
     private final LimitSettings settings;
     private final RightsTable table;
@@ -24,15 +27,15 @@
     }
 
     List<Grant> grants(long now, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
-        Map<String, List<SlotGrant>> news = new TreeMap<>();
+        Map<String, List<SlotGrant>> pending = new TreeMap<>();
         allocators.forEach((limit, allocator) -> {
             var row = table.limits().get(limit);
-            if (row != null && !allocator.quiet) {
-                allocator.quiet = true;
+            if (row != null && !allocator.settled) {
+                allocator.settled = true;
                 allocator.states.forEach((name, state) -> {
                     if (state.open(row.slot(name))) {
-                        allocator.quiet = false;
-                        one(now, limit, name, state, row.slot(name), news, gateways);
+                        allocator.settled = false;
+                        one(now, limit, name, state, row.slot(name), pending, gateways);
                     }
                 });
             }
@@ -45,7 +48,7 @@
             }
             long confirmed = gateway.confirmed(row);
             boolean stale = gateway.session != row.session() || gateway.epoch != table.epoch();
-            List<SlotGrant> given = news.getOrDefault(name, List.of());
+            List<SlotGrant> given = pending.getOrDefault(name, List.of());
             if (!given.isEmpty() || confirmed > gateway.sentConfirmed
                     || stale && now - gateway.grantAt >= settings.repeat()) {
                 gateway.sentConfirmed = confirmed;
@@ -60,13 +63,13 @@
     }
 
     private void one(long now, String limit, SlotName name, SlotState state, Slot slot,
-            Map<String, List<SlotGrant>> news, Map<String, GatewayState> gateways) {
+            Map<String, List<SlotGrant>> pending, Map<String, GatewayState> gateways) {
         GatewayState gateway = gateways.get(name.member());
         if (gateway == null || gateway.incarnation == 0) {
             return; // nobody to tell
         }
         SlotGrant given = state.toSend(now, limit, name.sub(), slot, settings);
-        List<SlotGrant> all = news.computeIfAbsent(name.member(), m -> new ArrayList<>());
+        List<SlotGrant> all = pending.computeIfAbsent(name.member(), m -> new ArrayList<>());
         if (given != null && all.size() < Grant.MAX_GIVEN) {
             all.add(given);
             state.sent(now, given);
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitAllocator.java
@@ -26,8 +26,8 @@
     private final String limit;
     private final LimitSettings settings;
     final TreeMap<SlotName, SlotState> states = new TreeMap<>();
-    boolean news = true;
-    boolean quiet; // nothing to tell anybody
+    boolean dirty = true;
+    boolean settled; // nothing to tell anybody
     private long touched = -1;
     private long plannedAt = Long.MIN_VALUE / 2;
 
@@ -48,17 +48,17 @@
     void report(long now, String member, SlotReport report) {
         SlotState state = state(new SlotName(member, report.sub()));
         if (state != null) {
-            news |= state.report(now, report);
+            dirty |= state.report(now, report);
         }
     }
 
     /** Whether it has to be looked at: something changed, or it was long ago, as shares change with time too. */
     boolean due(long now, LimitRow row) {
-        long wait = quiet ? Math.max(IDLE_US, settings.repeat()) : settings.repeat();
-        boolean due = news || touched != row.touched() || now - plannedAt >= wait;
+        long wait = settled ? Math.max(IDLE_US, settings.repeat()) : settings.repeat();
+        boolean due = dirty || touched != row.touched() || now - plannedAt >= wait;
         if (due) {
-            quiet = false;
-            news = false;
+            settled = false;
+            dirty = false;
             touched = row.touched();
             plannedAt = now;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/LimitPlanner.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.table.SlotName;
 
-/** Gathers the claims of one limit, asks for their targets, and lets the limit's desk move rights towards them. */
+/** Collects the demand for one limit, computes the targets, and lets the limit's allocator move rights towards them. */
 final class LimitPlanner {
     private final LimitSettings settings;
     private final RightsTable table;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/RendezvousHash.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RendezvousHash.java
@@ -1,6 +1,9 @@
 package sandpaddle.fleet.limit.allot;
 
-/** Highest random weight (Thaler and Ravishankar 1998): who of many, the same on each gateway and after each change. */
+/**
+ * Rendezvous hashing, also highest random weight (Thaler and Ravishankar 1998): every gateway chooses the same, and a
+ * change of the members moves little.
+ */
 final class RendezvousHash {
     private RendezvousHash() { }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/RightsAllocator.java
@@ -18,12 +18,12 @@
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * The leader's part: hears beats, decides who should have which rights, proposes that to the voters, and tells gateways
- * what was agreed on. It only decides; that a limit is never exceeded rests on the table (the sum of what is held), on
- * what gateways acknowledged, and on {@link LimitSettings#reclaimAfter()} for those that are not heard. What it knows
- * is soft: a new leader knows nothing, takes every lease as renewed at its election, and hears the rest with the next
- * beats. Cost: O(slots that a beat tells) a beat; a limit is looked at only where something about it changed. Bounds:
- * those of the table.
+ * The leader's part: hears heartbeats, decides who should have which rights, proposes that to the voters, and tells
+ * gateways what was agreed on. It only decides; that a limit is never exceeded rests on the table (the sum of what is
+ * held), on what gateways acknowledged, and on {@link LimitSettings#reclaimAfter()} for those that are not heard. What
+ * it knows is soft: a new leader knows nothing, takes every lease as renewed at its election, and hears the rest with
+ * the next heartbeats. Cost: O(slots that a heartbeat tells) a heartbeat; a limit is looked at only where something
+ * about it changed. Bounds: those of the table.
  */
 public final class RightsAllocator {
     private static final int MAX_MOVES = 16; // commands of changes in one turn
@@ -67,7 +67,7 @@
         return lead != 0 && open && table.lead() == lead;
     }
 
-    /** A gateway's beat; one that is old, repeated or from nobody known changes nothing. */
+    /** A gateway's heartbeat; one that is old, repeated or from nobody known changes nothing. */
     public void beat(long now, String member, Heartbeat beat) {
         MemberRow row = table.members().get(member);
         if (row == null || !leads()) {
@@ -105,7 +105,7 @@
 
     /** The targets have changed, so every limit has to be looked at. */
     public void retarget() {
-        allocators.values().forEach(allocator -> allocator.news = true);
+        allocators.values().forEach(allocator -> allocator.dirty = true);
     }
 
     /** What is to be done now. */
@@ -141,7 +141,7 @@
             gateways.keySet().retainAll(table.members().keySet());
             allocators.values().forEach(allocator -> {
                 allocator.states.keySet().removeIf(name -> !table.members().containsKey(name.member()));
-                allocator.news = true;
+                allocator.dirty = true;
             });
         }
         boolean changed = false;
@@ -150,7 +150,7 @@
             changed |= gateway.changed(now, row);
         }
         if (changed) {
-            allocators.values().forEach(allocator -> allocator.news = true);
+            allocators.values().forEach(allocator -> allocator.dirty = true);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SlotState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SlotState.java
@@ -6,7 +6,7 @@
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
-/** What the leader knows of one slot, and what it asked and proposed last about it. */
+/** The leader's state of one slot: the last report, the last grant and the last proposal. */
 final class SlotState {
     private static final double STIR = 0.01; // part by which demand has to change to be looked at
     final SmoothedDemand demand = new SmoothedDemand();
@@ -20,11 +20,11 @@
 
     /** Whether this is news. */
     boolean report(long now, SlotReport next) {
-        boolean news = report == null || !report.equals(next);
+        boolean dirty = report == null || !report.equals(next);
         report = next;
         double before = demand.level();
         demand.report(now, next.demand());
-        return news || Math.abs(demand.level() - before) > STIR * Math.max(1, before);
+        return dirty || Math.abs(demand.level() - before) > STIR * Math.max(1, before);
     }
 
     /** A change decided on is not decided again before it was time for it. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.limit.allot;
 
 /**
- * Demand of one slot, evened out so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
- * half or more is believed when two beats in a row tell it.
+ * The demand of one slot, smoothed so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
+ * half or more is taken over when two heartbeats in a row report it.
  */
 final class SmoothedDemand {
     /** Noise of a fifth either way, told ten times a second, stays within 4% of the mean. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/TargetPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allot/TargetPolicy.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import sandpaddle.fleet.limit.LimitSpec;
 
-/** Says how some limits should be shared, such as the budgets of pools. Deterministic, without effect. */
+/** Decides how some limits should be shared, such as the budgets of pools. Deterministic, without side effects. */
 public interface TargetPolicy {
     /** Whether these say it for this limit; its slots are then those that gateways have opened, by tenant. */
     boolean decide(LimitSpec limit);
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/Lease.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/Lease.java
@@ -5,11 +5,11 @@
 import sandpaddle.fleet.limit.LimitSettings;
 
 /**
- * Until when the rights hold. It counts from when the beat was sent that the leader vouches for, by this gateway's own
- * clock: the leader cannot have heard it earlier. Bound: {@link #MAX_BEATS} beats are remembered.
+ * Until when the rights hold. It counts from when the heartbeat was sent that the leader vouches for, by this gateway's
+ * own clock: the leader cannot have heard it earlier. Bound: {@link #MAX_BEATS} heartbeats are remembered.
  */
 final class Lease {
-    /** Beats that may still be confirmed: at 100 ms each, 25 s of them. */
+    /** Heartbeats that may still be confirmed: at 100 ms each, 25 s of them. */
     static final int MAX_BEATS = 256;
     private static final long NONE = Long.MIN_VALUE / 2;
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/RightsHolder.java
@@ -23,9 +23,9 @@
  * The rights of one gateway's process: what it may use now, by its own clock and what it heard. With a lease it is the
  * ceiling last given, without one the floor reserved for it, and nothing while engines may still run what a former
  * process left. What it told the leader it keeps, so the leader may give the rest away. After leases (Gray and Cheriton
- * 1989) and the demarcation protocol (Barbara and Garcia-Molina 1994). Cost: O(slots) a beat, O(1) a question. Bounds:
- * {@link #MAX_SLOTS} slots; a beat tells {@link Heartbeat#MAX_TOLD} and of idle ones {@link Heartbeat#MAX_IDLE},
- * the rest in turn.
+ * 1989) and the demarcation protocol (Barbara and Garcia-Molina 1994). Cost: O(slots) a heartbeat, O(1) a question.
+ * Bounds: {@link #MAX_SLOTS} slots; a heartbeat tells {@link Heartbeat#MAX_TOLD} and of idle ones {@link
+ * Heartbeat#MAX_IDLE}, the rest in turn.
  */
 public final class RightsHolder {
     /** The most slots of one gateway. */
@@ -43,7 +43,7 @@
     private long session;
     private long epoch;
     private long sequence;
-    private Rights.Key lastReported; // where the next beat goes on when there are more slots than it holds
+    private Rights.Key lastReported; // where the next heartbeat goes on when there are more slots than it holds
 
     /**
      * A process that starts now. {@code incarnation}: drawn at the start, not 0, so that no two processes of a name
@@ -113,7 +113,7 @@
             } else if (idle.size() < Heartbeat.MAX_IDLE) {
                 idle.add(key);
             }
-            // the next beat goes on behind the last idle slot of this one, and so meets all of them in turn
+            // the next heartbeat goes on behind the last idle slot of this one, and so meets all of them in turn
             lastReported = idle.size() < Heartbeat.MAX_IDLE || idle.get(idle.size() - 1) == key ? key : lastReported;
             next = slots.higherEntry(key);
         }
@@ -154,7 +154,9 @@
         return slotRights == null || now < freshAt ? 0 : lease.holds(now) ? slotRights.leased() : slotRights.unleased();
     }
 
-    /** The same for the request path, all slots at one moment. Publish it after each grant, before the next beat. */
+    /**
+     * The same for the request path, all slots at one moment. Publish it after each grant, before the next heartbeat.
+     */
     public Rights rights() {
         Map<Rights.Key, Rights.Pair> pairs = new HashMap<>();
         slots.forEach((key, slotRights) -> pairs.put(key, new Rights.Pair(slotRights.leased(), slotRights.unleased())));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/SavedFloor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/SavedFloor.java
@@ -1,4 +1,4 @@
 package sandpaddle.fleet.limit.hold;
 
-/** A floor that is written down, so that a restart has it while cut off. */
+/** A floor saved on disk, so that a restart has it while cut off. */
 public record SavedFloor(String limit, String sub, long floor) { }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/SlotRights.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/SlotRights.java
@@ -5,11 +5,12 @@
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
-/** What one slot may use. Under one version everything only goes down. */
+/** The rights of one slot. Under one version they only shrink. */
 final class SlotRights {
     private static final long NEVER = Long.MIN_VALUE;
 
-    private static final int REPEATS = 3; // beats that tell a change: one may be lost, and a step of demand takes two
+    // heartbeats that tell a change: one may be lost, and a step of demand takes two
+    private static final int REPEATS = 3;
 
     long version;
     private SlotReport told;
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Whether this has to be told with this beat; slots that nothing happens to are told in turn. */
+    /** Whether this has to be told with this heartbeat; slots that nothing happens to are told in turn. */
     boolean needsReport(long used, long demand) {
         if (told == null || told.used() != used || told.demand() != demand || told.ceiling() != ceiling()
                 || told.floor() != floor) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/UsageSource.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/hold/UsageSource.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.limit.hold;
 
 /**
- * What this gateway uses of a limit. A count holds an attempt from before it is sent until the engine cannot run it any
+ * This gateway's usage of a limit. A count holds an attempt from before it is sent until the engine cannot run it any
  * more: its end was heard, or it was given up and the engine's time to forget has passed.
  */
 public interface UsageSource {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a gateway tells the leader with each beat. {@code sequence} grows by one with each; {@code session}: the one
- * that its rights are of, 0 where it has none; {@code leased}: whether a lease holds; {@code hold}: its own lease
+ * What a gateway tells the leader with each heartbeat. {@code sequence} grows by one with each; {@code session}: the
+ * one that its rights are of, 0 where it has none; {@code leased}: whether a lease holds; {@code hold}: its own lease
  * and outliving, as its settings may differ from the leader's; {@code epoch}: of the limits that it knows.
  */
 public record Heartbeat(long incarnation, long sequence, long session, boolean leased, long hold, long epoch,
         List<SlotReport> reports, List<InstanceRequest> wanted) {
-    /** The most slots of one beat; a gateway with more tells them in turn. */
+    /** The most slots of one heartbeat; a gateway with more tells them in turn. */
     public static final int MAX_TOLD = 2048;
-    /** The most slots of one beat that nothing happens to. */
+    /** The most slots of one heartbeat that nothing happens to. */
     public static final int MAX_IDLE = 64;
     /** The longest lease and outliving of a gateway: an hour. */
     public static final long MAX_HOLD = 3_600_000_000L;
-    /** The most new names of one beat. */
+    /** The most new names of one heartbeat. */
     public static final int MAX_WANTED = 64;
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/InstanceRequest.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/InstanceRequest.java
@@ -2,5 +2,5 @@
 
 import sandpaddle.fleet.limit.Scope;
 
-/** A limit for each of something, at names that a gateway has met. */
+/** Asks for an instance of a limit that holds for each engine or tenant, at names that a gateway has met. */
 public record InstanceRequest(String limit, Scope at) { }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
@@ -7,7 +7,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** Beats and grants as parts of a message: they are written into one that may have other parts too. */
+/** Heartbeats and grants as parts of a message: they are written into one that may have other parts too. */
 public final class LimitCodec {
     private LimitCodec() { }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/AcceptLimits.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/AcceptLimits.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import sandpaddle.fleet.link.LinkSettings;
 
-/** Bounds what peers may open here: connections, and of them those without a finished handshake. */
+/** Bounds the connections accepted from peers, in total and without a finished handshake. */
 record AcceptLimits(boolean full, Optional<Session> oldestSilent) {
     /** Whether one more finds room, and who would have to go: the first of those that have not told their name. */
     static AcceptLimits of(Collection<Session> inOrder, LinkSettings.Bounds bounds) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/GreetingValidator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/GreetingValidator.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.MemberName;
 
-/** Judges greetings; each refusal names what is wrong, and what this gateway has in its place. */
+/** Validates greetings; each rejection names what is wrong, and what this gateway has in its place. */
 final class GreetingValidator {
     /** The protocol versions that this program speaks. */
     static final int MIN_VERSION = 1;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
@@ -14,16 +14,16 @@
 final class Handshake {
     private final LinkManager board;
     private final String self;
-    private final GreetingValidator greeter;
+    private final GreetingValidator validator;
 
-    Handshake(LinkManager board, String self, GreetingValidator greeter) {
+    Handshake(LinkManager board, String self, GreetingValidator validator) {
         this.board = board;
         this.self = self;
-        this.greeter = greeter;
+        this.validator = validator;
     }
 
     void greet(long now, Session s) {
-        say(now, s, new Frame.Hello(greeter.hello(s.peer)));
+        say(now, s, new Frame.Hello(validator.hello(s.peer)));
     }
 
     private void say(long now, Session s, Frame frame) {
@@ -63,7 +63,7 @@
 
     private void asking(long now, Session s, Frame frame) throws FaultyMessageException {
         if (frame instanceof Frame.Welcome w) {
-            Optional<GreetingValidator.Rejection> no = greeter.judgeAnswer(w.from(), s.peer);
+            Optional<GreetingValidator.Rejection> no = validator.judgeAnswer(w.from(), s.peer);
             if (no.isPresent()) {
                 board.end(now, s, Loss.REJECTED, no.get().why(), new Frame.Rejected(no.get().code(), no.get().why()));
                 return;
@@ -95,7 +95,7 @@
             throw new FaultyMessageException("a frame before the greeting");
         }
         Greeting theirs = h.from();
-        Optional<GreetingValidator.Rejection> no = greeter.judge(theirs).or(() -> older(theirs));
+        Optional<GreetingValidator.Rejection> no = validator.judge(theirs).or(() -> older(theirs));
         if (no.isPresent()) {
             refuse(s, theirs, no.get());
             return;
@@ -113,7 +113,7 @@
         s.peer = p.name;
         s.theirs = theirs;
         s.enter(Session.Stage.WELCOMED, now);
-        say(now, s, new Frame.Welcome(greeter.welcome(theirs)));
+        say(now, s, new Frame.Welcome(validator.welcome(theirs)));
     }
 
     /**
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkCounts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkCounts.java
@@ -5,7 +5,7 @@
         long unknownFrames, long queueFull, long oversize) {
     static final LinkCounts NONE = new LinkCounts(0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** The counters, as the switchboard moves them. */
+    /** The counters, as the link manager moves them. */
     static final class Counting {
         long up, down;
         long attempts;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkEvents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkEvents.java
@@ -3,7 +3,7 @@
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.frame.Refusal;
 
-/** What whoever stands on the links hears, and what only the log does. */
+/** Listener for the events of the links, those for the log included. */
 public interface LinkEvents extends Links.Listener {
     /**
      * This gateway refused a connection, or ended one before it was a link.
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkManager.java
@@ -24,7 +24,7 @@
  */
 public final class LinkManager {
     private final LinkSettings settings;
-    private final GreetingValidator greeter;
+    private final GreetingValidator validator;
     final LinkTransport transport;
     final LinkEvents events;
     private final Map<Long, Session> sessions = new LinkedHashMap<>(); // in the order of their making
@@ -46,8 +46,8 @@
         peers = new Peers(settings, random);
         this.transport = transport;
         this.events = events;
-        greeter = new GreetingValidator(settings, known, min, max);
-        handshake = new Handshake(this, settings.self().name(), greeter);
+        validator = new GreetingValidator(settings, known, min, max);
+        handshake = new Handshake(this, settings.self().name(), validator);
     }
 
     /** The peers to keep links to from now on. */
@@ -169,7 +169,7 @@
             }
             s.judge(now).ifPresent(e -> end(now, s, e.how(), e.why(), s.stage == Session.Stage.UP
                     && e.how() == Loss.SILENT ? new Frame.Bye(settings.self().name() + ": " + e.why()) : null));
-            if (s.stage == Session.Stage.UP && !greeter.knows(s.peer)) {
+            if (s.stage == Session.Stage.UP && !validator.knows(s.peer)) {
                 String why = s.peer + " is no member any more";
                 end(now, s, Loss.REJECTED, why, new Frame.Rejected(Refusal.NAME, why));
             }
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/board/LinkTransport.java
@@ -4,8 +4,8 @@
 import sandpaddle.fleet.link.LinkSettings.Address;
 
 /**
- * Connections as {@link LinkManager} has them made: over sockets, or in virtual time. None of these calls may call the
- * switchboard back before it returns.
+ * Opens, writes and closes connections for {@link LinkManager}: over sockets, or in virtual time. No method may call
+ * the link manager back before it returns.
  */
 public interface LinkTransport {
     /** Connects; later comes {@code connected} or {@code ended}. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
@@ -7,9 +7,9 @@
 import sandpaddle.fleet.link.Kind;
 
 /**
- * What waits to be sent to one peer, the most urgent first, in order within one urgency. Each urgency may fill the
- * queue up to a part of its own, so the more urgent always finds room that the less urgent could not take; nothing
- * that was taken is dropped. Bounded by bytes and frames, plus the link's own few small frames.
+ * The frames that wait to be sent to one peer, the most urgent first, in order within one urgency. Each urgency may
+ * fill the queue up to a share of its own, so the more urgent always finds room that the less urgent could not take; an
+ * accepted frame is never dropped. Bounded by bytes and frames, plus the link's own few small frames.
  */
 public final class SendQueue {
     /** What the link itself says goes first; it is bounded by whoever says it. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/FramedSocket.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/FramedSocket.java
@@ -7,7 +7,7 @@
 import java.util.ArrayDeque;
 import java.util.function.Supplier;
 
-/** A socket, and the frames begun on it. */
+/** A socket, and the frames partly written to it. */
 final class FramedSocket {
     private static final int ROUNDS = 4; // a busy peer must not keep the others waiting
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.Member;
 
-/** Brings what happens on links to the fleet's thread, in order, and counts the bytes that it has not taken yet. */
+/** Delivers link events to the fleet's thread, in order, and counts the bytes not yet consumed. */
 final class LinkEventQueue implements LinkEvents {
     private static final int OVERHEAD = 128; // memory of one message beside its payload
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
@@ -30,7 +30,7 @@
     private final Selector selector;
     private final Resolver resolver = new Resolver();
     private final Map<Long, FramedSocket> transport = new HashMap<>();
-    private final ClosingConnections farewells = new ClosingConnections();
+    private final ClosingConnections closing = new ClosingConnections();
     private final Queue<FramedSocket> dirty = new ArrayDeque<>();
     private final Queue<Runnable> later = new ConcurrentLinkedQueue<>();
     private final ByteBuffer in = ByteBuffer.allocateDirect(PIECE);
@@ -139,7 +139,7 @@
         if (w == null) {
             return;
         }
-        if (last == null || !w.channel.isConnected() || !farewells.add(w, now)) {
+        if (last == null || !w.channel.isConnected() || !closing.add(w, now)) {
             w.close();
             return;
         }
@@ -153,7 +153,7 @@
             w.close();
             board.ended(now, w.number, how, why);
         }
-        farewells.end(w);
+        closing.end(w);
     }
 
     /** What a key is ready for. */
@@ -222,7 +222,7 @@
                 }
             }
         }
-        farewells.expire(now);
+        closing.expire(now);
     }
 
     /** Whether to read at all: not while the fleet's thread has too much to take. */
@@ -235,7 +235,7 @@
     }
 
     void closeAll() {
-        farewells.closeAll();
+        closing.closeAll();
         transport.values().forEach(FramedSocket::close);
         resolver.close();
         try {
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -39,7 +39,7 @@
     private final ServerSocketChannel listening;
     private final SelectionKey listeningKey;
     private final Sockets sockets;
-    private final LinkEventQueue handover;
+    private final LinkEventQueue eventQueue;
     private final LinkManager board;
     private final Thread thread;
     private long tickAt;
@@ -70,9 +70,9 @@
             selector.close();
             throw new IOException("fleet links cannot listen on " + listen + ": " + e.getMessage(), e);
         }
-        handover = new LinkEventQueue(listener, fleet, this::now);
+        eventQueue = new LinkEventQueue(listener, fleet, this::now);
         sockets = new Sockets(selector);
-        board = new LinkManager(settings, known, new SplittableRandom(seed), sockets, handover);
+        board = new LinkManager(settings, known, new SplittableRandom(seed), sockets, eventQueue);
         sockets.serve(board);
         thread = new Thread(this::run, "fleet-link");
         thread.setDaemon(true);
@@ -96,7 +96,7 @@
 
     /** Bytes received that the fleet's thread has not taken yet. */
     public long waitingBytes() {
-        return handover.waitingBytes();
+        return eventQueue.waitingBytes();
     }
 
     @Override
@@ -146,13 +146,13 @@
         try {
             turn(now);
         } catch (RuntimeException e) {
-            handover.fault(now, e);
+            eventQueue.fault(now, e);
             selector.selectedKeys().clear();
         }
     }
 
     private void turn(long now) {
-        boolean reading = handover.waitingBytes() <= settings.bounds().inboundBytes();
+        boolean reading = eventQueue.waitingBytes() <= settings.bounds().inboundBytes();
         sockets.reading(reading);
         for (SelectionKey key : selector.selectedKeys()) {
             if (key == listeningKey) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -34,8 +34,8 @@
 /**
  * One gateway's part in a fleet. Threads beside the loop: {@code fleet-link} moves bytes, {@code fleet-raft} agrees and
  * waits for its disk, {@code fleet-content} keeps stored answers and waits for theirs, {@code fleet} decides. The loop
- * reads one immutable view and writes counters, so that none of them ever delays a query. Cost: a beat to each voter
- * every {@code beat_ms}, evidence where something changed.
+ * reads one immutable view and writes counters, so that none of them ever delays a query. Cost: a heartbeat to each
+ * voter every {@code beat_ms}, evidence where something changed.
  */
 public final class FleetNode implements AutoCloseable {
     private static final int MAX_HEARD = 1 << 14;
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -16,8 +16,8 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * By what this gateway goes: which file rules, who the members are, who votes; and so to whom it keeps links. A voter
- * reads it from what was agreed, all others hear it from the voters.
+ * The configuration in force, the members and the voters as this gateway knows them, and hence the peers that it keeps
+ * links to. A voter reads them from the replicated log, all others learn them from the voters' status messages.
  */
 final class FleetTopology {
     private static final int MAX_NEIGHBOURS = 8; // of the hall, to which links are kept for stored answers
@@ -85,7 +85,7 @@
                 .founders();
     }
 
-    /** Who is told beats: the voters as of the last {@link #updateLinks}. */
+    /** Who is told heartbeats: the voters as of the last {@link #updateLinks}. */
     Set<String> linkedVoters() {
         return linkedVoters;
     }
@@ -139,7 +139,7 @@
         return up.remove(peer);
     }
 
-    /** A peer's beat tells by which version it goes. */
+    /** A peer's heartbeat tells by which version it goes. */
     void configVersionReported(String peer, long version) {
         configVersionOf.put(peer, version);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -10,7 +10,10 @@
 import sandpaddle.fleet.node.wire.StatusMessage;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** What comes over the links, handed to the part that it is for. A message that cannot be used is named and dropped. */
+/**
+ * Dispatches messages that arrive over the links to the component responsible. A message that cannot be decoded is
+ * logged and dropped.
+ */
 final class MessageDispatcher implements Links.Listener {
     private final FleetTopology topology;
     private NodeComponents components;
--- a/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -13,9 +13,9 @@
 import sandpaddle.fleet.node.spread.EvidenceFlow;
 
 /**
- * The parts of one gateway in a fleet, all of the fleet's thread. {@code voter} and {@code leader} are null without a
- * directory, {@code floors} with them; {@code outage} is null where nothing is stored. {@code wake}: has the loop take
- * a turn.
+ * The components of one gateway in a fleet, all used on the fleet's thread. {@code voter} and {@code leader} are null
+ * without a directory, {@code floors} with them; {@code outage} is null where nothing is stored. {@code wake} makes the
+ * event loop take a turn.
  */
 record NodeComponents(FleetSettings settings, Member self, MonotonicClock clock, Links links, RightsManager rights,
         FloorStore floors, EvidenceFlow evidence, CommittedConfig committedConfig, PoolCoordinator pools,
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -12,7 +12,7 @@
 import sandpaddle.fleet.node.wire.HeartbeatMessage;
 import sandpaddle.fleet.view.FleetView;
 
-/** What is done again and again on the fleet's thread: beats, evidence, and the leader's work. */
+/** Periodic tasks on the fleet's thread: heartbeats, evidence, and the leader's work. */
 final class PeriodicTasks {
     private static final long NEWS_EVERY_US = 1_000_000;
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -13,8 +13,8 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What the operator's file says for the whole fleet: the highest {@code version} rules, whoever has it. {@code pool}:
- * the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
+ * The fleet-wide part of the operator's file: the highest {@code version} is in force, whichever gateway has it. {@code
+ * pool}: the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
  */
 public record FleetConfig(long version, List<Member> members, List<LimitSpec> limits, String pool, String schedule) {
     /** The name of its text among those that the voters agree on. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.state.voter.Voter;
 
-/** The agreement of one gateway put together: its parts, its store, its thread. */
+/** The consensus of one gateway wired up: its state machine parts, its store, its thread. */
 public record VoterSetup(VoterThread voter, FleetLeader.Components components) {
     private static final byte RIGHTS = 3; // its tag in the log, for ever
     private static final RaftSettings RAFT = RaftSettings.USUAL;
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -18,8 +18,8 @@
 
 /**
  * The agreement on a thread of its own ({@code fleet-raft}): a slow sync stops this thread, and neither queries nor
- * beats. Calls are queued, and their ends are told on the fleet's thread. A directory that another process holds is
- * tried again; until then this gateway only follows.
+ * heartbeats. Calls are queued, and their ends are told on the fleet's thread. A directory that another process holds
+ * is tried again; until then this gateway only follows.
  */
 public final class VoterThread implements AutoCloseable {
     /** How this gateway stands to the group, as of its last step. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
@@ -7,8 +7,8 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * What the operator's files say for the whole fleet: the highest version rules. A text that this version cannot read is
- * named once in the log; the one before goes on ruling here, so rights are moved by what both know.
+ * The configuration that the voters committed, and the newest one that any gateway offered. A text that this version
+ * cannot read is logged once; the one before stays in force here, so rights are moved by what both know.
  */
 public final class CommittedConfig {
     private FleetConfig agreed = FleetConfig.NONE;
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -30,9 +30,9 @@
 import sandpaddle.fleet.state.machine.VersionedTexts;
 
 /**
- * What the leader does, on the fleet's thread: has the newest file ruled, brings members and limits in line with it,
- * hears beats, moves rights, and keeps the voters spread. All of it is proposals; a gateway that leads no more has
- * them refused.
+ * The leader's tasks, on the fleet's thread: commits the newest configuration, brings members and limits in line with
+ * it, receives heartbeats, moves rights, and keeps the voters spread over halls. Everything it does is a proposal;
+ * those of a former leader are refused.
  */
 public final class FleetLeader {
     /** The replicated parts that this stands on. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -9,7 +9,10 @@
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Slot;
 
-/** What the rights of one moment mean for the module: allowances, less what lingers, and an honest pause. */
+/**
+ * Computes the decision module's allowances from the rights of one moment, less attempts that are orphaned, and the
+ * pause to tell clients.
+ */
 final class AllowanceCalculator {
     private static final int UNBOUNDED = Integer.MAX_VALUE;
     private static final int MAX_BARRED = 4096; // told one by one; the rest is found where an attempt would be written
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
@@ -9,8 +9,8 @@
 import sandpaddle.query.FleetSide;
 
 /**
- * Which attempts are withdrawn when rights have lapsed: the latest to begin first, until the floors cover the rest.
- * What may not be repeated is left, for which rights outlive their lease.
+ * Chooses the attempts to withdraw when rights have lapsed: the latest to begin first, until the floors cover the rest.
+ * Attempts that may not be repeated are left; rights outlive their lease for these.
  */
 final class ExcessAttempts {
     private ExcessAttempts() {
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopEvent.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopEvent.java
@@ -5,7 +5,7 @@
 import sandpaddle.query.Query;
 import sandpaddle.query.ResultSet;
 
-/** What the loop tells the fleet's thread of a query; {@code now} is monotonic time (us). */
+/** An event that the event loop hands to the fleet's thread; {@code now} is monotonic time (us). */
 public sealed interface LoopEvent {
     /** An attempt ended; {@code rows} where it was answered and answers are stored, else null. */
     record AttemptEnded(long now, String engine, int cls, String tenant, Query query, Outcome outcome, long latencyUs,
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/OrphanedAttempts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/OrphanedAttempts.java
@@ -4,8 +4,8 @@
 import sandpaddle.fleet.view.AttemptCounters;
 
 /**
- * Attempts that have ended here while their engine may run them on: their withdrawal is under way, or was lost. Each
- * goes on counting until the engine must have dropped it, since nobody asks for it any more.
+ * Attempts that have ended here while their engine may still run them: their withdrawal is under way, or was lost. Each
+ * counts against its limits until the engine must have dropped it, since nobody polls for it any more.
  */
 final class OrphanedAttempts {
     private record Attempt(int cls, String tenant, String engine, long until) { }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/RateBuckets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/RateBuckets.java
@@ -6,7 +6,7 @@
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Slot;
 
-/** The token buckets of those limits that bound what begins in a time, by limit; they outlive a new numbering. */
+/** The token buckets of the rate limits, by limit; they outlive a new numbering of the slots. */
 final class RateBuckets {
     private Map<String, TokenBucket> byLimit = new HashMap<>();
     private TokenBucket[] bySlot = new TokenBucket[0];
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantNumbers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantNumbers.java
@@ -6,8 +6,8 @@
 import sandpaddle.fleet.limit.Scope;
 
 /**
- * The tenants met here, each with the number that the module counts it by. Those past {@link #MAX_TENANTS} count as
- * one, with those that name no tenant: a flood of names must not cost more than a flood of queries.
+ * The tenants met here, each with the number that the decision module counts it by. Those past {@link #MAX_TENANTS}
+ * count as one, with those that name no tenant: a flood of names must not cost more than a flood of queries.
  */
 final class TenantNumbers {
     static final int MAX_TENANTS = 4096;
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -8,7 +8,10 @@
 import sandpaddle.fleet.content.serve.RefusalPause;
 import sandpaddle.query.Answer;
 
-/** Words what was decided of a stored answer: rows with a note, or a refusal until the link is expected back. */
+/**
+ * Builds the response for a decision about a stored answer: rows with a note, or a refusal until the link is expected
+ * back.
+ */
 final class OutageResponses {
     private static final long SECOND_MS = 1000;
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -47,9 +47,9 @@
 import sandpaddle.query.ResultSet;
 
 /**
- * One gateway's part in its hall's outages: keeps what was answered, has fetched what the plan names, copies it to the
- * neighbour that owns it too, and while the hall is cut off answers from it. All calls come from the thread
- * {@code fleet-content}, which may wait for the disk.
+ * One gateway's part in its hall's outages: stores what was answered, fetches what the plan names, replicates it to the
+ * neighbour that owns it too, and answers from it while the hall is cut off. All calls come from the thread {@code
+ * fleet-content}, which may wait for the disk.
  */
 public final class OutageService {
     private static final double NEWEST = 0.3; // of a day in the history of asks
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -32,7 +32,7 @@
     private static final long TICK_US = 200_000;
 
     private final TaskThread thread = new TaskThread("fleet-content");
-    private final OutageService keeper;
+    private final OutageService service;
     private final MonotonicClock clock;
     private volatile FleetView.Isolation isolation = FleetView.Isolation.NONE;
     private volatile HallLink link;
@@ -48,7 +48,7 @@
                 : Optional.of(DiskTier.open(new DirectoryFiles(directory.resolve("content")), new DiskSettings(
                         c.diskBytes(), c.segmentBytes(), c.entries(), DiskSettings.DEFAULT.maxFiles(),
                         DiskSettings.DEFAULT.retryUs()), System.currentTimeMillis()));
-        keeper = new OutageService(settings, self,
+        service = new OutageService(settings, self,
                 new ContentStore(new MemoryTier(c.memoryBytes()), disk, c.flushUs()), over,
                 (key, work, done) -> fetching.fetch(key, work, rows -> thread.execute(() -> done.accept(rows))), seed);
         thread.begin();
@@ -60,9 +60,9 @@
         Evidence evidence = l == null || l.state() == HallLink.State.UNKNOWN ? Evidence.NONE
                 : new Evidence(l.state() == HallLink.State.CONNECTED ? Evidence.Link.REACHABLE
                         : Evidence.Link.UNREACHABLE, l.sinceUs());
-        keeper.tick(evidence, heardOutsideAt, busy);
-        if (keeper.isIsolated() != isolation.isolated()) {
-            isolation = new FleetView.Isolation(keeper.isIsolated(), clock.now(), 0);
+        service.tick(evidence, heardOutsideAt, busy);
+        if (service.isIsolated() != isolation.isolated()) {
+            isolation = new FleetView.Isolation(service.isIsolated(), clock.now(), 0);
         }
     }
 
@@ -82,31 +82,31 @@
 
     public void heard(LoopEvent heard) {
         if (heard instanceof LoopEvent.QueryReceived || heard instanceof LoopEvent.AttemptEnded) {
-            thread.execute(() -> keeper.heard(heard));
+            thread.execute(() -> service.heard(heard));
         }
     }
 
     /** Another gateway's load has changed a data group. */
     public void changed(long group, long at) {
-        thread.execute(() -> keeper.changed(group, at));
+        thread.execute(() -> service.changed(group, at));
     }
 
     public void neighbours(Set<String> names) {
-        thread.execute(() -> keeper.neighbours(names));
+        thread.execute(() -> service.neighbours(names));
     }
 
     public void up(String peer) {
-        thread.execute(() -> keeper.up(peer));
+        thread.execute(() -> service.up(peer));
     }
 
     public void down(String peer) {
-        thread.execute(() -> keeper.down(peer));
+        thread.execute(() -> service.down(peer));
     }
 
     public void received(String from, byte[] payload) {
         thread.execute(() -> {
             try {
-                keeper.received(from, payload);
+                service.received(from, payload);
             } catch (FaultyMessageException e) {
                 Logger.warn("fleet: dropped a message of stored answers from {}: {}", from, e.getMessage());
             }
@@ -115,7 +115,7 @@
 
     /** {@code then} is told on this thread. */
     public void lookUp(int cls, Query query, boolean enginesInside, Consumer<Optional<Answer>> then) {
-        thread.execute(() -> keeper.lookUp(cls, query, enginesInside, then));
+        thread.execute(() -> service.lookUp(cls, query, enginesInside, then));
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
@@ -13,7 +13,7 @@
 import sandpaddle.query.QueryService;
 import sandpaddle.query.ResultSet;
 
-/** Fetches by the way of every query, under a trace of its own, and under the tenant of what is fetched ahead. */
+/** Fetches by the path of every query, under a trace of its own, and under the tenant of what is fetched ahead. */
 public final class QueryPathFetcher implements AnswerFetcher {
     /** The tenant that it counts as, for limits and pools. */
     public static final String TENANT = "prefetch";
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
@@ -11,9 +11,12 @@
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
 
-/** The pool policy of what rules. One that cannot be read here is told once, and the one before goes on, by floors. */
+/**
+ * The pool policy in force. One that cannot be read here is logged once, and the one before stays active, restricted to
+ * floors.
+ */
 public final class ActivePoolPolicy {
-    private ActivePolicy seat = new ActivePolicy();
+    private ActivePolicy activePolicy = new ActivePolicy();
     private String text = "";
     private long version;
 
@@ -28,20 +31,21 @@
         }
         text = agreed.pool();
         if (text.isEmpty()) {
-            seat = new ActivePolicy();
+            activePolicy = new ActivePolicy();
             Logger.info("fleet: version {} has no pool policy", version);
             return true;
         }
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-        seat.read(check);
-        seat.agreed(new PolicyVersion(version, check.version()));
-        if (seat.standing() == Status.APPLIES) {
-            Policy p = seat.policy().orElseThrow();
+        activePolicy.read(check);
+        activePolicy.agreed(new PolicyVersion(version, check.version()));
+        if (activePolicy.standing() == Status.APPLIES) {
+            Policy p = activePolicy.policy().orElseThrow();
             Logger.info("fleet: pool policy \"{}\" {} rules with version {}", p.name(), p.version(), version);
             UnsupportedStatements.notes(p).forEach(note -> Logger.warn("fleet: pool policy, {}", note));
         } else {
             Logger.error("fleet: the pool policy of version {} cannot be read here, {}; floors hold: {}", version,
-                    seat.applied().map(v -> "that of version " + v.epoch() + " goes on").orElse("there is none before"),
+                    activePolicy.applied().map(v -> "that of version " + v.epoch() + " goes on")
+                    .orElse("there is none before"),
                     check.errors().stream().findFirst().map(Object::toString).orElse(""));
         }
         return true;
@@ -49,11 +53,11 @@
 
     /** Whether no more than floors may be used here, since the fleet divides by what this gateway cannot read. */
     public boolean isBehind() {
-        return seat.standing() == Status.UNREADABLE || seat.standing() == Status.MISSING;
+        return activePolicy.standing() == Status.UNREADABLE || activePolicy.standing() == Status.MISSING;
     }
 
     /** The policy to go by; empty: none. */
     public Optional<Policy> policy() {
-        return seat.policy();
+        return activePolicy.policy();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -25,9 +25,10 @@
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
 /**
- * The leader's part in dividing pools: has each budget of the ruling policy become a limit of the fleet, and says how
- * these should be shared. It solves every {@value #EVERY_US} us at most, and only where demand, engines, gateways, the
- * policy or the fleet's state changed. What it says is a wish: that a budget is never exceeded rests on the table.
+ * The leader's part in dividing pools: makes each budget of the active policy a limit of the fleet, and computes the
+ * target of each slot. It solves every {@value #EVERY_US} us at most, and only where demand, engines, gateways, the
+ * policy or the fleet's state changed. Targets are only wishes: that a budget is never exceeded is enforced by the
+ * rights table.
  */
 public final class PoolAllocator implements TargetPolicy {
     static final long EVERY_US = 200_000;
@@ -72,7 +73,7 @@
         changed = false;
         solvedAt = now;
         try {
-            Allocation next = PoolSolver.solve(known.policy().get(), facts(state), allotment == null
+            Allocation next = PoolSolver.solve(known.policy().get(), solverInput(state), allotment == null
                     ? Allocation.NONE : allotment);
             boolean other = allotment == null || !next.rows().equals(allotment.rows())
                     || !next.cells().equals(allotment.cells()) || !next.budgets().equals(allotment.budgets());
@@ -90,7 +91,7 @@
         }
     }
 
-    private SolverInput facts(FleetState state) {
+    private SolverInput solverInput(FleetState state) {
         List<SolverInput.Gateway> gateways = new ArrayList<>();
         known.halls().forEach((name, hall) -> gateways.add(new SolverInput.Gateway(name, hall)));
         List<SolverInput.Engine> engines = known.engines().stream().filter(PoolEngine::up)
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
@@ -10,9 +10,8 @@
 import sandpaddle.fleet.pool.solve.Limit;
 
 /**
- * Which limits a policy has. They follow from the policy and the engines that are there and from nothing else, so
- * that a gateway knows what binds it before any leader has told: a budget whose condition does not hold is one
- * without bound.
+ * The limits of a policy. They follow from the policy and the engines present alone, so that a gateway knows what binds
+ * it before any leader has told it: a budget whose condition does not hold has no bound.
  */
 final class PoolLimitIds {
     /** What the ids of all limits by a policy begin with. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -11,7 +11,9 @@
 import sandpaddle.fleet.pool.model.Selector.Dimension;
 import sandpaddle.fleet.pool.model.Statement;
 
-/** What a good policy says and this version does not carry out; whoever wrote it is told when it comes to rule. */
+/**
+ * Statements of a valid policy that this version does not carry out; they are logged when the policy comes into force.
+ */
 final class UnsupportedStatements {
     private UnsupportedStatements() {
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
@@ -14,9 +14,8 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * This gateway's floors in a file of its directory, so that a restart while it is cut off has something to go by.
- * Written beside, synced and renamed: it is there whole, or as it was. What cannot be read, or is too old, counts as
- * not there.
+ * This gateway's floors in a file of its directory, for a restart while it is cut off. Written beside, synced and
+ * renamed: it is there whole, or as it was. A file that cannot be read, or is too old, is ignored.
  */
 public final class FloorStore {
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
@@ -11,11 +11,11 @@
 import sandpaddle.fleet.view.Slot;
 
 /**
- * What this gateway uses and would use, read from the loop's counters. A query that waits for an engine asks for it of
- * every limit that is not by engine; of an engine's limit it asks for its part, as it may go to any.
+ * This gateway's usage and demand, read from the event loop's counters. A query that waits for an engine counts as
+ * demand of every limit that is not by engine; of an engine's limit it demands its part, as it may go to any.
  */
 final class MeasuredUsage implements UsageSource {
-    private static final double WEIGHT = 0.2; // of a beat in a smoothed rate: some five beats matter
+    private static final double WEIGHT = 0.2; // of a heartbeat in a smoothed rate: some five heartbeats matter
     private static final long THOUSANDTHS = 1000;
     private static final double SECOND_US = 1e6;
 
@@ -52,7 +52,7 @@
         engines = Math.max(1, listed);
     }
 
-    /** With each beat: how often queries came for limits that bound what begins in a time. */
+    /** With each heartbeat: how often queries came for limits that bound what begins in a time. */
     void sample(long at) {
         now = at;
         sandpaddle.fleet.view.SlotUsage usage = usages.current();
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
@@ -22,7 +22,10 @@
 import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.view.FleetView;
 
-/** The pool policy in one gateway, on the fleet's thread: who hears of it, and of the engines that it is about. */
+/**
+ * The pool policy in one gateway, on the fleet's thread: passes it, and the engines that it covers, to the components
+ * that need them.
+ */
 public final class PoolCoordinator {
     private final RightsManager rights;
     private final PoolBudget budget;
@@ -75,7 +78,7 @@
                 up.isEmpty() ? 0 : (double) ill / up.size(), isolated, List.of());
     }
 
-    /** With each beat, before the view is published. */
+    /** With each heartbeat, before the view is published. */
     public void tick(long now) {
         List<PoolEngine> all = engines.all(now);
         rights.poolEngines(all);
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
@@ -25,8 +25,8 @@
 import sandpaddle.fleet.view.Slot;
 
 /**
- * This gateway's rights on the fleet's thread: what it was given goes into the view, what the loop counted goes into
- * the next beat. The view is published before the counts are read, so that nothing starts on what is given back.
+ * This gateway's rights on the fleet's thread: grants go into the view, the event loop's counts go into the next
+ * heartbeat. The view is published before the counts are read, so that nothing starts on rights being given back.
  */
 public final class RightsManager {
     private final RightsHolder holder;
@@ -123,7 +123,7 @@
         Scope s = spec.scope();
         for (String engine : Scope.EACH.equals(s.engine()) ? engines : Set.of("")) {
             if (!engine.isEmpty() && !Scope.isName(engine)) {
-                continue; // it cannot be told, and a beat with it could not be read: it stays without rights
+                continue; // it cannot be told, and a heartbeat with it could not be read: it stays without rights
             }
             for (String tenant : Scope.EACH.equals(s.tenant()) ? tenants : Set.of("")) {
                 for (String cls : Scope.EACH.equals(s.cls()) ? classes : List.of("")) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
@@ -7,7 +7,10 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** A gateway's beat: the version of what it goes by and of its own file, and the use of its rights. */
+/**
+ * A gateway's heartbeat: the versions of the configuration in force there and of its own file, and the usage of its
+ * rights.
+ */
 public record HeartbeatMessage(long configVersion, long localVersion, Heartbeat beat) {
 
     public byte[] encode() {
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/StatusMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/StatusMessage.java
@@ -9,8 +9,8 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What a voter tells the gateways that follow: who votes, who leads ("" where unknown), and the version of what rules;
- * {@code text}: that itself, or "" where the gateway has it.
+ * A voter's status for the gateways that follow: the voters, the leader ("" where unknown), and the version of the
+ * configuration in force; {@code text}: the configuration itself, or "" where the gateway has it.
  */
 public record StatusMessage(long term, String leader, List<String> voters, long version, String text) {
     private static final int MAX_VOTERS = 16;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
@@ -26,7 +26,7 @@
     }
 
     private final Map<ContentId, Handed> handed = new LinkedHashMap<>();
-    private final PlanExecutor filler = new PlanExecutor();
+    private final PlanExecutor planExecutor = new PlanExecutor();
 
     /** A stored answer was handed out. */
     public void handedOut(Candidate what) {
@@ -45,18 +45,18 @@
     public void begin() {
         List<Handed> order = new ArrayList<>(handed.values());
         order.sort((a, b) -> Double.compare(b.density(), a.density()));
-        filler.plan(new Plan(order.stream().map(h -> new Fetch(h.what, Long.MIN_VALUE, h.times)).toList(), 0, 0));
+        planExecutor.plan(new Plan(order.stream().map(h -> new Fetch(h.what, Long.MIN_VALUE, h.times)).toList(), 0, 0));
     }
 
     /** The fetches to begin now; one that a client's ask has made needless is left out. */
     public List<Fetch> next(long now, Allowance allowance) {
         List<Fetch> begun = new ArrayList<>();
-        for (Fetch f : filler.next(now, 0, allowance)) {
+        for (Fetch f : planExecutor.next(now, 0, allowance)) {
             ContentId id = f.what().key().id();
             if (handed.containsKey(id)) {
                 begun.add(f);
             } else {
-                filler.ended(id, true);
+                planExecutor.ended(id, true);
             }
         }
         return begun;
@@ -64,7 +64,7 @@
 
     /** A fetch ended. */
     public void ended(ContentId id, boolean stored) {
-        filler.ended(id, stored);
+        planExecutor.ended(id, stored);
         if (stored) {
             handed.remove(id);
         }
@@ -72,10 +72,10 @@
 
     /** The link was lost again: what is left waits for the next return. */
     public void stop() {
-        filler.stop();
+        planExecutor.stop();
     }
 
     public int waiting() {
-        return filler.waiting();
+        return planExecutor.waiting();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
@@ -81,7 +81,7 @@
         noticeSteps(now, wall);
         follow(wall);
         boolean open = episode != null && wall >= earliestLoss();
-        PhaseInputs s = signs(now, wall, evidence, open);
+        PhaseInputs s = inputs(now, wall, evidence, open);
         Phase next = phase.next(s);
         if (next == phase) {
             return Optional.empty();
@@ -97,7 +97,7 @@
         return Optional.of(move);
     }
 
-    private PhaseInputs signs(long now, long wall, Evidence evidence, boolean open) {
+    private PhaseInputs inputs(long now, long wall, Evidence evidence, boolean open) {
         long lossHeld = open || phase == Phase.RETURNING ? settings.lossHeldUs() : settings.lossHeldUnannouncedUs();
         // one that was lost and is back early may be lost again until its planned end, and no longer
         boolean due = episode != null && (episode.hasLost() ? wall < episode.window().span().to()
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -42,5 +42,5 @@
     };
 
     /** The phase that the signs lead to; this one where they lead nowhere else. */
-    abstract Phase next(PhaseInputs signs);
+    abstract Phase next(PhaseInputs inputs);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.outage.phase;
 
-/** A hall's step from one phase to another, with why it was made: for the log, and for who acts on it. */
+/** A hall's transition from one phase to another, with its reason. */
 public record PhaseTransition(Phase from, Phase to, Why why) {
     /** What led there. */
     public enum Why {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -9,9 +9,9 @@
 import sandpaddle.fleet.content.ContentId;
 
 /**
- * Carries out a plan: which fetches to begin now, within what live capacity leaves. A token bucket in engine work of
- * at most {@value #BURST_US} us keeps a pause from being made up for in one burst. A fetch is begun at most
- * {@value #MAX_TRIES} times in one plan; what failed goes behind what has not been tried. Replanning keeps what runs.
+ * Executes a plan: which fetches to begin now, within what live capacity leaves. A token bucket in engine work of at
+ * most {@value #BURST_US} us keeps a pause from being made up for in one burst. A fetch is begun at most {@value
+ * #MAX_TRIES} times in one plan; failed fetches queue behind those not yet tried. Replanning keeps what runs.
  */
 public final class PlanExecutor {
     static final long BURST_US = 1_000_000;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -32,7 +32,7 @@
     private final long replanUs;
     private final AskHistory history;
     private final Catalogue catalogue;
-    private final PlanExecutor filler = new PlanExecutor();
+    private final PlanExecutor planExecutor = new PlanExecutor();
     private Plan plan = Plan.EMPTY;
     private long plannedAt = Long.MIN_VALUE;
     private boolean heard; // expectations of neighbours, for the window that comes
@@ -71,8 +71,8 @@
      */
     public List<Fetch> turn(long now, long wall, View view, Allowance allowance, ToLongFunction<ContentId> storedAt) {
         if (view.phase() != Phase.FILLING || view.outage().isEmpty()) {
-            if (filler.waiting() > 0 || !plan.fetches().isEmpty()) {
-                filler.stop();
+            if (planExecutor.waiting() > 0 || !plan.fetches().isEmpty()) {
+                planExecutor.stop();
                 plan = Plan.EMPTY;
             }
             if (heard && view.phase() != Phase.EXPECTING) {
@@ -86,7 +86,7 @@
             plannedAt = now;
             replan(wall, view, storedAt);
         }
-        return filler.next(now, wall, allowance);
+        return planExecutor.next(now, wall, allowance);
     }
 
     private void replan(long wall, View view, ToLongFunction<ContentId> storedAt) {
@@ -96,12 +96,12 @@
         List<Candidate> mine = catalogue.candidates(storedAt).stream()
                 .filter(c -> ReplicaOwners.asks(c.key().id(), view.live(), self)).toList();
         plan = Planner.plan(wall, ahead, mine, budget, catalogue.forecast(history.forecast(ahead), ahead));
-        filler.plan(plan);
+        planExecutor.plan(plan);
     }
 
     /** A fetch ended; {@code stored}: its answer is at hand now. */
     public void ended(ContentId id, boolean stored) {
-        filler.ended(id, stored);
+        planExecutor.ended(id, stored);
     }
 
     /** What this gateway expects to be asked in an outage and another fetches, the likeliest first. */
@@ -129,7 +129,7 @@
         return plan;
     }
 
-    public PlanExecutor filler() {
-        return filler;
+    public PlanExecutor planExecutor() {
+        return planExecutor;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
@@ -6,9 +6,9 @@
 import sandpaddle.fleet.pool.model.Policy;
 
 /**
- * Which policy one gateway goes by. The version that the fleet agreed on rules; a gateway that does not have its text,
- * or cannot read it, goes on with the last one that it could, says so, and holds no more than the lesser of the floors
- * of both, since the fleet plans without it. It keeps the {@value #MAX_KEPT} texts read last.
+ * The policy in force at one gateway. The version that the fleet agreed on should be; a gateway that lacks its text, or
+ * cannot read it, goes on with the last one that it could read, reports so, and holds no more than the lesser of the
+ * floors of both, since the fleet plans without it. It keeps the {@value #MAX_KEPT} texts read last.
  */
 public final class ActivePolicy {
     private static final int MAX_KEPT = 4;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Names near to one that is unknown, by edit distance, so that a slip of the pen is told with its remedy. */
+/** Known names close to an unknown one by edit distance, to suggest in the error message. */
 final class NameSuggestions {
     private static final int MAX_SHOWN = 3;
     private static final int MAX_DISTANCE = 2;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyDraft.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyDraft.java
@@ -5,7 +5,7 @@
 import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 
-/** What stands in a policy file, read statement by statement, before anything was checked across statements. */
+/** The statements of a policy file as parsed, before any check across statements. */
 public final class PolicyDraft {
     /** The line that names the policy. */
     public record Header(SourcePosition at, String name, int version) { }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What the solver divides by: the state, the gateways that take part, the engines that may be connected to, and what is
- * asked for. Bounds: {@value #MAX_GATEWAYS} gateways, {@value #MAX_ENGINES} engines, {@value #MAX_DEMANDS} demands.
+ * The input of the solver: the fleet's state, the gateways that take part, the engines that may be connected to, and
+ * the demands. Bounds: {@value #MAX_GATEWAYS} gateways, {@value #MAX_ENGINES} engines, {@value #MAX_DEMANDS} demands.
  */
 public record SolverInput(FleetState state, List<Gateway> gateways, List<Engine> engines, List<Demand> demands) {
     public static final int MAX_GATEWAYS = 1_024;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/SourcePosition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SourcePosition.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.pool.model;
 
-/** Where something stands in a policy file; both count from 1, columns in Unicode characters. */
+/** A position in a policy file; line and column count from 1, columns in Unicode characters. */
 public record SourcePosition(int line, int column) implements Comparable<SourcePosition> {
     @Override
     public int compareTo(SourcePosition other) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
@@ -22,10 +22,10 @@
  */
 record Capacities(Optional<Capacity> fleet, Map<String, Capacity> kinds, Map<String, Map<String, Capacity>> engines,
         Map<String, Integer> counts) {
-    static Capacities of(Budgets budgets, SolverInput facts) {
+    static Capacities of(Budgets budgets, SolverInput solverInput) {
         Map<String, Integer> counts = new TreeMap<>();
         Map<String, Map<String, Capacity>> engines = new TreeMap<>();
-        List<Engine> sorted = facts.engines().stream()
+        List<Engine> sorted = solverInput.engines().stream()
                 .sorted((a, b) -> a.name().compareTo(b.name())).toList();
         for (Engine engine : sorted) {
             counts.merge(engine.kind(), 1, Integer::sum);
@@ -39,7 +39,7 @@
                     .ifPresent(b -> kinds.put(kind.getKey(), Capacity.ofMany(budgets, b, kind.getValue())));
         }
         Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
-        return new Capacities(fleet.map(b -> Capacity.ofMany(budgets, b, facts.engines().size())), kinds, engines,
+        return new Capacities(fleet.map(b -> Capacity.ofMany(budgets, b, solverInput.engines().size())), kinds, engines,
                 counts);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
@@ -27,10 +27,10 @@
     private PoolSolver() { }
 
     /** The division in these circumstances; {@code previous} keeps what may as well stay where it is. */
-    public static Allocation solve(Policy policy, SolverInput facts, Allocation previous) {
-        Budgets budgets = Budgets.at(policy, facts.state());
-        Capacities capacities = Capacities.of(budgets, facts);
-        Rows rows = new Rows(policy, Shares.at(policy, facts.state()), facts, capacities);
+    public static Allocation solve(Policy policy, SolverInput solverInput, Allocation previous) {
+        Budgets budgets = Budgets.at(policy, solverInput.state());
+        Capacities capacities = Capacities.of(budgets, solverInput);
+        Rows rows = new Rows(policy, Shares.at(policy, solverInput.state()), solverInput, capacities);
         // what each would have if all asked for what they may
         Division.Result entitled = Division.divide(rows, unbounded(rows), before(rows, previous, Row::entitled));
         Optional<Borrow> lent = budgets.borrowing();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -44,9 +44,9 @@
     /** Families of floors whose sets do not overlap, in the order in which they are granted. */
     final List<List<Floor>> floors;
 
-    Rows(Policy policy, Shares shares, SolverInput facts, Capacities capacities) {
+    Rows(Policy policy, Shares shares, SolverInput solverInput, Capacities capacities) {
         TreeMap<Name, Integer> sums = new TreeMap<>();
-        for (Demand d : facts.demands()) {
+        for (Demand d : solverInput.demands()) {
             sums.merge(new Name(d.kind(), d.gateway(), policy.counted(d.tenant()), d.className()), d.connections(),
                     (a, b) -> Math.min(a + b, SolverInput.MAX_CONNECTIONS));
         }
@@ -55,7 +55,7 @@
         weight = new long[demand.length];
         ties = new int[demand.length];
         links = new int[demand.length][];
-        Map<String, String> halls = facts.hallsByGateway();
+        Map<String, String> halls = solverInput.hallsByGateway();
         Map<String, OptionalLong> kinds = new HashMap<>();
         Map<Object, Integer> linkNumbers = new HashMap<>();
         List<Long> bounds = new ArrayList<>();
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/JoinRequest.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/JoinRequest.java
@@ -8,7 +8,7 @@
 
 /**
  * What a voter says of itself before it takes part: {@code incarnation}, drawn at this opening of its store; {@code
- * former}, the lives before it as its disk has them, the newest last; and how far its disk is.
+ * former}, the incarnations before it as its disk has them, the newest last; and how far its disk is.
  *
  * @param former at most {@value #MAX_FORMER}
  * @param index of the last entry
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -14,7 +14,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** What a gateway keeps on its disk about itself as a voter, and about the others. */
+/** What a gateway persists about itself as a voter, and about the other voters. */
 public class LocalVoterState {
     private static final String INCARNATIONS = "raft.lives";
     private static final String RETIRED = "raft.retired";
@@ -34,11 +34,11 @@
     }
 
     /** Under which endpoint this disk votes or voted; none on an empty one. */
-    public Optional<Endpoint> endpoint(RecoveredState found) throws StoreException {
-        if (found.identity().isEmpty()) {
+    public Optional<Endpoint> endpoint(RecoveredState recovered) throws StoreException {
+        if (recovered.identity().isEmpty()) {
             return Optional.empty();
         }
-        Identity id = found.identity().get();
+        Identity id = recovered.identity().get();
         if (!id.cluster().equals(cluster) || !id.member().equals(name)) {
             throw new StoreException(StoreException.Kind.FOREIGN, "the store belongs to " + id.member()
                 + " of the cluster " + id.cluster() + ", not to " + name + " of " + cluster);
@@ -51,19 +51,19 @@
     }
 
     /** Why this endpoint may not vote any more, as far as its own disk tells. */
-    public Optional<String> unfit(Endpoint self, RecoveredState found) throws StoreException {
+    public Optional<String> unfit(Endpoint self, RecoveredState recovered) throws StoreException {
         if (text(RETIRED).equals(self.toString())) {
             return Optional.of("it was refused or removed before");
         }
-        if (found.trusted() && !StateRestorer.isPrepared(store)) {
+        if (recovered.trusted() && !StateRestorer.isPrepared(store)) {
             return Optional.of("it was cut short when it took this number");
         }
-        String faults = faults(found);
+        String faults = faults(recovered);
         return faults.isEmpty() || faults.equals(text(FAULTS)) ? Optional.empty() : Optional.of(faults);
     }
 
-    private static String faults(RecoveredState found) {
-        String all = String.join("; ", found.faults());
+    private static String faults(RecoveredState recovered) {
+        String all = String.join("; ", recovered.faults());
         return all.substring(0, Math.min(MAX_TEXT / 4, all.length()));
     }
 
@@ -78,21 +78,21 @@
 
     /** This endpoint never votes again; durable when it returns. */
     public void retire(Endpoint self) throws StoreException {
-        if (!store.found().trusted()) {
+        if (!store.recovered().trusted()) {
             return; // it says so itself at each opening, and takes nothing before it has a new endpoint
         }
         store.put(RETIRED, new CborOut().text(self.toString()).done());
     }
 
-    /** Draws a life for this opening; durable when it returns, so that no two openings ever claim the same. */
-    public JoinRequest open(Endpoint self, RecoveredState found, Random random) throws StoreException {
+    /** Draws an incarnation for this opening; durable when it returns, so that no two openings ever claim the same. */
+    public JoinRequest open(Endpoint self, RecoveredState recovered, Random random) throws StoreException {
         List<Long> former = incarnations();
         long incarnation = random.nextLong();
         List<Long> all = new ArrayList<>(former);
         all.add(incarnation);
         int drop = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
         store.put(INCARNATIONS, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
-        return new JoinRequest(self, incarnation, former, found.term(), found.lastIndex());
+        return new JoinRequest(self, incarnation, former, recovered.term(), recovered.lastIndex());
     }
 
     private List<Long> incarnations() throws StoreException {
@@ -110,15 +110,15 @@
      * what was once agreed or replaced, as any slow server's. The identity is written last, so that a crash before it
      * leaves the old endpoint, which is out of use.
      */
-    public void adopt(Endpoint self, List<Endpoint> first, RecoveredState found) throws StoreException {
+    public void adopt(Endpoint self, List<Endpoint> first, RecoveredState recovered) throws StoreException {
         Identity id = new Identity(cluster, name, self.toString());
-        if (!found.trusted()) {
+        if (!recovered.trusted()) {
             store.identity(id); // empties it, and makes it take writes again
         }
         StateRestorer.prepare(store, first, false);
         store.put(INCARNATIONS, new CborOut().list(List.<Long>of(), CborOut::number).done());
-        store.put(FAULTS, new CborOut().text(faults(found)).done());
-        if (found.trusted()) {
+        store.put(FAULTS, new CborOut().text(faults(recovered)).done());
+        if (recovered.trusted()) {
             store.identity(id);
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -10,18 +10,18 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What a voter remembers of the others, so that a disk that forgot cannot vote twice. Raft's safety rests on voters
- * that never forget a vote or an entry that they acknowledged; an empty disk, or an old copy, breaks that silently.
- * So each opening of a store draws a number, its life, and keeps those before; who joins names them, and is refused
- * where a peer met a life that its disk does not know of, or heard it acknowledge more than its disk has. One peer
- * that remembers is enough to refuse; whoever is refused comes back under a new number. Bound: {@value #MAX_NAMES}
- * names.
+ * The incarnations of the other voters that this one has met, so that a disk that forgot cannot vote twice. Raft's
+ * safety rests on voters that never forget a vote or an entry that they acknowledged; an empty disk, or an old copy,
+ * breaks that silently. So each opening of a store draws a number, its incarnation, and keeps those before; who joins
+ * names them, and is refused where a peer met an incarnation that its disk does not know of, or heard it acknowledge
+ * more than its disk has. One peer that remembers is enough to refuse; whoever is refused comes back under a new
+ * number. Bound: {@value #MAX_NAMES} names.
  */
 public class PeerIncarnations {
     /** Of names; the one not met for longest is forgotten for a new one. */
     public static final int MAX_NAMES = 64;
 
-    /** The newest endpoint of a name: its life, and the highest term and index at that term that it told. */
+    /** The newest endpoint of a name: its incarnation, and the highest term and index at that term that it told. */
     private record Sighting(int number, long incarnation, int term, long index) { }
 
     private final Map<String, Sighting> sights = new LinkedHashMap<>();
@@ -29,7 +29,7 @@
     /** Why an endpoint may not take part, and the highest number known of its name. */
     public record Refusal(String why, int highest) { }
 
-    /** Judges a claim; where it is good this life is the one that counts from now on, and to be made durable. */
+    /** Judges a claim; where it is good this incarnation is the one that counts from now on, and to be made durable. */
     public Optional<Refusal> judge(JoinRequest c) {
         Sighting known = sights.get(c.who().name());
         String why = known == null ? "" : fault(known, c);
@@ -42,7 +42,7 @@
         return Optional.empty();
     }
 
-    /** From now on this life is the one that counts. */
+    /** From now on this incarnation is the one that counts. */
     protected final void meet(JoinRequest c) {
         keep(c.who().name(), new Sighting(c.who().number(), c.incarnation(), c.term(), c.index()));
     }
@@ -64,7 +64,7 @@
         return "";
     }
 
-    /** Whether messages of this life of an endpoint may be handed on. */
+    /** Whether messages of this incarnation of an endpoint may be handed on. */
     public boolean admits(Endpoint who, long incarnation) {
         Sighting known = sights.get(who.name());
         return known != null && known.number() == who.number() && known.incarnation() == incarnation;
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/CommandResult.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/CommandResult.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * What came of a command, in the result that its proposer gets: whether it was taken, and what the part returned or why
- * it was refused. A refusal changes nothing and is the same at every voter.
+ * The result of a command as its proposer gets it: whether it was taken, and what the part returned or why it was
+ * refused. A refusal changes nothing and is the same at every voter.
  */
 public record CommandResult(boolean taken, byte[] result, String why) {
     private static final byte TAKEN = 0;
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/CommonCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/CommonCodec.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** What messages and the store have in common: members, entries, chunks of snapshots. */
+/** Encoding shared by messages and the store: members, entries, chunks of snapshots. */
 final class CommonCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
@@ -5,10 +5,11 @@
 import java.util.function.Consumer;
 
 /**
- * Proves that this leader is still the one, by a round of answers from a majority (Ongaro's thesis, 6.4). Each voter
- * that answers has not voted in a later term up to its answer, and it was sent the question after the caller asked; a
- * later leader needs the vote of one of them; so none was elected before the call. A lease by clocks would prove less:
- * MicroRaft reckons it from when answers came in, and a handed-over leadership does not wait for it to lapse.
+ * Confirms that this node still leads, by a round of answers from a majority (read index, Ongaro's thesis, 6.4). Each
+ * voter that answers has not voted in a later term up to its answer, and it was sent the question after the caller
+ * asked; a later leader needs the vote of one of them; so none was elected before the call. A lease by clocks would
+ * prove less: MicroRaft reckons it from when answers came in, and a handed-over leadership does not wait for it to
+ * lapse.
  *
  * <p>MicroRaft counts a question that comes while a round is under way as part of that round, whose answers may be
  * older than the question. So one round is under way at a time, and who asks meanwhile waits for the next.
@@ -54,7 +55,7 @@
         round.forEach(c -> c.accept(leads));
     }
 
-    /** The life has ended: nobody leads. */
+    /** The incarnation has ended: it does not lead any more. */
     public void end() {
         List<Consumer<Boolean>> all = new ArrayList<>(asked);
         all.addAll(waiting);
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/LogOperation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LogOperation.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.state.raft;
 
-/** What a log entry of ours holds, besides changes of the members, which are MicroRaft's. */
+/** The content of a log entry of ours; changes of the members are MicroRaft's. */
 public sealed interface LogOperation {
     /** A leader's first entry of its term: it commits what earlier terms left, and changes nothing. */
     record NewTerm() implements LogOperation { }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
@@ -29,13 +29,13 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * One life of a MicroRaft node: from a store's contents until the first failed write, or until it is told to end. Six
- * weaknesses of MicroRaft 0.7 are made up for here. It goes on after a failed write: a life says nothing after one. It
- * takes answers of earlier terms as of this one, and would count entries as stored that were cut off since: those are
- * dropped. Followers do not know what their snapshots stand for: {@link SnapshotRepair}. A term that is behind may stay
- * so: {@link TermCatchUp}. A question that joins a running round is answered by the round's older answers: {@link
- * LeadershipCheck}. Who asked for pre-votes and then heard a leader of the same term never gives that leader up: such a
- * life starts again from its store when it hears nothing any more.
+ * One incarnation of a MicroRaft node: from a store's contents until the first failed write, or until it is ended. Six
+ * weaknesses of MicroRaft 0.7 are made up for here. It goes on after a failed write: an incarnation sends nothing after
+ * one. It takes answers of earlier terms as of this one, and would count entries as stored that were cut off since:
+ * those are dropped. Followers do not know what their snapshots stand for: {@link SnapshotRepair}. A term that is
+ * behind may stay so: {@link TermCatchUp}. A question that joins a running round is answered by the round's older
+ * answers: {@link LeadershipCheck}. Who asked for pre-votes and then heard a leader of the same term never gives that
+ * leader up: such an incarnation starts again from its store when it hears nothing any more.
  */
 public final class RaftIncarnation implements Transport {
     /** Where messages go. */
@@ -61,15 +61,16 @@
      *
      * @throws StoreException where it cannot be read as a voter's state
      */
-    public RaftIncarnation(String group, Endpoint self, VoterStore store, RecoveredState found, Commands commands,
+    public RaftIncarnation(String group, Endpoint self, VoterStore store, RecoveredState recovered, Commands commands,
             Sender sender, RaftSettings settings, Random random, long now) throws StoreException {
         this.group = group;
         this.sender = sender;
-        this.log = new DurableLog(store, found.entries());
+        this.log = new DurableLog(store, recovered.entries());
         this.turns = new TurnExecutor(now);
         this.heardUs = now;
         this.silentUs = (settings.silentS() + settings.heartbeatS()) * 1_000_000L;
-        this.node = RaftNode.newBuilder().setGroupId(group).setRestoredState(StateRestorer.restore(store, found, self))
+        this.node = RaftNode.newBuilder().setGroupId(group)
+                .setRestoredState(StateRestorer.restore(store, recovered, self))
             .setConfig(settings.config()).setExecutor(turns).setTransport(this).setStateMachine(commands).setStore(log)
             .setModelFactory(CommonCodec.MODEL).setRandom(random).setClock(turns.clock()).build();
     }
@@ -184,7 +185,9 @@
         return stats.get(0);
     }
 
-    /** Whether the store holds what MicroRaft does not: a new life is to be made from it, which forgets nothing. */
+    /**
+     * Whether the store holds what MicroRaft does not: a new incarnation is to be made from it, which forgets nothing.
+     */
     public boolean needsRestart() {
         return needsRestart;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
@@ -19,7 +19,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** From what the store has to what MicroRaft starts with. */
+/** Builds MicroRaft's initial state from the contents of the store. */
 public final class StateRestorer {
     private StateRestorer() { }
 
@@ -49,8 +49,8 @@
     }
 
     /** Who voted when this was last written: by the group's beginning, its snapshot and its log. */
-    public static Members members(VoterStore store, RecoveredState found) throws StoreException {
-        RestoredRaftState state = restore(store, found, new Endpoint("unknown", 1));
+    public static Members members(VoterStore store, RecoveredState recovered) throws StoreException {
+        RestoredRaftState state = restore(store, recovered, new Endpoint("unknown", 1));
         Collection<RaftEndpoint> members = state.getInitialGroupMembers().getVotingMembers();
         long at = 0;
         if (state.getSnapshotEntry() != null) {
@@ -67,22 +67,22 @@
         return new Members(at, voting, voting);
     }
 
-    static RestoredRaftState restore(VoterStore store, RecoveredState found, Endpoint self) throws StoreException {
+    static RestoredRaftState restore(VoterStore store, RecoveredState recovered, Endpoint self) throws StoreException {
         Collection<RaftEndpoint> first = first(store);
         try {
             boolean votes = new CborIn(store.get(DurableLog.VOTING).orElseThrow(() -> new StoreException(
                 StoreException.Kind.CORRUPT, "the store has an identity but no " + DurableLog.VOTING))).flag();
             List<LogEntry> entries = new ArrayList<>();
-            for (Entry e : found.entries()) {
+            for (Entry e : recovered.entries()) {
                 entries.add(CommonCodec.MODEL.createLogEntryBuilder().setIndex(e.index()).setTerm(e.term())
                     .setOperation(CommonCodec.operation(new CborIn(e.data()))).build());
             }
-            RaftEndpoint vote = found.vote().map(Endpoint::of).orElse(null);
+            RaftEndpoint vote = recovered.vote().map(Endpoint::of).orElse(null);
             return new RestoredRaftState(
                 CommonCodec.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(self).setVoting(votes)
                 .build(), CommonCodec.view(0, first, first),
-                CommonCodec.MODEL.createRaftTermPersistentStateBuilder().setTerm(found.term()).setVotedFor(vote)
-                .build(), found.snapshot().isPresent() ? snapshot(found.snapshot().get()) : null, entries);
+                CommonCodec.MODEL.createRaftTermPersistentStateBuilder().setTerm(recovered.term()).setVotedFor(vote)
+                .build(), recovered.snapshot().isPresent() ? snapshot(recovered.snapshot().get()) : null, entries);
         } catch (FaultyMessageException | IllegalArgumentException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, "what was stored cannot be read: " + e.getMessage(),
                 e);
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What MicroRaft wants run, in turns that the caller takes: it has no thread and no clock of its own. Tasks put off by
- * {@code submit} run after all others of a turn, so that one flush covers all entries of the turn.
+ * Executes MicroRaft's tasks and timers in turns that the caller takes: it has no thread and no clock of its own. Tasks
+ * put off by {@code submit} run after all others of a turn, so that one flush covers all entries of the turn.
  */
 final class TurnExecutor implements RaftNodeExecutor {
     /** Tasks of one turn; the rest waits for the next, so that a turn always ends. */
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Envelope.java
@@ -7,9 +7,9 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What stands around each message of the consensus: its version, from which endpoint in which life, and to which
- * endpoint. A message for an endpoint that this gateway was once, or from a life that is over, is thereby never taken
- * for one of now.
+ * What stands around each message of the consensus: its version, from which endpoint in which incarnation, and to which
+ * endpoint. A message for an endpoint that this gateway was once, or from an incarnation that is over, is thereby never
+ * taken for one of now.
  */
 record Envelope(Type what, Optional<Endpoint> from, long incarnation, Endpoint to) {
     /** Raised with any change of a message's form; another version is refused by the links already. */
@@ -21,9 +21,9 @@
         RAFT,
         /** A claim: may I take part? */
         ASK,
-        /** Yes; the claim's life. */
+        /** Yes; the claim's incarnation. */
         WELCOME,
-        /** No: the claim's life, why, and the highest number known of the name. */
+        /** No: the claim's incarnation, why, and the highest number known of the name. */
         REFUSE,
         /** A leader wants this gateway to vote: the group's first voters, and those of now. */
         INVITE,
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/GroupBootstrap.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/GroupBootstrap.java
@@ -33,13 +33,13 @@
         if (!founders.contains(name)) {
             return Optional.of(name + " is none of the founders " + founders);
         }
-        RecoveredState found = store.found();
-        if (found.identity().isPresent() || found.lastIndex() > 0 || found.term() > 0) {
-            return Optional.of("the store is not empty: it belongs to " + found.identity().map(Identity::endpoint)
-                .orElse("nobody") + ", with term " + found.term() + " and entries up to " + found.lastIndex());
+        RecoveredState recovered = store.recovered();
+        if (recovered.identity().isPresent() || recovered.lastIndex() > 0 || recovered.term() > 0) {
+            return Optional.of("the store is not empty: it belongs to " + recovered.identity().map(Identity::endpoint)
+                .orElse("nobody") + ", with term " + recovered.term() + " and entries up to " + recovered.lastIndex());
         }
-        if (!found.trusted()) {
-            return Optional.of("the store cannot be trusted: " + String.join("; ", found.faults()));
+        if (!recovered.trusted()) {
+            return Optional.of("the store cannot be trusted: " + String.join("; ", recovered.faults()));
         }
         List<Endpoint> first;
         try {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -18,7 +18,10 @@
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
-/** How a gateway stands to the group: its phase, its endpoint, and the life of Raft that it has while it takes part. */
+/**
+ * The state of a gateway as a voter: its phase, its endpoint, and the Raft incarnation that it runs while it takes
+ * part.
+ */
 final class VoterState {
     private final Voter.Settings settings;
     private final VoterStore store;
@@ -60,15 +63,15 @@
             return;
         }
         try {
-            RecoveredState found = store.found();
-            self = disk.endpoint(found);
-            Optional<String> unfit = self.isEmpty() ? Optional.empty() : disk.unfit(self.get(), found);
+            RecoveredState recovered = store.recovered();
+            self = disk.endpoint(recovered);
+            Optional<String> unfit = self.isEmpty() ? Optional.empty() : disk.unfit(self.get(), recovered);
             if (self.isEmpty()) {
                 phase = Phase.IDLE;
             } else if (unfit.isPresent()) {
                 retire(unfit.get());
             } else {
-                ask(found, StateRestorer.members(store, found));
+                ask(recovered, StateRestorer.members(store, recovered));
             }
             failure = "";
         } catch (StoreException e) {
@@ -76,15 +79,15 @@
         }
     }
 
-    private void ask(RecoveredState found, Members members) throws StoreException {
-        JoinRequest claim = disk.open(self.orElseThrow(), found, random);
+    private void ask(RecoveredState recovered, Members members) throws StoreException {
+        JoinRequest claim = disk.open(self.orElseThrow(), recovered, random);
         admission = Optional.of(new Admission(disk, claim, members,
             e -> numbers(e.name()).retired() >= e.number(), now));
         phase = Phase.ASKING;
         takePart();
     }
 
-    /** Starts Raft where enough others welcomed this life. */
+    /** Starts Raft where enough others welcomed this incarnation. */
     private void takePart() throws StoreException {
         if (phase != Phase.ASKING || !admission.orElseThrow().isAdmitted(now)) {
             return;
@@ -96,7 +99,7 @@
     private void begin() throws StoreException {
         Endpoint me = self.orElseThrow();
         machine.install(initial); // what the log has is applied again from the snapshot on
-        incarnation = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.found(),
+        incarnation = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.recovered(),
         new Commands(machine), transport::raft,
             settings.raft(), random, now));
         changer = Optional.of(new MembershipChanger(me, settings.membership(), transport));
@@ -104,7 +107,7 @@
         incarnation.get().start();
     }
 
-    /** What a step of Raft made of its life; whether it still has one. */
+    /** What a step of Raft made of its incarnation; whether it still has one. */
     boolean isActive() {
         if (incarnation.isEmpty()) {
             return false;
@@ -183,9 +186,9 @@
         }
         stop("this gateway votes as " + who + " from now on");
         phase = Phase.IDLE;
-        disk.adopt(who, first, store.found());
+        disk.adopt(who, first, store.recovered());
         self = Optional.of(who);
-        ask(store.found(), new Members(0, voters, voters));
+        ask(store.recovered(), new Members(0, voters, voters));
     }
 
     void welcomed(Endpoint by) throws StoreException {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
@@ -14,7 +14,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** What comes in from and goes out to other gateways: only admitted lives of endpoints reach Raft. */
+/** Receives and sends the consensus messages of this gateway: only admitted incarnations of endpoints reach Raft. */
 final class VoterTransport implements MembershipChanger.Callbacks {
     private static final int MAX_WHY = 500;
     private static final int MAX_MEMBERS = 16;
--- a/gateway/src/main/java/sandpaddle/fleet/store/StoreState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/StoreState.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.store;
 
-/** How the store fares. {@code why}: a sentence for the log, empty while it is working. */
+/** The health of the store. {@code why}: a sentence for the log, empty while it is working. */
 public record StoreState(Condition condition, String why) {
     /** What can be asked of the store. */
     public enum Condition {
--- a/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
@@ -11,7 +11,7 @@
  *
  * <p>After any {@link StoreException} of a write the store takes no more writes until {@link #retry} has opened it
  * again. That shows by a higher {@link RecoveredState#generation}, and what was not durable is gone: the consensus
- * starts anew from {@link #found}. One thread writes; {@link #state} may be asked from any.
+ * starts anew from {@link #recovered}. One thread writes; {@link #state} may be asked from any.
  */
 public interface VoterStore extends Closeable {
     /** Of one entry, one chunk of a snapshot, and one named value (bytes). */
@@ -24,7 +24,7 @@
     int MAX_NAMES = 256;
 
     /** What is durable now; entries are read afresh at each call, so that the store holds no second copy. */
-    RecoveredState found() throws StoreException;
+    RecoveredState recovered() throws StoreException;
 
     /**
      * Says whose store it is; durable when it returns. Another cluster or member is refused. A store that is not
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/MvVoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/MvVoterStore.java
@@ -64,11 +64,11 @@
     }
 
     @Override
-    public RecoveredState found() throws StoreException {
+    public RecoveredState recovered() throws StoreException {
         if (!session.isOpen() && session.state().condition() != StoreState.Condition.CLOSED) {
             return RecoveredState.NOTHING;
         }
-        return session.ask(() -> session.content().found(session.opening().slot()));
+        return session.ask(() -> session.content().recovered(session.opening().slot()));
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/VoterContent.java
@@ -140,7 +140,7 @@
         return Optional.of(Arrays.copyOfRange(value, from, value.length));
     }
 
-    RecoveredState found(Slots.Slot slot) throws IOException {
+    RecoveredState recovered(Slots.Slot slot) throws IOException {
         byte[] state = file.get(Part.STATE, TERM);
         int term = state == null ? 0 : ByteBuffer.wrap(state).getInt();
         Optional<String> vote = state == null || state[Integer.BYTES] == 0 ? Optional.empty()
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictSettings.java
@@ -9,7 +9,7 @@
  * @param evidenceUs between two sendings of a gateway's evidence, and of a hub's
  * @param leaseUs age at which evidence, and so each verdict that rests on it, is dropped
  * @param maxCondemned part of the engines that verdicts may close at once, 0 to 1
- * @param minStrength outcomes of all tellers that a new verdict on an engine rests on at least
+ * @param minStrength outcomes of all reporters that a new verdict on an engine rests on at least
  * @param holdUs how long the second verdict within {@code flapUs} outlives its reasons; doubles with each further one
  * @param flapUs time after which an earlier verdict on the engine is forgotten
  * @param announceUs how long what the engine list says of a start or a drain is repeated to the fleet
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Evidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Evidence.java
@@ -1,11 +1,11 @@
 package sandpaddle.fleet.verdict.evidence;
 
 /**
- * What one gateway says of one subject. A teller has one piece of evidence on each subject; a later one replaces it.
+ * What one gateway says of one subject. A reporter has one piece of evidence on each subject; a later one replaces it.
  *
  * @param reporter the gateway's name; its hall is what the roster says, never what the message says
- * @param life grows with each start of the teller
- * @param seq grows with each piece that the teller makes in a life, so that reordering and copies do no harm
+ * @param life grows with each start of the reporter
+ * @param seq grows with each piece that the reporter makes in a life, so that reordering and copies do no harm
  * @param incarnation start of the engine that was seen (us, the platform's time), 0: long ago or no engine
  * @param strength outcomes that it rests on
  * @param amount of {@link Finding#USE}: what is used, in the unit of the tenant's share; else 0
@@ -16,7 +16,7 @@
 public record Evidence(Subject subject, String reporter, long life, long seq, Finding finding, long incarnation,
         int strength, double amount, long sinceUs, long madeUs) {
 
-    /** Whether it replaces the other, of the same teller and subject. */
+    /** Whether it replaces the other, of the same reporter and subject. */
     boolean isNewerThan(Evidence other) {
         return life != other.life ? life > other.life : seq > other.seq;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceBook.java
@@ -15,16 +15,16 @@
 import sandpaddle.fleet.verdict.VerdictSettings;
 
 /**
- * All evidence that a gateway knows: for each teller and subject the newest piece, each until its lease is over. It is
- * a state-based replicated data type (Shapiro et al., 2011: a map of last-writer-wins registers, one writer each):
+ * All evidence that a gateway knows: for each reporter and subject the newest piece, each until its lease is over. It
+ * is a state-based replicated data type (Shapiro et al., 2011: a map of last-writer-wins registers, one writer each):
  * merging pieces in any order, any number of times, gives the same book, so links may lose, repeat and reorder.
  *
  * <p>Ages travel, not times; of two copies of one piece the one that proves the smaller age counts, as each age is a
  * bound from above. For a data group's change it is the other way round, since there the later time is the safe one.
  *
- * <p>Bound: {@code maxMembers} tellers (those of the roster) times {@code maxPerReporter} subjects with a lease, and as
- * many data groups. Where a teller has more, its oldest pieces go; a change of a data group so dropped counts from then
- * on as one of every group.
+ * <p>Bound: {@code maxMembers} reporters (those of the roster) times {@code maxPerReporter} subjects with a lease, and
+ * as many data groups. Where a reporter has more, its oldest pieces go; a change of a data group so dropped counts from
+ * then on as one of every group.
  */
 public final class EvidenceBook {
     /** A data group that stands for all: what was dropped for room may have been any. */
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Merges a piece that {@code from} brought, the teller itself or a hub. */
+    /** Merges a piece that {@code from} brought, the reporter itself or a hub. */
     public Put put(Evidence told, String from, long now) {
         if (!members.contains(told.reporter())) {
             return Put.STRANGER;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Drops a teller's oldest pieces over its bound; whether the one that came just now stays. */
+    /** Drops a reporter's oldest pieces over its bound; whether the one that came just now stays. */
     private boolean makeRoom(Entry added) {
         Evidence e = added.evidence;
         boolean stays = true;
@@ -118,7 +118,7 @@
         return stays;
     }
 
-    /** A teller's loads end in the order of its pieces, so the newest one dropped bounds all that were. */
+    /** A reporter's loads end in the order of its pieces, so the newest one dropped bounds all that were. */
     private void standForAll(Evidence dropped) {
         Entry before = entry(new Subject(Topic.GROUP, ANY_GROUP), dropped.reporter());
         Evidence any = dropped.about(new Subject(Topic.GROUP, ANY_GROUP));
@@ -165,7 +165,7 @@
         over.forEach(this::remove);
     }
 
-    /** Each piece on a topic that is not over, by subject, then by teller. */
+    /** Each piece on a topic that is not over, by subject, then by reporter. */
     public void each(Topic topic, long now, Consumer<Evidence> to) {
         Subject first = new Subject(topic, "");
         for (var reporters : bySubject.tailMap(first, true).entrySet()) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /** What each teller says of a subject, as far as it is not over. */
+    /** What each reporter says of a subject, as far as it is not over. */
     public List<Evidence> on(Subject subject, long now) {
         NavigableMap<String, Entry> reporters = bySubject.get(subject);
         if (reporters == null) {
@@ -223,7 +223,7 @@
         return urgent.size() + calm.size();
     }
 
-    /** Pieces dropped because their teller had too many. */
+    /** Pieces dropped because their reporter had too many. */
     public long droppedForRoom() {
         return droppedForRoom;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -57,7 +57,7 @@
             return; // a stranger gets nothing, and its place would not be bounded
         }
         PeerCursor cursor = cursors.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedAt)));
-        cursor.underway.up(openedAt);
+        cursor.transitTime.up(openedAt);
         Long before = lives.put(peer, incarnation);
         boolean isSameLife = before != null && before == incarnation;
         cursor.up(isSameLife);
@@ -112,14 +112,14 @@
         if (cursor == null) {
             return 0;
         }
-        long underway = cursor.underway.maxUs(now, batch);
-        cursor.underway.heard(now, batch.stampUs());
+        long transitTime = cursor.transitTime.maxUs(now, batch);
+        cursor.transitTime.heard(now, batch.stampUs());
         cursor.heard(batch);
         int changed = 0;
         for (EvidenceMessage told : batch.messages()) {
             // Nobody knows better what this gateway says, but for loads that it ran before it started again.
             boolean isOwn = told.reporter().equals(self) && !told.subject().topic().lasts();
-            if (!isOwn && book.put(told.at(now, underway, drift), peer, now) == EvidenceBook.Put.CHANGED) {
+            if (!isOwn && book.put(told.at(now, transitTime, drift), peer, now) == EvidenceBook.Put.CHANGED) {
                 changed++;
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
@@ -20,15 +20,15 @@
     USE,
     /** A load completed. */
     CHANGED,
-    /** The teller has no doubt about itself. */
+    /** The reporter has no doubt about itself. */
     WELL,
-    /** The teller stood still of late: its timers ran late. */
+    /** The reporter stood still of late: its timers ran late. */
     STALLED,
-    /** Most engines look bad to the teller at once, so the fault may be its own. */
+    /** Most engines look bad to the reporter at once, so the fault may be its own. */
     MOST_BAD,
-    /** An engine outside the teller's hall answers it. */
+    /** An engine outside the reporter's hall answers it. */
     OUTSIDE_ANSWERS,
-    /** Engines of the teller's hall answer it, none outside does. */
+    /** Engines of the reporter's hall answer it, none outside does. */
     ONLY_INSIDE,
     /** No engine answers it. */
     NOTHING_ANSWERS;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
@@ -7,18 +7,18 @@
 import sandpaddle.fleet.verdict.evidence.EvidenceBook.Entry;
 
 /**
- * What one peer has got of this gateway's book: two places in its lines of changes, one for what protects queries now,
- * one for the rest. Sending moves a place on; a lost link puts it back to what the peer acknowledged.
+ * The position of one peer in this gateway's book: two places in its sequence of changes, one for what protects queries
+ * now, one for the rest. Sending advances a place; a lost link resets it to what the peer acknowledged.
  */
 final class PeerCursor {
     private long urgentSent, calmSent;
     private long urgentAcked, calmAcked;
     private long urgentGot, calmGot; // of the peer's own lines
-    final TransitTime underway;
+    final TransitTime transitTime;
     long sentAt = Long.MIN_VALUE / 2;
 
-    PeerCursor(TransitTime underway) {
-        this.underway = underway;
+    PeerCursor(TransitTime transitTime) {
+        this.transitTime = transitTime;
     }
 
     /** The link is new; the peer's book may be too. */
@@ -39,7 +39,8 @@
         List<EvidenceMessage> told = new ArrayList<>();
         long urgentTo = take(book.lane(true), urgentSent, forPeer, now, book.leaseUs(), max, told);
         long calmTo = take(book.lane(false), calmSent, forPeer, now, book.leaseUs(), max, told);
-        return new Batch(now, underway.echoUs(), underway.heldUs(now), urgentTo, calmTo, urgentGot, calmGot, told);
+        return new Batch(now, transitTime.echoUs(), transitTime.heldUs(now), urgentTo, calmTo, urgentGot, calmGot,
+                told);
     }
 
     private static long take(NavigableMap<Long, Entry> lane, long from, Predicate<Entry> forPeer, long now,
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
@@ -6,7 +6,10 @@
 import java.util.stream.Stream;
 import sandpaddle.fleet.verdict.evidence.EvidenceBook.Entry;
 
-/** One teller's pieces from old to new: those with a lease, and those that last; at most so many of each. */
+/**
+ * The pieces of evidence of one reporter from old to new: those with a lease, and those that last; at most so many of
+ * each.
+ */
 final class ReporterEvidence {
     private static final Comparator<Entry> BY_AGE = Comparator.<Entry>comparingLong(e -> e.evidence().life())
             .thenComparingLong(e -> e.evidence().seq()).thenComparing(e -> e.evidence().subject());
@@ -35,12 +38,12 @@
         return Stream.concat(leased.stream(), lasting.stream()).toList();
     }
 
-    /** Whether its teller has started again since it made the piece. */
+    /** Whether its reporter has started again since it made the piece. */
     boolean isOfOldLife(Evidence e) {
         return !e.subject().topic().lasts() && !leased.isEmpty() && leased.last().evidence().life() > e.life();
     }
 
-    /** What a teller told before it started again: with another life it is another gateway. */
+    /** What a reporter told before it started again: with another life it is another gateway. */
     List<Entry> ofLivesBefore(Evidence e) {
         if (e.subject().topic().lasts()) {
             return List.of();
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
@@ -1,10 +1,10 @@
 package sandpaddle.fleet.verdict.evidence;
 
 /**
- * Bounds from above how long a peer's message was underway, without a common clock (as the origin and receive stamps
- * of NTP, RFC 5905). The peer echoes this gateway's latest stamp and says how long it held it; what passed since that
- * stamp, less the holding, is the time underway of both messages. Before an echo came, a message is no older than the
- * link that it came on.
+ * An upper bound for how long a peer's message was in transit, without a common clock (as the origin and receive
+ * timestamps of NTP, RFC 5905). The peer echoes this gateway's latest stamp and says how long it held it; the time
+ * since that stamp, less the holding, is the transit time of both messages. Before an echo came, a message is no older
+ * than the link that it came on.
  */
 final class TransitTime {
     private final double drift;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -20,7 +20,7 @@
  * others, as long as its hall has another with fresh traffic; a fleet of one gateway gives no verdict.
  */
 final class EngineVotes {
-    private static final int MAX_STRENGTH = 50; // of one teller: so that nobody outweighs all others by a figure
+    private static final int MAX_STRENGTH = 50; // of one reporter: so that nobody outweighs all others by a figure
 
     /** Against an engine: as a whole, or by halls whose link to it is down. */
     record Opinion(EngineVerdict.Kind kind, Set<String> links, int reporters, int strength, long sinceUs,
@@ -39,17 +39,17 @@
     /**
      * Null where nothing is to be said.
      *
-     * @param voices of one start, of tellers that do not doubt themselves
+     * @param votes of one start, of reporters that do not doubt themselves
      * @param standing whether the engine is condemned: then few try it, and one outcome each must do
      */
-    Opinion weigh(List<Evidence> voices, boolean standing) {
+    Opinion weigh(List<Evidence> votes, boolean standing) {
         Map<String, int[]> byHall = new TreeMap<>(); // against, for
-        List<Evidence> bad = voices.stream().filter(v -> v.finding().isBad()).toList();
+        List<Evidence> bad = votes.stream().filter(v -> v.finding().isBad()).toList();
         int strength = bad.stream().mapToInt(v -> Math.min(MAX_STRENGTH, v.strength())).sum();
         if (bad.isEmpty() || strength < (standing ? 1 : settings.minStrength())) {
             return null;
         }
-        voices.forEach(v -> byHall.computeIfAbsent(roster.hall(v.reporter()), h -> new int[2])
+        votes.forEach(v -> byHall.computeIfAbsent(roster.hall(v.reporter()), h -> new int[2])
                 [v.finding().isBad() ? 0 : 1]++);
         Set<String> against = new TreeSet<>();
         byHall.forEach((hall, n) -> {
@@ -60,7 +60,7 @@
         EngineVerdict.Kind kind = kind(bad);
         long since = bad.stream().mapToLong(Evidence::sinceUs).min().orElseThrow();
         long made = bad.stream().mapToLong(Evidence::madeUs).max().orElseThrow();
-        if (isTheEngines(voices, bad, byHall.size() - against.size(), against.size())) {
+        if (isTheEngines(votes, bad, byHall.size() - against.size(), against.size())) {
             return new Opinion(kind, Set.of(), bad.size(), strength, since, made);
         }
         Set<String> links = new TreeSet<>();
@@ -69,14 +69,14 @@
                 : new Opinion(EngineVerdict.Kind.LINK, links, bad.size(), strength, since, made);
     }
 
-    private boolean isTheEngines(List<Evidence> voices, List<Evidence> bad, int hallsFor, int hallsAgainst) {
+    private boolean isTheEngines(List<Evidence> votes, List<Evidence> bad, int hallsFor, int hallsAgainst) {
         Set<String> halls = new HashSet<>();
         bad.forEach(v -> halls.add(roster.hall(v.reporter())));
         boolean oneHall = roster.halls().size() <= 1;
         if (hallsAgainst >= 2 && hallsAgainst > hallsFor) {
             return true;
         }
-        boolean max = 2 * bad.size() > voices.size();
+        boolean max = 2 * bad.size() > votes.size();
         boolean notAlone = bad.size() >= 2 || !guards.contains(Guard.NOT_ALONE);
         boolean twoHalls = halls.size() >= 2 || oneHall || !guards.contains(Guard.ONE_HALL_IS_A_LINK);
         return max && notAlone && twoHalls;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Judge.java
@@ -111,10 +111,10 @@
             condemned.hear(now, engine, null);
             return;
         }
-        List<Evidence> voices = all.stream()
+        List<Evidence> votes = all.stream()
                 .filter(v -> v.incarnation() == start || !guards.contains(Guard.INCARNATION))
                 .filter(v -> !doubting.contains(v.reporter()) || !guards.contains(Guard.DOUBT)).toList();
-        Opinion opinion = new EngineVotes(settings, roster, guards).weigh(voices, condemned.isStanding(engine));
+        Opinion opinion = new EngineVotes(settings, roster, guards).weigh(votes, condemned.isStanding(engine));
         boolean isLink = opinion != null && opinion.kind() == EngineVerdict.Kind.LINK;
         if (isLink) {
             links.put(engine, opinion);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Who goes on trying a condemned engine, so that a hundred gateways do not: rendezvous hashing (Thaler and Ravishankar,
- * 1998) over the gateways that live and do not doubt themselves, the first of two halls where there are two. All agree
- * as far as they hear the same; where they do not, one more tries.
+ * Assigns the gateways that go on trying a condemned engine, so that a hundred gateways do not: rendezvous hashing
+ * (Thaler and Ravishankar, 1998) over the gateways that live and do not doubt themselves, the first of two halls where
+ * there are two. All agree as far as they hear the same; where they do not, one more tries.
  */
 final class ProbeAssignment {
     private ProbeAssignment() {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
@@ -9,8 +9,9 @@
 import sandpaddle.fleet.verdict.evidence.Subject;
 
 /**
- * Makes pieces of what is found, and says again only what must be: a new finding at once, a growing one while it is
- * weak, one that goes on three times a lease. Bound: the latest piece on each subject, those with a lease for as long.
+ * Turns findings into pieces of evidence, and repeats only what is needed: a new finding at once, a growing one while
+ * it is weak, one that goes on three times a lease. Bound: the latest piece on each subject, those with a lease for as
+ * long.
  */
 final class EvidenceReporter {
     private final String self;
--- a/gateway/src/main/java/sandpaddle/fleet/view/SharedState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/SharedState.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.view;
 
 /**
- * What the loop's thread and the fleet's share: the view, written by the fleet's; the counts and the connections open
- * to engines, written by the loop's.
+ * State shared by the event loop's thread and the fleet's: the view, written by the fleet's; the counts and the
+ * connections open to engines, written by the loop's.
  */
 public record SharedState(Publication<FleetView> views, Publication<SlotUsage> usages, Connections connections) {
 
--- a/gateway/src/main/java/sandpaddle/fleet/view/SlotUsage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/SlotUsage.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.view;
 
 /**
- * What this gateway uses of each slot of one numbering: written by the loop's thread, read by the fleet's. {@code
- * waiting} are queries held that would use it; {@code taken} and {@code starts} only grow.
+ * This gateway's usage of each slot of one numbering: written by the loop's thread, read by the fleet's. {@code
+ * waiting} counts held queries that would use the slot; {@code taken} and {@code starts} only grow.
  */
 public final class SlotUsage {
     private final long numbering;
--- a/gateway/src/main/java/sandpaddle/storm/PauseComplianceEstimate.java
+++ b/gateway/src/main/java/sandpaddle/storm/PauseComplianceEstimate.java
@@ -1,9 +1,9 @@
 package sandpaddle.storm;
 
 /**
- * Learns what becomes of advice: which share of the clients that were sent away comes back at all, and which share of
- * those waits as long as it was told. Shares are of about the last ten seconds, drawn towards a middling prior while
- * little has been seen.
+ * Estimates how clients comply with the pauses told: which share of the clients that were sent away comes back at all,
+ * and which share of those waits as long as it was told. Shares are of about the last ten seconds, drawn towards a
+ * middling prior while little has been seen.
  */
 final class PauseComplianceEstimate {
     private static final long SPAN_US = 10_000_000;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
@@ -30,7 +30,7 @@
     final Engines engines = new Engines();
     final List<Gateway> gateways = new ArrayList<>();
     final Voters voters;
-    final Set<List<Integer>> cut = new HashSet<>(); // voter, gateway, 0 for beats and 1 for grants
+    final Set<List<Integer>> cut = new HashSet<>(); // voter, gateway, 0 for heartbeats and 1 for grants
     private final PriorityQueue<Message> links =
         new PriorityQueue<>(Comparator.comparingLong(Message::at).thenComparing(Message::number));
     private long messages;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** One turn of its loop; a beat where one is due. */
+    /** One turn of its loop; a heartbeat where one is due. */
     Heartbeat turn(long now, String limit) {
         long clock = clock(now);
         lingering.removeIf(l -> l[0] <= clock);
--- a/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
@@ -102,7 +102,8 @@
         for (boolean guarded : new boolean[] {true, false}) {
             RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
             List<SlotGrant> many = new ArrayList<>();
-            for (int i = 0; i <= Heartbeat.MAX_TOLD; i++) { // one more than a beat tells, so one has promised nothing
+            // one more than a heartbeat tells, so one has promised nothing
+            for (int i = 0; i <= Heartbeat.MAX_TOLD; i++) {
                 many.add(given("l" + (10_000 + i), 1, 8, 2, 8));
             }
             holder.granted(0, grant(5, 1, 0, many.toArray(new SlotGrant[0])));
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/Event.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/Event.java
@@ -6,7 +6,7 @@
     enum What {
         /** Nothing but time. */
         NONE,
-        /** Its beats are lost from now on. */
+        /** Its heartbeats are lost from now on. */
         MUTE,
         /** What it is sent is lost from now on. */
         DEAF,
@@ -32,7 +32,7 @@
         HUNGRY,
         /** An old message to it comes, again or at last. */
         GRANT_AGAIN,
-        /** An old beat of it comes to the leader, again or at last. */
+        /** An old heartbeat of it comes to the leader, again or at last. */
         BEAT_AGAIN,
         /** Another voter leads; the former does not know. */
         ELECT,
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -25,7 +25,7 @@
     private static final long FORGET = 3;
 
     final List<SimulatedGateway> sites = new ArrayList<>();
-    private final List<VoterReplica> seats = new ArrayList<>();
+    private final List<VoterReplica> voters = new ArrayList<>();
     private final List<Command> log = new ArrayList<>();
     private final List<Command> waiting = new ArrayList<>(); // to be agreed on late
     private final List<Long> waitingUntil = new ArrayList<>();
@@ -48,22 +48,22 @@
             sites.get(i).start();
             log.add(new Command.Join("g" + i, "h"));
         }
-        seats.add(new VoterReplica(settings));
-        seats.add(new VoterReplica(settings));
+        voters.add(new VoterReplica(settings));
+        voters.add(new VoterReplica(settings));
         elect(0);
     }
 
     private void elect(int next) {
         leader = next;
-        VoterReplica seat = seats.get(next);
-        seat.term = ++term;
-        catchUp(seat);
-        seat.allocator.elected(term);
+        VoterReplica voter = voters.get(next);
+        voter.term = ++term;
+        catchUp(voter);
+        voter.allocator.elected(term);
     }
 
-    private void catchUp(VoterReplica seat) {
-        while (seat.applied < log.size()) {
-            seat.table.apply(log.get(seat.applied++));
+    private void catchUp(VoterReplica voter) {
+        while (voter.applied < log.size()) {
+            voter.table.apply(log.get(voter.applied++));
         }
     }
 
@@ -121,7 +121,7 @@
             case GO -> site.stopped = false;
             case HUNGRY -> sites.forEach(s -> s.hungry = s == site);
             case GRANT_AGAIN -> site.granted(site.grants.get(event.which()));
-            case BEAT_AGAIN -> seats.get(leader).allocator.beat(clock(), site.name, site.beats.get(event.which()));
+            case BEAT_AGAIN -> voters.get(leader).allocator.beat(clock(), site.name, site.beats.get(event.which()));
             case ELECT -> elect(1 - leader);
             case LATE_LOG -> lateLog = true;
             default -> site.links = event.what();
@@ -172,7 +172,7 @@
         }
         for (int v = 0; v < 2; v++) {
             if (site.links != Event.What.FORMER || v != leader) {
-                seats.get(v).allocator.beat(clock(), site.name, beat);
+                voters.get(v).allocator.beat(clock(), site.name, beat);
             }
         }
     }
@@ -186,19 +186,19 @@
                 i++;
             }
         }
-        catchUp(seats.get(leader));
+        catchUp(voters.get(leader));
     }
 
     private void turn(int v) {
-        VoterReplica seat = seats.get(v);
-        if (seat.term == 0) {
+        VoterReplica voter = voters.get(v);
+        if (voter.term == 0) {
             return;
         }
         boolean leads = v == leader;
         if (leads) {
-            seat.allocator.confirmed(clock());
+            voter.allocator.confirmed(clock());
         }
-        AllocatorOutput turn = seat.allocator.tick(clock());
+        AllocatorOutput turn = voter.allocator.tick(clock());
         for (Command command : turn.propose()) {
             if (leads && !lateLog) {
                 log.add(command);
@@ -208,7 +208,7 @@
             }
         }
         if (leads) {
-            catchUp(seat);
+            catchUp(voter);
         }
         for (Grant grant : turn.grants()) {
             grant(v, sites.get(grant.member().charAt(1) - '0'), grant);
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/HandshakeStories.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/HandshakeStories.java
@@ -26,8 +26,8 @@
         return new LinkSettings.Bounds(1 << 20, 8 << 20, 4096, 512, 2, 32 << 20);
     }
 
-    private static Frame.Rejected refused(TestNode gate, Greeting greeting) throws Exception {
-        try (RawPeer raw = RawPeer.connect(gate.links.port())) {
+    private static Frame.Rejected refused(TestNode node, Greeting greeting) throws Exception {
+        try (RawPeer raw = RawPeer.connect(node.links.port())) {
             Frame.Rejected no = raw.say(new Frame.Hello(greeting)).hear(Frame.Rejected.class);
             assertNull(raw.hear(), "nothing follows, the connection closes");
             return no;
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
@@ -18,7 +18,7 @@
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.Member;
 
-/** One gateway's links in virtual time: the switchboard of the program on pipes in place of sockets. */
+/** One gateway's links in virtual time: the link manager of the program on pipes in place of sockets. */
 final class VirtualNode implements Links, LinkTransport, LinkEvents {
     private final VirtualNet net;
     final Member self;
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
@@ -16,10 +16,10 @@
         String text = "policy \"p\" version 1\nbudget fleet 400 connections\n" + statements;
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
         assertEquals(List.of(), check.errors());
-        ActivePolicy seat = new ActivePolicy();
-        seat.read(check);
-        seat.agreed(new PolicyVersion(1, check.version()));
-        return UnsupportedStatements.notes(seat.policy().orElseThrow()).stream()
+        ActivePolicy activePolicy = new ActivePolicy();
+        activePolicy.read(check);
+        activePolicy.agreed(new PolicyVersion(1, check.version()));
+        return UnsupportedStatements.notes(activePolicy.policy().orElseThrow()).stream()
                 .map(n -> n.substring(0, n.indexOf(':'))).toList();
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
@@ -33,7 +33,7 @@
     private final Publication<FleetView> views = new Publication<>(FleetView.NOTHING);
     private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
     private final AttemptCounters cells = new AttemptCounters(views, usages, CLASSES.size());
-    private final RightsManager keeper = new RightsManager("g", 5, "east", CLASSES, SETTINGS, List.of(),
+    private final RightsManager manager = new RightsManager("g", 5, "east", CLASSES, SETTINGS, List.of(),
             new SharedState(views, usages, new Connections()), 0);
 
     private static LimitSpec limit(String id, String hall, String cls, String tenant, String engine) {
@@ -45,7 +45,7 @@
     }
 
     private FleetView publish() {
-        FleetView v = keeper.publish(List.of(), Map.of(), FleetView.Isolation.NONE);
+        FleetView v = manager.publish(List.of(), Map.of(), FleetView.Isolation.NONE);
         assertEquals(v, views.current());
         return v;
     }
@@ -73,13 +73,13 @@
     @Test
     void viewFollowsWhatWasGivenAndItsLease() {
         LimitSpec all = limit("all", null, null, null, null);
-        keeper.localLimits(List.of(all));
+        manager.localLimits(List.of(all));
         FleetView before = publish();
         assertEquals(List.of("all"), before.slots().stream().map(Slot::id).toList());
         assertEquals(0, before.allowed(0, FRESH + 1), "its own file binds, with nothing given");
-        keeper.granted(1, grant(0, List.of(all), new SlotGrant("all", "", 1, 8, 2, 8, 2)));
-        long sequence = keeper.beat(FRESH - 1).sequence(); // from then on what no lease covers is given back
-        keeper.granted(FRESH + 5, grant(sequence, List.of(all)));
+        manager.granted(1, grant(0, List.of(all), new SlotGrant("all", "", 1, 8, 2, 8, 2)));
+        long sequence = manager.beat(FRESH - 1).sequence(); // from then on what no lease covers is given back
+        manager.granted(FRESH + 5, grant(sequence, List.of(all)));
         FleetView held = publish();
         assertEquals(before.numbering(), held.numbering());
         assertEquals(0, held.allowed(0, FRESH - 1));
@@ -92,35 +92,37 @@
     void beatTellsWhatRunsAndWaits() {
         LimitSpec all = limit("all", null, null, null, null);
         LimitSpec one = limit("one", null, null, null, "e");
-        keeper.engines(List.of("e", "f", "h"));
-        keeper.granted(1, grant(0, List.of(all, one), new SlotGrant("all", "", 1, 8, 2, 8, 2),
+        manager.engines(List.of("e", "f", "h"));
+        manager.granted(1, grant(0, List.of(all, one), new SlotGrant("all", "", 1, 8, 2, 8, 2),
                 new SlotGrant("one", "", 1, 8, 2, 8, 2)));
-        keeper.beat(FRESH);
+        manager.beat(FRESH);
         publish();
         cells.adopt();
         assertTrue(cells.begin(0, "t", "e", FRESH) && cells.begin(0, "t", "f", FRESH));
         cells.waits(0, "t", 4);
-        Heartbeat beat = keeper.beat(FRESH + 1);
+        Heartbeat beat = manager.beat(FRESH + 1);
         SlotReport told = beat.reports().stream().filter(t -> t.limit().equals("all")).findFirst().orElseThrow();
         assertEquals(List.of(2L, 6L), List.of(told.used(), told.demand()));
         told = beat.reports().stream().filter(t -> t.limit().equals("one")).findFirst().orElseThrow();
         assertEquals(List.of(1L, 3L), List.of(told.used(), told.demand()), "of the four that wait, its part of three");
     }
 
-    /** Guards the fleet's messages against ids that no message carries: the beat stays readable, the engine barred. */
+    /**
+     * Guards the fleet's messages against ids that no message carries: the heartbeat stays readable, the engine barred.
+     */
     @Test
     void anEngineWhoseIdCannotBeToldHasNoRightsAndSpoilsNoBeat() throws Exception {
         LimitSpec each = limit("each", null, null, null, "*");
         String tooLong = "e".repeat(LimitSpec.MAX_NAME + 1);
-        keeper.engines(List.of("e", tooLong));
-        keeper.granted(1, grant(0, List.of(each)));
+        manager.engines(List.of("e", tooLong));
+        manager.granted(1, grant(0, List.of(each)));
         FleetView view = publish();
         assertEquals(List.of("each|e"), view.slots().stream().map(Slot::id).toList());
-        Heartbeat beat = keeper.beat(FRESH);
+        Heartbeat beat = manager.beat(FRESH);
         assertEquals(1, beat.wanted().size());
         HeartbeatMessage message = new HeartbeatMessage(3, 4, beat);
         assertEquals(message, HeartbeatMessage.decode(message.encode()));
-        keeper.granted(FRESH, grant(1, List.of(each), new SlotGrant("each|e", "", 1, 8, 2, 8, 2)));
+        manager.granted(FRESH, grant(1, List.of(each), new SlotGrant("each|e", "", 1, 8, 2, 8, 2)));
         publish();
         cells.adopt();
         assertTrue(cells.begin(0, "t", "e", FRESH));
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
@@ -16,7 +16,7 @@
 
 class PlanExecutorTest {
     private static final long HOUR = 3_600_000;
-    private final PlanExecutor filler = new PlanExecutor();
+    private final PlanExecutor planExecutor = new PlanExecutor();
 
     private static Fetch fetch(int n, long beginAt) {
         return new Fetch(candidate(n, 400_000), beginAt, 1);
@@ -28,16 +28,16 @@
 
     @Test
     void beginsInTimeWithinWhatLiveCapacityLeaves() {
-        filler.plan(new Plan(List.of(fetch(1, 0), fetch(2, 0), fetch(3, 0), fetch(4, 9000)), 0, 0));
+        planExecutor.plan(new Plan(List.of(fetch(1, 0), fetch(2, 0), fetch(3, 0), fetch(4, 9000)), 0, 0));
         Allowance two = new Allowance(2, 1_000_000);
-        assertEquals(2, filler.next(0, 10, two).size());
-        assertEquals(0, filler.next(500_000, 510, two).size(), "two are running");
-        filler.ended(Stored.key(1).id(), true);
-        assertEquals(1, filler.next(500_000, 510, two).size());
-        filler.ended(Stored.key(2).id(), true);
-        filler.ended(Stored.key(3).id(), true);
-        assertEquals(0, filler.next(2_000_000, 2010, two).size(), "the fourth is not due");
-        assertEquals(1, filler.next(9_000_000, 9000, two).size());
+        assertEquals(2, planExecutor.next(0, 10, two).size());
+        assertEquals(0, planExecutor.next(500_000, 510, two).size(), "two are running");
+        planExecutor.ended(Stored.key(1).id(), true);
+        assertEquals(1, planExecutor.next(500_000, 510, two).size());
+        planExecutor.ended(Stored.key(2).id(), true);
+        planExecutor.ended(Stored.key(3).id(), true);
+        assertEquals(0, planExecutor.next(2_000_000, 2010, two).size(), "the fourth is not due");
+        assertEquals(1, planExecutor.next(9_000_000, 9000, two).size());
     }
 
     @Test
@@ -46,42 +46,42 @@
         for (int n = 0; n < 100; n++) {
             all.add(fetch(n, 0));
         }
-        filler.plan(new Plan(all, 0, 0));
-        assertEquals(0, filler.next(0, 0, Allowance.NONE).size());
-        assertEquals(0, filler.next(60_000_000, 60_000, Allowance.NONE).size());
-        assertEquals(60_000_000, filler.pausedUs());
+        planExecutor.plan(new Plan(all, 0, 0));
+        assertEquals(0, planExecutor.next(0, 0, Allowance.NONE).size());
+        assertEquals(0, planExecutor.next(60_000_000, 60_000, Allowance.NONE).size());
+        assertEquals(60_000_000, planExecutor.pausedUs());
         int begun = 0;
         for (int s = 61; s < 71; s++) {
-            begun += filler.next(s * 1_000_000L, s * 1000L, new Allowance(1000, 1_000_000)).size();
+            begun += planExecutor.next(s * 1_000_000L, s * 1000L, new Allowance(1000, 1_000_000)).size();
         }
         assertTrue(begun >= 24 && begun <= 28, begun + " fetches of 0.4 s in 10 s of one core");
     }
 
     @Test
     void whatFailedIsTriedOnceMoreBehindTheOthers() {
-        filler.plan(new Plan(List.of(fetch(1, 0), fetch(2, 0)), 0, 0));
+        planExecutor.plan(new Plan(List.of(fetch(1, 0), fetch(2, 0)), 0, 0));
         Allowance one = new Allowance(1, 10_000_000);
-        assertEquals(1, filler.next(0, 0, one).get(0).what().fingerprint());
-        filler.ended(Stored.key(1).id(), false);
-        assertEquals(2, filler.next(1_000_000, 0, one).get(0).what().fingerprint());
-        filler.ended(Stored.key(2).id(), true);
-        assertEquals(1, filler.next(2_000_000, 0, one).get(0).what().fingerprint());
-        filler.ended(Stored.key(1).id(), false);
-        assertEquals(0, filler.next(3_000_000, 0, one).size());
+        assertEquals(1, planExecutor.next(0, 0, one).get(0).what().fingerprint());
+        planExecutor.ended(Stored.key(1).id(), false);
+        assertEquals(2, planExecutor.next(1_000_000, 0, one).get(0).what().fingerprint());
+        planExecutor.ended(Stored.key(2).id(), true);
+        assertEquals(1, planExecutor.next(2_000_000, 0, one).get(0).what().fingerprint());
+        planExecutor.ended(Stored.key(1).id(), false);
+        assertEquals(0, planExecutor.next(3_000_000, 0, one).size());
     }
 
     @Test
     void replanningBeginsNothingTwiceAndStoppingBeginsNothing() {
         Plan plan = new Plan(List.of(fetch(1, 0), fetch(2, 0)), 0, 0);
-        filler.plan(plan);
+        planExecutor.plan(plan);
         Allowance one = new Allowance(1, 10_000_000);
-        filler.next(0, 0, one);
-        filler.plan(plan);
-        assertEquals(1, filler.waiting());
-        filler.stop();
-        filler.ended(Stored.key(1).id(), true);
-        assertEquals(0, filler.next(1_000_000, 0, one).size());
-        assertEquals(0, filler.running());
+        planExecutor.next(0, 0, one);
+        planExecutor.plan(plan);
+        assertEquals(1, planExecutor.waiting());
+        planExecutor.stop();
+        planExecutor.ended(Stored.key(1).id(), true);
+        assertEquals(0, planExecutor.next(1_000_000, 0, one).size());
+        assertEquals(0, planExecutor.running());
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/pool/ActivePolicyTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/ActivePolicyTest.java
@@ -18,43 +18,43 @@
 
     private final PoolPolicyCheck first = policy("first", "");
     private final PoolPolicyCheck newer = policy("newer", "words of a later language\n");
-    private final ActivePolicy seat = new ActivePolicy();
+    private final ActivePolicy activePolicy = new ActivePolicy();
 
     @Test
     void oneThatCannotReadSaysSoAndKeepsWhatItCouldRead() {
-        assertEquals(Status.NONE, seat.standing());
-        seat.read(first);
-        seat.agreed(new PolicyVersion(1, first.version()));
-        assertEquals(Status.APPLIES, seat.standing());
-        seat.agreed(new PolicyVersion(2, newer.version()));
-        assertEquals(Status.MISSING, seat.standing());
-        seat.read(newer);
-        assertEquals(Status.UNREADABLE, seat.standing());
-        assertEquals(Optional.of("first"), seat.policy().map(Policy::name));
-        assertEquals(1, seat.applied().orElseThrow().epoch());
-        assertEquals(2, seat.ruling().orElseThrow().epoch());
+        assertEquals(Status.NONE, activePolicy.standing());
+        activePolicy.read(first);
+        activePolicy.agreed(new PolicyVersion(1, first.version()));
+        assertEquals(Status.APPLIES, activePolicy.standing());
+        activePolicy.agreed(new PolicyVersion(2, newer.version()));
+        assertEquals(Status.MISSING, activePolicy.standing());
+        activePolicy.read(newer);
+        assertEquals(Status.UNREADABLE, activePolicy.standing());
+        assertEquals(Optional.of("first"), activePolicy.policy().map(Policy::name));
+        assertEquals(1, activePolicy.applied().orElseThrow().epoch());
+        assertEquals(2, activePolicy.ruling().orElseThrow().epoch());
     }
 
     @Test
     void theGreatestEpochRulesWhateverComesLate() {
-        seat.read(first);
-        seat.agreed(new PolicyVersion(5, first.version()));
-        seat.agreed(new PolicyVersion(4, newer.version()));
-        assertEquals(Status.APPLIES, seat.standing());
-        assertEquals(5, seat.ruling().orElseThrow().epoch());
+        activePolicy.read(first);
+        activePolicy.agreed(new PolicyVersion(5, first.version()));
+        activePolicy.agreed(new PolicyVersion(4, newer.version()));
+        assertEquals(Status.APPLIES, activePolicy.standing());
+        assertEquals(5, activePolicy.ruling().orElseThrow().epoch());
     }
 
     @Test
     void theRulingTextIsNotForgottenForOthers() {
-        seat.read(first);
-        seat.agreed(new PolicyVersion(1, first.version()));
+        activePolicy.read(first);
+        activePolicy.agreed(new PolicyVersion(1, first.version()));
         for (int i = 0; i < 9; i++) {
-            seat.read(policy("other" + i, ""));
+            activePolicy.read(policy("other" + i, ""));
         }
-        seat.agreed(new PolicyVersion(2, first.version()));
-        assertEquals(Status.APPLIES, seat.standing());
-        seat.agreed(new PolicyVersion(3, policy("other0", "").version()));
-        assertEquals(Status.MISSING, seat.standing(), "only a few are kept");
+        activePolicy.agreed(new PolicyVersion(2, first.version()));
+        assertEquals(Status.APPLIES, activePolicy.standing());
+        activePolicy.agreed(new PolicyVersion(3, policy("other0", "").version()));
+        assertEquals(Status.MISSING, activePolicy.standing(), "only a few are kept");
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
@@ -66,7 +66,7 @@
         PoolPolicyCheck check = check(String.join("\n", lines));
         SuiteFile file = new SuiteFile(any(random));
         check.policy().ifPresent(p -> assertTrue(
-                PoolSolver.solve(p, file.facts(), Allocation.NONE).rows().stream()
+                PoolSolver.solve(p, file.solverInput(), Allocation.NONE).rows().stream()
                 .allMatch(r -> r.connections() >= 0)));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
@@ -27,7 +27,7 @@
             assertFaults(file, check);
             assertTrue(check.policy().isPresent(), "it may rule");
             assertTrue(!file.results.isEmpty(), "it expects a result");
-            Allocation allotment = PoolSolver.solve(check.policy().get(), file.facts(), Allocation.NONE);
+            Allocation allotment = PoolSolver.solve(check.policy().get(), file.solverInput(), Allocation.NONE);
             for (String[] expect : file.results) {
                 assertEquals(Integer.parseInt(expect[3]), sum(allotment, expect[1], expect[2]),
                         String.join(" ", expect) + " in " + allotment.rows());
@@ -83,7 +83,7 @@
                     : "warning ") + f.at().line() + ":" + f.at().column() + " found " + f.found() + "; allowed: "
                     + f.allowed()));
             check.policy().ifPresent(p -> System.out.println(
-                    PoolSolver.solve(p, file.facts(), Allocation.NONE)));
+                    PoolSolver.solve(p, file.solverInput(), Allocation.NONE)));
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -109,7 +109,7 @@
                 Optional.ofNullable(known.get("gateways")), Optional.ofNullable(known.get("tenants")), maxGateways);
     }
 
-    SolverInput facts() {
+    SolverInput solverInput() {
         return new SolverInput(new FleetState(now, zone, phase, condemned, isolated, outages), gateways, engines,
                 demands);
     }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/Day.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/Day.java
@@ -62,14 +62,15 @@
         switch (random.nextInt(14)) {
             case 0, 1 -> g.crash();
             case 2, 3, 4 -> startAll();
-            case 5 -> g.disk().mood(random.nextBoolean() ? SimDisk.Health.FULL : SimDisk.Health.FAILING);
-            case 6 -> fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
+            case 5 -> g.disk().health(random.nextBoolean() ? SimDisk.Health.FULL : SimDisk.Health.FAILING);
+            case 6 -> fleet.all().forEach(o -> o.disk().health(SimDisk.Health.GOOD));
             case 7 -> fleet.net().cut(g.name(), other.name());
             case 8 -> {
                 fleet.net().cut(g.name(), other.name());
                 fleet.net().cut(other.name(), g.name());
             }
-            case 9 -> fleet.net().weather(new SimNet.NetworkConditions(500, random.nextBoolean() ? 2_000_000 : 200_000,
+            case 9 -> fleet.net()
+                .conditions(new SimNet.NetworkConditions(500, random.nextBoolean() ? 2_000_000 : 200_000,
                 random.nextDouble() * 0.2, random.nextDouble() * 0.3));
             case 10 -> fleet.net().heal();
             case 11 -> g.stall(fleet.now() + (long) (random.nextDouble() * 8 * SECOND));
@@ -89,12 +90,13 @@
     private void forget() throws StoreException {
         fleet.net().heal();
         startAll();
-        fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
+        fleet.all().forEach(o -> o.disk().health(SimDisk.Health.GOOD));
         if (!fleet.runUntil(this::isWhole, 90 * SECOND)) {
             wrong.add("not whole after 90 s of calm");
             return;
         }
-        fleet.run(3 * SECOND); // an old copy from the same life is known only by what was heard since the peers opened
+        // an old copy from the same incarnation is known only by what was heard since the peers opened
+        fleet.run(3 * SECOND);
         Gateway g = copy.isPresent() && random.nextInt(3) > 0 ? fleet.gateway(copied) : any();
         g.crash();
         if (g.name().equals(copied) && copy.isPresent()) {
@@ -136,7 +138,7 @@
 
     private void settle() {
         fleet.net().heal();
-        fleet.all().forEach(o -> o.disk().mood(SimDisk.Health.GOOD));
+        fleet.all().forEach(o -> o.disk().health(SimDisk.Health.GOOD));
         startAll();
         if (!fleet.runUntil(this::isWhole, 120 * SECOND)) {
             wrong.add("not whole after 120 s of calm at the end");
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
@@ -44,12 +44,12 @@
     }
 
     private Content durable = new Content();
-    private Health mood = Health.GOOD;
+    private Health health = Health.GOOD;
     private long flushes;
     private boolean liesAboutFlush;
 
-    public void mood(Health to) {
-        mood = to;
+    public void health(Health to) {
+        health = to;
     }
 
     /** A flush that returns without having made anything durable: the guard that a test removes. */
@@ -82,7 +82,7 @@
         }
 
         private void reopen() {
-            if (mood == Health.GOOD) {
+            if (health == Health.GOOD) {
                 durable.generation++;
                 staged = durable.copy();
                 fault = null;
@@ -92,9 +92,9 @@
         }
 
         private void writable() throws StoreException {
-            if (fault == null && mood != Health.GOOD) {
-                fault = new StoreException(mood == Health.FULL ? StoreException.Kind.FULL : StoreException.Kind.IO,
-                    "the disk is " + mood);
+            if (fault == null && health != Health.GOOD) {
+                fault = new StoreException(health == Health.FULL ? StoreException.Kind.FULL : StoreException.Kind.IO,
+                    "the disk is " + health);
             }
             if (fault != null) {
                 throw fault;
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public RecoveredState found() {
+        public RecoveredState recovered() {
             Content c = staged == null ? durable : staged;
             Optional<Snapshot> snapshot = Optional.empty();
             for (var e : c.snapshots.entrySet()) {
@@ -140,7 +140,7 @@
         @Override
         public void append(long index, int term, byte[] entry) throws StoreException {
             writable();
-            long last = staged.entries.isEmpty() ? found().lastIndex() : staged.entries.lastKey();
+            long last = staged.entries.isEmpty() ? recovered().lastIndex() : staged.entries.lastKey();
             if (index != last + 1) {
                 throw new IllegalStateException("entry " + index + " after " + last);
             }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimNet.java
@@ -24,15 +24,15 @@
     private final Random random;
     private final PriorityQueue<InFlightMessage> underWay = new PriorityQueue<>();
     private final Set<String> cut = new HashSet<>();
-    private NetworkConditions weather = FAIR;
+    private NetworkConditions conditions = FAIR;
     private long number;
 
     SimNet(Random random) {
         this.random = random;
     }
 
-    public void weather(NetworkConditions to) {
-        weather = to;
+    public void conditions(NetworkConditions to) {
+        conditions = to;
     }
 
     /** Cuts one direction. */
@@ -42,16 +42,16 @@
 
     public void heal() {
         cut.clear();
-        weather = FAIR;
+        conditions = FAIR;
     }
 
     void send(String from, String to, byte[] message, long now) {
-        if (cut.contains(from + ">" + to) || random.nextDouble() < weather.lost()) {
+        if (cut.contains(from + ">" + to) || random.nextDouble() < conditions.lost()) {
             return;
         }
-        int copies = random.nextDouble() < weather.twice() ? 2 : 1;
+        int copies = random.nextDouble() < conditions.twice() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delay = weather.min() + (long) (random.nextDouble() * (weather.max() - weather.min()));
+            long delay = conditions.min() + (long) (random.nextDouble() * (conditions.max() - conditions.min()));
             underWay.add(new InFlightMessage(now + delay, number++, from, to, message));
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
@@ -53,7 +53,7 @@
         Gateway forgets = others.get(0);
         Gateway misses = others.get(1);
         SimDisk before = forgets.disk().copy();
-        forgets.crash(); // its next life is met by both others
+        forgets.crash(); // its next incarnation is met by both others
         forgets.start();
         fleet.run(10 * SECOND);
         for (Gateway g : List.of(leader, forgets)) {
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
@@ -72,13 +72,13 @@
         SimFleet fleet = new SimFleet(3, THREE, List.of());
         add(fleet);
         Gateway first = leader(fleet);
-        first.disk().mood(SimDisk.Health.FULL);
+        first.disk().health(SimDisk.Health.FULL);
         fleet.propose(first);
         fleet.run(SECOND);
         assertEquals(Phase.FAILED, first.voter().phase());
         add(fleet);
         assertNotEquals(first, leader(fleet));
-        first.disk().mood(SimDisk.Health.GOOD);
+        first.disk().health(SimDisk.Health.GOOD);
         fleet.run(10 * SECOND);
         assertEquals(Phase.VOTING, first.voter().phase());
         assertEquals(new Endpoint(first.voter().endpoint().orElseThrow().name(), 1),
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/CrashTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/CrashTest.java
@@ -70,10 +70,12 @@
             for (int draw = sync ? 0 : done % draws; draw < (sync ? draws : done % draws + 1); draw++) {
                 SimulatedDisk after = history.disk.crashed(done, survivors(draw, random));
                 try (MvVoterStore store = open(after)) {
-                    String found = VoterModel.of(store);
-                    if (!store.found().trusted() || !found.equals(known.state) && !found.equals(known.next)) {
-                        return "crash after " + done + ", draw " + draw + ": " + store.found().faults() + store.state()
-                                + "\n found " + found + "\n acknowledged " + known.state + "\n or " + known.next;
+                    String recovered = VoterModel.of(store);
+                    if (!store.recovered().trusted() || !recovered.equals(known.state)
+                            && !recovered.equals(known.next)) {
+                        return "crash after " + done + ", draw " + draw + ": " + store.recovered().faults()
+                                + store.state()
+                                + "\n found " + recovered + "\n acknowledged " + known.state + "\n or " + known.next;
                     }
                 }
             }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
@@ -44,12 +44,12 @@
     private void untrusted(String naming) throws StoreException {
         for (int i = 0; i < 2; i++) { // it stays so over openings
             try (MvVoterStore store = open(disk)) {
-                RecoveredState found = store.found();
-                assertFalse(found.trusted());
-                assertTrue(found.faults().get(0).contains(naming), found.faults().toString());
-                assertEquals(0, found.lastIndex());
+                RecoveredState recovered = store.recovered();
+                assertFalse(recovered.trusted());
+                assertTrue(recovered.faults().get(0).contains(naming), recovered.faults().toString());
+                assertEquals(0, recovered.lastIndex());
                 assertThrows(StoreException.class, () -> store.term(8, null));
-                if (found.identity().isPresent()) {
+                if (recovered.identity().isPresent()) {
                     assertThrows(StoreException.class, () -> store.identity(ID), "the old endpoint may not vote again");
                 }
             }
@@ -59,19 +59,19 @@
             store.term(1, null);
         }
         try (MvVoterStore store = open(disk)) {
-            assertTrue(store.found().trusted());
-            assertEquals("m#2", store.found().identity().orElseThrow().endpoint());
-            assertEquals(1, store.found().term());
+            assertTrue(store.recovered().trusted());
+            assertEquals("m#2", store.recovered().identity().orElseThrow().endpoint());
+            assertEquals(1, store.recovered().term());
         }
     }
 
     @Test
     void allIsThereAfterAnOpening() throws StoreException {
         try (MvVoterStore store = open(disk)) {
-            RecoveredState found = store.found();
-            assertEquals(List.of(ID, 2L, 7, "x#1", 20, 20L), List.of(found.identity().orElseThrow(),
-                    found.generation(), found.term(), found.vote().orElseThrow(), found.entries().size(),
-                    found.lastIndex()));
+            RecoveredState recovered = store.recovered();
+            assertEquals(List.of(ID, 2L, 7, "x#1", 20, 20L), List.of(recovered.identity().orElseThrow(),
+                    recovered.generation(), recovered.term(), recovered.vote().orElseThrow(), recovered.entries()
+                    .size(), recovered.lastIndex()));
             assertEquals(2, store.get("floor").orElseThrow()[1]);
         }
     }
@@ -84,11 +84,12 @@
             SimulatedDisk hurt = disk.copy();
             hurt.garble("voter-1.mv", at, 16);
             try (MvVoterStore store = open(hurt)) {
-                RecoveredState found = store.found();
-                faults += found.trusted() ? 0 : 1;
-                boolean whole = found.term() == 7 && found.entries().size() == 20 && store.get("floor").isPresent();
-                assertEquals(found.trusted(), whole, "garbled at " + at + " " + found.faults());
-                assertEquals(!found.trusted(), hurt.names().contains("voter-1.bad"));
+                RecoveredState recovered = store.recovered();
+                faults += recovered.trusted() ? 0 : 1;
+                boolean whole = recovered.term() == 7 && recovered.entries().size() == 20 && store.get("floor")
+                        .isPresent();
+                assertEquals(recovered.trusted(), whole, "garbled at " + at + " " + recovered.faults());
+                assertEquals(!recovered.trusted(), hurt.names().contains("voter-1.bad"));
             }
         }
         assertTrue(faults > 10, "only " + faults);
@@ -116,16 +117,16 @@
     void oneSlotIsEnough() throws StoreException {
         disk.garble("voter.id", 0, 4096);
         try (MvVoterStore store = open(disk)) {
-            assertTrue(store.found().trusted());
+            assertTrue(store.recovered().trusted());
         }
     }
 
     @Test
     void anEmptyDirectoryIsNew() throws StoreException {
         try (MvVoterStore store = open(new SimulatedDisk())) {
-            assertTrue(store.found().identity().isEmpty());
-            assertEquals(1, store.found().generation());
-            assertTrue(store.found().trusted());
+            assertTrue(store.recovered().identity().isEmpty());
+            assertEquals(1, store.recovered().generation());
+            assertTrue(store.recovered().trusted());
         }
     }
 
@@ -134,21 +135,22 @@
         SimulatedDisk old = disk.copy();
         Generations.Heard heard;
         try (MvVoterStore store = open(disk)) {
-            RecoveredState found = store.found();
+            RecoveredState recovered = store.recovered();
             store.term(9, "y#1");
-            heard = new Generations.Heard(11, found.generation(), store.found().flushes());
-            assertTrue(new Generations(11, found.generation(), found.flushes()).judge("p", heard).isEmpty());
+            heard = new Generations.Heard(11, recovered.generation(), store.recovered().flushes());
+            assertTrue(new Generations(11, recovered.generation(), recovered.flushes()).judge("p", heard).isEmpty());
         }
         try (MvVoterStore store = open(old)) {
-            RecoveredState found = store.found();
-            String why = new Generations(12, found.generation(), found.flushes()).judge("p", heard).orElseThrow();
+            RecoveredState recovered = store.recovered();
+            String why = new Generations(12, recovered.generation(), recovered.flushes()).judge("p", heard)
+                    .orElseThrow();
             store.distrust(why);
             assertThrows(StoreException.class, () -> store.term(9, "z#1"));
-            assertEquals(List.of(why), store.found().faults());
+            assertEquals(List.of(why), store.recovered().faults());
         }
         try (MvVoterStore store = open(disk)) {
-            RecoveredState found = store.found();
-            assertTrue(new Generations(13, found.generation(), found.flushes()).judge("p", heard).isEmpty());
+            RecoveredState recovered = store.recovered();
+            assertTrue(new Generations(13, recovered.generation(), recovered.flushes()).judge("p", heard).isEmpty());
         }
     }
 
@@ -169,7 +171,7 @@
         assertTrue(e.getMessage().contains(directory.toString()), e.getMessage());
         store.close();
         try (MvVoterStore next = open(new NioDisk(directory))) {
-            assertEquals(3, next.found().term());
+            assertEquals(3, next.recovered().term());
         }
     }
 
@@ -185,7 +187,7 @@
                     max = Math.max(max, disk.bytes(name).length);
                 }
             }
-            assertEquals(40, store.found().entries().size());
+            assertEquals(40, store.recovered().entries().size());
             assertTrue(max <= 4 * CrashTest.SMALL.maxBytes(), "grew to " + max);
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/FaultTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/FaultTest.java
@@ -70,17 +70,18 @@
             disk.fault((kind, name) -> { });
             now += LONG_AFTER;
             assertEquals(Condition.WORKING, store.retry(now).condition());
-            assertTrue(store.found().generation() > generation);
+            assertTrue(store.recovered().generation() > generation);
         }
-        assertTrue(store.found().trusted(), store.found().faults().toString());
-        String found = VoterModel.of(store);
-        assertTrue(found.equals(model.toString()) || found.equals(before), "failing " + failing + " found " + found);
+        assertTrue(store.recovered().trusted(), store.recovered().faults().toString());
+        String recovered = VoterModel.of(store);
+        assertTrue(recovered.equals(model.toString()) || recovered.equals(before), "failing " + failing + " found "
+                + recovered);
         store.close();
         return failed ? -1 : counted;
     }
 
     private static long generation(MvVoterStore store) throws StoreException {
-        return store.found().generation();
+        return store.recovered().generation();
     }
 
     private void eachInTurn(Set<Kind> kinds, String error, Condition expected) throws StoreException {
@@ -126,7 +127,7 @@
         assertTrue(store.retry(now).writable());
         assertTrue(disk.bytes("voter-2.mv").length > 0);
         assertFalse(disk.names().contains("voter-1.mv"));
-        assertTrue(store.found().lastIndex() >= 1);
+        assertTrue(store.recovered().lastIndex() >= 1);
     }
 
     @Test
@@ -135,7 +136,7 @@
         disk.room(CrashTest.SMALL.roomBytes() - 1);
         MvVoterStore store = open(disk);
         assertEquals(Condition.FULL, store.state().condition());
-        assertEquals(RecoveredState.NOTHING, store.found());
+        assertEquals(RecoveredState.NOTHING, store.recovered());
         disk.room(CrashTest.SMALL.roomBytes());
         assertFalse(store.retry(now).writable(), "not before the probe is due");
         now += LONG_AFTER;
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/KillTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/KillTest.java
@@ -30,7 +30,7 @@
         public static void main(String[] arguments) throws IOException {
             MvVoterStore store = open(Path.of(arguments[0]));
             store.identity(new Identity("c", "m", "m#1"));
-            for (long i = store.found().lastIndex() + 1; i < 1_000_000; i++) {
+            for (long i = store.recovered().lastIndex() + 1; i < 1_000_000; i++) {
                 store.append(i, 1, entry(i));
                 store.flush();
                 System.out.println(i);
@@ -57,11 +57,11 @@
             assertTrue(last >= acknowledged + LINES, last + " after " + acknowledged);
             acknowledged = last;
             try (MvVoterStore store = open(directory)) {
-                RecoveredState found = store.found();
-                assertTrue(found.trusted(), found.faults() + " " + store.state());
-                assertTrue(found.lastIndex() >= acknowledged, found.lastIndex() + " of " + acknowledged);
-                assertEquals(2L * kill, found.generation());
-                for (Entry e : found.entries()) {
+                RecoveredState recovered = store.recovered();
+                assertTrue(recovered.trusted(), recovered.faults() + " " + store.state());
+                assertTrue(recovered.lastIndex() >= acknowledged, recovered.lastIndex() + " of " + acknowledged);
+                assertEquals(2L * kill, recovered.generation());
+                for (Entry e : recovered.entries()) {
                     assertEquals((byte) e.index(), e.data()[0]);
                     assertEquals(entry(e.index()).length, e.data().length);
                 }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
@@ -21,10 +21,10 @@
 
     /** What a store has, in the same words as {@link #toString}. */
     static String of(VoterStore store) throws StoreException {
-        RecoveredState found = store.found();
-        StringBuilder line = new StringBuilder(found.term() + " " + found.vote().orElse("-") + " ");
-        found.snapshot().ifPresent(s -> s.chunks().forEach(c -> line.append(s.index()).append(sum(c))));
-        found.entries().forEach(e -> line.append(' ').append(e.index()).append(':').append(sum(e.data())));
+        RecoveredState recovered = store.recovered();
+        StringBuilder line = new StringBuilder(recovered.term() + " " + recovered.vote().orElse("-") + " ");
+        recovered.snapshot().ifPresent(s -> s.chunks().forEach(c -> line.append(s.index()).append(sum(c))));
+        recovered.entries().forEach(e -> line.append(' ').append(e.index()).append(':').append(sum(e.data())));
         for (String name : List.of("a", "b")) {
             byte[] value = store.get(name).orElse(new byte[0]);
             line.append(' ').append(name).append(sum(value));
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Times until each gateway knows a verdict, over drawn moments, tellers and engines. */
+    /** Times until each gateway knows a verdict, over drawn moments, reporters and engines. */
     private static List<Long> spreadTimes(double loss, int rounds) {
         VirtualFleet fleet = new VirtualFleet(100, 4, 5, VerdictSettings.DEFAULT, 71);
         fleet.loss = loss;
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceBookProperties.java
@@ -31,7 +31,7 @@
         return new Evidence(new Subject(topic, name), reporter, life, seq, finding, 0, 1, 0, made, made);
     }
 
-    /** A piece by its number: what it says follows from teller, life and seq; copies differ in their times alone. */
+    /** A piece by its number: what it says follows from reporter, life and seq; copies differ in their times alone. */
     private static Evidence drawn(int n) {
         long seq = n % 31;
         long life = 1 + n / 31 % 2;
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/HallRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/HallRuleTest.java
@@ -10,19 +10,19 @@
 class HallRuleTest {
     private static final String SIX = "a1 a2 a3 a4 b1 b2";
 
-    private static HallLink a(JudgeFixture bench) {
-        return bench.after(0).halls().get("a");
+    private static HallLink a(JudgeFixture fixture) {
+        return fixture.after(0).halls().get("a");
     }
 
     @Test
     void halfOfItsGatewaysWhileOthersReachEnginesMakeAHallIsolated() {
-        JudgeFixture bench = new JudgeFixture(SIX).reach("b1 b2 a3", Finding.OUTSIDE_ANSWERS).self("a4", Finding.WELL)
+        JudgeFixture fixture = new JudgeFixture(SIX).reach("b1 b2 a3", Finding.OUTSIDE_ANSWERS).self("a4", Finding.WELL)
                 .reach("a1", Finding.ONLY_INSIDE);
-        assertEquals(State.CONNECTED, a(bench).state());
-        HallLink link = a(bench.reach("a2", Finding.NOTHING_ANSWERS));
+        assertEquals(State.CONNECTED, a(fixture).state());
+        HallLink link = a(fixture.reach("a2", Finding.NOTHING_ANSWERS));
         assertEquals(State.ISOLATED, link.state());
         assertEquals(0.5, link.confidence());
-        assertEquals(State.CONNECTED, bench.after(0).halls().get("b").state());
+        assertEquals(State.CONNECTED, fixture.after(0).halls().get("b").state());
     }
 
     /** Also in a hall of two, where one is half. */
@@ -45,9 +45,9 @@
     /** Most engines look bad in an isolated hall, so that doubt does not count here; standing still does. */
     @Test
     void whoStandsStillIsNotAskedWhoDoubtsForBadEnginesIs() {
-        JudgeFixture bench = new JudgeFixture(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS)
+        JudgeFixture fixture = new JudgeFixture(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS)
                 .reach("a1 a2", Finding.ONLY_INSIDE);
-        assertEquals(State.ISOLATED, a(bench.self("a1 a2", Finding.MOST_BAD)).state());
+        assertEquals(State.ISOLATED, a(fixture.self("a1 a2", Finding.MOST_BAD)).state());
         JudgeFixture still = new JudgeFixture(SIX).reach("b1 a3", Finding.OUTSIDE_ANSWERS)
                 .reach("a1 a2", Finding.ONLY_INSIDE);
         assertEquals(State.CONNECTED, a(still.self("a1 a2", Finding.STALLED)).state());
@@ -56,23 +56,23 @@
     @Test
     void nothingHeardIsUnknownAndIsolationEndsWithItsReasons() {
         assertEquals(State.UNKNOWN, a(new JudgeFixture(SIX)).state());
-        JudgeFixture bench = new JudgeFixture(SIX).reach("a1 a2 a3", Finding.ONLY_INSIDE);
-        long since = a(bench).sinceUs();
-        bench.now += 1_000_000;
-        assertEquals(since, a(bench).sinceUs());
-        assertEquals(State.CONNECTED, a(bench.reach("a1 a2 a3", Finding.OUTSIDE_ANSWERS)).state());
-        assertEquals(State.UNKNOWN, a(bench.reach("a1 a2 a3", Finding.ONLY_INSIDE)).state(), "too soon again");
-        bench.now += JudgeFixture.SETTINGS.holdUs();
-        assertEquals(State.ISOLATED, a(bench).state());
+        JudgeFixture fixture = new JudgeFixture(SIX).reach("a1 a2 a3", Finding.ONLY_INSIDE);
+        long since = a(fixture).sinceUs();
+        fixture.now += 1_000_000;
+        assertEquals(since, a(fixture).sinceUs());
+        assertEquals(State.CONNECTED, a(fixture.reach("a1 a2 a3", Finding.OUTSIDE_ANSWERS)).state());
+        assertEquals(State.UNKNOWN, a(fixture.reach("a1 a2 a3", Finding.ONLY_INSIDE)).state(), "too soon again");
+        fixture.now += JudgeFixture.SETTINGS.holdUs();
+        assertEquals(State.ISOLATED, a(fixture).state());
     }
 
     /** In an isolated hall all links out are down: closing engines for that would leave nothing to try. */
     @Test
     void anIsolatedHallClosesNoEngineByItsLinks() {
-        JudgeFixture bench = new JudgeFixture(SIX).health("a1 a2", "e1", Finding.SILENT);
-        assertEquals(1, bench.after(0).engines().size());
-        bench.reach("a1 a2 a3 a4", Finding.ONLY_INSIDE);
-        assertEquals(0, bench.after(0).engines().size());
-        assertEquals(java.util.List.of("e1"), bench.after(0).spared());
+        JudgeFixture fixture = new JudgeFixture(SIX).health("a1 a2", "e1", Finding.SILENT);
+        assertEquals(1, fixture.after(0).engines().size());
+        fixture.reach("a1 a2 a3 a4", Finding.ONLY_INSIDE);
+        assertEquals(0, fixture.after(0).engines().size());
+        assertEquals(java.util.List.of("e1"), fixture.after(0).spared());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/LiarProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/LiarProperties.java
@@ -21,20 +21,20 @@
     @Property(seed = "35", tries = 150)
     void oneLiarCondemnsNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int steps) {
         SplittableRandom random = new SplittableRandom(seed);
-        JudgeFixture bench = new JudgeFixture("a1 a2 b1 b2 c1");
-        bench.judge.shares(Map.of("t", 10.0));
-        bench.self(HONEST, Finding.WELL).say(HONEST, Topic.REACH, "", Finding.OUTSIDE_ANSWERS, 0, 0);
+        JudgeFixture fixture = new JudgeFixture("a1 a2 b1 b2 c1");
+        fixture.judge.shares(Map.of("t", 10.0));
+        fixture.self(HONEST, Finding.WELL).say(HONEST, Topic.REACH, "", Finding.OUTSIDE_ANSWERS, 0, 0);
         for (int i = 0; i < steps; i++) {
-            bench.now += random.nextLong(400_000);
-            bench.self(HONEST, Finding.WELL).say(HONEST, Topic.REACH, "", Finding.OUTSIDE_ANSWERS, 0, 0);
+            fixture.now += random.nextLong(400_000);
+            fixture.self(HONEST, Finding.WELL).say(HONEST, Topic.REACH, "", Finding.OUTSIDE_ANSWERS, 0, 0);
             Topic topic = Topic.values()[random.nextInt(Topic.values().length)];
             Finding[] findings = java.util.Arrays.stream(Finding.values()).filter(topic::allows)
                     .toArray(Finding[]::new);
             boolean ofItself = topic == Topic.SELF || topic == Topic.REACH;
             String subject = ofItself ? "" : topic == Topic.TENANT ? "t" : "e" + random.nextInt(10);
-            bench.say("b1", topic, subject, findings[random.nextInt(findings.length)], random.nextLong(3),
+            fixture.say("b1", topic, subject, findings[random.nextInt(findings.length)], random.nextLong(3),
                     random.nextDouble(1e6));
-            Verdicts v = bench.after(0);
+            Verdicts v = fixture.after(0);
             assertTrue(v.engines().stream().noneMatch(e -> e.kind().condemns()), "condemned: " + v.engines());
             assertEquals(Map.of(), v.linksDown());
             assertTrue(v.engines().stream().filter(e -> e.kind() == Kind.DRAINING).count() <= 3);
--- a/lab/src/main/java/sandpaddle/lab/ClientStatistics.java
+++ b/lab/src/main/java/sandpaddle/lab/ClientStatistics.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What the clients count of themselves. {@link Audit} counts the same from the events, on its own. */
+/** Statistics that the clients keep of themselves. {@link Audit} counts the same from the events, on its own. */
 final class ClientStatistics {
     private static final long DRAIN_US = 300_000; // the rule's grace, and what counts for sockets
 
