--- a/lab/src/main/java/sandpaddle/lab/Clients.java
+++ b/lab/src/main/java/sandpaddle/lab/Clients.java
@@ -38,15 +38,15 @@
     private final SplittableRandom random;
     private final Habits habits;
     private final Front front;
-    private final ClientStatistics tally;
+    private final ClientStatistics statistics;
     private long serial;
     private int open;
     private List<String> tenants = List.of();
 
-    Clients(Loop loop, Events events, ClientStatistics tally, SplittableRandom random, Habits habits) {
+    Clients(Loop loop, Events events, ClientStatistics statistics, SplittableRandom random, Habits habits) {
         this.loop = loop;
         this.events = events;
-        this.tally = tally;
+        this.statistics = statistics;
         this.random = random;
         this.habits = habits;
         front = new Front(loop, random.split());
@@ -100,7 +100,7 @@
             this.counts = counts;
             estimate = wish.tag == null ? (long) (work * (0.8 + 0.4 * random.nextDouble())) : work;
             open++;
-            tally.asked(id, kind, firstAt, counts);
+            statistics.asked(id, kind, firstAt, counts);
         }
 
         void ask() {
@@ -154,7 +154,7 @@
                     gateway.name, "counts", of.counts ? 1 : 0, "aim", Site.aim(of.kind, of.work), "worth",
                     of.kind.worth(), "late", of.kind.lateWorth(), "patience", patience.toMillis(), "tenant", of.tenant,
                     "hall", Site.HALLS.get(of.hall), "statement", of.tag, "work", of.work);
-            tally.tries++;
+            statistics.tries++;
             try {
                 if (session == null) {
                     session = gateway.open(loop);
@@ -181,8 +181,8 @@
             }
             events.add(us(), "client", "answer", "request", of.id, "attempt", trace, "class", of.kind.name(),
                     "gateway", gateway.name, "outcome", outcome, "stored", warnings, "row", row);
-            tally.answer(outcome);
-            tally.answerAt(us(), outcome);
+            statistics.answer(outcome);
+            statistics.answerAt(us(), outcome);
         }
 
         private void release(boolean keep) {
@@ -198,7 +198,7 @@
         @Override
         public void served(int rows) {
             outcome("served");
-            tally.served(of.id, us() - of.firstAt, Site.aim(of.kind, of.work), of.kind);
+            statistics.served(of.id, us() - of.firstAt, Site.aim(of.kind, of.work), of.kind);
             release(true);
             of.over();
         }
@@ -236,7 +236,7 @@
         @Override
         public void extra() {
             events.add(us(), "client", "answer", "request", of.id, "attempt", trace, "outcome", "second");
-            tally.second++;
+            statistics.second++;
         }
 
         /** Nothing came in time, though the gateway owed it. */
--- a/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
@@ -37,7 +37,7 @@
     final Clients clients;
     OutagePlan outage; // null: none is played
     private final Traffic traffic;
-    private final ClientStatistics tally = new ClientStatistics();
+    private final ClientStatistics statistics = new ClientStatistics();
     private final EngineModel.Spec spec = EngineModel.Spec.usual();
     private final Map<String, String> hallOfEngine = new LinkedHashMap<>();
     private boolean arriving = true;
@@ -53,7 +53,7 @@
         wiring = new Wiring(loop, events, random.split());
         site = new FleetSite(plan.folder(), plan.on(), plan.scenario() == FleetPlan.Scenario.UNEVEN
                 ? FleetLimit.tight(plan.engines()) : FleetLimit.usual(plan.engines()));
-        clients = new Clients(loop, events, tally, random.split(), Clients.Habits.draw(random));
+        clients = new Clients(loop, events, statistics, random.split(), Clients.Habits.draw(random));
         traffic = new Traffic(loop, clients, random.split());
     }
 
@@ -71,7 +71,7 @@
         Runtime.getRuntime().addShutdownHook(left); // so that a run that is broken off leaves no gateway behind
         try {
             for (int i = 0; i < plan.engines(); i++) {
-                StandInEngine e = new StandInEngine(loop, events, tally, "s-" + i, 0, spec, 0, () -> { });
+                StandInEngine e = new StandInEngine(loop, events, statistics, "s-" + i, 0, spec, 0, () -> { });
                 engines.add(e);
                 hallOfEngine.put(e.id(), Site.HALLS.get(i % (Site.HALLS.size() - (isOutage() ? 1 : 0))));
             }
@@ -151,7 +151,7 @@
         int i = serial++;
         FleetSite.Member m = new FleetSite.Member("n" + i, Site.HALLS.get(i % Site.HALLS.size()),
                 GatewayProcess.freePort());
-        StandInFeed feed = new StandInFeed(loop, events, tally);
+        StandInFeed feed = new StandInFeed(loop, events, statistics);
         FleetMember n = new FleetMember(m, i, GatewayProcess.freePort(), feed);
         nodes.put(n.name(), n);
         site.join(m);
--- a/lab/src/main/java/sandpaddle/lab/FleetMember.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetMember.java
@@ -1,6 +1,6 @@
 package sandpaddle.lab;
 
-/** A gateway of a played fleet and what belongs to it, whether its process runs or not. */
+/** A gateway of the fleet under test and what belongs to it, whether its process runs or not. */
 final class FleetMember {
     final FleetSite.Member member;
     final int index;
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -53,7 +53,7 @@
 
     private final Loop loop;
     private final Events events;
-    private final ClientStatistics tally;
+    private final ClientStatistics statistics;
     private final String id;
     private final EngineModel model;
     private final Acceptor acceptor;
@@ -65,11 +65,11 @@
     private boolean sick; // fails what it is sent
 
     /** {@code port} 0: any; {@code startedUs} 0: warm; {@code fell}: it fell over, and is dead by then. */
-    StandInEngine(Loop loop, Events events, ClientStatistics tally, String id, int port, EngineModel.Spec spec,
+    StandInEngine(Loop loop, Events events, ClientStatistics statistics, String id, int port, EngineModel.Spec spec,
             long startedUs, Runnable fell) throws IOException {
         this.loop = loop;
         this.events = events;
-        this.tally = tally;
+        this.statistics = statistics;
         this.id = id;
         this.fell = fell;
         model = new EngineModel(spec, startedUs, now());
@@ -226,11 +226,11 @@
         queries.put(trace, q);
         events.add(now(), "engine", "begin", "request", whose, "attempt", trace, "engine", id, "class", cls, "work",
                 (long) cost);
-        tally.began(whose, kind, id, now());
+        statistics.began(whose, kind, id, now());
         await(q, link);
         if (model.hasFallen()) {
             kill("cold-fall");
-            tally.coldFalls++;
+            statistics.coldFalls++;
             fell.run();
         }
     }
--- a/lab/src/main/java/sandpaddle/lab/StandInFeed.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInFeed.java
@@ -22,7 +22,7 @@
 
     private final Loop loop;
     private final Events events;
-    private final ClientStatistics tally;
+    private final ClientStatistics statistics;
     private final Acceptor acceptor;
     private final List<String> told = new ArrayList<>(); // event N stands at N - 1
     private final Map<String, String> listed = new LinkedHashMap<>(); // lines of the hosts that are not gone
@@ -59,10 +59,10 @@
         }
     }
 
-    StandInFeed(Loop loop, Events events, ClientStatistics tally) throws IOException {
+    StandInFeed(Loop loop, Events events, ClientStatistics statistics) throws IOException {
         this.loop = loop;
         this.events = events;
-        this.tally = tally;
+        this.statistics = statistics;
         acceptor = new Acceptor(loop, Loopback.at(0), c -> {
             Link link = new Link(c);
             c.owner(link);
@@ -93,7 +93,7 @@
             listed.put(engine, host);
         }
         if (!health.equals("Ready")) {
-            tally.drained.put(engine, now);
+            statistics.drained.put(engine, now);
         }
         events.add(now, "feed", "told", "engine", engine, "outcome", health);
         links.stream().filter(l -> l.follows).forEach(l -> l.say(told.get(n - 1)));
--- a/lab/src/main/java/sandpaddle/lab/StormResult.java
+++ b/lab/src/main/java/sandpaddle/lab/StormResult.java
@@ -16,14 +16,14 @@
     static final double BACK = 0.9; // of the worth asked for, earned in time over the window
 
     private final StormExperiment.Plan plan;
-    private final ClientStatistics tally;
+    private final ClientStatistics statistics;
     private final long countFrom, outageAt, returnAt, countUntil;
     private final double cpuMsPerTry;
 
-    StormResult(StormExperiment.Plan plan, ClientStatistics tally, long countFrom, long outageAt, long returnAt,
+    StormResult(StormExperiment.Plan plan, ClientStatistics statistics, long countFrom, long outageAt, long returnAt,
             long countUntil, double cpuMsPerTry) {
         this.plan = plan;
-        this.tally = tally;
+        this.statistics = statistics;
         this.countFrom = countFrom;
         this.outageAt = outageAt;
         this.returnAt = returnAt;
@@ -46,7 +46,7 @@
     double share(long fromSecond, long untilSecond) {
         double asked = 0;
         double earned = 0;
-        for (ClientStatistics.Second s : tally.seconds.subMap(fromSecond, untilSecond).values()) {
+        for (ClientStatistics.Second s : statistics.seconds.subMap(fromSecond, untilSecond).values()) {
             asked += s.asked;
             earned += s.earned;
         }
@@ -64,7 +64,8 @@
 
     /** Second answers, lost requests, loads run twice, cold falls and sends to draining engines, together. */
     long brokenRules() {
-        return tally.second + tally.count("lost") + tally.loadsRunTwice() + tally.coldFalls + tally.drainBreaks;
+        return statistics.second + statistics.count("lost") + statistics.loadsRunTwice() + statistics.coldFalls
+                + statistics.drainBreaks;
     }
 
     void write(Path file) throws IOException {
@@ -77,27 +78,27 @@
             j.writeBooleanField("damping", plan.operator() != null);
             j.writeNumberField("outageSeconds", plan.times().outage().toMillis() / 1000.0);
             j.writeNumberField("load", plan.load());
-            j.writeNumberField("requests", tally.requests());
-            j.writeNumberField("tries", tally.tries);
+            j.writeNumberField("requests", statistics.requests());
+            j.writeNumberField("tries", statistics.tries);
             j.writeObjectFieldStart("answers");
-            for (Map.Entry<String, Long> e : tally.answers.entrySet()) {
+            for (Map.Entry<String, Long> e : statistics.answers.entrySet()) {
                 j.writeNumberField(e.getKey(), e.getValue());
             }
             j.writeEndObject();
-            j.writeNumberField("secondAnswers", tally.second);
-            j.writeNumberField("lost", tally.count("lost"));
-            j.writeNumberField("loadsRunTwice", tally.loadsRunTwice());
-            j.writeNumberField("coldFalls", tally.coldFalls);
-            j.writeNumberField("drainBreaks", tally.drainBreaks);
+            j.writeNumberField("secondAnswers", statistics.second);
+            j.writeNumberField("lost", statistics.count("lost"));
+            j.writeNumberField("loadsRunTwice", statistics.loadsRunTwice());
+            j.writeNumberField("coldFalls", statistics.coldFalls);
+            j.writeNumberField("drainBreaks", statistics.drainBreaks);
             j.writeNumberField("recoverySeconds", recoverySeconds());
             j.writeNumberField("worthAfterReturn", worthAfterReturn());
             j.writeNumberField("worthBefore", worthBefore());
-            j.writeNumberField("latencyP50Ms", tally.latency.getValueAtPercentile(50) / 1000.0);
-            j.writeNumberField("latencyP99Ms", tally.latency.getValueAtPercentile(99) / 1000.0);
+            j.writeNumberField("latencyP50Ms", statistics.latency.getValueAtPercentile(50) / 1000.0);
+            j.writeNumberField("latencyP99Ms", statistics.latency.getValueAtPercentile(99) / 1000.0);
             j.writeNumberField("gatewayCpuMsPerTry", cpuMsPerTry);
             j.writeArrayFieldStart("worthInTime");
             long zero = (returnAt > 0 ? returnAt : countFrom) / 1_000_000;
-            for (Map.Entry<Long, ClientStatistics.Second> e : tally.seconds.entrySet()) {
+            for (Map.Entry<Long, ClientStatistics.Second> e : statistics.seconds.entrySet()) {
                 j.writeStartArray();
                 j.writeNumber(e.getKey() - zero);
                 j.writeNumber(Math.round(e.getValue().asked * 1000) / 1000.0);
@@ -112,7 +113,7 @@
     /** Worth in time and answers by second, as charts. */
     void charts(Path folder) throws IOException {
         long zero = (returnAt > 0 ? returnAt : countFrom) / 1_000_000;
-        double[][] worth = tally.seconds.entrySet().stream()
+        double[][] worth = statistics.seconds.entrySet().stream()
                 .map(e -> new double[] {e.getKey() - zero, e.getValue().earned / Math.max(1e-9, e.getValue().asked)})
                 .toArray(double[][]::new);
         String title = plan.script().name().toLowerCase(Locale.ROOT) + ", seed " + plan.seed()
@@ -120,8 +121,8 @@
         Charts.lines(folder.resolve("worth.png"), title, "seconds from the engines' return",
                 "part of the worth asked for, in time", List.of(new Charts.Line("worth in time", worth)));
         List<Charts.Line> lines = new ArrayList<>();
-        for (String outcome : tally.answers.keySet()) {
-            lines.add(new Charts.Line(outcome, tally.answersBySecond.entrySet().stream()
+        for (String outcome : statistics.answers.keySet()) {
+            lines.add(new Charts.Line(outcome, statistics.answersBySecond.entrySet().stream()
                     .map(e -> new double[] {e.getKey() - zero, e.getValue().getOrDefault(outcome, 0L)})
                     .toArray(double[][]::new)));
         }
@@ -135,10 +136,12 @@
                 requests %d, tries %d, answers %s
                 second answers %d, lost %d, loads run twice %d, cold falls %d, drain breaks %d
                 service back after %.1f s; worth in time before %.3f, after the return %.3f; p50 %.0f ms, p99 %.0f ms
-                gateways' CPU on a try %.2f ms""", tally.requests(), tally.tries, tally.answers, tally.second,
-                tally.count("lost"), tally.loadsRunTwice(), tally.coldFalls, tally.drainBreaks, recoverySeconds(),
-                worthBefore(), worthAfterReturn(),
-                tally.latency.getValueAtPercentile(50) / 1000.0, tally.latency.getValueAtPercentile(99) / 1000.0,
+                gateways' CPU on a try %.2f ms""", statistics.requests(), statistics.tries, statistics.answers,
+                statistics.second, statistics.count("lost"), statistics.loadsRunTwice(), statistics.coldFalls,
+                statistics.drainBreaks,
+                recoverySeconds(), worthBefore(), worthAfterReturn(),
+                statistics.latency.getValueAtPercentile(50) / 1000.0,
+                statistics.latency.getValueAtPercentile(99) / 1000.0,
                 cpuMsPerTry);
     }
 }
