--- a/lab/src/main/java/sandpaddle/lab/StormExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/StormExperiment.java
@@ -55,7 +55,7 @@
     private final Loop loop;
     private final SplittableRandom random;
     private final EngineModel.Spec spec;
-    private final ClientStatistics tally = new ClientStatistics();
+    private final ClientStatistics statistics = new ClientStatistics();
     private final StandInFeed feed;
     private final Clients clients;
     private final List<StandInEngine> engines = new ArrayList<>();
@@ -77,8 +77,8 @@
         spec = new EngineModel.Spec(usual.cores(), usual.speed(), usual.slots(), usual.knee(), usual.thrash(),
                 0.3 + 0.12 * random.nextDouble(), (long) (8e6 + 7e6 * random.nextDouble()), usual.tipMultiple(),
                 usual.fallUs());
-        feed = new StandInFeed(loop, events, tally);
-        clients = new Clients(loop, events, tally, random.split(), Clients.Habits.draw(random));
+        feed = new StandInFeed(loop, events, statistics);
+        clients = new Clients(loop, events, statistics, random.split(), Clients.Habits.draw(random));
     }
 
     private long us() {
@@ -114,7 +114,7 @@
             engines.forEach(e -> e.kill("stopped"));
             feed.close();
         }
-        return new StormResult(plan, tally, countFrom, outageAt, returnAt, countUntil, cpuMsPerTry);
+        return new StormResult(plan, statistics, countFrom, outageAt, returnAt, countUntil, cpuMsPerTry);
     }
 
     private GatewayProcess startGateway(int i) throws IOException {
@@ -126,7 +126,7 @@
     private StandInEngine engine(int port, long startedUs) throws IOException {
         String id = "s-" + serial++;
         StandInEngine[] one = new StandInEngine[1];
-        one[0] = new StandInEngine(loop, events, tally, id, port, spec, startedUs, () -> fell(one[0]));
+        one[0] = new StandInEngine(loop, events, statistics, id, port, spec, startedUs, () -> fell(one[0]));
         engines.add(one[0]);
         return one[0];
     }
@@ -169,11 +169,11 @@
         countFrom = start + t.warmUp.toMillis() * 1000;
         loop.after(t.warmUp, () -> {
             cpuMsFrom = cpuMs();
-            triesFrom = tally.tries;
+            triesFrom = statistics.tries;
             drainOne();
         });
         loop.after(t.warmUp.plus(t.calm), () -> {
-            cpuMsPerTry = (cpuMs() - cpuMsFrom) / (double) Math.max(1, tally.tries - triesFrom);
+            cpuMsPerTry = (cpuMs() - cpuMsFrom) / (double) Math.max(1, statistics.tries - triesFrom);
             if (plan.script != Script.CALM) {
                 outage(t.outage);
             }
@@ -191,8 +191,8 @@
         StandInEngine e = engines.remove(0);
         try {
             listed(engine(0, 0), "Ready", 0);
-        } catch (IOException x) {
-            throw new UncheckedIOException(x);
+        } catch (IOException failure) {
+            throw new UncheckedIOException(failure);
         }
         listed(e, "Terminating", 0);
         loop.after(DRAIN, () -> {
