--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -86,8 +86,7 @@
         VoterThread voter = agreement == null ? null : agreement.voter();
         FleetLeader leader = agreement == null ? null
                 : new FleetLeader(name, voter, agreement.components(), settings.limits(), pools.allocator(),
-                committedConfig,
-                        settings.voters());
+                        committedConfig, settings.voters());
         fetching = new QueryPathFetcher(classes, site, tasks, wake, seed);
         OutageThread outage = !settings.outages().isOn() ? null : new OutageThread(settings.outages(),
                 new LocalNode(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links,
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
@@ -80,8 +80,7 @@
         for (String id : ids) {
             if (names.contains(id)) {
                 made.put(id, List.of(new Slot(id, PoolLimitIds.ALL, -1, null,
-                        id.substring(PoolLimitIds.ENGINE.length()),
-                        Slot.Counts.CONNECTIONS)));
+                        id.substring(PoolLimitIds.ENGINE.length()), Slot.Counts.CONNECTIONS)));
             } else if (id.equals(Limit.FLEET.id()) || kinds.containsKey(id)) {
                 Set<String> of = kinds.containsKey(id) ? Set.copyOf(kinds.get(id)) : null;
                 List<Slot> parts = new ArrayList<>();
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -43,8 +43,7 @@
     private long now;
 
     VoterState(Voter.Settings settings, VoterStore store, LocalVoterState disk, Replicated machine,
-        Voter.Callbacks callbacks,
-            Random random) {
+            Voter.Callbacks callbacks, Random random) {
         this.settings = settings;
         this.store = store;
         this.disk = disk;
@@ -100,8 +99,7 @@
         Endpoint me = self.orElseThrow();
         machine.install(initial); // what the log has is applied again from the snapshot on
         incarnation = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.recovered(),
-        new Commands(machine), transport::raft,
-            settings.raft(), random, now));
+            new Commands(machine), transport::raft, settings.raft(), random, now));
         changer = Optional.of(new MembershipChanger(me, settings.membership(), transport));
         phase = Phase.VOTING;
         incarnation.get().start();
--- a/gateway/src/test/java/sandpaddle/fleet/content/copy/ReplicationMessageCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/copy/ReplicationMessageCodecProperties.java
@@ -22,9 +22,8 @@
     private static final List<ReplicationMessage> ALL = List.of(
             new ReplicationMessage.Want(new Candidate(Stored.key(1), -5, Set.of(1L, -1L), 100, 2000, 3000, 1.5, -1),
             2.25), new ReplicationMessage.Offer(ID, 12, 34, 56, -78), new ReplicationMessage.Need(ID, 9, 8, 7),
-            new ReplicationMessage.Have(ID),
-            new ReplicationMessage.Chunk(ID, 5, 6, new byte[] {1, 2, 3}), new ReplicationMessage.Ask(ID),
-            new ReplicationMessage.Not(ID));
+            new ReplicationMessage.Have(ID), new ReplicationMessage.Chunk(ID, 5, 6, new byte[] {1, 2, 3}),
+            new ReplicationMessage.Ask(ID), new ReplicationMessage.Not(ID));
 
     @Example
     void readsWhatItWrote() throws Exception {
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
@@ -182,8 +182,7 @@
         LinkSettings.Bounds little = new LinkSettings.Bounds(1 << 20, 8 << 20, 4096, 512, 64, 1 << 20);
         CountDownLatch go = new CountDownLatch(1);
         try (TestNode b = new TestNode("b", CLUSTER, 1, 0, TIMES, little, Map.of(), n -> true); TestNode a =
-                new TestNode("a",
-                PATIENT)) {
+                new TestNode("a", PATIENT)) {
             b.fleet.execute(() -> {
                 try {
                     go.await();
--- a/lab/src/main/java/sandpaddle/lab/StormResult.java
+++ b/lab/src/main/java/sandpaddle/lab/StormResult.java
@@ -138,8 +138,7 @@
                 service back after %.1f s; worth in time before %.3f, after the return %.3f; p50 %.0f ms, p99 %.0f ms
                 gateways' CPU on a try %.2f ms""", statistics.requests(), statistics.tries, statistics.answers,
                 statistics.second, statistics.count("lost"), statistics.loadsRunTwice(), statistics.coldFalls,
-                statistics.drainBreaks,
-                recoverySeconds(), worthBefore(), worthAfterReturn(),
+                statistics.drainBreaks, recoverySeconds(), worthBefore(), worthAfterReturn(),
                 statistics.latency.getValueAtPercentile(50) / 1000.0,
                 statistics.latency.getValueAtPercentile(99) / 1000.0,
                 cpuMsPerTry);
