--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicaReceiver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaReceiver.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.content.copy;
+package sandpaddle.fleet.content.replication;
 
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationMessage.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.content.copy;
+package sandpaddle.fleet.content.replication;
 
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/ReplicationSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationSettings.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.content.copy;
+package sandpaddle.fleet.content.replication;
 
 /**
  * Bounds of copying at one gateway.
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Floors.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/Floors.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/RendezvousHash.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/RendezvousHash.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 /**
  * Rendezvous hashing, also highest random weight (Thaler and Ravishankar 1998): every gateway chooses the same, and a
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 /**
  * The demand of one slot, smoothed so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
--- a/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
@@ -5,7 +5,7 @@
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Floors;
+import sandpaddle.fleet.limit.allocator.Floors;
 import sandpaddle.fleet.limit.rate.TokenBucket;
 
 /** What may be relied on, each a formula in the settings. Times are in microseconds of real time. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/FloorFile.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.hold;
+package sandpaddle.fleet.limit.lease;
 
 import java.util.List;
 import sandpaddle.fleet.limit.LimitSpec;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/SlotRights.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/SlotRights.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.hold;
+package sandpaddle.fleet.limit.lease;
 
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/hold/UsageSource.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/UsageSource.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.hold;
+package sandpaddle.fleet.limit.lease;
 
 /**
  * This gateway's usage of a limit. A count holds an attempt from before it is sent until the engine cannot run it any
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/AcceptLimits.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/AcceptLimits.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import java.util.Collection;
 import java.util.Optional;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Handshake.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/Handshake.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import java.util.Optional;
 import sandpaddle.fleet.link.Links.Loss;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkCounts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkCounts.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 /** What happened on all links since the start; each a guard that the log does not tell every time. */
 public record LinkCounts(long up, long down, long attempts, long refused, long evicted, long abandoned,
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkEvents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkEvents.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.frame.Refusal;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
@@ -7,8 +7,8 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.Links.Loss;
-import sandpaddle.fleet.link.board.LinkEvents;
 import sandpaddle.fleet.link.frame.Refusal;
+import sandpaddle.fleet.link.manager.LinkEvents;
 import sandpaddle.fleet.member.Member;
 
 /** Delivers link events to the fleet's thread, in order, and counts the bytes not yet consumed. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import sandpaddle.fleet.link.LinkSettings.Address;
 import sandpaddle.fleet.link.Links.Loss;
-import sandpaddle.fleet.link.board.LinkManager;
-import sandpaddle.fleet.link.board.LinkTransport;
+import sandpaddle.fleet.link.manager.LinkManager;
+import sandpaddle.fleet.link.manager.LinkTransport;
 
 /** The sockets of all links on one selector. All but {@link #wake} is called under the lock of {@link TcpLinks}. */
 final class Sockets implements LinkTransport {
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -15,8 +15,8 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.link.board.LinkCounts;
-import sandpaddle.fleet.link.board.LinkManager;
+import sandpaddle.fleet.link.manager.LinkCounts;
+import sandpaddle.fleet.link.manager.LinkManager;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.log.LogEvent;
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import sandpaddle.decide.Gateway;
-import sandpaddle.fleet.limit.hold.SavedFloor;
+import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.node.wire.HeartbeatMessage;
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sandpaddle.fleet.limit.allot.Target;
+import sandpaddle.fleet.limit.allocator.Target;
 import sandpaddle.fleet.limit.table.SlotName;
 import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.Limit;
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
@@ -9,8 +9,8 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 import org.tinylog.Logger;
-import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.SavedFloor;
+import sandpaddle.fleet.limit.lease.FloorFile;
+import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.hold.Rights;
+import sandpaddle.fleet.limit.lease.Rights;
 import sandpaddle.fleet.node.pool.PoolSlots;
 import sandpaddle.fleet.view.Slot;
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/BackSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/BackSettings.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.back;
+package sandpaddle.fleet.outage.recovery;
 
 /**
  * How a return is spread.
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/Refreshes.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.back;
+package sandpaddle.fleet.outage.recovery;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/ContentStoreTest.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sandpaddle.fleet.content.copy.ContentReplicaStore;
 import sandpaddle.fleet.content.disk.DirectoryFiles;
 import sandpaddle.fleet.content.disk.DiskSettings;
 import sandpaddle.fleet.content.disk.DiskTier;
 import sandpaddle.fleet.content.memory.MemoryTier;
+import sandpaddle.fleet.content.replication.ContentReplicaStore;
 import sandpaddle.query.ResultSet;
 
 class ContentStoreTest {
--- a/gateway/src/test/java/sandpaddle/fleet/content/copy/AnswerReplicationProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/replication/AnswerReplicationProperties.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.content.copy;
+package sandpaddle.fleet.content.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/allot/FairSharesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/allocator/FairSharesProperties.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.TargetPolicy;
+import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.bound.LimitBounds;
 import sandpaddle.fleet.limit.table.Command;
 
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.RightsHolder;
-import sandpaddle.fleet.limit.hold.SavedFloor;
-import sandpaddle.fleet.limit.hold.UsageSource;
+import sandpaddle.fleet.limit.lease.FloorFile;
+import sandpaddle.fleet.limit.lease.RightsHolder;
+import sandpaddle.fleet.limit.lease.SavedFloor;
+import sandpaddle.fleet.limit.lease.UsageSource;
 import sandpaddle.fleet.limit.wire.Grant;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 
--- a/gateway/src/test/java/sandpaddle/fleet/limit/hold/RightsHolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/lease/RightsHolderTest.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.hold;
+package sandpaddle.fleet.limit.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.hold.RightsHolder;
-import sandpaddle.fleet.limit.hold.SavedFloor;
-import sandpaddle.fleet.limit.hold.UsageSource;
+import sandpaddle.fleet.limit.lease.RightsHolder;
+import sandpaddle.fleet.limit.lease.SavedFloor;
+import sandpaddle.fleet.limit.lease.UsageSource;
 import sandpaddle.fleet.limit.wire.Grant;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/VoterReplica.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/VoterReplica.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.limit.search;
 
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.RightsAllocator;
-import sandpaddle.fleet.limit.allot.TargetPolicy;
+import sandpaddle.fleet.limit.allocator.RightsAllocator;
+import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.RightsTable;
 
 /** A voter that may lead, with its copy of the table. Its clock is as fast as clocks may be. */
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.AllocatorOutput;
+import sandpaddle.fleet.limit.allocator.AllocatorOutput;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.wire.Grant;
 import sandpaddle.fleet.limit.wire.Heartbeat;
--- a/gateway/src/test/java/sandpaddle/fleet/link/board/OwnPauseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/manager/OwnPauseTest.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.link.board.LinkCounts;
 import sandpaddle.fleet.link.frame.Refusal;
+import sandpaddle.fleet.link.manager.LinkCounts;
 import sandpaddle.fleet.member.Member;
 
 /**
@@ -20,7 +20,7 @@
  * behave as TCP does: in order, held up by a cut and brought over after it, closed or reset by whoever ended. {@link
  * #drop} and {@link #duplicate} are harsher than TCP: they strike single messages on links that stay up, as a message
  * of the layers above may be lost with its link and come again over the next. Each node runs the program's own
- * {@link sandpaddle.fleet.link.board.LinkManager}.
+ * {@link sandpaddle.fleet.link.manager.LinkManager}.
  * Listeners are called one event at a time.
  */
 public final class VirtualNet {
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
@@ -11,11 +11,11 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.link.board.LinkCounts;
-import sandpaddle.fleet.link.board.LinkEvents;
-import sandpaddle.fleet.link.board.LinkManager;
-import sandpaddle.fleet.link.board.LinkTransport;
 import sandpaddle.fleet.link.frame.Refusal;
+import sandpaddle.fleet.link.manager.LinkCounts;
+import sandpaddle.fleet.link.manager.LinkEvents;
+import sandpaddle.fleet.link.manager.LinkManager;
+import sandpaddle.fleet.link.manager.LinkTransport;
 import sandpaddle.fleet.member.Member;
 
 /** One gateway's links in virtual time: the link manager of the program on pipes in place of sockets. */
--- a/gateway/src/test/java/sandpaddle/fleet/outage/OutageLayersTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/OutageLayersTest.java
@@ -15,7 +15,8 @@
     @Test
     void decisionsAreFreeOfInputOutputAndClock() {
         noClasses().that().resideInAnyPackage("sandpaddle.fleet.outage..", "sandpaddle.fleet.content.serve..",
-                "sandpaddle.fleet.content.copy..", "sandpaddle.fleet.content.memory..").should().dependOnClassesThat()
+                "sandpaddle.fleet.content.replication..", "sandpaddle.fleet.content.memory..").should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
                         "java.util.concurrent..", "org.tinylog..").orShould().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis").check(ALL);
--- a/gateway/src/test/java/sandpaddle/fleet/outage/back/ReturnSchedulerTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/recovery/ReturnSchedulerTest.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.back;
+package sandpaddle.fleet.outage.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/gateway/src/test/java/sandpaddle/story/FleetOffStories.java
+++ b/gateway/src/test/java/sandpaddle/story/FleetOffStories.java
@@ -116,7 +116,7 @@
             assertTrue(program.hasSaid("fleet: stays off: 'settings.bounds.peers' forbids that gateways talk"));
             assertEquals(under(classes, LIBRARIES), Set.of());
             assertEquals(under(classes, Stream.of("node.loop.", "node.rights.", "node.lead.", "node.outage.",
-                    "node.spread.", "node.wire.", "node.FleetNode", "state.", "view.", "link.tcp.", "link.board.",
+                    "node.spread.", "node.wire.", "node.FleetNode", "state.", "view.", "link.tcp.", "link.manager.",
                     "pool.").map(FLEET::concat).toList()), Set.of());
             assertNothingOpened(program, footprint);
         });
