--- a/gateway/src/main/java/sandpaddle/config/AgreedReader.java
+++ b/gateway/src/main/java/sandpaddle/config/AgreedReader.java
@@ -10,7 +10,7 @@
 import sandpaddle.fleet.limit.Unit;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.member.MemberName;
-import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.node.agree.FleetConfig;
 
 /** The section {@code fleet.agreed} of the operator's file: what holds for the whole fleet, by its version. */
 final class AgreedReader {
@@ -23,10 +23,10 @@
     private AgreedReader() {
     }
 
-    static Agreed read(Section s) {
+    static FleetConfig read(Section s) {
         long version = s.integer("version", 1, 1, MOST_VERSION);
         List<Member> members = members(s);
-        return new Agreed(version, members, limits(s), PoolReader.read(s, members), "");
+        return new FleetConfig(version, members, limits(s), PoolReader.read(s, members), "");
     }
 
     private static List<Member> members(Section s) {
@@ -56,7 +56,7 @@
         Set<String> names = new HashSet<>();
         for (Section l : s.sections("limits", MOST_LIMITS)) {
             Predicate<String> form = n -> Scope.EACH.equals(n) || Scope.isName(n);
-            String allowed = "a name of " + LimitSpec.MOST_NAME + " bytes at most, without '|'";
+            String allowed = "a name of " + LimitSpec.MAX_NAME + " bytes at most, without '|'";
             String name = l.text("name", "", form, allowed);
             if (!l.has("name") || !names.add(name)) {
                 l.wrong("name", "a name, each once");
@@ -74,10 +74,10 @@
     /** Exactly one of the amounts. */
     private static LimitSpec amount(Section l, String name, Scope scope) {
         List<String> given = AMOUNTS.stream().filter(l::has).toList();
-        long running = l.integer("running", 0, 1, LimitSpec.MOST_AMOUNT);
-        long connections = l.integer("connections", 0, 1, LimitSpec.MOST_AMOUNT);
-        double perSecond = l.number("per_s", 0, 0.001, LimitSpec.MOST_AMOUNT / (double) THOUSANDTHS);
-        double burst = l.number("burst", 1, 1, LimitSpec.MOST_AMOUNT / (double) THOUSANDTHS);
+        long running = l.integer("running", 0, 1, LimitSpec.MAX_AMOUNT);
+        long connections = l.integer("connections", 0, 1, LimitSpec.MAX_AMOUNT);
+        double perSecond = l.number("per_s", 0, 0.001, LimitSpec.MAX_AMOUNT / (double) THOUSANDTHS);
+        double burst = l.number("burst", 1, 1, LimitSpec.MAX_AMOUNT / (double) THOUSANDTHS);
         if (given.size() != 1) {
             l.wrong(given.isEmpty() ? "running" : given.get(1), "one of 'running', 'connections' and 'per_s'");
             return null;
--- a/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/StoredAnswer.java
@@ -8,21 +8,21 @@
 import sandpaddle.query.ResultSet;
 
 /**
- * A stored answer, and its form on disk and between gateways: one CBOR message of its {@link Meta} and its rows. What
- * is read is checked to be whole rows before it is an answer again.
+ * A stored answer, and its form on disk and between gateways: one CBOR message of its {@link AnswerMetadata} and its
+ * rows. What is read is checked to be whole rows before it is an answer again.
  */
-public record StoredAnswer(Meta meta, ResultSet rows) {
+public record StoredAnswer(AnswerMetadata meta, ResultSet rows) {
     /** Bytes of the rows of one answer; a larger one is not stored. */
-    public static final int ROWS_MOST = 8 * 1024 * 1024;
+    public static final int MAX_ROWS = 8 * 1024 * 1024;
     /** Bytes of one answer in its form on disk. */
-    public static final int BODY_MOST = ROWS_MOST + ContentKey.STATEMENT_MOST + 64 * 1024;
-    private static final int PAGES_MOST = 4096;
+    public static final int MAX_BODY = MAX_ROWS + ContentKey.MAX_STATEMENT + 64 * 1024;
+    private static final int MAX_PAGES = 4096;
     private static final int VERSION = 1;
 
     /** Whether it fits the bounds of {@link #read}. */
     public boolean isStorable() {
-        return meta.key().isStorable() && meta.groups().size() <= Meta.GROUPS_MOST && rowBytes() <= ROWS_MOST
-                && rows.pages().size() <= PAGES_MOST && rows.pages().stream().allMatch(ResultSet::isWhole);
+        return meta.key().isStorable() && meta.groups().size() <= AnswerMetadata.MAX_GROUPS && rowBytes() <= MAX_ROWS
+                && rows.pages().size() <= MAX_PAGES && rows.pages().stream().allMatch(ResultSet::isWhole);
     }
 
     public long rowBytes() {
@@ -43,9 +43,9 @@
     public static StoredAnswer read(byte[] body) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(body);
         in.number(VERSION, VERSION);
-        Meta meta = Meta.read(in);
-        List<byte[]> pages = new ArrayList<>(in.list(PAGES_MOST, i -> {
-            byte[] page = i.bytes(ROWS_MOST);
+        AnswerMetadata meta = AnswerMetadata.read(in);
+        List<byte[]> pages = new ArrayList<>(in.list(MAX_PAGES, i -> {
+            byte[] page = i.bytes(MAX_ROWS);
             if (!ResultSet.isWhole(page)) {
                 throw i.wrong("is no page of whole rows");
             }
--- a/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
@@ -20,7 +20,7 @@
     /** Of the two indexes and the objects of one entry. */
     static final int OVERHEAD = 300;
 
-    private record Held(StoredAnswer answer, double density) {
+    private record Entry(StoredAnswer answer, double density) {
         long size() {
             return answer.size() + OVERHEAD;
         }
@@ -30,40 +30,40 @@
         }
     }
 
-    private static final Comparator<Held> LEAST_FIRST =
-            Comparator.comparingDouble(Held::density).thenComparing(Held::id);
+    private static final Comparator<Entry> MIN_FIRST =
+            Comparator.comparingDouble(Entry::density).thenComparing(Entry::id);
 
-    private final long bytesMost;
-    private final Map<ContentId, Held> byId = new HashMap<>();
-    private final TreeSet<Held> byDensity = new TreeSet<>(LEAST_FIRST);
+    private final long maxBytes;
+    private final Map<ContentId, Entry> byId = new HashMap<>();
+    private final TreeSet<Entry> byDensity = new TreeSet<>(MIN_FIRST);
     private long bytes;
 
-    public MemoryTier(long bytesMost) {
-        this.bytesMost = bytesMost;
+    public MemoryTier(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Takes an answer in place of an older one; returns what had to go for it, itself where it is worth least. */
     public List<StoredAnswer> put(StoredAnswer answer) {
         remove(answer.meta().key().id());
-        Held held = new Held(answer, answer.meta().worth() / (answer.size() + OVERHEAD));
+        Entry held = new Entry(answer, answer.meta().worth() / (answer.size() + OVERHEAD));
         byId.put(held.id(), held);
         byDensity.add(held);
         bytes += held.size();
         List<StoredAnswer> gone = new ArrayList<>();
-        while (bytes > bytesMost) {
-            Held least = byDensity.first();
-            remove(least.id());
-            gone.add(least.answer);
+        while (bytes > maxBytes) {
+            Entry min = byDensity.first();
+            remove(min.id());
+            gone.add(min.answer);
         }
         return gone;
     }
 
     public Optional<StoredAnswer> get(ContentId id) {
-        return Optional.ofNullable(byId.get(id)).map(Held::answer);
+        return Optional.ofNullable(byId.get(id)).map(Entry::answer);
     }
 
     public boolean remove(ContentId id) {
-        Held held = byId.remove(id);
+        Entry held = byId.remove(id);
         if (held != null) {
             byDensity.remove(held);
             bytes -= held.size();
--- a/gateway/src/main/java/sandpaddle/fleet/content/copy/Outgoing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaSender.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.content.copy;
+package sandpaddle.fleet.content.replication;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -14,11 +14,11 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * Copies going out: names wait for each neighbour, some of them are offered, and parts go out as they are asked for.
- * Apart from names nothing is kept but the body last read, since its parts are asked for one after the other.
+ * Transfers going out: ids queue for each neighbour, some of them are offered, and parts are sent on request. Apart
+ * from ids nothing is kept but the body last read, since its parts are requested one after the other.
  */
-final class Outgoing {
-    private static final int NEIGHBOURS_MOST = 256;
+final class ReplicaSender {
+    private static final int MAX_NEIGHBOURS = 256;
 
     private static final class Offered {
         private long at;
@@ -33,22 +33,22 @@
 
     private record Body(ContentId id, byte[] bytes, int crc, long askedWall) { }
 
-    private final CopySettings settings;
-    private final Shelf shelf;
+    private final ReplicationSettings settings;
+    private final ReplicaStore store;
     private final ToLongFunction<StoredAnswer> age;
     private final Map<String, Neighbour> neighbours = new TreeMap<>();
     private Body last;
 
-    Outgoing(CopySettings settings, Shelf shelf, ToLongFunction<StoredAnswer> age) {
+    ReplicaSender(ReplicationSettings settings, ReplicaStore store, ToLongFunction<StoredAnswer> age) {
         this.settings = settings;
-        this.shelf = shelf;
+        this.store = store;
         this.age = age;
     }
 
     /** Puts a copy in line for a neighbour; false where its line is full. */
     boolean offer(String to, ContentId id) {
         Neighbour n = neighbour(to);
-        if (n == null || n.waiting.size() >= settings.queuedMost()) {
+        if (n == null || n.waiting.size() >= settings.maxQueued()) {
             return false;
         }
         if (!n.offered.containsKey(id)) {
@@ -58,7 +58,7 @@
     }
 
     private Neighbour neighbour(String name) {
-        return neighbours.size() < NEIGHBOURS_MOST ? neighbours.computeIfAbsent(name, p -> new Neighbour())
+        return neighbours.size() < MAX_NEIGHBOURS ? neighbours.computeIfAbsent(name, p -> new Neighbour())
                 : neighbours.get(name);
     }
 
@@ -82,18 +82,18 @@
         neighbours.remove(peer);
     }
 
-    Message asked(ContentId id) {
-        return body(id, true).map(this::offerOf).orElse(new Message.Not(id));
+    ReplicationMessage asked(ContentId id) {
+        return body(id, true).map(this::offerOf).orElse(new ReplicationMessage.Not(id));
     }
 
-    private Message offerOf(Body b) {
-        long ageMs = shelf.find(b.id).map(age::applyAsLong).orElse(0L);
-        return new Message.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
+    private ReplicationMessage offerOf(Body b) {
+        long ageMs = store.find(b.id).map(age::applyAsLong).orElse(0L);
+        return new ReplicationMessage.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
     }
 
     private Optional<Body> body(ContentId id, boolean fresh) {
-        if (last == null || !last.id.equals(id) || fresh && last.askedWall != shelf.askedAt(id)) {
-            last = shelf.find(id).map(a -> {
+        if (last == null || !last.id.equals(id) || fresh && last.askedWall != store.askedAt(id)) {
+            last = store.find(id).map(a -> {
                 byte[] bytes = a.body();
                 return new Body(id, bytes, StoredAnswer.crc(bytes), a.meta().askedWall());
             }).orElse(null);
@@ -101,7 +101,7 @@
         return Optional.ofNullable(last);
     }
 
-    Message needed(String from, Message.Need n, long now) {
+    ReplicationMessage needed(String from, ReplicationMessage.Need n, long now) {
         Neighbour who = neighbours.get(from);
         Offered o = who == null ? null : who.offered.get(n.id());
         if (o != null) {
@@ -110,12 +110,12 @@
         }
         Body b = body(n.id(), false).orElse(null);
         if (b == null || b.crc != n.crc() || n.from() >= b.bytes.length) {
-            return new Message.Not(n.id());
+            return new ReplicationMessage.Not(n.id());
         }
-        int length = Math.min(Math.min(n.most(), MessageForm.CHUNK_MOST), b.bytes.length - n.from());
+        int length = Math.min(Math.min(n.max(), ReplicationMessageCodec.MAX_CHUNK), b.bytes.length - n.from());
         byte[] part = new byte[length];
         System.arraycopy(b.bytes, n.from(), part, 0, length);
-        return new Message.Chunk(n.id(), b.crc, n.from(), part);
+        return new ReplicationMessage.Chunk(n.id(), b.crc, n.from(), part);
     }
 
     void had(String from, ContentId id) {
@@ -126,8 +126,8 @@
         }
     }
 
-    List<Out> tick(long now) {
-        List<Out> out = new ArrayList<>();
+    List<OutgoingMessage> tick(long now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         neighbours.forEach((name, n) -> {
             if (n.up) {
                 again(name, n, now, out);
@@ -137,7 +137,7 @@
         return out;
     }
 
-    private void again(String name, Neighbour n, long now, List<Out> out) {
+    private void again(String name, Neighbour n, long now, List<OutgoingMessage> out) {
         List<ContentId> behind = new ArrayList<>();
         for (Iterator<Map.Entry<ContentId, Offered>> i = n.offered.entrySet().iterator(); i.hasNext();) {
             Map.Entry<ContentId, Offered> e = i.next();
@@ -153,8 +153,8 @@
         behind.forEach(id -> offer(name, id));
     }
 
-    private void first(String name, Neighbour n, long now, List<Out> out) {
-        for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.offersMost();) {
+    private void first(String name, Neighbour n, long now, List<OutgoingMessage> out) {
+        for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.maxOffers();) {
             ContentId id = i.next();
             i.remove();
             Offered o = new Offered();
@@ -164,11 +164,11 @@
         }
     }
 
-    private boolean send(String name, ContentId id, Offered o, long now, List<Out> out) {
+    private boolean send(String name, ContentId id, Offered o, long now, List<OutgoingMessage> out) {
         Optional<Body> b = body(id, true);
         o.at = now;
         o.tries++;
-        b.ifPresent(body -> out.add(new Out(name, offerOf(body))));
+        b.ifPresent(body -> out.add(new OutgoingMessage(name, offerOf(body))));
         return b.isPresent();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/Changes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
@@ -4,23 +4,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.Meta;
+import sandpaddle.fleet.content.AnswerMetadata;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
 /**
  * When data groups were last changed by a load, as far as this gateway heard. Where one process saw both, monotonic
  * time compares a change with an answer; else the wall clock does. An answer of which no group is known counts as
- * changed by any load. At most {@value #MOST} groups of about 100 bytes: the change heard longest ago is forgotten
- * first, and whatever was asked for before it then counts as changed, whatever its group.
+ * changed by any load. At most {@value #MAX_GROUPS} groups of about 100 bytes: the change heard longest ago is
+ * forgotten first, and whatever was asked for before it then counts as changed, whatever its group.
  */
-public final class Changes {
-    static final int MOST = 16_384;
+public final class DataChanges {
+    static final int MAX_GROUPS = 16_384;
     private static final int VERSION = 1;
 
     private record Change(long mono, long wall, long process) {
         /** Whether an answer was asked for before the change was over. */
-        boolean outdates(Meta m, long slackUs) {
+        boolean outdates(AnswerMetadata m, long slackUs) {
             return process == m.incarnation() ? m.askedMono() - slackUs <= mono
                     : m.askedWall() - slackUs / 1000 <= wall;
         }
@@ -32,7 +32,7 @@
     private final List<Change> forAll = new ArrayList<>(2); // of this process and of an earlier one, the latest each
 
     /** {@code slackUs}: an answer asked for so shortly after a change counts as before it. */
-    public Changes(long process, long slackUs) {
+    public DataChanges(long process, long slackUs) {
         this.process = process;
         this.slackUs = slackUs;
     }
@@ -54,7 +54,7 @@
         }
         byGroup.remove(group);
         byGroup.put(group, change);
-        if (byGroup.size() > MOST) {
+        if (byGroup.size() > MAX_GROUPS) {
             var eldest = byGroup.entrySet().iterator();
             Change gone = eldest.next().getValue();
             eldest.remove();
@@ -75,7 +75,7 @@
     }
 
     /** Whether a load that is known of has changed what an answer was read from since it was asked for. */
-    public boolean outdates(Meta m) {
+    public boolean outdates(AnswerMetadata m) {
         if (forAll.stream().anyMatch(c -> c.outdates(m, slackUs))) {
             return true;
         }
@@ -96,7 +96,8 @@
     public void take(byte[] exported) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(exported);
         in.number(VERSION, VERSION);
-        List<Map.Entry<Long, Change>> all = in.list(MOST, i -> Map.entry(i.number(Long.MIN_VALUE, Long.MAX_VALUE),
+        List<Map.Entry<Long, Change>> all =
+                in.list(MAX_GROUPS, i -> Map.entry(i.number(Long.MIN_VALUE, Long.MAX_VALUE),
                 earlier(i.number(0, Long.MAX_VALUE / 4))));
         long floor = in.number(-1, Long.MAX_VALUE / 4);
         in.end();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Shares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/FairShares.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,24 +12,24 @@
  * demand, and short of it gateway i has max(least_i, level * demand_i) for one level. Cost: O(n) for each of 64
  * halvings.
  */
-public final class Shares {
+public final class FairShares {
     /** How long a turn lasts where a limit is too small for each: n that share m have one each n/m turns. */
     public static final long TURN_US = 5_000_000;
     private static final int HALVINGS = 64;
 
-    private Shares() { }
+    private FairShares() { }
 
     /** The shares, not yet whole; the floors sum to the amount at most. */
-    public static double[] of(long now, long amount, long[] floors, List<Claim> claims) {
+    public static double[] of(long now, long amount, long[] floors, List<SlotDemand> slotDemands) {
         int n = floors.length;
-        double[] least = leasts(now, amount, floors, claims);
+        double[] min = leasts(now, amount, floors, slotDemands);
         double[] wish = new double[n];
         double wishes = 0;
         double leasts = 0;
         for (int i = 0; i < n; i++) {
-            wish[i] = Math.max(least[i], claims.get(i).demand());
+            wish[i] = Math.max(min[i], slotDemands.get(i).demand());
             wishes += wish[i];
-            leasts += least[i];
+            leasts += min[i];
         }
         if (wishes <= amount) {
             for (int i = 0; i < n; i++) {
@@ -38,7 +38,7 @@
             return wish;
         }
         if (leasts >= amount) {
-            return least;
+            return min;
         }
         double low = 0;
         double high = 1;
@@ -46,7 +46,7 @@
             double level = (low + high) / 2;
             double sum = 0;
             for (int i = 0; i < n; i++) {
-                sum += Math.max(least[i], level * wish[i]);
+                sum += Math.max(min[i], level * wish[i]);
             }
             if (sum > amount) {
                 high = level;
@@ -55,24 +55,24 @@
             }
         }
         for (int i = 0; i < n; i++) {
-            wish[i] = Math.max(least[i], low * wish[i]);
+            wish[i] = Math.max(min[i], low * wish[i]);
         }
         return wish;
     }
 
-    private static double[] leasts(long now, long amount, long[] floors, List<Claim> claims) {
-        double[] least = new double[floors.length];
+    private static double[] leasts(long now, long amount, long[] floors, List<SlotDemand> slotDemands) {
+        double[] min = new double[floors.length];
         long left = amount;
         List<Integer> without = new ArrayList<>();
         for (int i = 0; i < floors.length; i++) {
-            least[i] = floors[i];
+            min[i] = floors[i];
             left -= floors[i];
-            if (floors[i] == 0 && claims.get(i).demand() > 0) {
+            if (floors[i] == 0 && slotDemands.get(i).demand() > 0) {
                 without.add(i);
             }
         }
         if (without.size() > left && left > 0) {
-            without.sort(Comparator.comparingLong(i -> Rendezvous.hash(claims.get(i).slot().member(), "")));
+            without.sort(Comparator.comparingLong(i -> RendezvousHash.hash(slotDemands.get(i).slot().member(), "")));
             Collections.rotate(without, -(int) (now / TURN_US % without.size() * left % without.size()));
         }
         for (int i : without) {
@@ -80,8 +80,8 @@
                 break;
             }
             left--;
-            least[i] = 1;
+            min[i] = 1;
         }
-        return least;
+        return min;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Peer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
@@ -1,20 +1,20 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 import java.util.ArrayDeque;
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.table.MemberRow;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
-/** What the leader knows of one gateway: when it was heard, and which of its beats it may vouch for. */
-final class Peer {
-    private static final int MOST_PENDING = 64;
+/** The leader's state of one gateway: when it was last heard, and which of its heartbeats may be confirmed. */
+final class GatewayState {
+    private static final int MAX_PENDING = 64;
 
     private record Pending(long sequence, long session, long at) { }
 
     private final LimitSettings settings;
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
-    private long former; // the process before, of which beats may still be under way
+    private long former; // the process before, of which heartbeats may still be under way
     private long switchedAt;
     private long leasedAt;
     private long leasedSession = -1;
@@ -27,20 +27,20 @@
     long epoch;
     long hold;
     boolean leased;
-    long heard; // the last beat that a lease may count from; at first the election
+    long heard; // the last heartbeat that a lease may count from; at first the election
     long reclaiming = -1; // the session that is being ended: nothing of it is vouched for any more
     long proposedAt = Long.MIN_VALUE / 2;
     long sentConfirmed;
     long grantAt = Long.MIN_VALUE / 2;
 
-    Peer(LimitSettings settings, long opened) {
+    GatewayState(LimitSettings settings, long opened) {
         this.settings = settings;
         switchedAt = opened;
         heard = settings.has(Guard.ELECTION_RENEWS) ? opened : opened - settings.reclaimAfter();
     }
 
-    /** Whether the beat is news of this gateway's process now. */
-    boolean beat(long now, MemberRow row, Beat beat) {
+    /** Whether the heartbeat is news of this gateway's process now. */
+    boolean beat(long now, MemberRow row, Heartbeat beat) {
         if (beat.incarnation() != incarnation) {
             boolean old = beat.incarnation() == (incarnation == 0 ? row.former() : former);
             if (beat.incarnation() == 0 || old && now - switchedAt < settings.lease()) {
@@ -68,7 +68,7 @@
                 leasedSession = row.session();
             }
             // one that is heard and cannot hear must come to be taken for lost: nothing more is vouched for
-            if (now - leasedAt <= 2 * settings.lease() && pending.size() < MOST_PENDING) {
+            if (now - leasedAt <= 2 * settings.lease() && pending.size() < MAX_PENDING) {
                 heard = now;
                 pending.add(new Pending(sequence, row.session(), now));
                 if (!settings.has(Guard.MAJORITY)) {
@@ -84,7 +84,7 @@
             && (session == row.session() || !settings.has(Guard.SESSION));
     }
 
-    /** A majority confirmed the leader since then: beats heard before are vouched for. */
+    /** A majority confirmed the leader since then: heartbeats heard before are vouched for. */
     void confirmed(long asOf, MemberRow row) {
         while (!pending.isEmpty() && pending.peek().at <= asOf) {
             Pending beat = pending.poll();
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The highest beat to vouch for in this session, 0 for none. */
+    /** The highest heartbeat to vouch for in this session, 0 for none. */
     long confirmed(MemberRow row) {
         return confirmedSession == row.session() && reclaiming != row.session() ? confirmed : 0;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Rendezvous.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/RendezvousHash.java
@@ -1,8 +1,11 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
-/** Highest random weight (Thaler and Ravishankar 1998): who of many, the same on each gateway and after each change. */
-final class Rendezvous {
-    private Rendezvous() { }
+/**
+ * Rendezvous hashing, also highest random weight (Thaler and Ravishankar 1998): every gateway chooses the same, and a
+ * change of the members moves little.
+ */
+final class RendezvousHash {
+    private RendezvousHash() { }
 
     /** Of the pair, evenly spread: FNV-1a, finished as in SplitMix64. */
     static long hash(String one, String other) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Ask.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SlotState.java
@@ -1,30 +1,30 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.table.Change;
 import sandpaddle.fleet.limit.table.Slot;
-import sandpaddle.fleet.limit.wire.Given;
-import sandpaddle.fleet.limit.wire.Told;
+import sandpaddle.fleet.limit.table.SlotChange;
+import sandpaddle.fleet.limit.wire.SlotGrant;
+import sandpaddle.fleet.limit.wire.SlotReport;
 
-/** What the leader knows of one slot, and what it asked and proposed last about it. */
-final class Ask {
+/** The leader's state of one slot: the last report, the last grant and the last proposal. */
+final class SlotState {
     private static final double STIR = 0.01; // part by which demand has to change to be looked at
-    final Demand demand = new Demand();
-    Told told; // last, null where nothing was
-    long sinkTo;
-    long floorTo;
-    private Given sent;
+    final SmoothedDemand demand = new SmoothedDemand();
+    SlotReport report; // last, null where nothing was
+    long targetCeiling;
+    long targetFloor;
+    private SlotGrant sent;
     private long sentAt;
-    private Change proposed;
+    private SlotChange proposed;
     private long proposedAt;
 
     /** Whether this is news. */
-    boolean told(long now, Told next) {
-        boolean news = told == null || !told.equals(next);
-        told = next;
+    boolean report(long now, SlotReport next) {
+        boolean dirty = report == null || !report.equals(next);
+        report = next;
         double before = demand.level();
-        demand.told(now, next.demand());
-        return news || Math.abs(demand.level() - before) > STIR * Math.max(1, before);
+        demand.report(now, next.demand());
+        return dirty || Math.abs(demand.level() - before) > STIR * Math.max(1, before);
     }
 
     /** A change decided on is not decided again before it was time for it. */
@@ -32,7 +32,7 @@
         return proposed != null && proposed.version() == slot.version() && now - proposedAt < settings.repeat();
     }
 
-    void propose(long now, Change change) {
+    void propose(long now, SlotChange change) {
         proposed = change;
         proposedAt = now;
     }
@@ -43,11 +43,12 @@
     }
 
     /** What the gateway has to be told now; null where it knows. */
-    Given toSend(long now, String limit, String sub, Slot slot, LimitSettings settings) {
+    SlotGrant toSend(long now, String limit, String sub, Slot slot, LimitSettings settings) {
         if (!open(slot)) {
             return null;
         }
-        Given given = new Given(limit, sub, slot.version(), slot.held(), slot.floor(), sinkTo, floorTo);
+        SlotGrant given = new SlotGrant(limit, sub, slot.version(), slot.held(), slot.floor(), targetCeiling,
+                targetFloor);
         if (given.equals(sent) && now - sentAt < settings.repeat()) {
             return null;
         }
@@ -56,11 +57,11 @@
 
     /** Whether the gateway has not acknowledged what it should have. */
     boolean open(Slot slot) {
-        return slot.version() != 0 && (told == null || told.version() != slot.version()
-            || told.ceiling() > Math.max(sinkTo, slot.floor()) || told.floor() > floorTo);
+        return slot.version() != 0 && (report == null || report.version() != slot.version()
+            || report.ceiling() > Math.max(targetCeiling, slot.floor()) || report.floor() > targetFloor);
     }
 
-    void sent(long now, Given given) {
+    void sent(long now, SlotGrant given) {
         sent = given;
         sentAt = now;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allot/Demand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
@@ -1,25 +1,25 @@
-package sandpaddle.fleet.limit.allot;
+package sandpaddle.fleet.limit.allocator;
 
 /**
- * Demand of one slot, evened out so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
- * half or more is believed when two beats in a row tell it.
+ * The demand of one slot, smoothed so that noise moves no rights: exponentially over {@link #EVEN_US}, but a step of
+ * half or more is taken over when two heartbeats in a row report it.
  */
-final class Demand {
+final class SmoothedDemand {
     /** Noise of a fifth either way, told ten times a second, stays within 4% of the mean. */
     static final double EVEN_US = 2e6;
     private static final double STEP = 0.5;
-    private static final double LEAST_STEP = 2; // one more or less is noise
+    private static final double MIN_STEP = 2; // one more or less is noise
 
     private double level;
     private long at;
     private int steps;
     private boolean known;
 
-    void told(long now, double value) {
+    void report(long now, double value) {
         if (!known) {
             known = true;
             level = value;
-        } else if (Math.abs(value - level) >= Math.max(LEAST_STEP, STEP * level)) {
+        } else if (Math.abs(value - level) >= Math.max(MIN_STEP, STEP * level)) {
             steps++;
             if (steps >= 2) {
                 level = value;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Greeter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/GreetingValidator.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import java.util.Optional;
 import java.util.function.Predicate;
@@ -8,27 +8,27 @@
 import sandpaddle.fleet.link.frame.Refusal;
 import sandpaddle.fleet.member.MemberName;
 
-/** Judges greetings; each refusal names what is wrong, and what this gateway has in its place. */
-final class Greeter {
+/** Validates greetings; each rejection names what is wrong, and what this gateway has in its place. */
+final class GreetingValidator {
     /** The protocol versions that this program speaks. */
-    static final int LEAST = 1;
-    static final int MOST = 1;
+    static final int MIN_VERSION = 1;
+    static final int MAX_VERSION = 1;
 
     private static final Pattern HOST = Pattern.compile("[A-Za-z0-9._-]{1,253}");
 
     /** A greeting that is not taken. */
-    record No(Refusal code, String why) { }
+    record Rejection(Refusal code, String why) { }
 
     private final LinkSettings settings;
     private final Predicate<String> known;
-    private final int least, most;
+    private final int min, max;
     private long stamp;
 
-    Greeter(LinkSettings settings, Predicate<String> known, int least, int most) {
+    GreetingValidator(LinkSettings settings, Predicate<String> known, int min, int max) {
         this.settings = settings;
         this.known = known;
-        this.least = least;
-        this.most = most;
+        this.min = min;
+        this.max = max;
     }
 
     boolean knows(String name) {
@@ -42,22 +42,22 @@
     }
 
     Greeting hello(String to) {
-        return ours(to, least, most);
+        return ours(to, min, max);
     }
 
     /** The answer to a greeting that {@link #judge} took. */
     Greeting welcome(Greeting theirs) {
-        int version = Greeting.common(least, most, theirs.least(), theirs.most());
+        int version = Greeting.common(min, max, theirs.min(), theirs.max());
         return ours(theirs.member().name(), version, version);
     }
 
     /** What is wrong with the first greeting of a peer. */
-    Optional<No> judge(Greeting g) {
+    Optional<Rejection> judge(Greeting g) {
         String self = settings.self().name();
         String name = g.member().name();
-        if (Greeting.common(least, most, g.least(), g.most()) == 0) {
-            return no(Refusal.VERSION, self + " speaks versions " + least + " to " + most + ", not " + g.least()
-                    + " to " + g.most());
+        if (Greeting.common(min, max, g.min(), g.max()) == 0) {
+            return no(Refusal.VERSION, self + " speaks versions " + min + " to " + max + ", not " + g.min()
+                    + " to " + g.max());
         }
         if (!g.cluster().equals(settings.cluster())) {
             return no(Refusal.CLUSTER, self + " is of cluster " + settings.cluster() + ", not " + shown(g.cluster()));
@@ -80,10 +80,10 @@
     }
 
     /** What is wrong with the answer of a peer that was dialled. */
-    Optional<No> judgeAnswer(Greeting g, String dialled) {
-        if (g.least() != g.most() || g.least() < least || g.least() > most) {
-            return no(Refusal.VERSION, dialled + " chose version " + g.least() + ", not one from " + least + " to "
-                    + most);
+    Optional<Rejection> judgeAnswer(Greeting g, String dialled) {
+        if (g.min() != g.max() || g.min() < min || g.min() > max) {
+            return no(Refusal.VERSION, dialled + " chose version " + g.min() + ", not one from " + min + " to "
+                    + max);
         }
         if (!g.cluster().equals(settings.cluster())) {
             return no(Refusal.CLUSTER, "cluster " + settings.cluster() + " was looked for, " + shown(g.cluster())
@@ -94,13 +94,13 @@
                 + shown(g.member().hall()) + " answered");
     }
 
-    private static Optional<No> no(Refusal code, String why) {
-        return Optional.of(new No(code, why));
+    private static Optional<Rejection> no(Refusal code, String why) {
+        return Optional.of(new Rejection(code, why));
     }
 
     /** What a peer said, fit for a log line. */
     static String shown(String text) {
-        String cut = text.length() > MemberName.MOST_CHARS ? text.substring(0, MemberName.MOST_CHARS) + "..." : text;
+        String cut = text.length() > MemberName.MAX_CHARS ? text.substring(0, MemberName.MAX_CHARS) + "..." : text;
         return cut.replaceAll("[^ -~]", "?");
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/LinkCounts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkCounts.java
@@ -1,11 +1,11 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 /** What happened on all links since the start; each a guard that the log does not tell every time. */
 public record LinkCounts(long up, long down, long attempts, long refused, long evicted, long abandoned,
         long unknownFrames, long queueFull, long oversize) {
     static final LinkCounts NONE = new LinkCounts(0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** The counters, as the switchboard moves them. */
+    /** The counters, as the link manager moves them. */
     static final class Counting {
         long up, down;
         long attempts;
--- a/gateway/src/main/java/sandpaddle/fleet/link/board/Switchboard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkManager.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.link.board;
+package sandpaddle.fleet.link.manager;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -22,11 +22,11 @@
  * and each pair keeps one. Bounds: one link, one attempt and one handshake for each peer; accepted connections by the
  * settings. Cost: a map look-up for each event, a pass over all sessions for each tick.
  */
-public final class Switchboard {
+public final class LinkManager {
     private final LinkSettings settings;
-    private final Greeter greeter;
-    final Wires wires;
-    final Events events;
+    private final GreetingValidator validator;
+    final LinkTransport transport;
+    final LinkEvents events;
     private final Map<Long, Session> sessions = new LinkedHashMap<>(); // in the order of their making
     final Peers peers;
     final LinkCounts.Counting counts = new LinkCounts.Counting();
@@ -34,20 +34,20 @@
     private long lastWire;
     private long tickedAt = Long.MIN_VALUE;
 
-    public Switchboard(LinkSettings settings, Predicate<String> known, SplittableRandom random, Wires wires,
-            Events events) {
-        this(settings, known, random, wires, events, Greeter.LEAST, Greeter.MOST);
+    public LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport transport,
+            LinkEvents events) {
+        this(settings, known, random, transport, events, GreetingValidator.MIN_VERSION, GreetingValidator.MAX_VERSION);
     }
 
     /** Of a program that speaks other versions. */
-    Switchboard(LinkSettings settings, Predicate<String> known, SplittableRandom random, Wires wires, Events events,
-            int least, int most) {
+    LinkManager(LinkSettings settings, Predicate<String> known, SplittableRandom random, LinkTransport transport,
+            LinkEvents events, int min, int max) {
         this.settings = settings;
         peers = new Peers(settings, random);
-        this.wires = wires;
+        this.transport = transport;
         this.events = events;
-        greeter = new Greeter(settings, known, least, most);
-        handshake = new Handshake(this, settings.self().name(), greeter);
+        validator = new GreetingValidator(settings, known, min, max);
+        handshake = new Handshake(this, settings.self().name(), validator);
     }
 
     /** The peers to keep links to from now on. */
@@ -76,13 +76,13 @@
             p.attempt = s;
             sessions.put(s.wire, s);
             counts.attempts++;
-            wires.dial(s.wire, to);
+            transport.dial(s.wire, to);
         }
     }
 
     /** A peer has connected; returns the connection's number, or 0 where it must be closed at once. */
     public long accepted(long now, String address) {
-        FanIn in = FanIn.of(sessions.values(), settings.bounds());
+        AcceptLimits in = AcceptLimits.of(sessions.values(), settings.bounds());
         if (in.full()) {
             counts.evicted++;
             if (in.oldestSilent().isEmpty()) {
@@ -152,7 +152,7 @@
         boolean taken = p.link.offer(kind, payload, now);
         counts.queueFull += taken ? 0 : 1;
         if (taken) {
-            wires.ready(p.link.wire);
+            transport.ready(p.link.wire);
         }
         return taken;
     }
@@ -169,12 +169,12 @@
             }
             s.judge(now).ifPresent(e -> end(now, s, e.how(), e.why(), s.stage == Session.Stage.UP
                     && e.how() == Loss.SILENT ? new Frame.Bye(settings.self().name() + ": " + e.why()) : null));
-            if (s.stage == Session.Stage.UP && !greeter.knows(s.peer)) {
+            if (s.stage == Session.Stage.UP && !validator.knows(s.peer)) {
                 String why = s.peer + " is no member any more";
                 end(now, s, Loss.REJECTED, why, new Frame.Rejected(Refusal.NAME, why));
             }
             if (s.keepAlive(now)) {
-                wires.ready(s.wire);
+                transport.ready(s.wire);
             }
         }
         dial(now);
@@ -202,7 +202,7 @@
     void drop(Session s, Frame last) {
         s.stage = Session.Stage.ENDED;
         sessions.remove(s.wire);
-        wires.close(s.wire, last == null ? null : last.encode());
+        transport.close(s.wire, last == null ? null : last.encode());
     }
 
     /** Makes a connection the link of its peer in the place of another. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -15,20 +15,20 @@
 import sandpaddle.fleet.link.Kind;
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.Links;
-import sandpaddle.fleet.link.board.LinkCounts;
-import sandpaddle.fleet.link.board.Switchboard;
+import sandpaddle.fleet.link.manager.LinkCounts;
+import sandpaddle.fleet.link.manager.LinkManager;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.log.LogEvent;
 
 /**
  * Links over TCP: sockets of its own on a thread of its own ({@code fleet-link}), so that the loop that serves queries
- * never waits for a gateway. {@link Switchboard} decides; this class carries it out and keeps the time. Its cost is one
+ * never waits for a gateway. {@link LinkManager} decides; this class carries it out and keeps the time. Its cost is one
  * wake-up in a fortieth of the time of silence plus those for traffic; its memory is bounded by the settings: each
  * peer's queue and one frame, and what the fleet's thread has not taken yet.
  */
 public final class TcpLinks implements Links, AutoCloseable {
     private static final int BACKLOG = 256;
-    private static final int MOST_ACCEPTED_AT_ONCE = 64;
+    private static final int MAX_ACCEPTED_AT_ONCE = 64;
     private static final long ACCEPT_PAUSE_US = 1_000_000; // without room for files; the queue of the kernel waits
 
     private final LinkSettings settings;
@@ -39,8 +39,8 @@
     private final ServerSocketChannel listening;
     private final SelectionKey listeningKey;
     private final Sockets sockets;
-    private final Handover handover;
-    private final Switchboard board;
+    private final LinkEventQueue eventQueue;
+    private final LinkManager board;
     private final Thread thread;
     private long tickAt;
     private long acceptAt;
@@ -70,9 +70,9 @@
             selector.close();
             throw new IOException("fleet links cannot listen on " + listen + ": " + e.getMessage(), e);
         }
-        handover = new Handover(listener, fleet, this::now);
+        eventQueue = new LinkEventQueue(listener, fleet, this::now);
         sockets = new Sockets(selector);
-        board = new Switchboard(settings, known, new SplittableRandom(seed), sockets, handover);
+        board = new LinkManager(settings, known, new SplittableRandom(seed), sockets, eventQueue);
         sockets.serve(board);
         thread = new Thread(this::run, "fleet-link");
         thread.setDaemon(true);
@@ -96,7 +96,7 @@
 
     /** Bytes received that the fleet's thread has not taken yet. */
     public long waitingBytes() {
-        return handover.waitingBytes();
+        return eventQueue.waitingBytes();
     }
 
     @Override
@@ -146,13 +146,13 @@
         try {
             turn(now);
         } catch (RuntimeException e) {
-            handover.fault(now, e);
+            eventQueue.fault(now, e);
             selector.selectedKeys().clear();
         }
     }
 
     private void turn(long now) {
-        boolean reading = handover.waitingBytes() <= settings.bounds().inboundBytes();
+        boolean reading = eventQueue.waitingBytes() <= settings.bounds().inboundBytes();
         sockets.reading(reading);
         for (SelectionKey key : selector.selectedKeys()) {
             if (key == listeningKey) {
@@ -174,7 +174,7 @@
 
     private void accept(long now) {
         try {
-            for (int i = 0; i < MOST_ACCEPTED_AT_ONCE; i++) {
+            for (int i = 0; i < MAX_ACCEPTED_AT_ONCE; i++) {
                 SocketChannel channel = listening.accept();
                 if (channel == null) {
                     return;
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -12,20 +12,20 @@
 import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.link.tcp.TcpLinks;
 import sandpaddle.fleet.member.Member;
-import sandpaddle.fleet.node.agree.Agreement;
+import sandpaddle.fleet.node.agree.VoterSetup;
 import sandpaddle.fleet.node.agree.VoterThread;
-import sandpaddle.fleet.node.lead.Leading;
-import sandpaddle.fleet.node.lead.Ruling;
-import sandpaddle.fleet.node.loop.Heard;
+import sandpaddle.fleet.node.lead.CommittedConfig;
+import sandpaddle.fleet.node.lead.FleetLeader;
+import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.node.loop.LoopSide;
 import sandpaddle.fleet.node.loop.PoolBudget;
-import sandpaddle.fleet.node.outage.LoopFetching;
 import sandpaddle.fleet.node.outage.OutageThread;
-import sandpaddle.fleet.node.rights.FloorsOnDisk;
-import sandpaddle.fleet.node.rights.PoolSide;
-import sandpaddle.fleet.node.rights.RightsKeeper;
+import sandpaddle.fleet.node.outage.QueryPathFetcher;
+import sandpaddle.fleet.node.rights.FloorStore;
+import sandpaddle.fleet.node.rights.PoolCoordinator;
+import sandpaddle.fleet.node.rights.RightsManager;
 import sandpaddle.fleet.node.spread.EvidenceFlow;
-import sandpaddle.fleet.view.Shared;
+import sandpaddle.fleet.view.SharedState;
 import sandpaddle.http.ConnectionBudget;
 import sandpaddle.net.Scheduler;
 import sandpaddle.query.FleetSide;
@@ -34,20 +34,20 @@
 /**
  * One gateway's part in a fleet. Threads beside the loop: {@code fleet-link} moves bytes, {@code fleet-raft} agrees and
  * waits for its disk, {@code fleet-content} keeps stored answers and waits for theirs, {@code fleet} decides. The loop
- * reads one immutable view and writes counters, so that none of them ever delays a query. Cost: a beat to each voter
- * every {@code beat_ms}, evidence where something changed.
+ * reads one immutable view and writes counters, so that none of them ever delays a query. Cost: a heartbeat to each
+ * voter every {@code beat_ms}, evidence where something changed.
  */
 public final class FleetNode implements AutoCloseable {
-    private static final int MOST_HEARD = 1 << 14;
+    private static final int MAX_HEARD = 1 << 14;
     private static final long LEAD_TICK_US = 50_000;
     private static final long FLOORS_EVERY_US = 3_000_000;
-    private static final long LINK_MOST_US = 200_000; // a message's way while all is well, for the printed bounds
+    private static final long MAX_LINK_US = 200_000; // a message's way while all is well, for the printed bounds
 
     private final TaskThread thread = new TaskThread("fleet");
     private final TcpLinks links;
-    private final Parts parts;
-    private final Course course;
-    private final LoopFetching fetching;
+    private final NodeComponents components;
+    private final FleetTopology topology;
+    private final QueryPathFetcher fetching;
     private final LoopSide side;
 
     /**
@@ -61,54 +61,55 @@
         MonotonicClock clock = new MonotonicClock();
         long incarnation = Math.max(1, System.currentTimeMillis() << 10 | seed & 1023);
         long now = clock.now();
-        Shared shared = Shared.fresh();
-        Queue<Heard> heard = new SpscArrayQueue<>(MOST_HEARD);
+        SharedState shared = SharedState.fresh();
+        Queue<LoopEvent> heard = new SpscArrayQueue<>(MAX_HEARD);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // for the loop's thread
-        FloorsOnDisk floors = settings.directory() == null ? null : new FloorsOnDisk(settings.directory(),
+        FloorStore floors = settings.directory() == null ? null : new FloorStore(settings.directory(),
                 settings.limits().floorKeep());
-        RightsKeeper rights = new RightsKeeper(name, incarnation, self.hall(), classes,
-                floors == null ? RightsKeeper.unwritten(settings.limits()) : settings.limits(),
+        RightsManager rights = new RightsManager(name, incarnation, self.hall(), classes,
+                floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(), shared, now);
-        rights.ownFile(settings.agreed().limits());
-        PoolSide pools = new PoolSide(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
-        Ruling ruling = new Ruling();
-        ruling.offer(settings.agreed().text());
-        course = new Course(settings.agreed());
-        Reception reception = new Reception(course);
+        rights.localLimits(settings.agreed().limits());
+        PoolCoordinator pools =
+                new PoolCoordinator(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
+        CommittedConfig committedConfig = new CommittedConfig();
+        committedConfig.offer(settings.agreed().text());
+        topology = new FleetTopology(settings.agreed());
+        MessageDispatcher dispatcher = new MessageDispatcher(topology);
         links = new TcpLinks(new LinkSettings(settings.cluster(), self, incarnation, settings.links(),
-                LinkSettings.Bounds.USUAL, settings.routes()), settings.listen(), course::knows, reception, thread,
+                LinkSettings.Bounds.USUAL, settings.routes()), settings.listen(), topology::knows, dispatcher, thread,
                 seed);
         EvidenceFlow evidence = new EvidenceFlow(self, incarnation, settings.verdicts(), settings.limits().drift(),
                 links, halls, classes.size(), now);
-        Agreement agreement = settings.directory() == null ? null
-                : Agreement.start(settings, name, links, clock, thread, seed);
+        VoterSetup agreement = settings.directory() == null ? null
+                : VoterSetup.start(settings, name, links, clock, thread, seed);
         VoterThread voter = agreement == null ? null : agreement.voter();
-        Leading leading = agreement == null ? null
-                : new Leading(name, voter, agreement.parts(), settings.limits(), pools.desk(), ruling,
-                        settings.voters());
-        fetching = new LoopFetching(classes, site, tasks, wake, seed);
+        FleetLeader leader = agreement == null ? null
+                : new FleetLeader(name, voter, agreement.components(), settings.limits(), pools.allocator(),
+                        committedConfig, settings.voters());
+        fetching = new QueryPathFetcher(classes, site, tasks, wake, seed);
         OutageThread outage = !settings.outages().isOn() ? null : new OutageThread(settings.outages(),
-                new Itself(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links, fetching,
-                this::isBusy, seed);
-        side = new LoopSide(site, loop, clock, shared, new LoopSide.Wires(heard, tasks, wake),
+                new LocalNode(name, self.hall(), incarnation, clock, site, classes), settings.directory(), links,
+                fetching, this::isBusy, seed);
+        side = new LoopSide(site, loop, clock, shared, new LoopSide.Channels(heard, tasks, wake),
                 outage == null ? null : outage::lookUp, pools.budget(),
                 settings.limits().surely(settings.limits().engineForget()), settings.limits().lease());
-        parts = new Parts(settings, self, clock, links, rights, floors, evidence, ruling, pools, voter, leading, outage,
-                wake);
-        Rounds rounds = new Rounds(parts, course, reception, heard, thread, site);
-        new LimitBounds(settings.limits(), LINK_MOST_US).lines(settings.agreed().limits(),
+        components = new NodeComponents(settings, self, clock, links, rights, floors, evidence, committedConfig, pools,
+                voter, leader, outage, wake);
+        PeriodicTasks periodicTasks = new PeriodicTasks(components, topology, dispatcher, heard, thread, site);
+        new LimitBounds(settings.limits(), MAX_LINK_US).lines(settings.agreed().limits(),
                 settings.agreed().members().size()).forEach(line -> Logger.info("fleet: {}", line));
         Logger.info("fleet {}: {} of hall {} listens on {} for {} gateways", settings.cluster(), name, self.hall(),
                 settings.listen(), settings.agreed().members().size());
-        reception.begin(parts, rounds);
-        course.begin(parts);
-        rounds.publish(); // before the first query: until rights come, what is limited may use nothing
+        dispatcher.begin(components, periodicTasks);
+        topology.begin(components);
+        periodicTasks.publish(); // before the first query: until rights come, what is limited may use nothing
         thread.begin();
-        thread.every(settings.limits().beat(), rounds::beat);
-        thread.every(settings.verdicts().evidenceUs(), rounds::spread);
-        if (leading != null) {
-            thread.every(LEAD_TICK_US, rounds::lead);
-            thread.every(FLOORS_EVERY_US, rounds::keepFloors);
+        thread.every(settings.limits().beat(), periodicTasks::beat);
+        thread.every(settings.verdicts().evidenceUs(), periodicTasks::exchangeEvidence);
+        if (leader != null) {
+            thread.every(LEAD_TICK_US, periodicTasks::runLeaderTasks);
+            thread.every(FLOORS_EVERY_US, periodicTasks::keepFloors);
         }
     }
 
@@ -123,7 +124,7 @@
 
     /** By which connections to engines are opened. */
     public ConnectionBudget connections() {
-        return parts.pools().budget();
+        return components.pools().budget();
     }
 
     /** What answers to be stored are asked of. */
@@ -133,18 +134,18 @@
 
     /** A new operator's file, of which only what holds for the whole fleet is taken over while serving. */
     public void reload(FleetSettings next) {
-        thread.execute(() -> course.file(next.agreed()));
+        thread.execute(() -> topology.file(next.agreed()));
     }
 
     @Override
     public void close() {
         thread.close();
-        if (parts.outage() != null) {
-            parts.outage().close();
+        if (components.outage() != null) {
+            components.outage().close();
         }
         links.close();
-        if (parts.voter() != null) {
-            parts.voter().close();
+        if (components.voter() != null) {
+            components.voter().close();
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/Agreed.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -13,19 +13,19 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What the operator's file says for the whole fleet: the highest {@code version} rules, whoever has it. {@code pool}:
- * the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
+ * The fleet-wide part of the operator's file: the highest {@code version} is in force, whichever gateway has it. {@code
+ * pool}: the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
  */
-public record Agreed(long version, List<Member> members, List<LimitSpec> limits, String pool, String schedule) {
+public record FleetConfig(long version, List<Member> members, List<LimitSpec> limits, String pool, String schedule) {
     /** The name of its text among those that the voters agree on. */
     public static final String NAME = "agreed";
     /** Before any file was read. */
-    public static final Agreed NONE = new Agreed(0, List.of(), List.of(), "", "");
+    public static final FleetConfig NONE = new FleetConfig(0, List.of(), List.of(), "", "");
     /** The longest pool policy or schedule, in bytes of UTF-8. */
-    public static final int MOST_TEXT = 64 << 10;
+    public static final int MAX_TEXT = 64 << 10;
 
-    private static final int MOST_MEMBERS = 1024;
-    private static final int MOST_HOST = 255;
+    private static final int MAX_MEMBERS = 1024;
+    private static final int MAX_HOST = 255;
     private static final long FORMAT = 1;
 
     public Optional<Member> member(String name) {
@@ -41,7 +41,7 @@
     }
 
     /** Reads what {@link #text} wrote. */
-    public static Agreed of(String text) throws FaultyMessageException {
+    public static FleetConfig of(String text) throws FaultyMessageException {
         byte[] bytes;
         try {
             bytes = Base64.getDecoder().decode(text.getBytes(StandardCharsets.US_ASCII));
@@ -50,14 +50,14 @@
         }
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
-        Agreed agreed = new Agreed(in.number(1, Long.MAX_VALUE), in.list(MOST_MEMBERS, Agreed::member),
-                in.list(CommandCodec.MOST_LIMITS, CommandCodec::spec), in.text(MOST_TEXT), in.text(MOST_TEXT));
+        FleetConfig agreed = new FleetConfig(in.number(1, Long.MAX_VALUE), in.list(MAX_MEMBERS, FleetConfig::member),
+                in.list(CommandCodec.MAX_LIMITS, CommandCodec::spec), in.text(MAX_TEXT), in.text(MAX_TEXT));
         in.end();
         return agreed;
     }
 
     private static Member member(CborIn in) throws FaultyMessageException {
-        Member m = new Member(in.text(MemberName.MOST_CHARS), in.text(MemberName.MOST_CHARS), in.text(MOST_HOST),
+        Member m = new Member(in.text(MemberName.MAX_CHARS), in.text(MemberName.MAX_CHARS), in.text(MAX_HOST),
                 (int) in.number(1, 65_535));
         try {
             MemberName.check("member name", m.name());
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -18,8 +18,8 @@
 
 /**
  * The agreement on a thread of its own ({@code fleet-raft}): a slow sync stops this thread, and neither queries nor
- * beats. Calls are queued, and their ends are told on the fleet's thread. A directory that another process holds is
- * tried again; until then this gateway only follows.
+ * heartbeats. Calls are queued, and their ends are told on the fleet's thread. A directory that another process holds
+ * is tried again; until then this gateway only follows.
  */
 public final class VoterThread implements AutoCloseable {
     /** How this gateway stands to the group, as of its last step. */
@@ -33,18 +33,18 @@
         VoterStore open() throws StoreException;
     }
 
-    private static final int MOST_QUEUED = 1 << 16;
-    private static final long STEP_MOST_US = 50_000;
+    private static final int MAX_QUEUED = 1 << 16;
+    private static final long MAX_STEP_US = 50_000;
     private static final long REOPEN_US = 2_000_000;
 
     private final Voter.Settings settings;
     private final Opening opening;
     private final Machine machine;
-    private final Voter.Around around;
+    private final Voter.Callbacks around;
     private final MonotonicClock clock;
     private final Executor fleet;
     private final Random random;
-    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MOST_QUEUED);
+    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread;
     private Voter voter; // null until the directory is this process's
     private VoterStore store;
@@ -54,7 +54,7 @@
     private volatile boolean closed;
 
     /** Starts the thread. */
-    public VoterThread(Voter.Settings settings, Opening opening, Machine machine, Voter.Around around,
+    public VoterThread(Voter.Settings settings, Opening opening, Machine machine, Voter.Callbacks around,
             MonotonicClock clock, Executor fleet, long seed) {
         this.settings = settings;
         this.opening = opening;
@@ -93,9 +93,9 @@
         if (voter == null && now >= openAt) {
             open(now);
         }
-        long next = voter == null ? openAt : Math.min(voter.next(), now + STEP_MOST_US);
+        long next = voter == null ? openAt : Math.min(voter.next(), now + MAX_STEP_US);
         Runnable task = queue.poll(Math.max(0, next - now), TimeUnit.MICROSECONDS);
-        for (int i = 0; task != null && i < MOST_QUEUED; i++) {
+        for (int i = 0; task != null && i < MAX_QUEUED; i++) {
             task.run();
             task = queue.poll();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolIds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
@@ -10,11 +10,10 @@
 import sandpaddle.fleet.pool.solve.Limit;
 
 /**
- * Which limits a policy has. They follow from the policy and the engines that are there and from nothing else, so
- * that a gateway knows what binds it before any leader has told: a budget whose condition does not hold is one
- * without bound.
+ * The limits of a policy. They follow from the policy and the engines present alone, so that a gateway knows what binds
+ * it before any leader has told it: a budget whose condition does not hold has no bound.
  */
-final class PoolIds {
+final class PoolLimitIds {
     /** What the ids of all limits by a policy begin with. */
     static final String PREFIX = "pool/";
     static final String KIND = new Limit(Limit.Of.KIND, "").id();
@@ -22,7 +21,7 @@
     /** The one slot of a gateway in the limit of an engine, which all tenants share. */
     static final String ALL = "*";
 
-    private PoolIds() { }
+    private PoolLimitIds() { }
 
     static boolean isPool(String limit) {
         return limit.startsWith(PREFIX);
@@ -54,7 +53,7 @@
                 ids.add(ENGINE + engine.name());
             }
         }
-        ids.removeIf(id -> id.length() > LimitSpec.MOST_NAME || id.indexOf('|') >= 0);
+        ids.removeIf(id -> id.length() > LimitSpec.MAX_NAME || id.indexOf('|') >= 0);
         return ids;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/Idle.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -11,27 +11,30 @@
 import sandpaddle.fleet.pool.model.Selector.Dimension;
 import sandpaddle.fleet.pool.model.Statement;
 
-/** What a good policy says and this version does not carry out; whoever wrote it is told when it comes to rule. */
-final class Idle {
-    private Idle() {
+/**
+ * Statements of a valid policy that this version does not carry out; they are logged when the policy comes into force.
+ */
+final class UnsupportedStatements {
+    private UnsupportedStatements() {
     }
 
     /** A line for each of the first such statements, 3 for each kind of reason, in the order of the file. */
     static List<String> notes(Policy policy) {
         List<String> notes = new ArrayList<>();
-        policy.shares().stream().filter(Idle::isOfClass).sorted(Comparator.comparing(Statement::at)).limit(MOST)
+        policy.shares().stream().filter(UnsupportedStatements::isOfClass).sorted(Comparator.comparing(Statement::at))
+                .limit(MAX_LISTED)
                 .forEach(s -> notes.add("line " + s.at().line() + ": " + s.of() + ": gateways tell demand by tenant, "
                         + "so what is said of classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
-                .filter(s -> s.when().stream().anyMatch(Idle::neverHolds))
-                .sorted(Comparator.comparing(Statement::at)).limit(MOST)
+                .filter(s -> s.when().stream().anyMatch(UnsupportedStatements::neverHolds))
+                .sorted(Comparator.comparing(Statement::at)).limit(MAX_LISTED)
                 .forEach(s -> notes.add("line " + s.at().line() + ": conditions on storm, recovery and outages do not "
                         + "hold in this version, so this statement has no effect"));
         return notes;
     }
 
-    private static final int MOST = 3;
+    private static final int MAX_LISTED = 3;
 
     private static boolean isOfClass(Statement.Share share) {
         return share.of().forms().stream().anyMatch(f -> f.dimension() == Dimension.CLASS);
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorsOnDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
@@ -9,18 +9,17 @@
 import java.nio.file.StandardOpenOption;
 import java.util.List;
 import org.tinylog.Logger;
-import sandpaddle.fleet.limit.hold.FloorFile;
-import sandpaddle.fleet.limit.hold.KeptFloor;
+import sandpaddle.fleet.limit.lease.FloorFile;
+import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * This gateway's floors in a file of its directory, so that a restart while it is cut off has something to go by.
- * Written beside, synced and renamed: it is there whole, or as it was. What cannot be read, or is too old, counts as
- * not there.
+ * This gateway's floors in a file of its directory, for a restart while it is cut off. Written beside, synced and
+ * renamed: it is there whole, or as it was. A file that cannot be read, or is too old, is ignored.
  */
-public final class FloorsOnDisk {
+public final class FloorStore {
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
-    private static final int MOST_BYTES = 8 << 20;
+    private static final int MAX_BYTES = 8 << 20;
     private static final long NANOS = 1000;
 
     private final Path file;
@@ -29,7 +28,7 @@
     private boolean failed;
 
     /** {@code keepUs}: how old a file may be that is used. */
-    public FloorsOnDisk(Path directory, long keepUs) {
+    public FloorStore(Path directory, long keepUs) {
         file = directory.resolve("floors");
         this.keepUs = keepUs;
         boot = boot();
@@ -49,9 +48,9 @@
     }
 
     /** The floors of an earlier process that may be used now. */
-    public List<KeptFloor> read() {
+    public List<SavedFloor> read() {
         try {
-            if (!Files.exists(file) || Files.size(file) > MOST_BYTES) {
+            if (!Files.exists(file) || Files.size(file) > MAX_BYTES) {
                 return List.of();
             }
             return FloorFile.read(Files.readAllBytes(file)).usable(boot, host());
@@ -62,7 +61,7 @@
     }
 
     /** Writes them; whether they are durable. Waits for the disk. */
-    public boolean write(List<KeptFloor> floors) {
+    public boolean write(List<SavedFloor> floors) {
         Path beside = file.resolveSibling("floors.new");
         try {
             Files.createDirectories(file.getParent());
--- a/gateway/src/main/java/sandpaddle/fleet/outage/back/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/Refreshes.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.back;
+package sandpaddle.fleet.outage.recovery;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,16 +8,16 @@
 import sandpaddle.fleet.content.ContentId;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.Fetch;
-import sandpaddle.fleet.outage.plan.Filler;
 import sandpaddle.fleet.outage.plan.Plan;
+import sandpaddle.fleet.outage.plan.PlanExecutor;
 
 /**
  * What clients were handed out as stored in an outage is fetched anew after it, by what was asked most for its work,
- * as slowly as {@link Return#refresh} says. At most {@value #MOST} answers are remembered; of others the next ask
- * itself brings a fresh one.
+ * as slowly as {@link ReturnScheduler#refresh} says. At most {@value #MAX_ANSWERS} answers are remembered; of others
+ * the next ask itself brings a fresh one.
  */
 public final class Refreshes {
-    static final int MOST = 10_000;
+    static final int MAX_ANSWERS = 10_000;
 
     private record Handed(Candidate what, long times) {
         double density() {
@@ -26,12 +26,12 @@
     }
 
     private final Map<ContentId, Handed> handed = new LinkedHashMap<>();
-    private final Filler filler = new Filler();
+    private final PlanExecutor planExecutor = new PlanExecutor();
 
     /** A stored answer was handed out. */
     public void handedOut(Candidate what) {
         Handed old = handed.get(what.key().id());
-        if (old != null || handed.size() < MOST) {
+        if (old != null || handed.size() < MAX_ANSWERS) {
             handed.put(what.key().id(), new Handed(what, old == null ? 1 : old.times + 1));
         }
     }
@@ -45,18 +45,18 @@
     public void begin() {
         List<Handed> order = new ArrayList<>(handed.values());
         order.sort((a, b) -> Double.compare(b.density(), a.density()));
-        filler.plan(new Plan(order.stream().map(h -> new Fetch(h.what, Long.MIN_VALUE, h.times)).toList(), 0, 0));
+        planExecutor.plan(new Plan(order.stream().map(h -> new Fetch(h.what, Long.MIN_VALUE, h.times)).toList(), 0, 0));
     }
 
     /** The fetches to begin now; one that a client's ask has made needless is left out. */
     public List<Fetch> next(long now, Allowance allowance) {
         List<Fetch> begun = new ArrayList<>();
-        for (Fetch f : filler.next(now, 0, allowance)) {
+        for (Fetch f : planExecutor.next(now, 0, allowance)) {
             ContentId id = f.what().key().id();
             if (handed.containsKey(id)) {
                 begun.add(f);
             } else {
-                filler.ended(id, true);
+                planExecutor.ended(id, true);
             }
         }
         return begun;
@@ -64,7 +64,7 @@
 
     /** A fetch ended. */
     public void ended(ContentId id, boolean stored) {
-        filler.ended(id, stored);
+        planExecutor.ended(id, stored);
         if (stored) {
             handed.remove(id);
         }
@@ -72,10 +72,10 @@
 
     /** The link was lost again: what is left waits for the next return. */
     public void stop() {
-        filler.stop();
+        planExecutor.stop();
     }
 
     public int waiting() {
-        return filler.waiting();
+        return planExecutor.waiting();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
@@ -11,19 +11,19 @@
  * When halls are expected to lose their uplink: windows that come once and recurrences (RFC 5545, by lib-recur),
  * placed by time zone and merged by hall where they overlap. It only says what is expected; that a hall is cut off
  * takes evidence. A look-ahead is expanded once and kept until it no longer covers what is asked; it costs at most
- * {@value Expansion#MOST} steps a rule and holds at most {@value #WINDOWS_MOST} windows a hall.
+ * {@value Expansion#MAX_OCCURRENCES} steps a rule and holds at most {@value #MAX_WINDOWS} windows a hall.
  */
 public final class Schedule {
     /** Rules in one schedule. */
-    public static final int RULES_MOST = 256;
-    static final int WINDOWS_MOST = 2048;
+    public static final int MAX_RULES = 256;
+    static final int MAX_WINDOWS = 2048;
     private static final long AHEAD_MS = 35L * 24 * 3600 * 1000;
     private static final long BEHIND_MS = 8L * 24 * 3600 * 1000;
 
     /** Without any rule. */
     public static final Schedule NONE = new Schedule(List.of());
 
-    private record Ahead(Span covered, List<Window> windows) { }
+    private record Ahead(TimeRange covered, List<Window> windows) { }
 
     private final List<Rule> rules;
     private final Map<String, Ahead> byHall = new HashMap<>(); // an entry a hall that a rule names
@@ -44,17 +44,17 @@
             if (rules.stream().noneMatch(r -> r.hall().equals(hall))) {
                 return List.of();
             }
-            known = expand(hall, new Span(wall - BEHIND_MS, wall + AHEAD_MS));
+            known = expand(hall, new TimeRange(wall - BEHIND_MS, wall + AHEAD_MS));
             byHall.put(hall, known);
         }
         return known.windows.stream().filter(w -> w.span().to() > wall && w.span().from() <= until).toList();
     }
 
-    private Ahead expand(String hall, Span asked) {
+    private Ahead expand(String hall, TimeRange asked) {
         List<Window> all = new ArrayList<>();
         for (Rule r : rules) {
             if (r.hall().equals(hall)) {
-                for (Span s : Expansion.of(r, asked)) {
+                for (TimeRange s : Expansion.of(r, asked)) {
                     all.add(new Window(hall, s, new TreeSet<>(List.of(r.name()))));
                 }
             }
@@ -65,7 +65,7 @@
             Window last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
             if (last != null && last.span().meets(w.span())) {
                 merged.set(merged.size() - 1, last.with(w));
-            } else if (merged.size() < WINDOWS_MOST) {
+            } else if (merged.size() < MAX_WINDOWS) {
                 merged.add(w);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PolicySeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
@@ -6,15 +6,15 @@
 import sandpaddle.fleet.pool.model.Policy;
 
 /**
- * Which policy one gateway goes by. The version that the fleet agreed on rules; a gateway that does not have its text,
- * or cannot read it, goes on with the last one that it could, says so, and holds no more than the lesser of the floors
- * of both, since the fleet plans without it. It keeps the {@value #MOST_KEPT} texts read last.
+ * The policy in force at one gateway. The version that the fleet agreed on should be; a gateway that lacks its text, or
+ * cannot read it, goes on with the last one that it could read, reports so, and holds no more than the lesser of the
+ * floors of both, since the fleet plans without it. It keeps the {@value #MAX_KEPT} texts read last.
  */
-public final class PolicySeat {
-    private static final int MOST_KEPT = 4;
+public final class ActivePolicy {
+    private static final int MAX_KEPT = 4;
 
     /** How the gateway stands to the version that rules. */
-    public enum Standing {
+    public enum Status {
         /** The fleet has agreed on none: no pool is limited. */
         NONE,
         /** This gateway goes by the version that rules. */
@@ -34,7 +34,7 @@
     public void read(PoolPolicyCheck checked) {
         read.remove(checked.version());
         read.put(checked.version(), checked);
-        if (read.size() > MOST_KEPT) {
+        if (read.size() > MAX_KEPT) {
             PolicyHash oldest = read.keySet().stream()
                     .filter(h -> ruling.isEmpty() || !ruling.get().hash().equals(h)).findFirst().orElseThrow();
             read.remove(oldest);
@@ -57,14 +57,14 @@
         });
     }
 
-    public Standing standing() {
+    public Status standing() {
         if (ruling.isEmpty()) {
-            return Standing.NONE;
+            return Status.NONE;
         }
         if (applied.equals(ruling)) {
-            return Standing.APPLIES;
+            return Status.APPLIES;
         }
-        return read.containsKey(ruling.get().hash()) ? Standing.UNREADABLE : Standing.MISSING;
+        return read.containsKey(ruling.get().hash()) ? Status.UNREADABLE : Status.MISSING;
     }
 
     /** The version that the fleet agreed on. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.pool.lang.Draft;
-import sandpaddle.fleet.pool.lang.Draft.GroupDraft;
-import sandpaddle.fleet.pool.lang.Draft.Member;
+import sandpaddle.fleet.pool.lang.PolicyDraft;
+import sandpaddle.fleet.pool.lang.PolicyDraft.GroupDraft;
+import sandpaddle.fleet.pool.lang.PolicyDraft.Member;
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.Limits;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.Spot;
+import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
  * Resolves groups to their tenants. Each group is visited once, and what all visits copy is bounded, so groups within
@@ -31,7 +31,7 @@
     }
 
     /** Every group with its tenants; members that are faulty are told and left out. */
-    static Map<String, Set<String>> resolve(Draft draft, FaultList faults) {
+    static Map<String, Set<String>> resolve(PolicyDraft draft, FaultList faults) {
         Groups groups = new Groups(faults);
         for (GroupDraft each : draft.groups) {
             groups.add(each);
@@ -43,8 +43,8 @@
     }
 
     private void add(GroupDraft group) {
-        if (drafts.size() == Limits.MOST_GROUPS) {
-            faults.error(group.at(), "more than " + Limits.MOST_GROUPS + " groups", Limits.MOST_GROUPS + " at most");
+        if (drafts.size() == Limits.MAX_GROUPS) {
+            faults.error(group.at(), "more than " + Limits.MAX_GROUPS + " groups", Limits.MAX_GROUPS + " at most");
             return;
         }
         GroupDraft first = drafts.putIfAbsent(group.name(), group);
@@ -64,7 +64,7 @@
         Set<Member> seen = new HashSet<>();
         int height = 1;
         for (Member member : group.members()) {
-            if (!seen.add(new Member(new Spot(1, 1), member.group(), member.name()))) {
+            if (!seen.add(new Member(new SourcePosition(1, 1), member.group(), member.name()))) {
                 faults.error(member.at(), "'" + member.name() + "' twice in a group", "once");
             } else if (!member.group()) {
                 tenant(member, tenants);
@@ -72,8 +72,8 @@
                 height = Math.max(height, 1 + nested(group, member, tenants));
             }
         }
-        if (height > Limits.MOST_NESTING && heights.values().stream().noneMatch(h -> h > Limits.MOST_NESTING)) {
-            faults.error(group.at(), "groups nested " + height + " deep", Limits.MOST_NESTING + " at most");
+        if (height > Limits.MAX_NESTING && heights.values().stream().noneMatch(h -> h > Limits.MAX_NESTING)) {
+            faults.error(group.at(), "groups nested " + height + " deep", Limits.MAX_NESTING + " at most");
         }
         open.remove(group.name());
         heights.put(group.name(), height);
@@ -93,7 +93,7 @@
         GroupDraft inner = drafts.get(member.name());
         if (inner == null) {
             faults.error(member.at(), "the unknown group " + member.name(),
-                    Nearest.words("a group of this file", member.name(), drafts.keySet()));
+                    NameSuggestions.words("a group of this file", member.name(), drafts.keySet()));
             return 0;
         }
         if (open.contains(member.name())) {
@@ -103,11 +103,11 @@
         }
         int height = visit(inner);
         copied += resolved.get(member.name()).size();
-        if (copied <= Limits.MOST_EXPANDED) {
+        if (copied <= Limits.MAX_EXPANDED) {
             tenants.addAll(resolved.get(member.name()));
-        } else if (copied - resolved.get(member.name()).size() <= Limits.MOST_EXPANDED) {
-            faults.error(member.at(), "groups that copy more than " + Limits.MOST_EXPANDED + " members",
-                    Limits.MOST_EXPANDED + " at most");
+        } else if (copied - resolved.get(member.name()).size() <= Limits.MAX_EXPANDED) {
+            faults.error(member.at(), "groups that copy more than " + Limits.MAX_EXPANDED + " members",
+                    Limits.MAX_EXPANDED + " at most");
         }
         return height;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.TreeMap;
-import sandpaddle.fleet.pool.model.Facts;
-import sandpaddle.fleet.pool.model.Facts.Engine;
+import sandpaddle.fleet.pool.model.SolverInput;
+import sandpaddle.fleet.pool.model.SolverInput.Engine;
 import sandpaddle.fleet.pool.model.Statement.Budget;
 import sandpaddle.fleet.pool.model.Statement.Scope;
-import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.pool.rule.Budgets;
+import sandpaddle.fleet.pool.rule.Capacity;
 
 /**
  * What each budget leaves for tenants with the engines that are there now.
@@ -22,10 +22,10 @@
  */
 record Capacities(Optional<Capacity> fleet, Map<String, Capacity> kinds, Map<String, Map<String, Capacity>> engines,
         Map<String, Integer> counts) {
-    static Capacities of(Budgets budgets, Facts facts) {
+    static Capacities of(Budgets budgets, SolverInput solverInput) {
         Map<String, Integer> counts = new TreeMap<>();
         Map<String, Map<String, Capacity>> engines = new TreeMap<>();
-        List<Engine> sorted = facts.engines().stream()
+        List<Engine> sorted = solverInput.engines().stream()
                 .sorted((a, b) -> a.name().compareTo(b.name())).toList();
         for (Engine engine : sorted) {
             counts.merge(engine.kind(), 1, Integer::sum);
@@ -39,7 +39,7 @@
                     .ifPresent(b -> kinds.put(kind.getKey(), Capacity.ofMany(budgets, b, kind.getValue())));
         }
         Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
-        return new Capacities(fleet.map(b -> Capacity.ofMany(budgets, b, facts.engines().size())), kinds, engines,
+        return new Capacities(fleet.map(b -> Capacity.ofMany(budgets, b, solverInput.engines().size())), kinds, engines,
                 counts);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sandpaddle.fleet.pool.rule.Capacity;
-import sandpaddle.fleet.pool.solve.Allotment.Cell;
+import sandpaddle.fleet.pool.solve.Allocation.Cell;
 
 /**
  * Spreads what each gateway has at engines of a kind over those engines, none over its budget. Cells stay as they were
@@ -57,15 +57,15 @@
         int rows = wanted.length;
         long[] weight = new long[rows];
         Arrays.fill(weight, 1);
-        int[] most = Arrays.stream(wanted).mapToInt(w -> (int) Math.min(w, whole)).toArray();
+        int[] max = Arrays.stream(wanted).mapToInt(w -> (int) Math.min(w, whole)).toArray();
         int[][] links = new int[rows][];
         Arrays.fill(links, new int[] {0});
         int[] ties = new int[rows];
         for (int row = 0; row < rows; row++) {
             ties[row] = Rows.tie(new Rows.Name(kind, gateways[row], "", ""));
         }
-        Network net = new Network(weight, new int[rows], most, links, new long[] {whole});
-        return Rounding.round(net, Filling.fill(net).value(), new int[rows], ties);
+        Network net = new Network(weight, new int[rows], max, links, new long[] {whole});
+        return Rounding.round(net, ProgressiveFilling.fill(net).value(), new int[rows], ties);
     }
 
     private int[][] kept(String[] gateways, int[] sums, List<Cell> previous) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Filling.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
@@ -7,7 +7,7 @@
  * that has no more for its weight. Instead of small steps the next event is taken from two heaps, of rows and of links:
  * O((n + m) k log(n + m)) for n rows of at most k links among m.
  */
-final class Filling {
+final class ProgressiveFilling {
     private static final byte HELD = 0;
     private static final byte RISING = 1;
     private static final byte DONE = 2;
@@ -24,7 +24,7 @@
     private double level;
     private long steps;
 
-    private Filling(Network net) {
+    private ProgressiveFilling(Network net) {
         this.net = net;
         int links = net.capacity().length;
         members = net.members();
@@ -41,7 +41,7 @@
     record Shares(double[] value, long steps) { }
 
     static Shares fill(Network net) {
-        Filling filling = new Filling(net);
+        ProgressiveFilling filling = new ProgressiveFilling(net);
         filling.run();
         return new Shares(filling.value,
                 filling.steps + filling.rowEvents.steps() + filling.linkEvents.steps());
@@ -49,15 +49,15 @@
 
     private void run() {
         for (int row = 0; row < net.rows(); row++) {
-            int least = net.least()[row];
-            value[row] = least;
+            int min = net.min()[row];
+            value[row] = min;
             for (int link : net.links()[row]) {
-                fixed[link] += least;
+                fixed[link] += min;
             }
-            if (net.most()[row] <= least) {
+            if (net.max()[row] <= min) {
                 state[row] = DONE;
-            } else if (least > 0) {
-                rowEvents.put(row, least / (double) net.weight()[row]);
+            } else if (min > 0) {
+                rowEvents.put(row, min / (double) net.weight()[row]);
             } else {
                 rise(row);
             }
@@ -78,7 +78,7 @@
     /** The level has reached what the row holds, or the most that it may have. */
     private void next(int row) {
         if (state[row] == RISING) {
-            stop(row, net.most()[row]);
+            stop(row, net.max()[row]);
             return;
         }
         rise(row);
@@ -90,11 +90,11 @@
     private void rise(int row) {
         state[row] = RISING;
         for (int link : net.links()[row]) {
-            fixed[link] -= net.least()[row];
+            fixed[link] -= net.min()[row];
             rate[link] += net.weight()[row];
             risers[link]++;
         }
-        rowEvents.put(row, net.most()[row] / (double) net.weight()[row]);
+        rowEvents.put(row, net.max()[row] / (double) net.weight()[row]);
     }
 
     /** The link may be full; rows that stopped since its event was set put that off, and nothing was done for it. */
@@ -114,8 +114,8 @@
         for (int row : members[link]) {
             steps++;
             if (state[row] != DONE) {
-                double reached = state[row] == RISING ? net.weight()[row] * level : net.least()[row];
-                stop(row, Math.max(net.least()[row], Math.min(net.most()[row], reached)));
+                double reached = state[row] == RISING ? net.weight()[row] * level : net.min()[row];
+                stop(row, Math.max(net.min()[row], Math.min(net.max()[row], reached)));
             }
         }
         linkEvents.remove(link);
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/OwnDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -5,40 +5,40 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Restoring;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.store.Identity;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** What a gateway keeps on its disk about itself as a voter, and about the others. */
-public class OwnDisk {
-    private static final String LIVES = "raft.lives";
+/** What a gateway persists about itself as a voter, and about the other voters. */
+public class LocalVoterState {
+    private static final String INCARNATIONS = "raft.lives";
     private static final String RETIRED = "raft.retired";
     private static final String FAULTS = "raft.faults";
     private static final String SEEN = "raft.seen";
-    private static final int MOST_TEXT = 1000;
+    private static final int MAX_TEXT = 1000;
 
     private final VoterStore store;
     private final String cluster;
     private final String name;
-    private Seen remembered;
+    private PeerIncarnations remembered;
 
-    public OwnDisk(VoterStore store, String cluster, String name) {
+    public LocalVoterState(VoterStore store, String cluster, String name) {
         this.store = store;
         this.cluster = cluster;
         this.name = name;
     }
 
     /** Under which endpoint this disk votes or voted; none on an empty one. */
-    public Optional<Endpoint> endpoint(Found found) throws StoreException {
-        if (found.identity().isEmpty()) {
+    public Optional<Endpoint> endpoint(RecoveredState recovered) throws StoreException {
+        if (recovered.identity().isEmpty()) {
             return Optional.empty();
         }
-        Identity id = found.identity().get();
+        Identity id = recovered.identity().get();
         if (!id.cluster().equals(cluster) || !id.member().equals(name)) {
             throw new StoreException(StoreException.Kind.FOREIGN, "the store belongs to " + id.member()
                 + " of the cluster " + id.cluster() + ", not to " + name + " of " + cluster);
@@ -51,26 +51,26 @@
     }
 
     /** Why this endpoint may not vote any more, as far as its own disk tells. */
-    public Optional<String> unfit(Endpoint self, Found found) throws StoreException {
+    public Optional<String> unfit(Endpoint self, RecoveredState recovered) throws StoreException {
         if (text(RETIRED).equals(self.toString())) {
             return Optional.of("it was refused or removed before");
         }
-        if (found.trusted() && !Restoring.isPrepared(store)) {
+        if (recovered.trusted() && !StateRestorer.isPrepared(store)) {
             return Optional.of("it was cut short when it took this number");
         }
-        String faults = faults(found);
+        String faults = faults(recovered);
         return faults.isEmpty() || faults.equals(text(FAULTS)) ? Optional.empty() : Optional.of(faults);
     }
 
-    private static String faults(Found found) {
-        String all = String.join("; ", found.faults());
-        return all.substring(0, Math.min(MOST_TEXT / 4, all.length()));
+    private static String faults(RecoveredState recovered) {
+        String all = String.join("; ", recovered.faults());
+        return all.substring(0, Math.min(MAX_TEXT / 4, all.length()));
     }
 
     private String text(String key) throws StoreException {
         Optional<byte[]> kept = store.get(key);
         try {
-            return kept.isEmpty() ? "" : new CborIn(kept.get()).text(MOST_TEXT);
+            return kept.isEmpty() ? "" : new CborIn(kept.get()).text(MAX_TEXT);
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, key + ": " + e.getMessage(), e);
         }
@@ -78,30 +78,30 @@
 
     /** This endpoint never votes again; durable when it returns. */
     public void retire(Endpoint self) throws StoreException {
-        if (!store.found().trusted()) {
+        if (!store.recovered().trusted()) {
             return; // it says so itself at each opening, and takes nothing before it has a new endpoint
         }
         store.put(RETIRED, new CborOut().text(self.toString()).done());
     }
 
-    /** Draws a life for this opening; durable when it returns, so that no two openings ever claim the same. */
-    public Claim open(Endpoint self, Found found, Random random) throws StoreException {
-        List<Long> former = lives();
-        long life = random.nextLong();
+    /** Draws an incarnation for this opening; durable when it returns, so that no two openings ever claim the same. */
+    public JoinRequest open(Endpoint self, RecoveredState recovered, Random random) throws StoreException {
+        List<Long> former = incarnations();
+        long incarnation = random.nextLong();
         List<Long> all = new ArrayList<>(former);
-        all.add(life);
-        int drop = Math.max(0, all.size() - Claim.MOST_FORMER);
-        store.put(LIVES, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
-        return new Claim(self, life, former, found.term(), found.lastIndex());
+        all.add(incarnation);
+        int drop = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
+        store.put(INCARNATIONS, new CborOut().list(all.subList(drop, all.size()), CborOut::number).done());
+        return new JoinRequest(self, incarnation, former, recovered.term(), recovered.lastIndex());
     }
 
-    private List<Long> lives() throws StoreException {
-        Optional<byte[]> kept = store.get(LIVES);
+    private List<Long> incarnations() throws StoreException {
+        Optional<byte[]> kept = store.get(INCARNATIONS);
         try {
-            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(Claim.MOST_FORMER,
+            return kept.isEmpty() ? List.of() : new CborIn(kept.get()).list(JoinRequest.MAX_FORMER,
                 i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
         } catch (FaultyMessageException e) {
-            throw new StoreException(StoreException.Kind.CORRUPT, LIVES + ": " + e.getMessage(), e);
+            throw new StoreException(StoreException.Kind.CORRUPT, INCARNATIONS + ": " + e.getMessage(), e);
         }
     }
 
@@ -110,25 +110,25 @@
      * what was once agreed or replaced, as any slow server's. The identity is written last, so that a crash before it
      * leaves the old endpoint, which is out of use.
      */
-    public void adopt(Endpoint self, List<Endpoint> first, Found found) throws StoreException {
+    public void adopt(Endpoint self, List<Endpoint> first, RecoveredState recovered) throws StoreException {
         Identity id = new Identity(cluster, name, self.toString());
-        if (!found.trusted()) {
+        if (!recovered.trusted()) {
             store.identity(id); // empties it, and makes it take writes again
         }
-        Restoring.prepare(store, first, false);
-        store.put(LIVES, new CborOut().list(List.<Long>of(), CborOut::number).done());
-        store.put(FAULTS, new CborOut().text(faults(found)).done());
-        if (found.trusted()) {
+        StateRestorer.prepare(store, first, false);
+        store.put(INCARNATIONS, new CborOut().list(List.<Long>of(), CborOut::number).done());
+        store.put(FAULTS, new CborOut().text(faults(recovered)).done());
+        if (recovered.trusted()) {
             store.identity(id);
         }
     }
 
     /** What is remembered; within one process that is more than what was written, also after the store failed. */
-    public Seen seen() throws StoreException {
+    public PeerIncarnations seen() throws StoreException {
         Optional<byte[]> kept = remembered == null ? store.get(SEEN) : Optional.empty();
         try {
             if (remembered == null) {
-                remembered = kept.isEmpty() ? new Seen() : Seen.read(kept.get());
+                remembered = kept.isEmpty() ? new PeerIncarnations() : PeerIncarnations.read(kept.get());
             }
             return remembered;
         } catch (FaultyMessageException e) {
@@ -137,7 +137,7 @@
     }
 
     /** Durable when it returns. */
-    public void keep(Seen seen) throws StoreException {
+    public void keep(PeerIncarnations seen) throws StoreException {
         store.put(SEEN, seen.write());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/Seen.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -10,51 +10,51 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What a voter remembers of the others, so that a disk that forgot cannot vote twice. Raft's safety rests on voters
- * that never forget a vote or an entry that they acknowledged; an empty disk, or an old copy, breaks that silently.
- * So each opening of a store draws a number, its life, and keeps those before; who joins names them, and is refused
- * where a peer met a life that its disk does not know of, or heard it acknowledge more than its disk has. One peer
- * that remembers is enough to refuse; whoever is refused comes back under a new number. Bound: {@value #MOST_NAMES}
- * names.
+ * The incarnations of the other voters that this one has met, so that a disk that forgot cannot vote twice. Raft's
+ * safety rests on voters that never forget a vote or an entry that they acknowledged; an empty disk, or an old copy,
+ * breaks that silently. So each opening of a store draws a number, its incarnation, and keeps those before; who joins
+ * names them, and is refused where a peer met an incarnation that its disk does not know of, or heard it acknowledge
+ * more than its disk has. One peer that remembers is enough to refuse; whoever is refused comes back under a new
+ * number. Bound: {@value #MAX_NAMES} names.
  */
-public class Seen {
+public class PeerIncarnations {
     /** Of names; the one not met for longest is forgotten for a new one. */
-    public static final int MOST_NAMES = 64;
+    public static final int MAX_NAMES = 64;
 
-    /** The newest endpoint of a name: its life, and the highest term and index at that term that it told. */
-    private record Sight(int number, long life, int term, long index) { }
+    /** The newest endpoint of a name: its incarnation, and the highest term and index at that term that it told. */
+    private record Sighting(int number, long incarnation, int term, long index) { }
 
-    private final Map<String, Sight> sights = new LinkedHashMap<>();
+    private final Map<String, Sighting> sights = new LinkedHashMap<>();
 
     /** Why an endpoint may not take part, and the highest number known of its name. */
     public record Refusal(String why, int highest) { }
 
-    /** Judges a claim; where it is good this life is the one that counts from now on, and to be made durable. */
-    public Optional<Refusal> judge(Claim c) {
-        Sight known = sights.get(c.who().name());
+    /** Judges a claim; where it is good this incarnation is the one that counts from now on, and to be made durable. */
+    public Optional<Refusal> judge(JoinRequest c) {
+        Sighting known = sights.get(c.who().name());
         String why = known == null ? "" : fault(known, c);
         if (!why.isEmpty()) {
             return Optional.of(new Refusal(why, known.number()));
         }
-        if (known == null || known.number() != c.who().number() || known.life() != c.life()) {
+        if (known == null || known.number() != c.who().number() || known.incarnation() != c.incarnation()) {
             meet(c);
         }
         return Optional.empty();
     }
 
-    /** From now on this life is the one that counts. */
-    protected final void meet(Claim c) {
-        keep(c.who().name(), new Sight(c.who().number(), c.life(), c.term(), c.index()));
+    /** From now on this incarnation is the one that counts. */
+    protected final void meet(JoinRequest c) {
+        keep(c.who().name(), new Sighting(c.who().number(), c.incarnation(), c.term(), c.index()));
     }
 
-    private static String fault(Sight known, Claim c) {
+    private static String fault(Sighting known, JoinRequest c) {
         if (known.number() > c.who().number()) {
             return "the name votes as number " + known.number() + " since";
         }
-        if (known.number() < c.who().number() || known.life() == c.life()) {
+        if (known.number() < c.who().number() || known.incarnation() == c.incarnation()) {
             return "";
         }
-        if (!c.former().contains(known.life())) {
+        if (!c.former().contains(known.incarnation())) {
             return "its disk does not know of a life that was met: it is empty or an old copy";
         }
         if (c.term() < known.term() || c.term() == known.term() && c.index() < known.index()) {
@@ -64,15 +64,15 @@
         return "";
     }
 
-    /** Whether messages of this life of an endpoint may be handed on. */
-    public boolean admits(Endpoint who, long life) {
-        Sight known = sights.get(who.name());
-        return known != null && known.number() == who.number() && known.life() == life;
+    /** Whether messages of this incarnation of an endpoint may be handed on. */
+    public boolean admits(Endpoint who, long incarnation) {
+        Sighting known = sights.get(who.name());
+        return known != null && known.number() == who.number() && known.incarnation() == incarnation;
     }
 
     /** Whether this endpoint was ever welcomed here. */
     public boolean met(Endpoint who) {
-        Sight known = sights.get(who.name());
+        Sighting known = sights.get(who.name());
         return known != null && known.number() == who.number();
     }
 
@@ -83,18 +83,19 @@
      * @return whether the term is new, so that this is worth a write to the disk
      */
     public boolean told(Endpoint who, int term, long index) {
-        Sight known = sights.get(who.name());
+        Sighting known = sights.get(who.name());
         if (known == null || known.number() != who.number() || term < known.term()) {
             return false;
         }
         boolean isNew = term > known.term();
-        keep(who.name(), new Sight(known.number(), known.life(), term, isNew ? index : Math.max(index, known.index())));
+        keep(who.name(), new Sighting(known.number(), known.incarnation(), term, isNew ? index
+            : Math.max(index, known.index())));
         return isNew;
     }
 
-    private void keep(String name, Sight sight) {
+    private void keep(String name, Sighting sight) {
         sights.remove(name); // so that it stands last
-        if (sights.size() >= MOST_NAMES) {
+        if (sights.size() >= MAX_NAMES) {
             sights.remove(sights.keySet().iterator().next());
         }
         sights.put(name, sight);
@@ -102,15 +103,15 @@
 
     public byte[] write() {
         return new CborOut().list(sights.entrySet(), (out, e) -> out.text(e.getKey()).number(e.getValue().number())
-            .number(e.getValue().life()).number(e.getValue().term()).number(e.getValue().index())).done();
+            .number(e.getValue().incarnation()).number(e.getValue().term()).number(e.getValue().index())).done();
     }
 
-    public static Seen read(byte[] kept) throws FaultyMessageException {
-        Seen seen = new Seen();
+    public static PeerIncarnations read(byte[] kept) throws FaultyMessageException {
+        PeerIncarnations seen = new PeerIncarnations();
         CborIn in = new CborIn(kept);
-        List<Boolean> all = in.list(MOST_NAMES, i -> {
-            String name = i.text(Endpoint.MOST_NAME_BYTES);
-            seen.sights.put(name, new Sight((int) i.number(1, Endpoint.MOST_NUMBER),
+        List<Boolean> all = in.list(MAX_NAMES, i -> {
+            String name = i.text(Endpoint.MAX_NAME_BYTES);
+            seen.sights.put(name, new Sighting((int) i.number(1, Endpoint.MAX_NUMBER),
                 i.number(Long.MIN_VALUE, Long.MAX_VALUE), (int) i.number(0, Integer.MAX_VALUE),
                 i.number(0, Long.MAX_VALUE)));
             return true;
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Rounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/LeadershipCheck.java
@@ -5,33 +5,34 @@
 import java.util.function.Consumer;
 
 /**
- * Proves that this leader is still the one, by a round of answers from a majority (Ongaro's thesis, 6.4). Each voter
- * that answers has not voted in a later term up to its answer, and it was sent the question after the caller asked; a
- * later leader needs the vote of one of them; so none was elected before the call. A lease by clocks would prove less:
- * MicroRaft reckons it from when answers came in, and a handed-over leadership does not wait for it to lapse.
+ * Confirms that this node still leads, by a round of answers from a majority (read index, Ongaro's thesis, 6.4). Each
+ * voter that answers has not voted in a later term up to its answer, and it was sent the question after the caller
+ * asked; a later leader needs the vote of one of them; so none was elected before the call. A lease by clocks would
+ * prove less: MicroRaft reckons it from when answers came in, and a handed-over leadership does not wait for it to
+ * lapse.
  *
  * <p>MicroRaft counts a question that comes while a round is under way as part of that round, whose answers may be
  * older than the question. So one round is under way at a time, and who asks meanwhile waits for the next.
  */
-public final class Rounds {
+public final class LeadershipCheck {
     /** Callers that wait; further ones are told no. */
-    public static final int MOST_WAITING = 10_000;
+    public static final int MAX_WAITING = 10_000;
 
     private List<Consumer<Boolean>> asked = new ArrayList<>();
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
     private boolean underWay;
 
-    /** Asks in the next round of {@code life}. */
-    public void ask(Life life, Consumer<Boolean> leads) {
-        if (!life.isLeader() || waiting.size() >= MOST_WAITING) {
+    /** Asks in the next round of {@code incarnation}. */
+    public void ask(RaftIncarnation incarnation, Consumer<Boolean> leads) {
+        if (!incarnation.isLeader() || waiting.size() >= MAX_WAITING) {
             leads.accept(false);
             return;
         }
         waiting.add(leads);
-        start(life);
+        start(incarnation);
     }
 
-    private void start(Life life) {
+    private void start(RaftIncarnation incarnation) {
         if (underWay || waiting.isEmpty()) {
             return;
         }
@@ -39,10 +40,10 @@
         asked = waiting;
         waiting = new ArrayList<>();
         List<Consumer<Boolean>> round = asked;
-        life.ask((answer, failure) -> {
+        incarnation.ask((answer, failure) -> {
             if (round == asked) {
                 finish(failure == null);
-                start(life);
+                start(incarnation);
             }
         });
     }
@@ -54,7 +55,7 @@
         round.forEach(c -> c.accept(leads));
     }
 
-    /** The life has ended: nobody leads. */
+    /** The incarnation has ended: it does not lead any more. */
     public void end() {
         List<Consumer<Boolean>> all = new ArrayList<>(asked);
         all.addAll(waiting);
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/Turns.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What MicroRaft wants run, in turns that the caller takes: it has no thread and no clock of its own. Tasks put off by
- * {@code submit} run after all others of a turn, so that one flush covers all entries of the turn.
+ * Executes MicroRaft's tasks and timers in turns that the caller takes: it has no thread and no clock of its own. Tasks
+ * put off by {@code submit} run after all others of a turn, so that one flush covers all entries of the turn.
  */
-final class Turns implements RaftNodeExecutor {
+final class TurnExecutor implements RaftNodeExecutor {
     /** Tasks of one turn; the rest waits for the next, so that a turn always ends. */
-    static final int MOST_TASKS = 10_000;
+    static final int MAX_TASKS = 10_000;
 
     private record Timed(long at, long number, Runnable task) implements Comparable<Timed> {
         @Override
@@ -32,7 +32,7 @@
     private long number;
     private boolean direct;
 
-    Turns(long now) {
+    TurnExecutor(long now) {
         this.now = now;
     }
 
@@ -69,7 +69,7 @@
     /** Runs what is due at {@code now} (us); time never goes back. */
     void run(long at) {
         now = Math.max(now, at);
-        for (int i = 0; i < MOST_TASKS; i++) {
+        for (int i = 0; i < MAX_TASKS; i++) {
             Timed timed = timers.peek();
             if (timed != null && timed.at() <= now) {
                 ready.add(timers.poll().task());
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Proposals.java
@@ -11,12 +11,12 @@
 import java.util.function.Consumer;
 import sandpaddle.fleet.state.Consensus.Outcome;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
 
 /** Proposals that have no outcome yet; each gets one, also where MicroRaft forgets it when its store failed. */
 final class Proposals {
     /** Further ones are answered at once: propose later. */
-    static final int MOST = 512;
+    static final int MAX_OPEN = 512;
 
     private static final class Open {
         private Consumer<Outcome> outcome;
@@ -28,14 +28,14 @@
 
     private final Set<Open> open = new LinkedHashSet<>();
 
-    void propose(Life life, byte[] command, Consumer<Outcome> outcome) {
-        if (open.size() >= MOST) {
+    void propose(RaftIncarnation incarnation, byte[] command, Consumer<Outcome> outcome) {
+        if (open.size() >= MAX_OPEN) {
             outcome.accept(new Outcome.NotLeader(Optional.empty()));
             return;
         }
         Open one = new Open(outcome);
         open.add(one);
-        life.replicate(command, (done, failure) -> finish(one, failure == null ? done(done) : failed(failure)));
+        incarnation.replicate(command, (done, failure) -> finish(one, failure == null ? done(done) : failed(failure)));
     }
 
     private void finish(Open one, Outcome how) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Standing.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -4,51 +4,54 @@
 import java.util.Optional;
 import java.util.Random;
 import sandpaddle.fleet.state.Replicated;
-import sandpaddle.fleet.state.admit.Claim;
-import sandpaddle.fleet.state.admit.OwnDisk;
+import sandpaddle.fleet.state.admit.JoinRequest;
+import sandpaddle.fleet.state.admit.LocalVoterState;
 import sandpaddle.fleet.state.machine.Membership;
 import sandpaddle.fleet.state.raft.Commands;
 import sandpaddle.fleet.state.raft.Endpoint;
-import sandpaddle.fleet.state.raft.Life;
+import sandpaddle.fleet.state.raft.LeadershipCheck;
 import sandpaddle.fleet.state.raft.Members;
-import sandpaddle.fleet.state.raft.Restoring;
-import sandpaddle.fleet.state.raft.Rounds;
+import sandpaddle.fleet.state.raft.RaftIncarnation;
+import sandpaddle.fleet.state.raft.StateRestorer;
 import sandpaddle.fleet.state.voter.Voter.Phase;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
-/** How a gateway stands to the group: its phase, its endpoint, and the life of Raft that it has while it takes part. */
-final class Standing {
+/**
+ * The state of a gateway as a voter: its phase, its endpoint, and the Raft incarnation that it runs while it takes
+ * part.
+ */
+final class VoterState {
     private final Voter.Settings settings;
     private final VoterStore store;
-    private final OwnDisk disk;
+    private final LocalVoterState disk;
     private final Replicated machine;
     private final byte[] initial;
-    private final Voter.Around around;
+    private final Voter.Callbacks callbacks;
     private final Random random;
-    private final Rounds rounds = new Rounds();
+    private final LeadershipCheck rounds = new LeadershipCheck();
     private final Proposals proposals = new Proposals();
-    private final Door door;
+    private final VoterTransport transport;
 
     private Phase phase = Phase.FAILED;
     private String failure = "";
     private Optional<Endpoint> self = Optional.empty();
     private Optional<Admission> admission = Optional.empty();
-    private Optional<Life> life = Optional.empty();
-    private Optional<Changer> changer = Optional.empty();
+    private Optional<RaftIncarnation> incarnation = Optional.empty();
+    private Optional<MembershipChanger> changer = Optional.empty();
     private long now;
 
-    Standing(Voter.Settings settings, VoterStore store, OwnDisk disk, Replicated machine, Voter.Around around,
-            Random random) {
+    VoterState(Voter.Settings settings, VoterStore store, LocalVoterState disk, Replicated machine,
+            Voter.Callbacks callbacks, Random random) {
         this.settings = settings;
         this.store = store;
         this.disk = disk;
         this.machine = machine;
         this.initial = machine.snapshot();
-        this.around = around;
+        this.callbacks = callbacks;
         this.random = random;
-        this.door = new Door(this, around);
+        this.transport = new VoterTransport(this, callbacks);
     }
 
     /** Looks at the disk, and asks to take part where it says that this gateway votes. */
@@ -59,15 +62,15 @@
             return;
         }
         try {
-            Found found = store.found();
-            self = disk.endpoint(found);
-            Optional<String> unfit = self.isEmpty() ? Optional.empty() : disk.unfit(self.get(), found);
+            RecoveredState recovered = store.recovered();
+            self = disk.endpoint(recovered);
+            Optional<String> unfit = self.isEmpty() ? Optional.empty() : disk.unfit(self.get(), recovered);
             if (self.isEmpty()) {
                 phase = Phase.IDLE;
             } else if (unfit.isPresent()) {
                 retire(unfit.get());
             } else {
-                ask(found, Restoring.members(store, found));
+                ask(recovered, StateRestorer.members(store, recovered));
             }
             failure = "";
         } catch (StoreException e) {
@@ -75,41 +78,41 @@
         }
     }
 
-    private void ask(Found found, Members members) throws StoreException {
-        Claim claim = disk.open(self.orElseThrow(), found, random);
+    private void ask(RecoveredState recovered, Members members) throws StoreException {
+        JoinRequest claim = disk.open(self.orElseThrow(), recovered, random);
         admission = Optional.of(new Admission(disk, claim, members,
             e -> numbers(e.name()).retired() >= e.number(), now));
         phase = Phase.ASKING;
         takePart();
     }
 
-    /** Starts Raft where enough others welcomed this life. */
+    /** Starts Raft where enough others welcomed this incarnation. */
     private void takePart() throws StoreException {
         if (phase != Phase.ASKING || !admission.orElseThrow().isAdmitted(now)) {
             return;
         }
-        around.said("takes part in the agreement as " + self.orElseThrow());
+        callbacks.said("takes part in the agreement as " + self.orElseThrow());
         begin();
     }
 
     private void begin() throws StoreException {
         Endpoint me = self.orElseThrow();
         machine.install(initial); // what the log has is applied again from the snapshot on
-        life = Optional.of(new Life(settings.cluster(), me, store, store.found(), new Commands(machine), door::raft,
-            settings.raft(), random, now));
-        changer = Optional.of(new Changer(me, settings.membership(), door));
+        incarnation = Optional.of(new RaftIncarnation(settings.cluster(), me, store, store.recovered(),
+            new Commands(machine), transport::raft, settings.raft(), random, now));
+        changer = Optional.of(new MembershipChanger(me, settings.membership(), transport));
         phase = Phase.VOTING;
-        life.get().start();
+        incarnation.get().start();
     }
 
-    /** What a step of Raft made of its life; whether it still has one. */
-    boolean lives() {
-        if (life.isEmpty()) {
+    /** What a step of Raft made of its incarnation; whether it still has one. */
+    boolean isActive() {
+        if (incarnation.isEmpty()) {
             return false;
         }
-        Life l = life.get();
-        if (l.startsAgain()) {
-            startAgain(l);
+        RaftIncarnation l = incarnation.get();
+        if (l.needsRestart()) {
+            needsRestart(l);
         } else if (l.fault().isPresent()) {
             fail(l.fault().get());
         } else if (l.startFault().isPresent()) {
@@ -118,10 +121,10 @@
         } else if (l.isRemoved()) {
             retire("the group removed it");
         }
-        return life.isPresent();
+        return incarnation.isPresent();
     }
 
-    private void startAgain(Life old) {
+    private void needsRestart(RaftIncarnation old) {
         changer.ifPresent(c -> c.end(Optional.empty()));
         old.end();
         proposals.end("this gateway follows another leader");
@@ -143,17 +146,17 @@
         phase = Phase.FAILED;
         if (!why.equals(failure)) {
             failure = why;
-            around.said("neither votes nor acknowledges: " + why);
+            callbacks.said("neither votes nor acknowledges: " + why);
         }
     }
 
     void stop(String why) {
-        life.ifPresent(l -> {
+        incarnation.ifPresent(l -> {
             Optional<String> leader = l.leader().map(Endpoint::name).filter(n -> !n.equals(settings.name()));
             l.end();
             changer.ifPresent(c -> c.end(leader));
         });
-        life = Optional.empty();
+        incarnation = Optional.empty();
         changer = Optional.empty();
         admission = Optional.empty();
         proposals.end(why);
@@ -165,7 +168,7 @@
         Endpoint old = self.orElseThrow();
         stop(old + " is out of use: " + why);
         phase = Phase.RETIRED;
-        around.said(old + " votes no more, and waits to be invited under a new number: " + why);
+        callbacks.said(old + " votes no more, and waits to be invited under a new number: " + why);
         try {
             disk.retire(old);
         } catch (StoreException e) {
@@ -181,9 +184,9 @@
         }
         stop("this gateway votes as " + who + " from now on");
         phase = Phase.IDLE;
-        disk.adopt(who, first, store.found());
+        disk.adopt(who, first, store.recovered());
         self = Optional.of(who);
-        ask(store.found(), new Members(0, voters, voters));
+        ask(store.recovered(), new Members(0, voters, voters));
     }
 
     void welcomed(Endpoint by) throws StoreException {
@@ -194,7 +197,7 @@
     /** Asks whom it is time to ask. */
     void step(long at) {
         now = at;
-        admission.ifPresent(a -> a.due(now).forEach(door::ask));
+        admission.ifPresent(a -> a.due(now).forEach(transport::ask));
         try {
             takePart();
         } catch (StoreException e) {
@@ -214,19 +217,19 @@
         return self;
     }
 
-    Optional<Life> life() {
-        return life;
+    Optional<RaftIncarnation> incarnation() {
+        return incarnation;
     }
 
     Optional<Admission> admission() {
         return admission;
     }
 
-    Optional<Changer> changer() {
+    Optional<MembershipChanger> changer() {
         return changer;
     }
 
-    Rounds rounds() {
+    LeadershipCheck rounds() {
         return rounds;
     }
 
@@ -234,8 +237,8 @@
         return proposals;
     }
 
-    Door door() {
-        return door;
+    VoterTransport transport() {
+        return transport;
     }
 
     VoterStore store() {
--- a/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/DiskWatch.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.store;
 
-import sandpaddle.fleet.store.State.Condition;
+import sandpaddle.fleet.store.StoreState.Condition;
 
 /**
  * Judges a disk by what it did: when to probe it after a failure, whether it may be used again, and whether its syncs
@@ -27,9 +27,9 @@
 
     /** Something failed; nothing is asked of the disk until a probe is due. */
     public void failed(StoreException.Kind kind, String reason, long now) {
-        boolean soon = back && now - backAt < StoreSettings.MOST_PROBE_STEPS * settings.probeUs();
+        boolean soon = back && now - backAt < StoreSettings.MAX_PROBE_STEPS * settings.probeUs();
         boolean again = !back && condition != Condition.CLOSED;
-        step = soon || again ? Math.min(2 * step, StoreSettings.MOST_PROBE_STEPS * settings.probeUs())
+        step = soon || again ? Math.min(2 * step, StoreSettings.MAX_PROBE_STEPS * settings.probeUs())
                 : settings.probeUs();
         back = false;
         slow = false;
@@ -70,14 +70,14 @@
     }
 
     /** To be asked again as time passes: SLOW ends by itself. */
-    public State state(long now) {
+    public StoreState state(long now) {
         if (!back) {
-            return new State(condition, why);
+            return new StoreState(condition, why);
         }
         if (slow && now - slowAt >= SLOW_MEMORY * settings.probeUs()) {
             slow = false;
         }
-        return slow ? new State(Condition.SLOW, "a sync took " + slowTook / 1000 + " ms, more than "
-                + settings.slowFsyncUs() / 1000 + " ms") : State.WORKING;
+        return slow ? new StoreState(Condition.SLOW, "a sync took " + slowTook / 1000 + " ms, more than "
+                + settings.slowFsyncUs() / 1000 + " ms") : StoreState.WORKING;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Spread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -15,11 +15,11 @@
  * lasts also goes back from any gateway to voters that lost it.
  *
  * <p>Cost: each piece goes to each gateway once from each voter that did not get it from there. Bound: one place in the
- * line of changes for each peer with a link, at most {@code membersMost}; batches of at most {@link #PIECES_MOST}.
+ * line of changes for each peer with a link, at most {@code maxMembers}; batches of at most {@link #MAX_PIECES}.
  */
-public final class Spread {
+public final class EvidenceDissemination {
     /** Pieces in one batch at most. */
-    public static final int PIECES_MOST = 200;
+    public static final int MAX_PIECES = 200;
     /** A batch without a piece goes this often, so that the time underway stays known: a sixth of the lease. */
     private static final int ECHOES_A_LEASE = 6;
 
@@ -27,13 +27,13 @@
     private final VerdictSettings settings;
     private final double drift;
     private final EvidenceBook book;
-    private final Map<String, Outlet> outlets = new TreeMap<>();
+    private final Map<String, PeerCursor> cursors = new TreeMap<>();
     private final Map<String, Long> lives = new TreeMap<>();
     private Set<String> voters = Set.of();
     private Map<String, String> halls = Map.of();
 
     /** {@code drift}: by how much two monotonic clocks differ at most, as a part. */
-    public Spread(String self, VerdictSettings settings, double drift, EvidenceBook book) {
+    public EvidenceDissemination(String self, VerdictSettings settings, double drift, EvidenceBook book) {
         this.self = self;
         this.settings = settings;
         this.drift = drift;
@@ -56,29 +56,29 @@
         if (!halls.containsKey(peer)) {
             return; // a stranger gets nothing, and its place would not be bounded
         }
-        Outlet outlet = outlets.computeIfAbsent(peer, p -> new Outlet(new Underway(drift, openedAt)));
-        outlet.underway.up(openedAt);
+        PeerCursor cursor = cursors.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedAt)));
+        cursor.transitTime.up(openedAt);
         Long before = lives.put(peer, incarnation);
         boolean isSameLife = before != null && before == incarnation;
-        outlet.up(isSameLife);
+        cursor.up(isSameLife);
         if (!isSameLife) {
             book.forgetFrom(peer);
         }
-        outlets.keySet().retainAll(halls.keySet());
+        cursors.keySet().retainAll(halls.keySet());
         lives.keySet().retainAll(halls.keySet());
     }
 
     /** What to send to a peer now, if anything: to be asked every {@code evidenceUs}. */
     public Optional<Batch> next(long now, String peer) {
-        Outlet outlet = outlets.get(peer);
-        if (outlet == null) {
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor == null) {
             return Optional.empty();
         }
-        Batch batch = outlet.next(now, book, e -> goesTo(e, peer), PIECES_MOST);
-        boolean echoDue = now - outlet.sentAt >= settings.leaseUs() / ECHOES_A_LEASE;
-        if (batch.told().isEmpty() && !echoDue) {
-            if (outlet.isBehind(batch)) {
-                outlet.passed(batch);
+        Batch batch = cursor.next(now, book, e -> goesTo(e, peer), MAX_PIECES);
+        boolean echoDue = now - cursor.sentAt >= settings.leaseUs() / ECHOES_A_LEASE;
+        if (batch.messages().isEmpty() && !echoDue) {
+            if (cursor.isBehind(batch)) {
+                cursor.passed(batch);
             }
             return Optional.empty();
         }
@@ -86,40 +86,40 @@
     }
 
     private boolean goesTo(EvidenceBook.Entry e, String peer) {
-        String teller = e.evidence().teller();
+        String reporter = e.evidence().reporter();
         boolean lasts = e.evidence().subject().topic().lasts();
-        if (e.from().equals(peer) || teller.equals(peer) && !lasts) {
+        if (e.from().equals(peer) || reporter.equals(peer) && !lasts) {
             return false;
         }
         if (voters.contains(self)) {
             return true;
         }
         boolean near = halls.getOrDefault(peer, "").equals(halls.get(self));
-        return (near || voters.contains(peer)) && (lasts || teller.equals(self));
+        return (near || voters.contains(peer)) && (lasts || reporter.equals(self));
     }
 
     /** The batch was queued on the link; one that was not is built anew the next time. */
     public void sent(String peer, Batch batch) {
-        Outlet outlet = outlets.get(peer);
-        if (outlet != null) {
-            outlet.sent(batch);
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor != null) {
+            cursor.sent(batch);
         }
     }
 
     /** Merges a peer's batch into the book; the number of pieces that were new. */
     public int received(long now, String peer, Batch batch) {
-        Outlet outlet = outlets.get(peer);
-        if (outlet == null) {
+        PeerCursor cursor = cursors.get(peer);
+        if (cursor == null) {
             return 0;
         }
-        long underway = outlet.underway.mostUs(now, batch);
-        outlet.underway.heard(now, batch.stampUs());
-        outlet.heard(batch);
+        long transitTime = cursor.transitTime.maxUs(now, batch);
+        cursor.transitTime.heard(now, batch.stampUs());
+        cursor.heard(batch);
         int changed = 0;
-        for (Told told : batch.told()) {
+        for (EvidenceMessage told : batch.messages()) {
             // Nobody knows better what this gateway says, but for loads that it ran before it started again.
-            boolean isOwn = told.teller().equals(self) && !told.subject().topic().lasts();
-            if (!isOwn && book.put(told.at(now, underway, drift), peer, now) == EvidenceBook.Put.CHANGED) {
+            boolean isOwn = told.reporter().equals(self) && !told.subject().topic().lasts();
+            if (!isOwn && book.put(told.at(now, transitTime, drift), peer, now) == EvidenceBook.Put.CHANGED) {
                 changed++;
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Underway.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/TransitTime.java
@@ -1,18 +1,18 @@
 package sandpaddle.fleet.verdict.evidence;
 
 /**
- * Bounds from above how long a peer's message was underway, without a common clock (as the origin and receive stamps
- * of NTP, RFC 5905). The peer echoes this gateway's latest stamp and says how long it held it; what passed since that
- * stamp, less the holding, is the time underway of both messages. Before an echo came, a message is no older than the
- * link that it came on.
+ * An upper bound for how long a peer's message was in transit, without a common clock (as the origin and receive
+ * timestamps of NTP, RFC 5905). The peer echoes this gateway's latest stamp and says how long it held it; the time
+ * since that stamp, less the holding, is the transit time of both messages. Before an echo came, a message is no older
+ * than the link that it came on.
  */
-final class Underway {
+final class TransitTime {
     private final double drift;
     private long upAt;
     private long heardStampUs = Batch.NO_ECHO;
     private long heardAt;
 
-    Underway(double drift, long upAt) {
+    TransitTime(double drift, long upAt) {
         this.drift = drift;
         this.upAt = upAt;
     }
@@ -23,7 +23,7 @@
         heardStampUs = Batch.NO_ECHO;
     }
 
-    long mostUs(long now, Batch batch) {
+    long maxUs(long now, Batch batch) {
         long sinceUp = Math.max(0, now - upAt);
         boolean echoed = batch.echoUs() != Batch.NO_ECHO && batch.echoUs() >= upAt && batch.echoUs() <= now;
         if (!echoed) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Voices.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -19,17 +19,18 @@
  * hall). Otherwise each hall that speaks against it has lost its link to it. One gateway alone can do neither for
  * others, as long as its hall has another with fresh traffic; a fleet of one gateway gives no verdict.
  */
-final class Voices {
-    private static final int STRENGTH_MOST = 50; // of one teller: so that nobody outweighs all others by a figure
+final class EngineVotes {
+    private static final int MAX_STRENGTH = 50; // of one reporter: so that nobody outweighs all others by a figure
 
     /** Against an engine: as a whole, or by halls whose link to it is down. */
-    record Opinion(EngineVerdict.Kind kind, Set<String> links, int tellers, int strength, long sinceUs, long madeUs) { }
+    record Opinion(EngineVerdict.Kind kind, Set<String> links, int reporters, int strength, long sinceUs,
+            long madeUs) { }
 
     private final VerdictSettings settings;
-    private final Roster roster;
+    private final HallRoster roster;
     private final Set<Guard> guards;
 
-    Voices(VerdictSettings settings, Roster roster, Set<Guard> guards) {
+    EngineVotes(VerdictSettings settings, HallRoster roster, Set<Guard> guards) {
         this.settings = settings;
         this.roster = roster;
         this.guards = guards;
@@ -38,17 +39,17 @@
     /**
      * Null where nothing is to be said.
      *
-     * @param voices of one start, of tellers that do not doubt themselves
+     * @param votes of one start, of reporters that do not doubt themselves
      * @param standing whether the engine is condemned: then few try it, and one outcome each must do
      */
-    Opinion weigh(List<Evidence> voices, boolean standing) {
+    Opinion weigh(List<Evidence> votes, boolean standing) {
         Map<String, int[]> byHall = new TreeMap<>(); // against, for
-        List<Evidence> bad = voices.stream().filter(v -> v.finding().isBad()).toList();
-        int strength = bad.stream().mapToInt(v -> Math.min(STRENGTH_MOST, v.strength())).sum();
-        if (bad.isEmpty() || strength < (standing ? 1 : settings.strengthLeast())) {
+        List<Evidence> bad = votes.stream().filter(v -> v.finding().isBad()).toList();
+        int strength = bad.stream().mapToInt(v -> Math.min(MAX_STRENGTH, v.strength())).sum();
+        if (bad.isEmpty() || strength < (standing ? 1 : settings.minStrength())) {
             return null;
         }
-        voices.forEach(v -> byHall.computeIfAbsent(roster.hall(v.teller()), h -> new int[2])
+        votes.forEach(v -> byHall.computeIfAbsent(roster.hall(v.reporter()), h -> new int[2])
                 [v.finding().isBad() ? 0 : 1]++);
         Set<String> against = new TreeSet<>();
         byHall.forEach((hall, n) -> {
@@ -59,7 +60,7 @@
         EngineVerdict.Kind kind = kind(bad);
         long since = bad.stream().mapToLong(Evidence::sinceUs).min().orElseThrow();
         long made = bad.stream().mapToLong(Evidence::madeUs).max().orElseThrow();
-        if (isTheEngines(voices, bad, byHall.size() - against.size(), against.size())) {
+        if (isTheEngines(votes, bad, byHall.size() - against.size(), against.size())) {
             return new Opinion(kind, Set.of(), bad.size(), strength, since, made);
         }
         Set<String> links = new TreeSet<>();
@@ -68,25 +69,25 @@
                 : new Opinion(EngineVerdict.Kind.LINK, links, bad.size(), strength, since, made);
     }
 
-    private boolean isTheEngines(List<Evidence> voices, List<Evidence> bad, int hallsFor, int hallsAgainst) {
+    private boolean isTheEngines(List<Evidence> votes, List<Evidence> bad, int hallsFor, int hallsAgainst) {
         Set<String> halls = new HashSet<>();
-        bad.forEach(v -> halls.add(roster.hall(v.teller())));
+        bad.forEach(v -> halls.add(roster.hall(v.reporter())));
         boolean oneHall = roster.halls().size() <= 1;
         if (hallsAgainst >= 2 && hallsAgainst > hallsFor) {
             return true;
         }
-        boolean most = 2 * bad.size() > voices.size();
+        boolean max = 2 * bad.size() > votes.size();
         boolean notAlone = bad.size() >= 2 || !guards.contains(Guard.NOT_ALONE);
         boolean twoHalls = halls.size() >= 2 || oneHall || !guards.contains(Guard.ONE_HALL_IS_A_LINK);
-        return most && notAlone && twoHalls;
+        return max && notAlone && twoHalls;
     }
 
     /** Of a hall with several gateways, two must say so; the only one of its hall speaks for it. */
     private boolean isTheLinks(String hall, List<Evidence> bad) {
         long gateways = roster.hallOf().values().stream().filter(hall::equals).count();
-        long tellers = bad.stream().filter(v -> roster.hall(v.teller()).equals(hall)).count();
+        long reporters = bad.stream().filter(v -> roster.hall(v.reporter()).equals(hall)).count();
         return roster.halls().size() > 1
-                && (tellers >= Math.min(2, gateways) || !guards.contains(Guard.NOT_ALONE));
+                && (reporters >= Math.min(2, gateways) || !guards.contains(Guard.NOT_ALONE));
     }
 
     /** What most say; where as many say this as that, what harms queries more: waiting in vain, then failing. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ListRule.java
@@ -42,12 +42,12 @@
             return listed;
         }
         int words = guards.contains(Guard.ONE_WORD) ? WORDS : 1;
-        Map<Long, Integer> tellers = new TreeMap<>();
+        Map<Long, Integer> reporters = new TreeMap<>();
         for (Evidence e : told) {
-            tellers.merge(e.incarnation(), 1, Integer::sum);
+            reporters.merge(e.incarnation(), 1, Integer::sum);
         }
         long start = listed;
-        for (Map.Entry<Long, Integer> e : tellers.entrySet()) {
+        for (Map.Entry<Long, Integer> e : reporters.entrySet()) {
             start = e.getValue() >= words ? Math.max(start, e.getKey()) : start;
         }
         return start;
@@ -55,7 +55,7 @@
 
     void evaluate(long now, Map<String, Long> listed, EvidenceBook book, List<EngineVerdict> out) {
         drains.keySet().retainAll(listed.keySet());
-        int alone = (int) Math.max(1, Math.floor(listed.size() * settings.condemnedMost()));
+        int alone = (int) Math.max(1, Math.floor(listed.size() * settings.maxCondemned()));
         for (Map.Entry<String, Long> e : listed.entrySet()) {
             cold(now, e.getKey(), e.getValue(), book, out);
             alone -= drain(now, e.getKey(), e.getValue(), book, alone, out);
@@ -85,7 +85,7 @@
                 if (e.finding() == Finding.DRAINING) {
                     words.add(e);
                 } else {
-                    withdrawn.add(e.teller());
+                    withdrawn.add(e.reporter());
                 }
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/Testers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
@@ -8,26 +8,26 @@
 import java.util.Set;
 
 /**
- * Who goes on trying a condemned engine, so that a hundred gateways do not: rendezvous hashing (Thaler and Ravishankar,
- * 1998) over the gateways that live and do not doubt themselves, the first of two halls where there are two. All agree
- * as far as they hear the same; where they do not, one more tries.
+ * Assigns the gateways that go on trying a condemned engine, so that a hundred gateways do not: rendezvous hashing
+ * (Thaler and Ravishankar, 1998) over the gateways that live and do not doubt themselves, the first of two halls where
+ * there are two. All agree as far as they hear the same; where they do not, one more tries.
  */
-final class Testers {
-    private Testers() {
+final class ProbeAssignment {
+    private ProbeAssignment() {
     }
 
-    static Set<String> of(String engine, Collection<String> live, Roster roster, int most) {
+    static Set<String> of(String engine, Collection<String> live, HallRoster roster, int max) {
         List<String> byWeight = new ArrayList<>(live);
         byWeight.sort(Comparator.<String>comparingLong(g -> weight(engine, g)).thenComparing(g -> g));
         Set<String> chosen = new HashSet<>();
         Set<String> halls = new HashSet<>();
         for (String g : byWeight) {
-            if (chosen.size() < most && halls.add(roster.hall(g))) {
+            if (chosen.size() < max && halls.add(roster.hall(g))) {
                 chosen.add(g);
             }
         }
         for (String g : byWeight) {
-            if (chosen.size() < most) {
+            if (chosen.size() < max) {
                 chosen.add(g);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/Watch.java
@@ -17,16 +17,16 @@
  * Turns what one gateway sees into evidence: outcomes of attempts, load reports, the engine list, its own use by
  * tenants, its completed loads, its own timers. A good finding on an engine is said only where it contradicts somebody
  * or ends this gateway's own accusation, so that a fleet in health says next to nothing: its sign of life, and which
- * engines it reaches. Bounds: {@code enginesMost} engines of 16 outcomes each, {@link #TENANTS_MOST} tenants.
+ * engines it reaches. Bounds: {@code maxEngines} engines of 16 outcomes each, {@link #MAX_TENANTS} tenants.
  */
 public final class Watch {
     /** Tenants of which a gateway tells its use: those that use most. */
-    public static final int TENANTS_MOST = 64;
+    public static final int MAX_TENANTS = 64;
 
     private final String self;
     private final String hall;
     private final VerdictSettings settings;
-    private final Teller teller;
+    private final EvidenceReporter reporter;
     private final SelfDoubt doubt;
     private final ReachWatch reach;
     private final ListWatch list;
@@ -41,19 +41,19 @@
         this.self = self;
         this.hall = hall;
         this.settings = settings;
-        teller = new Teller(self, life, settings.leaseUs(), settings.renewUs(), settings.strengthLeast());
+        reporter = new EvidenceReporter(self, life, settings.leaseUs(), settings.renewUs(), settings.minStrength());
         doubt = new SelfDoubt(settings.evidenceUs(), now);
         reach = new ReachWatch(settings.leaseUs());
         list = new ListWatch(settings.announceUs());
         wellSince = now;
     }
 
-    /** The whole engine list of now; those over {@code enginesMost} are not watched. */
+    /** The whole engine list of now; those over {@code maxEngines} are not watched. */
     public void engines(long now, Collection<ListedEngine> lines) {
         Map<String, EngineWatch> next = new LinkedHashMap<>();
         long listedAt = listKnown ? now : Long.MIN_VALUE / 2; // the first list's engines have no predecessors
         for (ListedEngine line : lines) {
-            if (next.size() >= settings.enginesMost()) {
+            if (next.size() >= settings.maxEngines()) {
                 break;
             }
             EngineWatch before = engines.get(line.name());
@@ -106,7 +106,7 @@
 
     /** A load on a data group completed here. */
     public void loaded(long now, String group) {
-        teller.say(now, new Subject(Topic.GROUP, group), Finding.CHANGED, 0, 1, 0, now, now);
+        reporter.say(now, new Subject(Topic.GROUP, group), Finding.CHANGED, 0, 1, 0, now, now);
     }
 
     /** What each tenant uses here now, in the unit of the tenants' shares; replaces what was said before. */
@@ -115,7 +115,7 @@
         used.entrySet().stream().filter(e -> e.getValue() > 0)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                         .thenComparing(Map.Entry.comparingByKey()))
-                .limit(TENANTS_MOST).forEach(e -> next.put(e.getKey(), e.getValue()));
+                .limit(MAX_TENANTS).forEach(e -> next.put(e.getKey(), e.getValue()));
         tenants.forEach((t, before) -> {
             if (before > 0) {
                 next.putIfAbsent(t, 0.0); // said once more, so that the sum falls at once
@@ -149,9 +149,10 @@
         doubt.tick(now, known, bad);
         tellSelf(now);
         engines.values().forEach(e -> tellHealth(now, e, accused));
-        list.tell(now, engines, teller);
-        tenants.forEach((t, used) -> teller.say(now, new Subject(Topic.TENANT, t), Finding.USE, 0, 1, used, now, now));
-        return teller.take(now);
+        list.tell(now, engines, reporter);
+        tenants.forEach((t, used) ->
+                reporter.say(now, new Subject(Topic.TENANT, t), Finding.USE, 0, 1, used, now, now));
+        return reporter.take(now);
     }
 
     private void tellSelf(long now) {
@@ -160,10 +161,10 @@
             lastSelf = self;
             wellSince = now;
         }
-        teller.say(now, new Subject(Topic.SELF, this.self), self, 0, doubt.score(), 0, wellSince, now);
+        reporter.say(now, new Subject(Topic.SELF, this.self), self, 0, doubt.score(), 0, wellSince, now);
         reach.judge(now, (int) engines.values().stream().filter(e -> !e.listed.hall().equals(hall)).count());
         if (reach.finding() != null) {
-            teller.say(now, new Subject(Topic.REACH, this.self), reach.finding(), 0, reach.strength(), 0,
+            reporter.say(now, new Subject(Topic.REACH, this.self), reach.finding(), 0, reach.strength(), 0,
                     reach.sinceUs(), reach.madeUs());
         }
     }
@@ -174,9 +175,9 @@
         if (finding == null) {
             return; // what was said before lapses with its lease
         }
-        Finding said = teller.said(now, subject);
+        Finding said = reporter.said(now, subject);
         if (finding.isBad() || accused.contains(e.listed.name()) || said != null && said.isBad()) {
-            teller.say(now, subject, finding, e.listed.startedUs(), e.strength(), 0, e.sinceUs(), e.madeUs());
+            reporter.say(now, subject, finding, e.listed.startedUs(), e.strength(), 0, e.sinceUs(), e.madeUs());
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/storm/Storm.java
+++ b/gateway/src/main/java/sandpaddle/storm/Storm.java
@@ -52,17 +52,17 @@
     }
 
     /** A change of state, with the signs and the figures that it came with. */
-    public record Change(Phase from, Phase to, Signs signs, double capacityCores, double admittedPerS, double honours,
-            double returns) { }
+    public record Change(Phase from, Phase to, StormSignals signs, double capacityCores, double admittedPerS,
+            double honours, double returns) { }
 
     private final Gateway.Settings site;
     private final SplittableRandom random;
     private final ReturnTable table;
     private final StormDetector detector;
-    private final FleetView fleet;
+    private final FleetCapacity fleet;
     private final Admission admission;
     private final ConnectionGate gate;
-    private final HonourEstimate honour;
+    private final PauseComplianceEstimate honour;
     private final DecayingRate unplanned; // work of first tries and of those that come early (us)
     private StormSettings settings;
     private ReturnCalendar calendar;
@@ -74,20 +74,20 @@
         random = new SplittableRandom(seed);
         table = new ReturnTable(settings.detection().entries(), settings.detection().memoryUs());
         detector = new StormDetector(settings.detection(), now);
-        fleet = new FleetView(site, now);
+        fleet = new FleetCapacity(site, now);
         admission = new Admission(site, settings.recovery(), now);
         gate = new ConnectionGate(settings.connections(), now);
-        honour = new HonourEstimate(now);
+        honour = new PauseComplianceEstimate(now);
         unplanned = new DecayingRate(BACKGROUND_US, now);
         calendar = calendar(settings);
         tickedAt = now;
     }
 
     private ReturnCalendar calendar(StormSettings s) {
-        long most = site.limits().maxRetryAfterUs();
-        long asked = s.calendar().mostUs();
-        most = asked > 0 ? Math.min(asked, most) : most;
-        return new ReturnCalendar(s.calendar().slotUs(), s.calendar().leastUs(), most, random.split());
+        long max = site.limits().maxRetryAfterUs();
+        long asked = s.calendar().maxUs();
+        max = asked > 0 ? Math.min(asked, max) : max;
+        return new ReturnCalendar(s.calendar().slotUs(), s.calendar().minUs(), max, random.split());
     }
 
     /** Takes new settings over; what was learnt stays. The table keeps its size until the next start. */
@@ -112,7 +112,7 @@
         if (back != null) {
             honour.returned(now, back);
         }
-        if (back == null || back.backAt() == 0 || HonourEstimate.isEarly(now, back)) {
+        if (back == null || back.backAt() == 0 || PauseComplianceEstimate.isEarly(now, back)) {
             unplanned.add(now, work);
         }
         boolean yields = false;
@@ -190,8 +190,8 @@
 
     /** The pause for a connection for which there is no room. */
     public long noRoom(long now) {
-        long most = site.limits().maxRetryAfterUs();
-        return pause(now, meanWork(), most > 1 ? most / 2 + random.nextLong(most / 2) : 0);
+        long max = site.limits().maxRetryAfterUs();
+        return pause(now, meanWork(), max > 1 ? max / 2 + random.nextLong(max / 2) : 0);
     }
 
     /** What a connection's query may be, before it is read: a mean over the classes. */
@@ -230,14 +230,14 @@
             double newcomers = unplanned.perSecond(now);
             calendar.forecast(now, t -> {
                 double planned = admission.rate(now, t);
-                return Math.max(planned * (1 - settings.calendar().newcomersShare()) - newcomers, planned * LEAST_ROOM);
+                return Math.max(planned * (1 - settings.calendar().newcomersShare()) - newcomers, planned * MIN_ROOM);
             });
         }
         return change == null ? null : new Change(change.from(), change.to(), change.signs(), capacity,
                 admission.rate(), honour.honours(now), honour.returns(now));
     }
 
-    private static final double LEAST_ROOM = 0.1; // of what is admitted: returns are planned even beside many newcomers
+    private static final double MIN_ROOM = 0.1; // of what is admitted: returns are planned even beside many newcomers
 
     // ---- What others may look at.
 
@@ -253,7 +253,7 @@
     }
 
     /** {@code admittedPerS} in microseconds of work a second; counts are since the start. */
-    public record Figures(Phase phase, Signs signs, double capacityCores, double admittedPerS, double waitingUs,
-            long turnedAway, long connectionsTurnedAway, int remembered, int rememberedMost, long forgotten,
+    public record Figures(Phase phase, StormSignals signs, double capacityCores, double admittedPerS, double waitingUs,
+            long turnedAway, long connectionsTurnedAway, int remembered, int maxRemembered, long forgotten,
             double honours, double returns) { }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DrawnDay.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.Targets;
+import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.bound.LimitBounds;
 import sandpaddle.fleet.limit.table.Command;
 
@@ -20,14 +20,14 @@
     private final List<Past> former = new ArrayList<>(); // amounts that may still show
     private final long lowering;
     private long amount;
-    long most; // running at the engines over what was allowed, the worst
+    long max; // running at the engines over what was allowed, the worst
     long started;
     long overAt;
 
     DrawnDay(long seed, int gateways, LimitSettings settings) {
         draw = new Random(~seed);
         amount = gateways + draw.nextInt(2 * gateways);
-        fleet = new Fleet(seed, gateways, amount, settings, DRIFT, Targets.NONE);
+        fleet = new Fleet(seed, gateways, amount, settings, DRIFT, TargetPolicy.NONE);
         fleet.gateways.forEach(g -> g.longest = 2_500_000);
         // connected gateways hear within repeats; attempts end by themselves
         lowering = new LimitBounds(settings, 2_000_000).loweredCut() + 12_000_000;
@@ -52,8 +52,8 @@
         former.removeIf(p -> p.until < fleet.now);
         long allowed = Math.max(amount, former.stream().mapToLong(Past::amount).max().orElse(0));
         long over = fleet.engines.running(Fleet.LIMIT) - allowed;
-        if (over > most) {
-            most = over;
+        if (over > max) {
+            max = over;
             overAt = fleet.now;
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.allot.Allotter;
-import sandpaddle.fleet.limit.allot.Targets;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allocator.AllocatorOutput;
+import sandpaddle.fleet.limit.allocator.RightsAllocator;
+import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.Outcome;
 import sandpaddle.fleet.limit.table.RightsTable;
@@ -21,15 +21,15 @@
     /** One that may lead. */
     static final class Voter {
         final RightsTable table;
-        final Allotter allotter;
+        final RightsAllocator allocator;
         final double rate;
         final List<long[]> asked = new ArrayList<>(); // confirmations: its clock then, whether it led, when it hears
         int applied;
         long term; // that it believes to lead, 0 for none
 
-        Voter(LimitSettings settings, Targets targets, double rate) {
+        Voter(LimitSettings settings, TargetPolicy targets, double rate) {
             table = new RightsTable(settings);
-            allotter = new Allotter(settings, table, targets);
+            allocator = new RightsAllocator(settings, table, targets);
             this.rate = rate;
         }
 
@@ -49,7 +49,7 @@
     int leader;
     long agreeUs = 60_000;
 
-    Voters(LimitSettings settings, Targets targets, Random random, double drift) {
+    Voters(LimitSettings settings, TargetPolicy targets, Random random, double drift) {
         this.random = random;
         truth = new RightsTable(settings);
         for (int i = 0; i < 3; i++) {
@@ -72,7 +72,7 @@
         catchUp(voter);
         voter.term = term;
         voter.asked.clear();
-        voter.allotter.elected(term);
+        voter.allocator.elected(term);
     }
 
     private void catchUp(Voter voter) {
@@ -82,7 +82,7 @@
     }
 
     /** Each one that believes to lead decides. */
-    Map<Integer, Turn> turn(long now) {
+    Map<Integer, AllocatorOutput> turn(long now) {
         proposals.removeIf(p -> {
             if (p.at <= now) {
                 log.add(p.command);
@@ -90,7 +90,7 @@
             }
             return p.at <= now;
         });
-        Map<Integer, Turn> turns = new TreeMap<>();
+        Map<Integer, AllocatorOutput> turns = new TreeMap<>();
         for (Voter voter : voters) {
             boolean leads = voter.term == term;
             if (leads || random.nextInt(30) == 0) {
@@ -98,17 +98,17 @@
             }
             if (voter.term == 0 || !leads && random.nextInt(60) == 0) {
                 voter.term = 0;
-                voter.allotter.deposed();
+                voter.allocator.deposed();
                 continue;
             }
             voter.asked.removeIf(a -> {
                 if (a[2] <= now && a[1] == 1) {
-                    voter.allotter.confirmed(a[0]);
+                    voter.allocator.confirmed(a[0]);
                 }
                 return a[2] <= now;
             });
             voter.asked.add(new long[] {voter.clock(now), leads ? 1 : 0, now + agreeUs});
-            Turn turn = voter.allotter.tick(voter.clock(now));
+            AllocatorOutput turn = voter.allocator.tick(voter.clock(now));
             for (Command command : turn.propose()) {
                 boolean late = random.nextInt(20) == 0;
                 if (leads || late) {
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -8,10 +8,10 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allocator.AllocatorOutput;
 import sandpaddle.fleet.limit.table.Command;
-import sandpaddle.fleet.limit.wire.Beat;
 import sandpaddle.fleet.limit.wire.Grant;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /**
  * Three gateways, a limit of four, two voters that may lead. A step of time is three units of true time; the slow
@@ -24,8 +24,8 @@
     private static final long STEP = 3;
     private static final long FORGET = 3;
 
-    final List<Site> sites = new ArrayList<>();
-    private final List<Seat> seats = new ArrayList<>();
+    final List<SimulatedGateway> sites = new ArrayList<>();
+    private final List<VoterReplica> voters = new ArrayList<>();
     private final List<Command> log = new ArrayList<>();
     private final List<Command> waiting = new ArrayList<>(); // to be agreed on late
     private final List<Long> waitingUntil = new ArrayList<>();
@@ -43,27 +43,27 @@
         this.faults = faults;
         log.add(new Command.SetLimits(1, List.of(new LimitSpec(LIMIT, Scope.WHOLE, Unit.RUNNING, AMOUNT, 0))));
         for (int i = 0; i < 3; i++) {
-            sites.add(new Site("g" + i, settings, 2 + i));
+            sites.add(new SimulatedGateway("g" + i, settings, 2 + i));
             sites.get(i).hungry = i == 0;
             sites.get(i).start();
             log.add(new Command.Join("g" + i, "h"));
         }
-        seats.add(new Seat(settings));
-        seats.add(new Seat(settings));
+        voters.add(new VoterReplica(settings));
+        voters.add(new VoterReplica(settings));
         elect(0);
     }
 
     private void elect(int next) {
         leader = next;
-        Seat seat = seats.get(next);
-        seat.term = ++term;
-        catchUp(seat);
-        seat.allotter.elected(term);
+        VoterReplica voter = voters.get(next);
+        voter.term = ++term;
+        catchUp(voter);
+        voter.allocator.elected(term);
     }
 
-    private void catchUp(Seat seat) {
-        while (seat.applied < log.size()) {
-            seat.table.apply(log.get(seat.applied++));
+    private void catchUp(VoterReplica voter) {
+        while (voter.applied < log.size()) {
+            voter.table.apply(log.get(voter.applied++));
         }
     }
 
@@ -78,7 +78,7 @@
             return events;
         }
         for (int i = 0; i < sites.size(); i++) {
-            Site site = sites.get(i);
+            SimulatedGateway site = sites.get(i);
             for (Event.What what : EnumSet.range(Event.What.MUTE, Event.What.WELL)) {
                 if (site.links != what && (what != Event.What.FORMER || term > 1)) {
                     events.add(new Event(what, i, 0));
@@ -107,7 +107,7 @@
     }
 
     private void happen(Event event) {
-        Site site = sites.get(event.gateway());
+        SimulatedGateway site = sites.get(event.gateway());
         faults -= event.what() == Event.What.NONE ? 0 : 1;
         switch (event.what()) {
             case NONE -> { }
@@ -121,7 +121,7 @@
             case GO -> site.stopped = false;
             case HUNGRY -> sites.forEach(s -> s.hungry = s == site);
             case GRANT_AGAIN -> site.granted(site.grants.get(event.which()));
-            case BEAT_AGAIN -> seats.get(leader).allotter.beat(clock(), site.name, site.beats.get(event.which()));
+            case BEAT_AGAIN -> voters.get(leader).allocator.beat(clock(), site.name, site.beats.get(event.which()));
             case ELECT -> elect(1 - leader);
             case LATE_LOG -> lateLog = true;
             default -> site.links = event.what();
@@ -135,7 +135,7 @@
     /** One step of time with one event. */
     void step(Event event) {
         time++;
-        sites.forEach(Site::tick);
+        sites.forEach(SimulatedGateway::tick);
         happen(event);
         sites.forEach(site -> {
             site.engine.tick(now(), FORGET);
@@ -144,7 +144,7 @@
         if (over()) {
             return;
         }
-        for (Site site : sites) {
+        for (SimulatedGateway site : sites) {
             if (site.runs()) {
                 beat(site, site.beat());
             }
@@ -155,7 +155,7 @@
                 turn(v); // what was agreed on is told in the same step
             }
         }
-        for (Site site : sites) {
+        for (SimulatedGateway site : sites) {
             for (int i = site.lateAt.size() - 1; i >= 0; i--) {
                 if (site.lateAt.get(i) <= time) {
                     site.granted(site.late.remove(i));
@@ -166,13 +166,13 @@
         }
     }
 
-    private void beat(Site site, Beat beat) {
+    private void beat(SimulatedGateway site, Heartbeat beat) {
         if (site.links == Event.What.MUTE || site.links == Event.What.CUT) {
             return;
         }
         for (int v = 0; v < 2; v++) {
             if (site.links != Event.What.FORMER || v != leader) {
-                seats.get(v).allotter.beat(clock(), site.name, beat);
+                voters.get(v).allocator.beat(clock(), site.name, beat);
             }
         }
     }
@@ -186,19 +186,19 @@
                 i++;
             }
         }
-        catchUp(seats.get(leader));
+        catchUp(voters.get(leader));
     }
 
     private void turn(int v) {
-        Seat seat = seats.get(v);
-        if (seat.term == 0) {
+        VoterReplica voter = voters.get(v);
+        if (voter.term == 0) {
             return;
         }
         boolean leads = v == leader;
         if (leads) {
-            seat.allotter.confirmed(clock());
+            voter.allocator.confirmed(clock());
         }
-        Turn turn = seat.allotter.tick(clock());
+        AllocatorOutput turn = voter.allocator.tick(clock());
         for (Command command : turn.propose()) {
             if (leads && !lateLog) {
                 log.add(command);
@@ -208,14 +208,14 @@
             }
         }
         if (leads) {
-            catchUp(seat);
+            catchUp(voter);
         }
         for (Grant grant : turn.grants()) {
             grant(v, sites.get(grant.member().charAt(1) - '0'), grant);
         }
     }
 
-    private void grant(int v, Site site, Grant grant) {
+    private void grant(int v, SimulatedGateway site, Grant grant) {
         if (!grant.given().isEmpty()) {
             site.grants.add(grant);
             if (site.grants.size() > 3) {
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
-import sandpaddle.fleet.limit.allot.Allotter;
-import sandpaddle.fleet.limit.allot.Turn;
+import sandpaddle.fleet.limit.allocator.AllocatorOutput;
+import sandpaddle.fleet.limit.allocator.RightsAllocator;
 import sandpaddle.fleet.limit.table.Command;
 import sandpaddle.fleet.limit.table.RightsTable;
-import sandpaddle.fleet.limit.wire.Beat;
+import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.KnownNames;
@@ -35,8 +35,8 @@
 
     private final LimitSettings settings = LimitSettings.DEFAULTS;
     private final RightsTable table = new RightsTable(settings);
-    private final PoolDesk desk = new PoolDesk();
-    private final Allotter allotter = new Allotter(settings, table, desk);
+    private final PoolAllocator poolAllocator = new PoolAllocator();
+    private final RightsAllocator allocator = new RightsAllocator(settings, table, poolAllocator);
     private final List<StandInGateway> gateways = List.of(
             new StandInGateway("g0", List.of("acme", "borea"), settings, 1),
             new StandInGateway("g1", List.of("acme", "borea"), settings, 2));
@@ -44,7 +44,7 @@
     private final Set<String> stalled = new HashSet<>(); // whose loop takes no turn, while its other threads go on
     private final List<Runnable> links = new ArrayList<>(); // a message takes a step
     private long now;
-    private int most;
+    private int max;
 
     private static Policy policy(int acme, int borea) {
         return policy(acme, borea, " each");
@@ -64,7 +64,7 @@
     }
 
     private void rules(Policy policy) {
-        desk.known(new PoolDesk.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
+        poolAllocator.known(new PoolAllocator.Known(Optional.of(policy), List.of(new PoolEngine("s-1", "std", true)),
                 Map.of("g0", "hall", "g1", "hall")));
         gateways.stream().filter(g -> !cut.contains(g.name)).forEach(g -> g.policy(policy, false));
     }
@@ -75,28 +75,28 @@
         links.clear();
         arrived.forEach(Runnable::run);
         gateways.stream().filter(g -> !stalled.contains(g.name)).forEach(g -> g.turn(now));
-        most = Math.max(most, gateways.stream().mapToInt(StandInGateway::open).sum());
+        max = Math.max(max, gateways.stream().mapToInt(StandInGateway::open).sum());
         lead();
         if (now % settings.beat() == 0) {
             gateways.forEach(g -> {
-                Beat beat = g.beat();
+                Heartbeat beat = g.beat();
                 if (!cut.contains(g.name)) {
-                    links.add(() -> allotter.beat(now, g.name, beat));
+                    links.add(() -> allocator.beat(now, g.name, beat));
                 }
             });
         }
     }
 
     private void lead() {
-        if (desk.solve(now, CALM)) {
-            allotter.retarget();
+        if (poolAllocator.solve(now, CALM)) {
+            allocator.retarget();
         }
-        List<LimitSpec> limits = desk.limits(table, 0);
+        List<LimitSpec> limits = poolAllocator.limits(table, 0);
         if (!Map.copyOf(table.specs()).values().containsAll(limits) || limits.size() != table.specs().size()) {
             table.apply(new Command.SetLimits(table.epoch() + 1, limits));
         }
-        allotter.confirmed(now);
-        Turn turn = allotter.tick(now);
+        allocator.confirmed(now);
+        AllocatorOutput turn = allocator.tick(now);
         turn.propose().forEach(table::apply);
         turn.grants().forEach(grant -> gateways.stream()
                 .filter(g -> g.name.equals(grant.member()) && !cut.contains(g.name))
@@ -123,7 +123,7 @@
     void theEngineNeverMeetsMoreWhilePolicyAndLinksChange() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(3, 1));
         run(8_000_000);
         assertEquals(6, mean(2_000_000, "acme", gateways), 0.8);
@@ -144,7 +144,7 @@
         run(8_000_000);
         assertEquals(2, mean(2_000_000, "acme", gateways), 0.8);
         assertEquals(6, mean(2_000_000, "borea", gateways), 0.8);
-        assertEquals(BUDGET, most);
+        assertEquals(BUDGET, max);
     }
 
     /** Guards against rights that are given back while idle connections are still open by them. */
@@ -152,7 +152,7 @@
     void anIdleConnectionIsNotGivenAway() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(1, 1, ""));
         gateways.get(1).wants(false);
         run(8_000_000);
@@ -167,7 +167,7 @@
         stalled.clear();
         run(4_000_000);
         assertEquals(BUDGET, gateways.get(1).open());
-        assertEquals(BUDGET, most);
+        assertEquals(BUDGET, max);
     }
 
     /** Guards against a gateway that holds what a policy gave it that it cannot read. */
@@ -175,7 +175,7 @@
     void whoCannotReadWhatRulesUsesFloorsOnly() {
         table.apply(new Command.Join("g0", "hall"));
         table.apply(new Command.Join("g1", "hall"));
-        allotter.elected(1);
+        allocator.elected(1);
         rules(policy(1, 1));
         run(8_000_000);
         StandInGateway old = gateways.get(0);
--- a/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
@@ -68,8 +68,8 @@
         Rule r = of(raw("a", "UTC", "2006-01-01T00:00", "PT1M", "FREQ=HOURLY;BYMINUTE=0,10,20,30,40,50"))
                 .rules().get(0);
         long from = at("2026-11-02T00:00:00Z");
-        assertEquals(6 * 24 + 1, Expansion.of(r, new Span(from, from + DAY)).size());
-        assertTrue(Expansion.of(r, new Span(from, from + 100 * DAY)).size() <= Expansion.MOST);
+        assertEquals(6 * 24 + 1, Expansion.of(r, new TimeRange(from, from + DAY)).size());
+        assertTrue(Expansion.of(r, new TimeRange(from, from + 100 * DAY)).size() <= Expansion.MAX_OCCURRENCES);
     }
 
     @Test
@@ -120,7 +120,7 @@
         assertEquals(List.of("name", "zone", "start", "duration", "exdates[0]", "name"), read.faults().stream()
                 .map(f -> f.path().substring("fleet.outages[0].".length())).toList());
         List<RawRule> many = new ArrayList<>();
-        for (int i = 0; i <= Schedule.RULES_MOST; i++) {
+        for (int i = 0; i <= Schedule.MAX_RULES; i++) {
             many.add(raw("r" + i, "UTC", "2026-01-01T00:00", "PT1H", ""));
         }
         assertEquals("at most 256", RuleReader.read(many).faults().get(0).allowed());
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
@@ -22,10 +22,10 @@
 import sandpaddle.fleet.outage.plan.Fetch;
 import sandpaddle.fleet.outage.plan.Plan;
 import sandpaddle.fleet.outage.plan.Planner;
-import sandpaddle.fleet.outage.plan.Prefetch;
+import sandpaddle.fleet.outage.plan.Prefetcher;
 import sandpaddle.fleet.outage.schedule.RawRule;
 import sandpaddle.fleet.outage.schedule.RuleReader;
-import sandpaddle.fleet.outage.schedule.Span;
+import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /** The keepers compared: a plain LRU cache, the product's prefetching, and one that knows what will be asked. */
 final class Keepers {
@@ -34,12 +34,12 @@
 
     /** Answers by the time that they were last used, within so many bytes. */
     static class Lru implements Keeper {
-        private final long bytesMost;
+        private final long maxBytes;
         protected final Map<ContentId, Candidate> held = new LinkedHashMap<>(16, 0.75f, true);
         private long bytes;
 
-        Lru(long bytesMost) {
-            this.bytesMost = bytesMost;
+        Lru(long maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
         @Override
@@ -47,7 +47,7 @@
             Candidate old = held.put(what.key().id(), new Candidate(what.key(), what.fingerprint(), what.groups(),
                     what.size(), what.workUs(), what.maxAgeMs(), what.worthEach(), wall));
             bytes += what.size() - (old == null ? 0 : old.size());
-            for (var i = held.values().iterator(); bytes > bytesMost && i.hasNext();) {
+            for (var i = held.values().iterator(); bytes > maxBytes && i.hasNext();) {
                 bytes -= i.next().size();
                 i.remove();
             }
@@ -73,18 +73,18 @@
         private final Margins margins = new Margins(new MarginSettings(60_000, 20 * 60_000, 0.9));
         private final HallPhase hall;
         private final AskHistory history = new AskHistory(0.3);
-        private final Prefetch prefetch;
+        private final Prefetcher prefetch;
         private final Allowance allowance;
-        private final long bytesMost;
+        private final long maxBytes;
         private final Map<ContentId, Held> held = new HashMap<>();
         private final TreeSet<Held> byDensity = new TreeSet<>(Comparator.comparingDouble(Held::density)
                 .thenComparing(h -> h.what.key().id()).thenComparingLong(Held::at));
         private long bytes;
 
-        Prefetching(long bytesMost, long workPerSecond) {
-            this.bytesMost = bytesMost;
+        Prefetching(long maxBytes, long workPerSecond) {
+            this.maxBytes = maxBytes;
             allowance = new Allowance(8, workPerSecond);
-            prefetch = new Prefetch("gw", new Budget(bytesMost, workPerSecond, 0.9, 15_000), 120_000_000, history,
+            prefetch = new Prefetcher("gw", new Budget(maxBytes, workPerSecond, 0.9, 15_000), 120_000_000, history,
                     new Catalogue(Drawn.STATEMENTS, 10_000_000));
             hall = new HallPhase("ship", RuleReader.read(List.of(new RawRule("o", "daily", "ship", "UTC",
                     "2000-01-01T13:00", "PT2H", "FREQ=DAILY", List.of()))).schedule().orElseThrow(), margins,
@@ -121,17 +121,17 @@
             if (old != null && byDensity.remove(old)) {
                 bytes -= old.what.size();
             }
-            while (bytes > bytesMost) {
-                Held least = byDensity.pollFirst();
-                held.remove(least.what.key().id());
-                bytes -= least.what.size();
+            while (bytes > maxBytes) {
+                Held min = byDensity.pollFirst();
+                held.remove(min.what.key().id());
+                bytes -= min.what.size();
             }
         }
 
         /** The window that is next, or under way. */
-        private Span next(long wall) {
+        private TimeRange next(long wall) {
             long day = Math.floorDiv(wall - 15 * Drawn.HOUR, Drawn.DAY) + 1;
-            return new Span(shown(day * Drawn.DAY + 13 * Drawn.HOUR), shown(day * Drawn.DAY + 15 * Drawn.HOUR));
+            return new TimeRange(shown(day * Drawn.DAY + 13 * Drawn.HOUR), shown(day * Drawn.DAY + 15 * Drawn.HOUR));
         }
 
         @Override
@@ -139,9 +139,9 @@
             turn(wall, new Evidence(Evidence.Link.REACHABLE, 0));
             for (int i = 0; i < STEPS; i++) {
                 long at = wall + i * 60_000L / STEPS;
-                Optional<Span> outage = hall.lossAt().map(l -> new Span(l,
+                Optional<TimeRange> outage = hall.lossAt().map(l -> new TimeRange(l,
                         Math.max(l + 1, hall.window().orElseThrow().span().to())));
-                for (Fetch f : prefetch.turn(at * 1000, shown(at), new Prefetch.View(hall.phase(), outage,
+                for (Fetch f : prefetch.turn(at * 1000, shown(at), new Prefetcher.View(hall.phase(), outage,
                         List.of("gw")), allowance, id -> held.containsKey(id) ? shown(held.get(id).at) : -1)) {
                     store(f.what(), at);
                     prefetch.ended(f.what().key().id(), true);
@@ -169,13 +169,13 @@
     /** Knows the loss, the return and every ask between them, and has the same bytes and work as the others. */
     static final class Oracle implements Keeper {
         private final Drawn drawn;
-        private final long bytesMost;
+        private final long maxBytes;
         private final long workPerSecond;
         private final Map<ContentId, Long> held = new HashMap<>();
 
-        Oracle(Drawn drawn, long bytesMost, long workPerSecond) {
+        Oracle(Drawn drawn, long maxBytes, long workPerSecond) {
             this.drawn = drawn;
-            this.bytesMost = bytesMost;
+            this.maxBytes = maxBytes;
             this.workPerSecond = workPerSecond;
         }
 
@@ -189,13 +189,13 @@
 
         @Override
         public void lost(int day) {
-            Span outage = drawn.outageOf(day);
+            TimeRange outage = drawn.outageOf(day);
             held.clear();
             Map<Integer, List<Long>> times = new HashMap<>();
             drawn.asks.stream().filter(a -> a.statement() >= 0 && outage.has(a.wall()))
                     .forEach(a -> times.computeIfAbsent(a.statement(), n -> new ArrayList<>()).add(a.wall()));
             List<Candidate> asked = times.keySet().stream().map(drawn.statements::get).toList();
-            Plan plan = Planner.plan(outage.from() - 30 * 60_000, outage, asked, new Budget(bytesMost, workPerSecond, 1,
+            Plan plan = Planner.plan(outage.from() - 30 * 60_000, outage, asked, new Budget(maxBytes, workPerSecond, 1,
                     0), (n, span) -> times.get((int) n).stream().filter(span::has).count());
             plan.fetches().forEach(f -> held.put(f.what().key().id(), f.beginAt()));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
@@ -18,14 +18,14 @@
 import sandpaddle.fleet.pool.model.FaultList;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Limits;
-import sandpaddle.fleet.pool.solve.Allotment;
+import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
 /** Whatever the bytes are: the check ends with a policy or with faults, none of which is longer than a few lines. */
 class PolicyFuzzProperties {
     private static PoolPolicyCheck check(byte[] file) {
         PoolPolicyCheck check = PoolPolicyCheck.check(file, KnownNames.NONE);
-        assertTrue(check.faults().size() <= FaultList.MOST + FaultList.MOST_WARNINGS);
+        assertTrue(check.faults().size() <= FaultList.MAX_ERRORS + FaultList.MAX_WARNINGS);
         assertEquals(check.policy().isEmpty(), !check.errors().isEmpty());
         check.faults().forEach(f -> assertTrue(f.toString().length() < 600 && f.toString().lines().count() == 1,
                 f::toString));
@@ -66,7 +66,8 @@
         PoolPolicyCheck check = check(String.join("\n", lines));
         SuiteFile file = new SuiteFile(any(random));
         check.policy().ifPresent(p -> assertTrue(
-                PoolSolver.solve(p, file.facts(), Allotment.NONE).rows().stream().allMatch(r -> r.connections() >= 0)));
+                PoolSolver.solve(p, file.solverInput(), Allocation.NONE).rows().stream()
+                .allMatch(r -> r.connections() >= 0)));
     }
 
     private static Path any(Random random) {
@@ -79,7 +80,7 @@
     void longFilesOfOneThing() {
         for (String unit : List.of("(", "\"", "a", "0", "\n", ",", "when ", "when storm and ", "group a = \"x\", ",
                 "tenant ", "tenant \"a\" ", "weight 1 ", "x\n", "#", "group g = group g\n", "\"a\",\n", "\r\r", "=")) {
-            String text = unit.repeat(Limits.MOST_BYTES / unit.length());
+            String text = unit.repeat(Limits.MAX_BYTES / unit.length());
             assertTrue(check(text).policy().isEmpty(), unit);
             check("policy \"p\" version 1\ntenant \"a\" weight 1\n" + text.substring(0, text.length() - 100));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
@@ -53,7 +53,7 @@
         Gateway forgets = others.get(0);
         Gateway misses = others.get(1);
         SimDisk before = forgets.disk().copy();
-        forgets.crash(); // its next life is met by both others
+        forgets.crash(); // its next incarnation is met by both others
         forgets.start();
         fleet.run(10 * SECOND);
         for (Gateway g : List.of(leader, forgets)) {
@@ -76,7 +76,7 @@
 
     private static SimDisk formattedAgain(SimDisk before, String name) throws Exception {
         SimDisk disk = new SimDisk();
-        assertEquals(Optional.empty(), Founding.format(disk.open(), "c", name, THREE));
+        assertEquals(Optional.empty(), GroupBootstrap.format(disk.open(), "c", name, THREE));
         return disk;
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
@@ -72,13 +72,13 @@
         SimFleet fleet = new SimFleet(3, THREE, List.of());
         add(fleet);
         Gateway first = leader(fleet);
-        first.disk().mood(SimDisk.Mood.FULL);
+        first.disk().health(SimDisk.Health.FULL);
         fleet.propose(first);
         fleet.run(SECOND);
         assertEquals(Phase.FAILED, first.voter().phase());
         add(fleet);
         assertNotEquals(first, leader(fleet));
-        first.disk().mood(SimDisk.Mood.GOOD);
+        first.disk().health(SimDisk.Health.GOOD);
         fleet.run(10 * SECOND);
         assertEquals(Phase.VOTING, first.voter().phase());
         assertEquals(new Endpoint(first.voter().endpoint().orElseThrow().name(), 1),
@@ -96,11 +96,11 @@
         lost.disk(new SimDisk());
         lost.start();
         assertTrue(fleet.runUntil(() -> lost.voter().phase() == Phase.VOTING
-            && !lost.voter().life().orElseThrow().isLearner(), 60 * SECOND), () -> fleet.said().toString());
+            && !lost.voter().incarnation().orElseThrow().isLearner(), 60 * SECOND), () -> fleet.said().toString());
         assertEquals(new Endpoint(name, 2), lost.voter().endpoint().orElseThrow());
         fleet.run(10 * SECOND);
         assertEquals(THREE, leader(fleet).voter().voters());
-        assertEquals(3, leader(fleet).voter().life().orElseThrow().committed().all().size());
+        assertEquals(3, leader(fleet).voter().incarnation().orElseThrow().committed().all().size());
         assertTrue(lost.register().values().containsAll(fleet.acknowledged()));
     }
 
@@ -112,7 +112,7 @@
         String name = lost.voter().endpoint().orElseThrow().name();
         lost.crash();
         lost.disk(new SimDisk());
-        assertEquals(Optional.empty(), Founding.format(lost.disk().open(), "c", name, THREE));
+        assertEquals(Optional.empty(), GroupBootstrap.format(lost.disk().open(), "c", name, THREE));
         lost.start();
         assertTrue(fleet.runUntil(() -> lost.voter().phase() == Phase.RETIRED, 5 * SECOND),
             () -> fleet.said().toString());
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterModel.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
-import sandpaddle.fleet.store.Found;
+import sandpaddle.fleet.store.RecoveredState;
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
@@ -21,10 +21,10 @@
 
     /** What a store has, in the same words as {@link #toString}. */
     static String of(VoterStore store) throws StoreException {
-        Found found = store.found();
-        StringBuilder line = new StringBuilder(found.term() + " " + found.vote().orElse("-") + " ");
-        found.snapshot().ifPresent(s -> s.chunks().forEach(c -> line.append(s.index()).append(sum(c))));
-        found.entries().forEach(e -> line.append(' ').append(e.index()).append(':').append(sum(e.data())));
+        RecoveredState recovered = store.recovered();
+        StringBuilder line = new StringBuilder(recovered.term() + " " + recovered.vote().orElse("-") + " ");
+        recovered.snapshot().ifPresent(s -> s.chunks().forEach(c -> line.append(s.index()).append(sum(c))));
+        recovered.entries().forEach(e -> line.append(' ').append(e.index()).append(':').append(sum(e.data())));
         for (String name : List.of("a", "b")) {
             byte[] value = store.get(name).orElse(new byte[0]);
             line.append(' ').append(name).append(sum(value));
@@ -109,8 +109,8 @@
         steps.add(s -> s.dropSnapshot(old));
     }
 
-    private static byte[] bytes(Random random, int most) {
-        byte[] bytes = new byte[random.nextInt(most)];
+    private static byte[] bytes(Random random, int max) {
+        byte[] bytes = new byte[random.nextInt(max)];
         random.nextBytes(bytes);
         return bytes;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
@@ -60,7 +60,7 @@
         VirtualFleet fleet = new VirtualFleet(3 + (int) seed, 3, 3, VerdictSettings.DEFAULT, seed);
         fleet.engines(VirtualFleet.lines(ENGINES, 3));
         fleet.loss = 0.02;
-        fleet.mostDelay = 100_000;
+        fleet.maxDelay = 100_000;
         List<String> names = List.copyOf(fleet.gateways.keySet());
         String liar = names.get(fleet.random.nextInt(names.size()));
         String stops = names.get(fleet.random.nextInt(names.size()));
@@ -146,7 +146,7 @@
         }
         FleetVerdicts third = fleet.gateways.get("g002");
         assertEquals(1, third.effect(fleet.clock("g002")).size());
-        for (int i = 0; i < Effect.OWN_GOOD; i++) {
+        for (int i = 0; i < VerdictEffect.OWN_GOOD; i++) {
             third.watch().attempt(fleet.clock("g002"), "e1", Outcome.GOOD, 10_000, 10_000);
         }
         fleet.runTo(fleet.now + 100_000);
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Times until each gateway knows a verdict, over drawn moments, tellers and engines. */
+    /** Times until each gateway knows a verdict, over drawn moments, reporters and engines. */
     private static List<Long> spreadTimes(double loss, int rounds) {
         VirtualFleet fleet = new VirtualFleet(100, 4, 5, VerdictSettings.DEFAULT, 71);
         fleet.loss = loss;
@@ -108,7 +108,7 @@
         outcomes(fleet, "g000", "e1", Outcome.FAILED, 3);
         outcomes(fleet, "g001", "e1", Outcome.FAILED, 3);
         long made = fleet.now;
-        fleet.mostDelay = 8_000_000;
+        fleet.maxDelay = 8_000_000;
         while (fleet.now < made + 12_000_000) {
             fleet.runTo(fleet.now + 20_000);
             boolean late = fleet.now - made > VerdictSettings.DEFAULT.leaseUs();
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.time.temporal.ChronoUnit;
 import java.time.Instant;
+import java.time.temporal.ChronoUnit;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -32,7 +32,7 @@
     private static final long HOLD_US = 250_000; // a poll
     private static final long FORGOTTEN_US = 2_000_000; // not asked for: given up
     private static final long KEPT_US = 5_000_000; // results after their end
-    private static final int MOST_CALL = 256 * 1024;
+    private static final int MAX_CALL = 256 * 1024;
 
     private static final class Query {
         private final String id, request, cls;
@@ -53,7 +53,7 @@
 
     private final Loop loop;
     private final Events events;
-    private final Tally tally;
+    private final ClientStatistics statistics;
     private final String id;
     private final EngineModel model;
     private final Acceptor acceptor;
@@ -65,11 +65,11 @@
     private boolean sick; // fails what it is sent
 
     /** {@code port} 0: any; {@code startedUs} 0: warm; {@code fell}: it fell over, and is dead by then. */
-    StandInEngine(Loop loop, Events events, Tally tally, String id, int port, EngineModel.Spec spec, long startedUs,
-            Runnable fell) throws IOException {
+    StandInEngine(Loop loop, Events events, ClientStatistics statistics, String id, int port, EngineModel.Spec spec,
+            long startedUs, Runnable fell) throws IOException {
         this.loop = loop;
         this.events = events;
-        this.tally = tally;
+        this.statistics = statistics;
         this.id = id;
         this.fell = fell;
         model = new EngineModel(spec, startedUs, now());
@@ -226,11 +226,11 @@
         queries.put(trace, q);
         events.add(now(), "engine", "begin", "request", whose, "attempt", trace, "engine", id, "class", cls, "work",
                 (long) cost);
-        tally.began(whose, kind, id, now());
+        statistics.began(whose, kind, id, now());
         await(q, link);
         if (model.hasFallen()) {
             kill("cold-fall");
-            tally.coldFalls++;
+            statistics.coldFalls++;
             fell.run();
         }
     }
@@ -247,7 +247,7 @@
         @Override
         public void received(ByteBuffer bytes) {
             text.append(StandardCharsets.ISO_8859_1.decode(bytes));
-            if (text.length() > MOST_CALL) {
+            if (text.length() > MAX_CALL) {
                 connection.close();
                 links.remove(this);
                 connections();
--- a/lab/src/main/java/sandpaddle/lab/TryCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/TryCommand.java
@@ -37,7 +37,7 @@
 
     @Option(names = "--for", paramLabel = "10s", converter = StormCommand.Seconds.class,
             description = "Ends by itself after so long.")
-    private Duration most;
+    private Duration max;
 
     @Override
     public Integer call() throws IOException {
@@ -54,9 +54,9 @@
         }));
         try {
             Events events = new Events(null);
-            StandInFeed feed = new StandInFeed(loop, events, new Tally());
+            StandInFeed feed = new StandInFeed(loop, events, new ClientStatistics());
             for (int i = 0; i < ENGINES; i++) {
-                StandInEngine e = new StandInEngine(loop, events, new Tally(), "engine-" + i, 0,
+                StandInEngine e = new StandInEngine(loop, events, new ClientStatistics(), "engine-" + i, 0,
                         EngineModel.Spec.usual(), 0, () -> { });
                 engines.add(e);
                 feed.tell(0, e.id(), e.address(), Site.HALLS.get(i % Site.HALLS.size()), "Ready", 0);
@@ -66,7 +66,7 @@
                     "\"listen\":\"127.0.0.1"), Files.exists(operator) ? operator : null, true);
             gateway[0].awaitUp("127.0.0.1");
             System.out.print(words());
-            long until = most == null ? Long.MAX_VALUE : System.nanoTime() + most.toNanos();
+            long until = max == null ? Long.MAX_VALUE : System.nanoTime() + max.toNanos();
             while (!ended.get() && gateway[0].isAlive() && System.nanoTime() < until) {
                 loop.turn(() -> { }, Duration.ofMillis(100));
             }
