--- a/gateway/src/main/java/sandpaddle/mysql/SqlScanner.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SqlScanner.java
@@ -1,12 +1,28 @@
 package sandpaddle.mysql;
 
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Locale;
 import java.util.Set;
 
 /** Reads SQL as far as names go: it knows strings, comments and quoted names, and no grammar. */
 final class SqlScanner {
     /** From the first character to the one after the last. */
-    record Span(int from, int to) { }
+    record Span(int from, int to) {
+        /** What a comment says, without the marks that make it one. */
+        String text(String sql) {
+            String comment = sql.substring(from, to);
+            if (comment.startsWith(BLOCK_OPENS)) {
+                return comment.substring(BLOCK_OPENS.length(), comment.length() - BLOCK_ENDS.length());
+            }
+            return comment.substring(comment.startsWith(HASH) ? HASH.length() : DASHES.length());
+        }
+    }
+
+    private static final String BLOCK_OPENS = "/*";
+    private static final String BLOCK_ENDS = "*/";
+    private static final String DASHES = "--";
+    private static final String HASH = "#";
 
     private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table");
     private static final String STAGING = "staging";
@@ -20,21 +36,29 @@
         this.s = s;
     }
 
-    /** The first block comment before the statement that holds a text; null where there is none. */
-    Span leadingComment(String holding) {
+    /** The comments that stand whole before the statement, in their order. */
+    List<Span> leadingComments() {
+        List<Span> comments = new ArrayList<>();
         at = 0;
         while (at < s.length()) {
             int from = at;
             if (Character.isWhitespace(s.charAt(at))) {
                 at++;
             } else if (!skipComment()) {
-                return null;
-            } else if (s.startsWith("/*", from) && s.startsWith("*/", at - 2) && at - from >= 4
-                    && s.substring(from, at).contains(holding)) {
-                return new Span(from, at);
+                break;
+            } else if (!s.startsWith(BLOCK_OPENS, from) || s.startsWith(BLOCK_ENDS, at - BLOCK_ENDS.length())
+                    && at - from >= BLOCK_OPENS.length() + BLOCK_ENDS.length()) {
+                comments.add(new Span(from, at));
             }
         }
-        return null;
+        return comments;
+    }
+
+    /** What follows the blanks and comments before the statement. */
+    String withoutLeadingComments() {
+        at = 0;
+        skipGap();
+        return s.substring(at);
     }
 
     /**
@@ -140,14 +164,14 @@
 
     /** Skips one comment, if one begins here. */
     private boolean skipComment() {
-        if (s.startsWith("/*", at)) {
-            int end = s.indexOf("*/", at + 2);
+        if (s.startsWith(BLOCK_OPENS, at)) {
+            int end = s.indexOf(BLOCK_ENDS, at + 2);
             at = end < 0 ? s.length() : end + 2;
             return true;
         }
-        boolean dashes = s.startsWith("--", at)
+        boolean dashes = s.startsWith(DASHES, at)
                 && (at + 2 == s.length() || Character.isWhitespace(s.charAt(at + 2)));
-        if (dashes || s.startsWith("#", at)) {
+        if (dashes || s.startsWith(HASH, at)) {
             int end = s.indexOf('\n', at);
             at = end < 0 ? s.length() : end + 1;
             return true;
--- a/gateway/src/main/java/sandpaddle/mysql/Statement.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Statement.java
@@ -2,7 +2,6 @@
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -30,31 +29,25 @@
     Pattern TENANT = Pattern.compile("[^\\p{Cntrl}]{1,64}");
     Pattern ONCE = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     Pattern KEY = Pattern.compile("[\\x21-\\x7E]{1,128}"); // it becomes a header's value
+    Pattern DECIMAL = Pattern.compile("[+-]?(?:\\d+\\.?\\d*|\\.\\d+)(?:[eE][+-]?\\d{1,3})?");
     long MOST_MS = Duration.ofDays(1).toMillis();
 
     static Statement parse(byte[] text) {
         String s = new String(text, StandardCharsets.ISO_8859_1); // a char a byte: positions stay true
-        Matcher kill = KILL.matcher(s);
+        SqlScanner scanner = new SqlScanner(s);
+        String bare = scanner.withoutLeadingComments();
+        Matcher kill = KILL.matcher(bare);
         if (kill.matches()) {
             return new Kill("QUERY".equalsIgnoreCase(kill.group(1)), Integer.parseInt(kill.group(2)));
         }
-        if (WARNINGS.matcher(s).matches()) {
+        if (WARNINGS.matcher(bare).matches()) {
             return new Warnings();
         }
-        SqlScanner scanner = new SqlScanner(s);
-        SqlScanner.Span comment = scanner.leadingComment("route=");
+        FieldComment comment = FieldComment.find(s, scanner);
         if (comment == null) {
-            return SET.matcher(s).matches() ? new Nothing() : new Unusable("no comment with the field 'route'");
-        }
-        Map<String, String> fields = new HashMap<>();
-        for (String pair : s.substring(comment.from() + 2, comment.to() - 2).split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                fields.put(pair.substring(0, eq).strip(), pair.substring(eq + 1).strip());
-            }
+            return SET.matcher(bare).matches() ? new Nothing() : new Unusable("no comment with the field 'route'");
         }
-        String statement = s.substring(0, comment.from()) + s.substring(comment.to()).stripLeading();
-        return ask(fields, statement);
+        return ask(comment.fields(), comment.statement());
     }
 
     private static Statement ask(Map<String, String> fields, String statement) {
@@ -107,10 +100,9 @@
     /** NaN where the field is there and is no number. */
     private static double number(Map<String, String> fields, String name, double otherwise) {
         String text = fields.get(name);
-        try {
-            return text == null ? otherwise : Double.parseDouble(text);
-        } catch (NumberFormatException e) {
-            return Double.NaN;
+        if (text == null) {
+            return otherwise;
         }
+        return DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
--- a/gateway/src/test/java/sandpaddle/crossing/Crossing.java
+++ b/gateway/src/test/java/sandpaddle/crossing/Crossing.java
@@ -103,6 +103,15 @@
         }, Duration.ofMillis(1));
     }
 
+    /** One turn that does not wait at all, and what its peers read: for long spans and many exchanges. */
+    void turnAtOnce() throws IOException {
+        loop.turn(() -> {
+            dispatcher.handOn();
+            end.endOfTurn();
+        }, Duration.ZERO);
+        readPeers();
+    }
+
     /** One turn in which something happens after all that was ready has been heard and before it is handed on. */
     void turn(Step between) throws IOException {
         loop.after(Duration.ZERO, () -> taken(between));
@@ -186,6 +195,12 @@
         return c;
     }
 
+    /** Ends a client by a reset, which leaves nothing behind in the kernel. */
+    void forget(Caller c) throws IOException {
+        callers.remove(c);
+        c.tear();
+    }
+
     /** A client that has logged in. */
     Caller ready() throws IOException {
         Caller c = opened();
--- a/gateway/src/test/java/sandpaddle/crossing/Worker.java
+++ b/gateway/src/test/java/sandpaddle/crossing/Worker.java
@@ -38,6 +38,7 @@
     private final Set<Integer> ended = new HashSet<>(); // by the gateway
     private final List<Call> heard = new ArrayList<>();
     private final ByteBuffer buffer = ByteBuffer.allocate(8 * 1024);
+    private String lastBody = "";
 
     Worker() throws IOException {
         listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -91,6 +92,7 @@
             }
             Matcher trace = TRACE.matcher(m.group(3));
             heard.add(new Call(i, m.group(1), trace.find() ? trace.group(1) : m.group(2)));
+            lastBody = rest.substring(m.end(), end);
             rest.delete(0, end);
         }
     }
@@ -127,6 +129,11 @@
         return read.stream().mapToInt(s -> (" " + s).split("(?<![A-Z])" + method + " /", -1).length - 1).sum();
     }
 
+    /** The body of the latest call that came whole. */
+    String lastBody() {
+        return lastBody;
+    }
+
     int connections() {
         return accepted.size();
     }
--- a/gateway/src/test/java/sandpaddle/mysql/LoginTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/LoginTest.java
@@ -28,6 +28,21 @@
         assertEquals(Login.parse(login(0x8208, "app\0\3abccore\0")), new Login("app", false, "core"));
     }
 
+    /** Guards against a length that is written longer than it need be: a length-encoded integer has four forms. */
+    @Test
+    public void aLengthEncodedPasswordIsReadInAllForms() throws Exception {
+        for (String length : new String[] {"\0", "\374\0\0", "\375\0\0\0", "\376\0\0\0\0\0\0\0\0"}) {
+            assertEquals(Login.parse(login(0x200208, "app\0" + length + "core\0")), new Login("app", true, "core"));
+            String three = length.equals("\0") ? "\3" : length.charAt(0) + "\3" + length.substring(2);
+            assertEquals(Login.parse(login(0x208208, "app\0" + three + "abccore\0")), new Login("app", false, "core"));
+        }
+        String long252 = "\374" + "x".repeat(252); // without the capability, a byte is a length and no mark
+        assertEquals(Login.parse(login(0x8208, "app\0" + long252 + "core\0")), new Login("app", false, "core"));
+        for (String bad : new String[] {"\373", "\377", "\374\1", "\376\1\0\0\0\0\0\0\200", "\375\377\377\377"}) {
+            assertThrows(ProtocolException.class, () -> Login.parse(login(0x200200, "app\0" + bad)));
+        }
+    }
+
     /** Guards the loop against a login that is cut anywhere: it is broken framing, never a fault of the program. */
     @Test
     public void aLoginThatIsCutIsBrokenFraming() {
--- a/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
@@ -44,6 +44,46 @@
         assertEquals(ask.query().patience(), Duration.ofMillis(1500));
     }
 
+    @DataProvider
+    public Object[][] spellings() {
+        return new Object[][] {
+            {"/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1"},
+            {"/*route=report,trace=9b1f03aa5c7e2d41,patience=1500*/SELECT 1"},
+            {"\r\n\t /* patience = 1500 ,\n trace =9b1f03aa5c7e2d41,route= report\n*/\n\nSELECT 1"},
+            {"/* patience=1.5e3,,new=,flag,=x,trace=9b1f03aa5c7e2d41,a=b=c,route=report,*/ SELECT 1"},
+            {"-- route=report,trace=9b1f03aa5c7e2d41,patience=1500\nSELECT 1"},
+            {"# route=report,trace=9b1f03aa5c7e2d41,patience=+1500.\n SELECT 1"},
+        };
+    }
+
+    @Test(dataProvider = "spellings")
+    public void theCommentOfTheFieldsIsFoundInAnySpelling(String sql) {
+        var ask = (Statement.Ask) parsed(sql);
+        assertEquals(new String(ask.query().statement(), StandardCharsets.UTF_8), "SELECT 1");
+        assertEquals(ask.query().route(), "report");
+        assertEquals(ask.query().trace(), "9b1f03aa5c7e2d41");
+        assertEquals(ask.query().patience(), Duration.ofMillis(1500));
+    }
+
+    /** Guards against a comment that merely looks like that of the fields. */
+    @Test
+    public void aCommentWithoutTheRequiredFieldIsPartOfTheStatement() {
+        String other = "/* detour=2,enroute=x */ ";
+        var ask = (Statement.Ask) parsed(other + "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1");
+        assertEquals(new String(ask.query().statement(), StandardCharsets.UTF_8), other + "SELECT 1");
+        assertEquals(parsed(other + "SELECT 1"), new Statement.Unusable("no comment with the field 'route'"));
+        assertEquals(parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 SELECT 1").getClass(),
+                Statement.Unusable.class);
+    }
+
+    @Test
+    public void aFigureIsADecimalNumber() {
+        for (String bad : new String[] {"", "x", "1500d", "0x1p4", "NaN", "Infinity", "-1", "1 500", "1e999"}) {
+            assertEquals(parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=" + bad + " */ SELECT 1").getClass(),
+                    Statement.Unusable.class, bad);
+        }
+    }
+
     private static Statement parsed(String text) {
         return Statement.parse(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -52,6 +92,9 @@
     public void killNamesItsConnection() {
         assertEquals(parsed(" kill query 12 ;"), new Statement.Kill(true, 12));
         assertEquals(parsed("KILL 3"), new Statement.Kill(false, 3));
+        assertEquals(parsed("/* by hand */ -- and why\n KILL QUERY 12"), new Statement.Kill(true, 12));
+        assertEquals(parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=15 */ KILL QUERY 3"),
+                new Statement.Kill(true, 3));
     }
 
     @Test
