--- a/gateway/src/main/java/sandpaddle/mysql/Commands.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Commands.java
@@ -1,6 +1,7 @@
 package sandpaddle.mysql;
 
 import java.nio.charset.StandardCharsets;
+import java.time.Instant;
 import java.util.Arrays;
 
 /** What a client may say: its login, then commands. Each is answered at once, but a query. */
@@ -43,7 +44,7 @@
             case COM_RESET_CONNECTION -> session.send(Messages.ok(1));
             case COM_INIT_DB -> session.send(rest.equals(MysqlFrontend.DATABASE) ? Messages.ok(1)
                     : Messages.error(1, SqlError.ER_BAD_DB_ERROR, "Unknown database '" + rest + "'"));
-            case COM_QUERY -> query(Arrays.copyOfRange(p.payload(), 1, p.payload().length));
+            case COM_QUERY -> query(Arrays.copyOfRange(p.payload(), 1, p.payload().length), p.arrivedAt());
             case COM_PROCESS_KILL -> {
                 byte[] b = Arrays.copyOf(p.payload(), 5);
                 kill(new Statement.Kill(false,
@@ -53,7 +54,7 @@
         }
     }
 
-    private void query(byte[] text) {
+    private void query(byte[] text, Instant arrivedAt) {
         Statement statement = Statement.parse(text);
         if (statement instanceof Statement.Kill k) {
             kill(k);
@@ -64,7 +65,7 @@
         } else if (statement instanceof Statement.Unusable u) {
             session.send(Messages.error(1, SqlError.ER_PARSE_ERROR, u.why()));
         } else if (statement instanceof Statement.Ask ask) {
-            session.ask(ask.query());
+            session.ask(ask.query(), arrivedAt);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -1,6 +1,7 @@
 package sandpaddle.mysql;
 
 import java.nio.ByteBuffer;
+import java.time.Duration;
 import java.time.Instant;
 import org.tinylog.Logger;
 import sandpaddle.net.Connection;
@@ -91,7 +92,7 @@
                 connection.broken(null);
             }
         } else {
-            packets.feed(bytes);
+            packets.feed(bytes, loop.readableSince());
             handle();
         }
     }
@@ -156,13 +157,14 @@
         frontend.rests(this);
     }
 
-    /** Opens its query; the answer comes in this call or later. */
-    void ask(Query query) {
+    /** Opens its query, whose last byte came at a time; the answer comes in this call or later. */
+    void ask(Query query, Instant arrivedAt) {
         state = State.BUSY;
         note = "";
         frontend.asks(this);
         int number = ++open;
-        QueryService.Ticket t = frontend.service().submit(query.by(user), () -> waits(number), a -> answer(number, a));
+        QueryService.Ticket t = frontend.service().submit(query.by(user),
+                Duration.between(arrivedAt, loop.now()), () -> waits(number), a -> answer(number, a));
         ticket = state == State.BUSY && number == open ? t : null;
     }
 
--- a/gateway/src/main/java/sandpaddle/net/Loop.java
+++ b/gateway/src/main/java/sandpaddle/net/Loop.java
@@ -39,13 +39,16 @@
     /** Channels that were closed keep their descriptors until the selector lets them go: so many at most. */
     private static final int MOST_CLOSED = 6;
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(1);
+    /** What was ready at once may have been so since the last turn looked; so long at most, for that is a guess. */
+    private static final Duration LONGEST_UNSEEN = Duration.ofMillis(100);
 
     private final Selector selector;
     private final UnixClock clock;
     private final Timers timers = new Timers();
     private final ByteBuffer scratch = ByteBuffer.allocateDirect(READ_BYTES);
     private final ByteBuffer looked = ByteBuffer.allocateDirect(LOOK_BYTES);
-    private Instant now;
+    private Instant now, readableSince;
+    private List<Runnable> nextTurn = new ArrayList<>();
     private boolean again, stopped;
     private int closed; // since the selector last let go what was closed
 
@@ -53,6 +56,7 @@
         selector = Selector.open();
         clock = new UnixClock(system);
         now = clock.now();
+        readableSince = now;
     }
 
     @Override
@@ -60,6 +64,25 @@
         return now;
     }
 
+    /** The time by the clock, while that of the turn stands still. */
+    public Instant current() {
+        return clock.now();
+    }
+
+    /**
+     * From when on what is read in this turn may have been there, at the earliest: it is not {@link #now()} after a
+     * long turn, and the time of a request is counted from its arrival.
+     */
+    public Instant readableSince() {
+        return readableSince;
+    }
+
+    /** Has a task run in the next turn, which does not wait. */
+    public void nextTurn(Runnable task) {
+        nextTurn.add(task);
+        again = true;
+    }
+
     @Override
     public Timers.Timer at(Instant at, Runnable task) {
         return timers.at(at, task);
@@ -124,24 +147,34 @@
 
     /** One turn, which waits no longer than told. */
     public void turn(Runnable handOn, Duration longest) throws IOException {
-        now = clock.now();
-        long waitUs = again ? 0 : timers.untilNext(now, longest).toNanos() / 1000;
-        again = false;
-        if (waitUs <= 0) {
-            selector.selectNow();
-        } else {
-            selector.select((waitUs + 999) / 1000); // rounded up: a timer never runs early
-        }
+        await(longest);
         closed = 0;
-        now = clock.now();
         List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
         selector.selectedKeys().clear();
         ready.sort(Comparator.comparing(key -> ((Handler) key.attachment()).rank()));
+        List<Runnable> tasks = nextTurn;
+        nextTurn = new ArrayList<>();
         ready.forEach(Loop::serve);
+        tasks.forEach(Loop::guarded);
         guarded(() -> timers.run(now));
         guarded(handOn);
     }
 
+    /** Returns once something is ready or due; what is ready at once may have been so since the last turn looked. */
+    private void await(Duration longest) throws IOException {
+        Instant before = now;
+        long waitUs = again ? 0 : timers.untilNext(clock.now(), longest).toNanos() / 1000;
+        again = false;
+        selector.selectNow();
+        boolean unseen = !selector.selectedKeys().isEmpty();
+        if (!unseen && waitUs > 0) {
+            selector.select((waitUs + 999) / 1000); // rounded up: a timer never runs early
+        }
+        now = clock.now();
+        Instant earliest = now.minus(LONGEST_UNSEEN);
+        readableSince = !unseen ? now : before.isAfter(earliest) ? before : earliest;
+    }
+
     private static void serve(SelectionKey key) {
         Handler handler = (Handler) key.attachment();
         if (key.isValid()) {
--- a/gateway/src/main/java/sandpaddle/query/QueryService.java
+++ b/gateway/src/main/java/sandpaddle/query/QueryService.java
@@ -34,9 +34,15 @@
         return submit(query, () -> true, answer);
     }
 
+    /** Takes a query that came just now. */
+    default Ticket submit(Query query, BooleanSupplier waits, Consumer<Answer> answer) {
+        return submit(query, Duration.ZERO, waits, answer);
+    }
+
     /**
-     * Takes a query; the answer comes once, in this call or in a later turn of the loop. {@code waits} is asked in the
-     * instant before an attempt is written: it looks whether the client has left, and where it has, leaves the ticket.
+     * Takes a query; the answer comes once, in this call or in a later turn of the loop. {@code waited}: how much of
+     * its patience is over already, since it came. {@code waits} is asked in the instant before an attempt is written:
+     * it looks whether the client has left, and where it has, leaves the ticket.
      */
-    Ticket submit(Query query, BooleanSupplier waits, Consumer<Answer> answer);
+    Ticket submit(Query query, Duration waited, BooleanSupplier waits, Consumer<Answer> answer);
 }
--- a/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
+++ b/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
@@ -119,14 +119,19 @@
     }
 
     @Override
-    public Ticket submit(Query query, BooleanSupplier waits, Consumer<Answer> answer) {
+    public Ticket submit(Query told, Duration waited, BooleanSupplier waits, Consumer<Answer> answer) {
+        Query query = told.withPatience(told.patience().minus(waited));
         int cls = names.routes().indexOf(query.route());
         if (cls < 0) {
             answer.accept(new Answer.Invalid("unknown route '" + query.route() + "'"));
             return () -> { };
         }
-        if (query.patience().compareTo(Micros.span(PATIENCE_MOST * settings.classes().get(cls).limitUs())) > 0) {
-            answer.accept(new Answer.Invalid("a patience of " + query.patience().toMillis() + " ms is out of range"));
+        if (told.patience().compareTo(Micros.span(PATIENCE_MOST * settings.classes().get(cls).limitUs())) > 0) {
+            answer.accept(new Answer.Invalid("a patience of " + told.patience().toMillis() + " ms is out of range"));
+            return () -> { };
+        }
+        if (query.patience().isNegative() || query.patience().isZero()) {
+            answer.accept(new Answer.Refused(Duration.ZERO)); // nothing of it was begun
             return () -> { };
         }
         boolean named = !query.once().isEmpty() && settings.classes().get(cls).effect() == Gateway.Effect.UNSAFE;
--- a/gateway/src/test/java/sandpaddle/crossing/Crossing.java
+++ b/gateway/src/test/java/sandpaddle/crossing/Crossing.java
@@ -41,6 +41,8 @@
             {"name":"again","aim_us":1500000,"aim_stretch":1.5,"effect":"safe","hard_limit_us":7500000,"value":1.0},
             {"name":"once","aim_us":4000000,"effect":"unsafe","hard_limit_us":20000000,"value":3.0},
             {"name":"window","aim_us":4000000,"effect":"keyed","key_scope":"all","window_us":400000,
+            "hard_limit_us":20000000,"value":3.0},
+            {"name":"inorder","aim_us":4000000,"effect":"keyed","key_scope":"all","window_us":400000,"by_arrival":true,
             "hard_limit_us":20000000,"value":3.0}],
             "report":{"fields":["utilization","backlog"],"how":"inline"},
             "bounds":{"cancel":true,"may_probe":false,"peers":false,"retry_after":true,"second_copies":false,
@@ -48,7 +50,7 @@
             "connect_timeout_us":250000},
             "rules":{"answer_slack_us":20000,"drain_grace_us":250000,"cold_from":0.3,"cold_us":15000000,
             "tip_multiple":4.0,"fall_us":1000000},
-            "specifics":{"class_threads":[1,2,2],"size_cores":[8],"grants_count":true,"takes_priority":true}}""";
+            "specifics":{"class_threads":[1,2,2,2],"size_cores":[8],"grants_count":true,"takes_priority":true}}""";
     static final int MOST_SESSIONS = 4;
     private static final Config CONFIG = read(); // once: thousands of crossings follow one another
 
@@ -87,11 +89,16 @@
 
     /** Tells the list's word on the engine: Ready, Terminating or Gone. */
     void list(String health) throws IOException, FieldException {
+        list(health, worker.address());
+    }
+
+    /** The same for an engine at another address. */
+    void list(String health, InetSocketAddress address) throws IOException, FieldException {
         events++;
         String event = """
                 {"n":%d,"members":{"seq":%d,"whole":%b,"hosts":[{"host":"e","dial":"127.0.0.1:%d","site":"east",
                 "class":"std","block":0,"health":"%s","share":1,"born_ms":0}]}}"""
-                .formatted(events, events, events == 1, worker.address().getPort(), health);
+                .formatted(events, events, events == 1, address.getPort(), health);
         dispatcher.listed(ListEvent.read(Json.object(event.getBytes(StandardCharsets.UTF_8), ""), names));
     }
 
@@ -136,8 +143,8 @@
         }
 
         @Override
-        public Ticket submit(Query query, BooleanSupplier waits, Consumer<Answer> answer) {
-            return dispatcher.submit(query, waits, answer);
+        public Ticket submit(Query query, Duration waited, BooleanSupplier waits, Consumer<Answer> answer) {
+            return dispatcher.submit(query, waited, waits, answer);
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/story/NoteStories.java
+++ b/gateway/src/test/java/sandpaddle/story/NoteStories.java
@@ -6,6 +6,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Clock;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -47,7 +48,8 @@
             }
 
             @Override
-            public Ticket submit(Query query, BooleanSupplier waits, Consumer<Answer> answer) {
+            public Ticket submit(Query query, Duration waited, BooleanSupplier waits,
+                    Consumer<Answer> answer) {
                 taken.add(query);
                 answer.accept(next);
                 return () -> { };
