--- a/gateway/src/main/java/sandpaddle/mysql/Commands.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Commands.java
@@ -75,6 +75,7 @@
             session.send(Messages.error(1, SqlError.ER_NO_SUCH_THREAD, "Unknown thread id: " + kill.connectionId()));
             return;
         }
+        other.hear(); // the query that is to be killed may have come before, and not have been read
         if (kill.queryOnly()) {
             other.interrupt();
             session.send(Messages.ok(1));
--- a/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
+++ b/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
@@ -28,6 +28,8 @@
     private static final Duration SILENT_LEAST = Duration.ofMillis(100);
     private static final Duration REST_LEAST = Duration.ofMillis(10); // a request that crosses the close is sent again
 
+    private static final Duration LONG_TURN = Duration.ofMillis(20); // of the 100 ms after which a cancel must be heard
+
     private final Loop loop;
     private final QueryService service;
     private final SplittableRandom random;
@@ -38,6 +40,7 @@
     private final Acceptor acceptor;
     private final int mostSessions;
     private int lastId;
+    private Instant lastHeardAt = Instant.MIN; // between two turns
 
     public MysqlFrontend(Loop loop, InetSocketAddress address, QueryService service, int mostSessions,
             long seed) throws IOException {
@@ -99,6 +102,20 @@
                         .anyMatch(Session::makesRoom);
     }
 
+    /**
+     * Hears KILL, which comes on a connection of its own, before an attempt is written late in a long turn: one that
+     * came since the turn began would be heard after it.
+     */
+    void hearCancellations() {
+        Instant current = loop.current();
+        Instant heardAt = lastHeardAt.isAfter(loop.now()) ? lastHeardAt : loop.now();
+        if (Duration.between(heardAt, current).compareTo(LONG_TURN) >= 0) {
+            lastHeardAt = current;
+            acceptor.acceptWaiting();
+            List.copyOf(opening).forEach(Session::hear);
+        }
+    }
+
     /** A session has an open query. */
     void asks(Session s) {
         opening.remove(s);
--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -99,10 +99,16 @@
 
     /** Hears what has come from the client by now; whether its query of a number is open still. */
     private boolean waits(int number) {
+        frontend.hearCancellations();
         connection.look();
         return state == State.BUSY && open == number;
     }
 
+    /** Hears what has come from the client by now. */
+    void hear() {
+        connection.look();
+    }
+
     /** Handles what is buffered, up to a query; its answer goes on with the rest. */
     private void handle() {
         if (handling) {
--- a/gateway/src/main/java/sandpaddle/net/Acceptor.java
+++ b/gateway/src/main/java/sandpaddle/net/Acceptor.java
@@ -37,10 +37,25 @@
 
     @Override
     public void ready(SelectionKey ready) throws IOException {
+        accept(MOST_A_TURN);
+    }
+
+    private void accept(int most) throws IOException {
         SocketChannel c = channel.accept();
         for (int i = 1; c != null; i++) {
             take(c);
-            c = i < MOST_A_TURN ? channel.accept() : null;
+            c = i < most ? channel.accept() : null;
+        }
+    }
+
+    /** Takes the connections that wait, without waiting for the next turn. */
+    public void acceptWaiting() {
+        if (channel.isOpen()) {
+            try {
+                accept(MOST_A_TURN);
+            } catch (IOException e) {
+                broken(e);
+            }
         }
     }
 
@@ -78,11 +93,7 @@
     /** Those that were taken by the system before are taken first, as many as it holds: a close would reset them. */
     public void close() {
         try {
-            SocketChannel c = channel.accept();
-            for (int i = 1; c != null; i++) {
-                take(c);
-                c = i < BACKLOG ? channel.accept() : null;
-            }
+            accept(BACKLOG);
         } catch (IOException e) {
             Logger.warn("cannot accept: {}", e.toString());
         }
--- a/gateway/src/test/java/sandpaddle/crossing/LeavingTest.java
+++ b/gateway/src/test/java/sandpaddle/crossing/LeavingTest.java
@@ -6,9 +6,19 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** A client that has gone: no attempt begins for it, wherever the turn stood. Rows L1 to L8 of crossings.md. */
+/** A client that has gone: no attempt begins for it, wherever the turn stood. Rows L1 to L11 of crossings.md. */
 public class LeavingTest {
 
+    /** Leaves an idle connection to the engine, on which an attempt is written at once. */
+    private static void warm(Crossing x) throws java.io.IOException {
+        Caller warm = x.ready();
+        warm.send(Caller.query("once", 9, 5000));
+        x.until(() -> x.worker.calls("POST") == 1);
+        x.worker.answer("POST", Worker.ROWS);
+        x.until(() -> warm.answers().equals(java.util.List.of("rows")));
+        x.clock.pass(Duration.ofMillis(100));
+    }
+
     /** L1. Guards against a client that cannot be seen to go, since what it sent ahead was left unread. */
     @Test
     public void anEndBehindWhatWasSentAheadIsSeenWhileTheQueryWaits() throws Exception {
@@ -54,12 +64,7 @@
     public void aClientThatGoesWithinTheTurnIsNotSentFor() throws Exception {
         try (Crossing x = new Crossing()) {
             x.list("Ready");
-            Caller warm = x.ready(); // so that there is a connection to write on at once
-            warm.send(Caller.query("once", 9, 5000));
-            x.until(() -> x.worker.calls("POST") == 1);
-            x.worker.answer("POST", Worker.ROWS);
-            x.until(() -> warm.answers().equals(java.util.List.of("rows")));
-            x.clock.pass(Duration.ofMillis(100));
+            warm(x);
             Caller c = x.ready();
             c.write(Caller.query("once", 1, 5000), 0);
             x.turn(c::leave);
@@ -103,6 +108,50 @@
         }
     }
 
+    /** L10. Guards against a KILL that is read before the query which came before it, on a connection of its own. */
+    @Test
+    public void aKillEndsTheQueryThatCameBeforeItThoughItIsReadFirst() throws Exception {
+        try (Crossing x = new Crossing()) {
+            Caller c = x.ready();
+            Caller killer = x.opened();
+            x.atConnection = () -> { // clients have been read in this turn, and the killer's connection is taken
+                c.write(Caller.query("once", 1, 5000), 0);
+                killer.write(Caller.both(Caller.login(), Caller.query("KILL QUERY " + c.id())), 0);
+            };
+            x.settle();
+            assertEquals(killer.answers(), java.util.List.of("ok"));
+            x.list("Ready");
+            x.settle();
+            assertEquals(x.worker.calls("POST"), 0);
+            assertEquals(c.answers(), java.util.List.of("1317"));
+        }
+    }
+
+    /** L11. Guards against a long turn: a KILL that has waited in it is heard before the attempt is written. */
+    @Test
+    public void aKillThatWaitsInALongTurnIsHeardBeforeTheAttemptIsWritten() throws Exception {
+        for (boolean taken : new boolean[] {false, true}) {
+            try (Crossing x = new Crossing()) {
+                x.list("Ready");
+                warm(x);
+                Caller c = x.ready();
+                Caller killer = x.opened();
+                if (taken) { // its session is open, and the KILL comes later
+                    x.until(() -> killer.packets().size() == 1);
+                }
+                c.write(Caller.query("once", 1, 5000), 0);
+                x.turn(() -> {
+                    killer.write(Caller.both(Caller.login(), Caller.query("KILL QUERY " + c.id())), 0);
+                    x.clock.pass(Duration.ofMillis(110));
+                });
+                x.settle();
+                assertEquals(killer.answers(), java.util.List.of("ok"));
+                assertEquals(c.answers(), java.util.List.of("1317"));
+                assertEquals(x.worker.calls("POST"), 0, "it began more than 0.1 s after the cancel");
+            }
+        }
+    }
+
     /** L6. Guards against a drain that is told in the turn in which a connection comes up. */
     @Test
     public void whatTheListForbidsIsNotBegunThoughItsConnectionIsUp() throws Exception {
