--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -23,6 +23,10 @@
     private static final long THROWN_MOST = 8L * 1024 * 1024;
     /** Answers that a client has not read, before its next command comes to wait. */
     private static final int UNREAD_MOST = 128 * 1024;
+    /** Commands of one session in a turn: one that sends many at once does not keep the others waiting. */
+    static final int MOST_COMMANDS = 64;
+    private static final int FIRST_REPLY = 1; // the number of the packet that answers a command
+    private static final int LOGIN_REPLY = 2; // after the greeting and the login
 
     private final MysqlFrontend frontend;
     private final Loop loop;
@@ -37,6 +41,7 @@
     private String note = ""; // on the last result
     private State state = State.LOGIN;
     private boolean handling;
+    private boolean yielded; // to the other sessions, until the next turn
     private long thrownAway; // of what came ahead of an answer; where any was, the session ends with that answer
     private int open; // the number of the open query, so that a late answer finds nobody
     private QueryService.Ticket ticket;
@@ -116,9 +121,14 @@
         }
         handling = true;
         try {
-            for (PacketReader.Packet p = next(); p != null; p = next()) {
+            PacketReader.Packet p = next();
+            for (int handled = 1; p != null; handled++) {
                 clocks.whole();
                 packet(p);
+                if (handled == MOST_COMMANDS && packets.buffered() > 0) {
+                    yieldTurn();
+                }
+                p = next();
             }
         } catch (ProtocolException e) {
             Logger.debug("session {} ends: {}", id, e.getMessage());
@@ -128,13 +138,24 @@
             handling = false;
         }
         if (state != State.ENDED) {
-            connection.reading(state == State.BUSY || !isUnread() || packets.buffered() == 0);
-            clocks.partial(state != State.BUSY && !isUnread() && packets.buffered() > 0);
+            boolean paused = yielded || isUnread();
+            connection.reading(state == State.BUSY || !paused || packets.buffered() == 0);
+            clocks.partial(state != State.BUSY && !paused && packets.buffered() > 0);
         }
     }
 
+    private void yieldTurn() {
+        yielded = true;
+        loop.nextTurn(() -> {
+            yielded = false;
+            if (state != State.ENDED) {
+                handle();
+            }
+        });
+    }
+
     private PacketReader.Packet next() throws ProtocolException {
-        boolean waits = state == State.BUSY || state == State.ENDED || isUnread() || thrownAway > 0;
+        boolean waits = state == State.BUSY || state == State.ENDED || yielded || isUnread() || thrownAway > 0;
         return waits ? null : packets.next();
     }
 
--- a/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
+++ b/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
@@ -44,6 +44,7 @@
     private SharedRuns shared; // null until runs are known by name for the first time
     private boolean namesRuns;
     private boolean listSeen;
+    private boolean ending; // no query is taken any more
 
     /** One that shares nothing with other gateways. */
     public Dispatcher(Scheduler loop, Gateway module, Gateway.Settings settings, Names names, EngineSide engines,
@@ -130,7 +131,7 @@
             answer.accept(new Answer.Invalid("a patience of " + told.patience().toMillis() + " ms is out of range"));
             return () -> { };
         }
-        if (query.patience().isNegative() || query.patience().isZero()) {
+        if (ending || query.patience().isNegative() || query.patience().isZero()) {
             answer.accept(new Answer.Refused(Duration.ZERO)); // nothing of it was begun
             return () -> { };
         }
@@ -168,8 +169,9 @@
         return () -> exchanges.leave(x);
     }
 
-    /** Gives every open query its final answer now: the process is about to end. */
+    /** Gives every open query its final answer now, and what comes after it at once: the process is about to end. */
     public void endAll() {
+        ending = true;
         lookups.abandonAll();
         exchanges.abandonAll();
     }
