--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -24,7 +24,7 @@
     /** Answers that a client has not read, before its next command comes to wait. */
     private static final int UNREAD_MOST = 128 * 1024;
     /** Commands of one session in a turn: one that sends many at once does not keep the others waiting. */
-    static final int MOST_COMMANDS = 64;
+    private static final int MOST_COMMANDS = 64;
     private static final int FIRST_REPLY = 1; // the number of the packet that answers a command
     private static final int LOGIN_REPLY = 2; // after the greeting and the login
 
@@ -82,7 +82,12 @@
 
     private void late(String why) {
         Logger.debug("session {} ends: {}", id, why);
-        end(Messages.error(state == State.LOGIN ? 2 : 0, SqlError.ER_NET_READ_INTERRUPTED, why));
+        end(Messages.error(replyNumber(), SqlError.ER_NET_READ_INTERRUPTED, why));
+    }
+
+    /** The number of the packet that a client expects next, where none of an answer was sent: others are unreadable. */
+    private int replyNumber() {
+        return state == State.LOGIN ? LOGIN_REPLY : FIRST_REPLY;
     }
 
     /**
@@ -133,7 +138,7 @@
         } catch (ProtocolException e) {
             Logger.debug("session {} ends: {}", id, e.getMessage());
             leave();
-            end(Messages.error(1, e.error, e.getMessage()));
+            end(Messages.error(replyNumber(), e.error, e.getMessage()));
         } finally {
             handling = false;
         }
@@ -271,13 +276,18 @@
 
     /**
      * Its descriptor is needed for another client; whether it gave it. Not one that has asked for something by now: a
-     * close over a request that waits to be read would lose it.
+     * close over a request that waits to be read would lose it. One that never asked is told, for its first request may
+     * be on its way; one that has asked before sends a request that crosses the close again.
      */
     boolean makesRoom() {
         connection.look();
         if (state != State.ENDED && isIdle()) {
-            over();
-            connection.close();
+            if (restingSince == null) {
+                end(Messages.error(replyNumber(), SqlError.ER_CON_COUNT_ERROR, "Too many connections"));
+            } else {
+                over();
+                connection.close();
+            }
         }
         return state == State.ENDED;
     }
--- a/gateway/src/test/java/sandpaddle/crossing/Caller.java
+++ b/gateway/src/test/java/sandpaddle/crossing/Caller.java
@@ -14,6 +14,7 @@
 final class Caller implements AutoCloseable {
     private static final int ERR = 0xFF;
     private static final int EOF = 0xFE;
+    private static final int HEADER = 4;
 
     private final SocketChannel channel;
     private final int gateway;
@@ -112,15 +113,25 @@
 
     /** The payloads of the packets read so far. */
     List<byte[]> packets() {
+        return packets(HEADER);
+    }
+
+    /** The number of a packet in its exchange, as its header tells it. */
+    int sequence(int packet) {
+        return packets(0).get(packet)[HEADER - 1] & 0xFF;
+    }
+
+    private List<byte[]> packets(int skipped) {
         List<byte[]> all = new ArrayList<>();
         byte[] b = in.toByteArray();
-        for (int at = 0; at + 4 <= b.length;) {
+        for (int at = 0; at + HEADER <= b.length;) {
             int length = b[at] & 0xFF | (b[at + 1] & 0xFF) << 8 | (b[at + 2] & 0xFF) << 16;
-            if (at + 4 + length > b.length) {
+            int end = at + HEADER + length;
+            if (end > b.length) {
                 break;
             }
-            all.add(java.util.Arrays.copyOfRange(b, at + 4, at + 4 + length));
-            at += 4 + length;
+            all.add(java.util.Arrays.copyOfRange(b, at + skipped, end));
+            at = end;
         }
         return all;
     }
