--- a/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
+++ b/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import sandpaddle.net.Acceptor;
 import sandpaddle.net.Connection;
-import sandpaddle.net.Farewell;
+import sandpaddle.net.LingeringClose;
 import sandpaddle.net.Loop;
 import sandpaddle.query.Frontend;
 import sandpaddle.query.QueryService;
@@ -23,7 +23,7 @@
     static final String USER = "app";
     static final String DATABASE = "core";
     private static final int SCRAMBLE = 20;
-    /** Connections that are ending at one time, beside the sessions. */
+    /** Connections that linger before they close, beside the sessions. */
     public static final int MOST_LEAVING = 24;
     private static final Duration SILENT_LEAST = Duration.ofMillis(100);
     private static final Duration REST_LEAST = Duration.ofMillis(10); // a request that crosses the close is sent again
@@ -36,7 +36,7 @@
     private final Map<Integer, Session> sessions = new HashMap<>();
     private final Set<Session> opening = new LinkedHashSet<>(); // that never asked, by age
     private final Set<Session> resting = new LinkedHashSet<>(); // with no open query, by when it ended
-    private final Set<Farewell> leaving = new LinkedHashSet<>();
+    private final Set<LingeringClose> closing = new LinkedHashSet<>();
     private final Acceptor acceptor;
     private final int mostSessions;
     private int lastId;
@@ -68,11 +68,11 @@
     private void accepted(Connection c) {
         Optional<Duration> away = service.turnsAwayConnection();
         if (away.isPresent()) {
-            leaving(c, tooMany(away.get()));
+            close(c, tooMany(away.get()));
             return;
         }
         if (sessions.size() >= mostSessions && !makeRoom()) {
-            leaving(c, tooMany(service.pauseWithoutRoom()));
+            close(c, tooMany(service.pauseWithoutRoom()));
             return;
         }
         Session s = new Session(this, loop, c, ++lastId);
@@ -133,15 +133,18 @@
         sessions.remove(s.id);
     }
 
-    /** Guards the descriptors against many that are slow to go: then the first of them goes at once. */
-    void leaving(Connection c, byte[] words) {
-        if (!leaving.isEmpty() && sessions.size() + leaving.size() >= mostSessions + MOST_LEAVING) {
-            leaving.iterator().next().close();
+    /**
+     * Closes a connection once its last bytes have been read. Guards the descriptors against many that linger: then the
+     * oldest of them is closed at once.
+     */
+    void close(Connection c, byte[] lastBytes) {
+        if (!closing.isEmpty() && sessions.size() + closing.size() >= mostSessions + MOST_LEAVING) {
+            closing.iterator().next().close();
         }
-        Farewell[] one = new Farewell[1];
-        one[0] = Farewell.bid(loop, c, words, () -> leaving.remove(one[0]));
+        LingeringClose[] lingering = new LingeringClose[1];
+        lingering[0] = LingeringClose.start(loop, c, lastBytes, () -> closing.remove(lingering[0]));
         if (c.isUp()) {
-            leaving.add(one[0]);
+            closing.add(lingering[0]);
         }
     }
 
@@ -160,9 +163,9 @@
         }
     }
 
-    /** Those that are ending count too: the end of the process would reset them over what they have not read. */
+    /** Those that linger count too: the end of the process would reset them over what they have not read. */
     @Override
     public boolean isIdle() {
-        return leaving.isEmpty() && sessions.values().stream().allMatch(Session::isIdle);
+        return closing.isEmpty() && sessions.values().stream().allMatch(Session::isIdle);
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -264,7 +264,7 @@
     void end(byte[] words) {
         if (state != State.ENDED) {
             over();
-            frontend.leaving(connection, words);
+            frontend.close(connection, words);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/net/Connection.java
+++ b/gateway/src/main/java/sandpaddle/net/Connection.java
@@ -115,11 +115,11 @@
         }
     }
 
-    /** Writes the last words; once they have left, the other side reads the end, and what it sends still comes. */
-    void endWith(byte[] words) {
+    /** Writes the last bytes and, once they have left, shuts the output down; input is read on. */
+    void endWith(byte[] lastBytes) {
         endWhenFlushed = true;
-        if (words.length > 0) {
-            write(words);
+        if (lastBytes.length > 0) {
+            write(lastBytes);
         }
         if (unsent == 0) {
             endOutput();
