--- a/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
+++ b/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
@@ -4,10 +4,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -18,24 +15,20 @@
 import sandpaddle.query.Frontend;
 import sandpaddle.query.QueryService;
 
-/** Listens for clients of the MySQL protocol and keeps their sessions by connection id. */
+/** Listens for clients of the MySQL protocol, and opens and closes their sessions. */
 public final class MysqlFrontend implements Frontend {
     static final String USER = "app";
     static final String DATABASE = "core";
-    private static final int SCRAMBLE = 20;
     /** Connections that linger before they close, beside the sessions. */
     public static final int MOST_LEAVING = 24;
-    private static final Duration SILENT_LEAST = Duration.ofMillis(100);
-    private static final Duration REST_LEAST = Duration.ofMillis(10); // a request that crosses the close is sent again
-
-    private static final Duration LONG_TURN = Duration.ofMillis(20); // of the 100 ms after which a cancel must be heard
+    private static final int SCRAMBLE = 20;
+    /** Of the 100 ms after which no attempt may begin for a client that has cancelled. */
+    private static final Duration LONG_TURN = Duration.ofMillis(20);
 
     private final Loop loop;
     private final QueryService service;
     private final SplittableRandom random;
-    private final Map<Integer, Session> sessions = new HashMap<>();
-    private final Set<Session> opening = new LinkedHashSet<>(); // that never asked, by age
-    private final Set<Session> resting = new LinkedHashSet<>(); // with no open query, by when it ended
+    private final SessionRegistry sessions = new SessionRegistry();
     private final Set<LingeringClose> closing = new LinkedHashSet<>();
     private final Acceptor acceptor;
     private final int mostSessions;
@@ -60,8 +53,8 @@
         return service;
     }
 
-    Session session(int id) {
-        return sessions.get(id);
+    SessionRegistry sessions() {
+        return sessions;
     }
 
     /** Guards the limit on descriptors, which engines need too: at the limit one is taken and told to go. */
@@ -71,37 +64,31 @@
             close(c, tooMany(away.get()));
             return;
         }
-        if (sessions.size() >= mostSessions && !makeRoom()) {
+        if (sessions.size() >= mostSessions && !sessions.makeRoom(loop.now())) {
             close(c, tooMany(service.pauseWithoutRoom()));
             return;
         }
-        Session s = new Session(this, loop, c, ++lastId);
-        c.owner(s);
-        sessions.put(s.id, s);
-        opening.add(s);
-        c.write(Messages.greeting(s.id, random.ints(SCRAMBLE, 1, 128)
-                .collect(java.io.ByteArrayOutputStream::new, (o, b) -> o.write(b), (a, b) -> { }).toByteArray()));
+        Session session = new Session(this, loop, c, ++lastId);
+        c.owner(session);
+        sessions.add(session);
+        c.write(Messages.greeting(session.id, scramble()));
         c.look(); // a login, a KILL, even a query may have come with it
     }
 
+    /** Random bytes that are no zero, which would end them. */
+    private byte[] scramble() {
+        byte[] scramble = new byte[SCRAMBLE];
+        for (int i = 0; i < SCRAMBLE; i++) {
+            scramble[i] = (byte) random.nextInt(1, Byte.MAX_VALUE + 1);
+        }
+        return scramble;
+    }
+
     private static byte[] tooMany(Duration pause) {
         return Messages.error(0, SqlError.ER_CON_COUNT_ERROR,
                 "Too many connections" + (pause.isZero() ? "" : ", pause=" + pause.toMillis()));
     }
 
-    /**
-     * Guards clients that ask against those that only hold their connection: the one that has been silent
-     * longest since it was opened goes first, then the one that has rested longest. Never one with a request.
-     */
-    private boolean makeRoom() {
-        Instant silentSince = loop.now().minus(SILENT_LEAST);
-        Instant restingSince = loop.now().minus(REST_LEAST);
-        return List.copyOf(opening).stream().takeWhile(s -> s.openedAt().isBefore(silentSince))
-                .anyMatch(Session::makesRoom)
-                || List.copyOf(resting).stream().takeWhile(s -> s.restingSince().isBefore(restingSince))
-                        .anyMatch(Session::makesRoom);
-    }
-
     /**
      * Hears KILL, which comes on a connection of its own, before an attempt is written late in a long turn: one that
      * came since the turn began would be heard after it.
@@ -112,27 +99,10 @@
         if (Duration.between(heardAt, current).compareTo(LONG_TURN) >= 0) {
             lastHeardAt = current;
             acceptor.acceptWaiting();
-            List.copyOf(opening).forEach(Session::hear);
+            sessions.silent().forEach(Session::hear);
         }
     }
 
-    /** A session has an open query. */
-    void asks(Session s) {
-        opening.remove(s);
-        resting.remove(s);
-    }
-
-    /** A session has asked, and has no open query. */
-    void rests(Session s) {
-        asks(s);
-        resting.add(s);
-    }
-
-    void ended(Session s) {
-        asks(s);
-        sessions.remove(s.id);
-    }
-
     /**
      * Closes a connection once its last bytes have been read. Guards the descriptors against many that linger: then the
      * oldest of them is closed at once.
@@ -156,16 +126,12 @@
 
     @Override
     public void closeIdle() {
-        for (Session s : List.copyOf(sessions.values())) {
-            if (s.isIdle()) {
-                s.closeIdle();
-            }
-        }
+        sessions.all().stream().filter(Session::isIdle).forEach(Session::closeIdle);
     }
 
     /** Those that linger count too: the end of the process would reset them over what they have not read. */
     @Override
     public boolean isIdle() {
-        return closing.isEmpty() && sessions.values().stream().allMatch(Session::isIdle);
+        return closing.isEmpty() && sessions.all().stream().allMatch(Session::isIdle);
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/SessionClocks.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SessionTimeouts.java
@@ -10,7 +10,7 @@
  * The times within which a client must go on, so that descriptors and memory are not held for nothing. What came while
  * the turn of a timer went on is heard before its client is told that it is late.
  */
-final class SessionClocks {
+final class SessionTimeouts {
     /** From its opening, a client has so long to log in and ask; who has asked once may then rest for good. */
     private static final Duration FIRST_COMMAND = Duration.ofMillis(2000);
     /** From its first byte, a packet has so long to come whole. */
@@ -24,7 +24,7 @@
     private Timers.Timer first, packet, stall; // null: none of it is waited for
 
     /** {@code late} is told why the client's time is over. */
-    SessionClocks(Loop loop, Connection connection, Consumer<String> late) {
+    SessionTimeouts(Loop loop, Connection connection, Consumer<String> late) {
         this.loop = loop;
         this.connection = connection;
         this.late = late;
@@ -42,15 +42,13 @@
     }
 
     /** A packet is whole: the next one has a time of its own. */
-    void whole() {
+    void packetEnded() {
         packet = cancelled(packet);
     }
 
-    /** Whether a packet has begun that is not whole. */
-    void partial(boolean begun) {
-        if (!begun) {
-            whole();
-        } else if (packet == null) {
+    /** A packet has begun that is not whole. */
+    void packetBegun() {
+        if (packet == null) {
             packet = loop.after(WHOLE_PACKET, this::unfinished);
         }
     }
@@ -64,7 +62,7 @@
     }
 
     /** Something waits to be read by the client. */
-    void unread() {
+    void outputPending() {
         if (stall == null) {
             watch();
         }
@@ -82,15 +80,15 @@
     }
 
     /** All has been read. */
-    void read() {
+    void outputRead() {
         stall = cancelled(stall);
     }
 
     /** Nothing is waited for any more. */
-    void end() {
+    void cancel() {
         asked();
-        whole();
-        read();
+        packetEnded();
+        outputRead();
     }
 
     private static Timers.Timer cancelled(Timers.Timer timer) {
--- a/gateway/src/main/java/sandpaddle/mysql/Statement.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Statement.java
@@ -11,15 +11,15 @@
 sealed interface Statement {
     record Kill(boolean queryOnly, int connectionId) implements Statement { }
 
-    record Ask(Query query) implements Statement { }
+    record Run(Query query) implements Statement { }
 
     /** What was unusual about the last result. */
-    record Warnings() implements Statement { }
+    record ShowWarnings() implements Statement { }
 
     /** Session settings that drivers send by themselves: there is nothing to set. */
-    record Nothing() implements Statement { }
+    record SetOption() implements Statement { }
 
-    record Unusable(String why) implements Statement { }
+    record Malformed(String why) implements Statement { }
 
     Pattern KILL = Pattern.compile("\\s*KILL\\s+(?:(QUERY|CONNECTION)\\s+)?(\\d{1,9})\\s*;?\\s*",
             Pattern.CASE_INSENSITIVE);
@@ -41,54 +41,54 @@
             return new Kill("QUERY".equalsIgnoreCase(kill.group(1)), Integer.parseInt(kill.group(2)));
         }
         if (WARNINGS.matcher(bare).matches()) {
-            return new Warnings();
+            return new ShowWarnings();
         }
         FieldComment comment = FieldComment.find(s, scanner);
         if (comment == null) {
-            return SET.matcher(bare).matches() ? new Nothing() : new Unusable("no comment with the field 'route'");
+            return SET.matcher(bare).matches() ? new SetOption() : new Malformed("no comment with the field 'route'");
         }
-        return ask(comment.fields(), comment.statement());
+        return run(comment.fields(), comment.statement());
     }
 
-    private static Statement ask(Map<String, String> fields, String statement) {
+    private static Statement run(Map<String, String> fields, String statement) {
         String trace = fields.getOrDefault("trace", "");
         if (!TRACE.matcher(trace).matches()) {
-            return new Unusable("field 'trace' is not 16 hex digits");
+            return new Malformed("field 'trace' is not 16 hex digits");
         }
         double patience = number(fields, "patience", -1);
         if (!(patience > 0 && patience <= MOST_MS)) {
-            return new Unusable("field 'patience' is not a number of milliseconds");
+            return new Malformed("field 'patience' is not a number of milliseconds");
         }
         double weight = number(fields, "weight", 0);
         if (!(weight >= 0 && weight <= MOST_MS)) {
-            return new Unusable("field 'weight' is not a number of milliseconds");
+            return new Malformed("field 'weight' is not a number of milliseconds");
         }
         double memory = number(fields, "est_mb", 0);
         if (!(memory >= 0 && memory < Integer.MAX_VALUE)) {
-            return new Unusable("field 'est_mb' is not a number of MB");
+            return new Malformed("field 'est_mb' is not a number of MB");
         }
         String once = fields.getOrDefault("once", "");
         if (!once.isEmpty() && !ONCE.matcher(once).matches()) {
-            return new Unusable("field 'once' is not 1 to 64 letters, digits, dots, dashes or underscores");
+            return new Malformed("field 'once' is not 1 to 64 letters, digits, dots, dashes or underscores");
         }
         String again = fields.getOrDefault("again", "0");
         if (!again.equals("0") && !again.equals("1") || again.equals("1") && once.isEmpty()) {
-            return new Unusable("field 'again' is not 0 or 1 beside 'once'");
+            return new Malformed("field 'again' is not 0 or 1 beside 'once'");
         }
         String tenant = new String(fields.getOrDefault("customer", "").getBytes(StandardCharsets.ISO_8859_1),
                 StandardCharsets.UTF_8);
         if (!tenant.isEmpty() && !TENANT.matcher(tenant).matches()) {
-            return new Unusable("field 'customer' is not 1 to 64 printable characters");
+            return new Malformed("field 'customer' is not 1 to 64 printable characters");
         }
         for (String key : new String[] {"nonce", "entity"}) {
             if (fields.containsKey(key) && !KEY.matcher(fields.get(key)).matches()) {
-                return new Unusable("field '" + key + "' is not 1 to 128 printable characters");
+                return new Malformed("field '" + key + "' is not 1 to 128 printable characters");
             }
         }
         if (statement.isBlank()) {
-            return new Unusable("no statement after the fields");
+            return new Malformed("no statement after the fields");
         }
-        return new Ask(new Query(fields.get("route"), trace, millis(patience), millis(weight), memory,
+        return new Run(new Query(fields.get("route"), trace, millis(patience), millis(weight), memory,
                 SqlScanner.tableGroup(statement), statement.getBytes(StandardCharsets.ISO_8859_1), once,
                 again.equals("1"), tenant, "", fields.getOrDefault("nonce", ""), fields.getOrDefault("entity", "")));
     }
--- a/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
@@ -36,12 +36,12 @@
     public void onlyTheCommentOfTheFieldsIsTakenOut() {
         String sql = "/* app 7 */ SELECT /* keep */ 'caf\u00e9'  FROM sales_17.orders -- end";
         String fields = "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,weight=820.5,est_mb=96 */ ";
-        var ask = (Statement.Ask) Statement.parse(
+        var run = (Statement.Run) Statement.parse(
                 sql.replace("/* app 7 */ ", "/* app 7 */ " + fields).getBytes(StandardCharsets.UTF_8));
-        assertEquals(new String(ask.query().statement(), StandardCharsets.UTF_8), sql);
-        assertEquals(ask.query().work(), Duration.ofNanos(820_500_000));
-        assertEquals(ask.query().memoryMb(), 96.0);
-        assertEquals(ask.query().patience(), Duration.ofMillis(1500));
+        assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), sql);
+        assertEquals(run.query().work(), Duration.ofNanos(820_500_000));
+        assertEquals(run.query().memoryMb(), 96.0);
+        assertEquals(run.query().patience(), Duration.ofMillis(1500));
     }
 
     @DataProvider
@@ -58,29 +58,29 @@
 
     @Test(dataProvider = "spellings")
     public void theCommentOfTheFieldsIsFoundInAnySpelling(String sql) {
-        var ask = (Statement.Ask) parsed(sql);
-        assertEquals(new String(ask.query().statement(), StandardCharsets.UTF_8), "SELECT 1");
-        assertEquals(ask.query().route(), "report");
-        assertEquals(ask.query().trace(), "9b1f03aa5c7e2d41");
-        assertEquals(ask.query().patience(), Duration.ofMillis(1500));
+        var run = (Statement.Run) parsed(sql);
+        assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), "SELECT 1");
+        assertEquals(run.query().route(), "report");
+        assertEquals(run.query().trace(), "9b1f03aa5c7e2d41");
+        assertEquals(run.query().patience(), Duration.ofMillis(1500));
     }
 
     /** Guards against a comment that merely looks like that of the fields. */
     @Test
     public void aCommentWithoutTheRequiredFieldIsPartOfTheStatement() {
         String other = "/* detour=2,enroute=x */ ";
-        var ask = (Statement.Ask) parsed(other + "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1");
-        assertEquals(new String(ask.query().statement(), StandardCharsets.UTF_8), other + "SELECT 1");
-        assertEquals(parsed(other + "SELECT 1"), new Statement.Unusable("no comment with the field 'route'"));
+        var run = (Statement.Run) parsed(other + "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1");
+        assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), other + "SELECT 1");
+        assertEquals(parsed(other + "SELECT 1"), new Statement.Malformed("no comment with the field 'route'"));
         assertEquals(parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 SELECT 1").getClass(),
-                Statement.Unusable.class);
+                Statement.Malformed.class);
     }
 
     @Test
     public void aFigureIsADecimalNumber() {
         for (String bad : new String[] {"", "x", "1500d", "0x1p4", "NaN", "Infinity", "-1", "1 500", "1e999"}) {
             assertEquals(parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=" + bad + " */ SELECT 1").getClass(),
-                    Statement.Unusable.class, bad);
+                    Statement.Malformed.class, bad);
         }
     }
 
@@ -99,9 +99,9 @@
 
     @Test
     public void showWarningsIsTheGatewaysOwnOnlyByItself() {
-        assertEquals(parsed(" show  Warnings ; "), new Statement.Warnings());
-        assertEquals(parsed("SHOW WARNINGS LIMIT 1").getClass(), Statement.Unusable.class);
-        assertEquals(parsed("SHOW WARNINGSX").getClass(), Statement.Unusable.class);
+        assertEquals(parsed(" show  Warnings ; "), new Statement.ShowWarnings());
+        assertEquals(parsed("SHOW WARNINGS LIMIT 1").getClass(), Statement.Malformed.class);
+        assertEquals(parsed("SHOW WARNINGSX").getClass(), Statement.Malformed.class);
     }
 
     private static Statement by(String customer) {
@@ -112,10 +112,10 @@
     @Test
     public void aCustomersNameIsTextWithinBounds() {
         for (String name : new String[] {"", "acme", "acme west=1", "x".repeat(64), "caf\u00e9 \u6771\u4eac"}) {
-            assertEquals(((Statement.Ask) by(name)).query().tenant(), name);
+            assertEquals(((Statement.Run) by(name)).query().tenant(), name);
         }
         for (String name : new String[] {"x".repeat(65), "a\u0001b", "a\nb", "a\u007fb"}) {
-            assertEquals(by(name), new Statement.Unusable("field 'customer' is not 1 to 64 printable characters"));
+            assertEquals(by(name), new Statement.Malformed("field 'customer' is not 1 to 64 printable characters"));
         }
     }
 }
