--- a/gateway/src/main/java/sandpaddle/serve/ActionExecutor.java
+++ b/gateway/src/main/java/sandpaddle/serve/ActionExecutor.java
@@ -14,29 +14,29 @@
 import sandpaddle.query.FleetSide;
 
 /** Carries out what the module decides, and tells it how that ended. */
-final class Actions {
+final class ActionExecutor {
     private final Scheduler loop;
     private final Gateway.Settings settings;
     private final Names names;
     private final EngineSide engines;
     private final FleetSide fleet;
-    private final Door door;
+    private final AdmissionControl admission;
     private final Exchanges exchanges;
-    private final Inbox inbox;
+    private final EventQueue events;
 
-    Actions(Scheduler loop, Gateway.Settings settings, Names names, EngineSide engines, FleetSide fleet, Door door,
-            Exchanges exchanges, Inbox inbox) {
+    ActionExecutor(Scheduler loop, Gateway.Settings settings, Names names, EngineSide engines, FleetSide fleet,
+            AdmissionControl admission, Exchanges exchanges, EventQueue events) {
         this.loop = loop;
         this.settings = settings;
         this.names = names;
         this.engines = engines;
         this.fleet = fleet;
-        this.door = door;
+        this.admission = admission;
         this.exchanges = exchanges;
-        this.inbox = inbox;
+        this.events = events;
     }
 
-    void carryOut(Gateway.Action action) {
+    void execute(Gateway.Action action) {
         if (action instanceof Gateway.Send a) {
             send(a);
         } else if (action instanceof Gateway.SetTerms a) {
@@ -53,7 +53,7 @@
         } else if (action instanceof Gateway.Probe a) {
             probe(a.engine());
         } else if (action instanceof Gateway.SetTimer a) {
-            loop.at(Micros.instant(a.atUs()), () -> inbox.tell(new Gateway.Timer(a.token())));
+            loop.at(Micros.instant(a.atUs()), () -> events.add(new Gateway.Timer(a.token())));
         } else if (action instanceof Gateway.Log a) {
             Logger.info(a.text());
         } // the list comes without being asked for
@@ -88,7 +88,7 @@
         Instant over = last ? x.expiresAt : until;
         AttemptOrder order = new AttemptOrder(x.query, x.memoryMb, x.priority, over, last, a.trial(),
                 a.latestUs() == 0 ? over : earlier(over, Micros.instant(a.latestUs())), x::isWanted);
-        door.sent(x);
+        admission.sent(x);
         QueryLog.sent(x, number, a.engine());
         x.engine = a.engine();
         exchanges.waits(x, false);
@@ -96,23 +96,23 @@
         EngineSide.Running begun = engines.start(a.engine(), order, new EngineSide.Listener() {
             @Override
             public void note(String topic, double value) {
-                Gateway.Topic t = Ends.topic(topic);
+                Gateway.Topic t = ResultMapping.topic(topic);
                 if (t != null) {
-                    inbox.tell(new Gateway.Note(x.id, number, t, value));
+                    events.add(new Gateway.Note(x.id, number, t, value));
                 }
             }
 
             @Override
             public void outOfReach() {
                 QueryLog.outOfReach(x, number, a.engine());
-                inbox.tell(new Gateway.ProbeResult(a.engine(), Gateway.Result.CONNECT_FAILED, 0, null));
+                events.add(new Gateway.ProbeResult(a.engine(), Gateway.Result.CONNECT_FAILED, 0, null));
             }
 
             @Override
             public void ended(AttemptEnd end) {
                 ended[0] = true;
                 x.out = null;
-                Actions.this.ended(x, number, a.engine(), end, Duration.between(now, loop.now()), last);
+                ActionExecutor.this.ended(x, number, a.engine(), end, Duration.between(now, loop.now()), last);
             }
         });
         x.out = ended[0] ? null : begun;
@@ -125,7 +125,7 @@
     /** {@code last}: nobody would wait for its withdrawal, see {@link AttemptOrder}. */
     private void ended(Exchange x, int number, String engine, AttemptEnd end, Duration elapsed, boolean last) {
         QueryLog.ended(x, number, engine, end, elapsed);
-        Gateway.Result result = Ends.result(end);
+        Gateway.Result result = ResultMapping.result(end);
         boolean atOnce = end instanceof AttemptEnd.Cancelled && x.isOver()
                 || end instanceof AttemptEnd.TimedOut && last;
         fleet.ended(new FleetSide.End(x.cls, x.query, engine, result, elapsed,
@@ -135,30 +135,30 @@
         }
         exchanges.waits(x, !x.isOver());
         x.mayHaveRun |= !result.neverRan();
-        door.attempted(engine, result);
-        outcome(x, number, engine, result, elapsed, Ends.stats(end));
+        admission.attempted(engine, result);
+        outcome(x, number, engine, result, elapsed, ResultMapping.stats(end));
         exchanges.tidy(x);
     }
 
     private void outcome(Exchange x, int number, String engine, Gateway.Result result, Duration elapsed,
             String stats) {
-        inbox.tell(new Gateway.Outcome(x.id, number, engine, result, x.isOver(), Micros.of(elapsed), 0, 0,
-                Stats.read(stats, names.reportFields())));
+        events.add(new Gateway.Outcome(x.id, number, engine, result, x.isOver(), Micros.of(elapsed), 0, 0,
+                LoadReport.read(stats, names.reportFields())));
     }
 
     private void probe(String engine) {
         if (!engines.isUp(engine)) {
-            inbox.tell(new Gateway.ProbeResult(engine, Gateway.Result.MOOT, 0, null));
+            events.add(new Gateway.ProbeResult(engine, Gateway.Result.MOOT, 0, null));
             return;
         }
         Instant from = loop.now();
         engines.probe(engine, end -> {
-            Gateway.Result result = Ends.result(end.kind());
+            Gateway.Result result = ResultMapping.result(end.kind());
             if (result != Gateway.Result.MOOT) {
                 fleet.probed(engine, result);
             }
-            inbox.tell(new Gateway.ProbeResult(engine, result, Micros.of(Duration.between(from, loop.now())),
-                    Stats.read(end.stats(), names.reportFields())));
+            events.add(new Gateway.ProbeResult(engine, result, Micros.of(Duration.between(from, loop.now())),
+                    LoadReport.read(end.stats(), names.reportFields())));
         });
     }
 }
--- a/gateway/src/main/java/sandpaddle/serve/AdmissionControl.java
+++ b/gateway/src/main/java/sandpaddle/serve/AdmissionControl.java
@@ -17,17 +17,18 @@
 import sandpaddle.storm.StormSettings;
 
 /**
- * The dispatcher's side of the storm subsystem: tells it what happens, carries its advice to the decision module and
- * its pauses to clients, and logs its changes. Where it is switched off, nothing of it runs.
+ * Admission control against retry storms, the dispatcher's side of the storm subsystem: tells it what happens, carries
+ * its advice to the decision module and its pauses to clients, and logs its changes. Where it is switched off, nothing
+ * of it runs.
  */
-final class Door {
+final class AdmissionControl {
     private final Scheduler loop;
     private final Gateway.Settings site;
     private final long seed;
     private final Map<String, Gateway.EngineEntry> listed = new LinkedHashMap<>(); // for a start in mid-service
     private Storm storm; // null: switched off
 
-    Door(Scheduler loop, Gateway.Settings site, long seed) {
+    AdmissionControl(Scheduler loop, Gateway.Settings site, long seed) {
         this.loop = loop;
         this.site = site;
         this.seed = seed;
@@ -97,7 +98,7 @@
         }
     }
 
-    /** A query at the door; null where nothing is looked for. */
+    /** A query has arrived; null where no storm is looked for. */
     Storm.Arrival arrived(Query query, int cls) {
         return storm == null ? null : storm.arrived(now(), fingerprint(query, cls), cls, Micros.of(query.work()));
     }
--- a/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
+++ b/gateway/src/main/java/sandpaddle/serve/Dispatcher.java
@@ -36,11 +36,11 @@
     private final Names names;
     private final EngineSide engines;
     private final FleetSide fleet;
-    private final Door door;
-    private final Inbox inbox;
+    private final AdmissionControl admission;
+    private final EventQueue events;
     private final Exchanges exchanges;
     private final Lookups lookups;
-    private final Actions actions;
+    private final ActionExecutor executor;
     private SharedRuns shared; // null until runs are known by name for the first time
     private boolean namesRuns;
     private boolean listSeen;
@@ -61,16 +61,16 @@
         this.names = names;
         this.engines = engines;
         this.fleet = fleet;
-        door = new Door(loop, settings, seed);
-        inbox = new Inbox(loop);
-        exchanges = new Exchanges(loop, settings, door, inbox, fleet);
+        admission = new AdmissionControl(loop, settings, seed);
+        events = new EventQueue(loop);
+        exchanges = new Exchanges(loop, settings, admission, events, fleet);
         lookups = new Lookups(fleet);
-        actions = new Actions(loop, settings, names, engines, fleet, door, exchanges, inbox);
+        executor = new ActionExecutor(loop, settings, names, engines, fleet, admission, exchanges, events);
     }
 
     /** Takes the operator's settings over. Runs known by name stay known, also while the fields are not in use. */
     public void storm(StormSettings next) {
-        door.settings(next);
+        admission.settings(next);
         namesRuns = next.loads().enabled();
         if (shared != null) {
             shared.settings(next.loads());
@@ -99,9 +99,9 @@
             engines.keepOnly(entries.stream().map(Gateway.EngineEntry::id).collect(Collectors.toSet()));
         }
         Gateway.EngineList list = new Gateway.EngineList(kind, entries);
-        door.listed(list);
+        admission.listed(list);
         fleet.listed(list);
-        inbox.tell(list);
+        events.add(list);
     }
 
     @Override
@@ -111,12 +111,12 @@
 
     @Override
     public Optional<Duration> turnsAwayConnection() {
-        return door.turnsAwayConnection();
+        return admission.turnsAwayConnection();
     }
 
     @Override
     public Duration pauseWithoutRoom() {
-        return door.pauseWithoutRoom();
+        return admission.pauseWithoutRoom();
     }
 
     @Override
@@ -142,7 +142,7 @@
         }
         if (named) {
             Duration limit = Micros.span(settings.classes().get(cls).limitUs());
-            return shared.submit(query, door.fingerprint(query, cls), limit, answer,
+            return shared.submit(query, admission.fingerprint(query, cls), limit, answer,
                     (q, end) -> take(q, cls, () -> true, end));
         }
         return take(query, cls, waits, answer);
@@ -150,7 +150,7 @@
 
     private Ticket take(Query query, int cls, BooleanSupplier waits, Consumer<Answer> answer) {
         if (exchanges.isFull(lookups.size())) {
-            answer.accept(new Answer.Refused(door.pauseWithoutRoom()));
+            answer.accept(new Answer.Refused(admission.pauseWithoutRoom()));
             return () -> { };
         }
         int tenant = fleet.taken(cls, query);
@@ -163,7 +163,7 @@
             answer.accept(new Answer.Invalid("trace " + query.trace() + " is that of an open query"));
             return () -> { };
         }
-        inbox.tell(new Gateway.Request(x.id, cls, query.entity().isEmpty() ? null : query.entity(),
+        events.add(new Gateway.Request(x.id, cls, query.entity().isEmpty() ? null : query.entity(),
                 Micros.of(query.patience()), Micros.of(query.work()), query.memoryMb(), query.tableGroup(),
                 x.arrival != null && x.arrival.isReturn(), x.arrival != null && x.arrival.yields(), tenant));
         return () -> exchanges.leave(x);
@@ -187,12 +187,12 @@
 
     /** Called at the end of each turn. */
     public void handOn() {
-        fleet.storm(door.isStorming());
+        fleet.storm(admission.isStorming());
         List<Gateway.Event> news = fleet.news();
         if (fleet.hasExcess()) {
             withdrawExcess();
         }
-        List<Gateway.Event> batch = inbox.empty();
+        List<Gateway.Event> batch = events.drain();
         if (batch.isEmpty() && news.isEmpty()) {
             return;
         }
@@ -200,7 +200,7 @@
         long now = Micros.of(loop.now());
         news.forEach(e -> hand(now, e, decided)); // rights before requests: none goes out on rights that have lapsed
         batch.forEach(e -> hand(now, e, decided));
-        decided.forEach(actions::carryOut);
+        decided.forEach(executor::execute);
         exchanges.withdrawLeft();
     }
 
--- a/gateway/src/main/java/sandpaddle/serve/EventQueue.java
+++ b/gateway/src/main/java/sandpaddle/serve/EventQueue.java
@@ -5,23 +5,23 @@
 import sandpaddle.decide.Gateway;
 import sandpaddle.net.Scheduler;
 
-/** What has happened and the module has not been told yet, in order. */
-final class Inbox {
+/** The events that the decision module has not been told yet, in order. */
+final class EventQueue {
     private final Scheduler loop;
     private List<Gateway.Event> events = new ArrayList<>();
 
-    Inbox(Scheduler loop) {
+    EventQueue(Scheduler loop) {
         this.loop = loop;
     }
 
     /** Has the module told at the end of this turn, or of the next one. */
-    void tell(Gateway.Event event) {
+    void add(Gateway.Event event) {
         events.add(event);
         loop.again();
     }
 
-    /** All of it, once. */
-    List<Gateway.Event> empty() {
+    /** Takes all of them. */
+    List<Gateway.Event> drain() {
         if (events.isEmpty()) {
             return List.of();
         }
--- a/gateway/src/main/java/sandpaddle/serve/Exchanges.java
+++ b/gateway/src/main/java/sandpaddle/serve/Exchanges.java
@@ -25,19 +25,20 @@
 
     private final Scheduler loop;
     private final Gateway.Settings settings;
-    private final Door door;
-    private final Inbox inbox;
+    private final AdmissionControl admission;
+    private final EventQueue events;
     private final FleetSide fleet;
     private final Map<String, Exchange> open = new HashMap<>();
     private final Set<String> traces = new HashSet<>();
     private final List<Exchange> left = new ArrayList<>();
     private long serial;
 
-    Exchanges(Scheduler loop, Gateway.Settings settings, Door door, Inbox inbox, FleetSide fleet) {
+    Exchanges(Scheduler loop, Gateway.Settings settings, AdmissionControl admission, EventQueue events,
+            FleetSide fleet) {
         this.loop = loop;
         this.settings = settings;
-        this.door = door;
-        this.inbox = inbox;
+        this.admission = admission;
+        this.events = events;
         this.fleet = fleet;
     }
 
@@ -62,7 +63,7 @@
         }
         Exchange x = new Exchange(query.trace() + "-" + serial++, query, cls, loop.now(), waiting,
                 answer);
-        x.arrival = door.arrived(query, cls);
+        x.arrival = admission.arrived(query, cls);
         open.put(x.id, x);
         waits(x, true);
         QueryLog.taken(x);
@@ -76,7 +77,7 @@
     /** The client no longer waits. */
     void leave(Exchange x) {
         if (!x.isOver()) {
-            door.left(x);
+            admission.left(x);
             QueryLog.left(x);
             x.close();
             waits(x, false);
@@ -92,7 +93,7 @@
 
     private void forget(Exchange x) {
         left.add(x);
-        inbox.tell(new Gateway.ClientLeft(x.id));
+        events.add(new Gateway.ClientLeft(x.id));
     }
 
     /** Gives every open query its final answer now: the process is about to end. */
@@ -107,7 +108,7 @@
     /** Every final answer goes through here. */
     void finish(Exchange x, Answer answer) {
         if (!x.isOver()) {
-            Answer told = door.ended(x, answer);
+            Answer told = admission.ended(x, answer);
             QueryLog.answered(x, told, loop.now());
             x.answer(told);
             waits(x, false);
--- a/gateway/src/main/java/sandpaddle/serve/QueryLog.java
+++ b/gateway/src/main/java/sandpaddle/serve/QueryLog.java
@@ -43,7 +43,7 @@
         if (LogEvent.isDebugOn()) {
             LogEvent e = line(x, "attempt ended").with("attempt", attempt).with("engine", engine)
                     .with("end", end.getClass().getSimpleName()).with("ms", elapsed.toMillis());
-            String report = Ends.stats(end);
+            String report = ResultMapping.stats(end);
             (report == null ? e : e.with("report", report)).debug();
         }
     }
--- a/gateway/src/main/java/sandpaddle/serve/ResultMapping.java
+++ b/gateway/src/main/java/sandpaddle/serve/ResultMapping.java
@@ -5,8 +5,8 @@
 import sandpaddle.query.ProbeEnd;
 
 /** How attempts and probes ended, in the module's words. */
-final class Ends {
-    private Ends() {
+final class ResultMapping {
+    private ResultMapping() {
     }
 
     static Gateway.Result result(AttemptEnd end) {
