--- a/gateway/src/main/java/sandpaddle/mysql/Statement.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Statement.java
@@ -2,7 +2,6 @@
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -12,15 +11,15 @@
 sealed interface Statement {
     record Kill(boolean queryOnly, int connectionId) implements Statement { }
 
-    record Ask(Query query) implements Statement { }
+    record Run(Query query) implements Statement { }
 
     /** What was unusual about the last result. */
-    record Warnings() implements Statement { }
+    record ShowWarnings() implements Statement { }
 
     /** Session settings that drivers send by themselves: there is nothing to set. */
-    record Nothing() implements Statement { }
+    record SetOption() implements Statement { }
 
-    record Unusable(String why) implements Statement { }
+    record Malformed(String why) implements Statement { }
 
     Pattern KILL = Pattern.compile("\\s*KILL\\s+(?:(QUERY|CONNECTION)\\s+)?(\\d{1,9})\\s*;?\\s*",
             Pattern.CASE_INSENSITIVE);
@@ -30,72 +29,66 @@
     Pattern TENANT = Pattern.compile("[^\\p{Cntrl}]{1,64}");
     Pattern ONCE = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     Pattern KEY = Pattern.compile("[\\x21-\\x7E]{1,128}"); // it becomes a header's value
+    Pattern DECIMAL = Pattern.compile("[+-]?(?:\\d+\\.?\\d*|\\.\\d+)(?:[eE][+-]?\\d{1,3})?");
     long MOST_MS = Duration.ofDays(1).toMillis();
 
     static Statement parse(byte[] text) {
         String s = new String(text, StandardCharsets.ISO_8859_1); // a char a byte: positions stay true
-        Matcher kill = KILL.matcher(s);
+        SqlScanner scanner = new SqlScanner(s);
+        String bare = scanner.withoutLeadingComments();
+        Matcher kill = KILL.matcher(bare);
         if (kill.matches()) {
             return new Kill("QUERY".equalsIgnoreCase(kill.group(1)), Integer.parseInt(kill.group(2)));
         }
-        if (WARNINGS.matcher(s).matches()) {
-            return new Warnings();
+        if (WARNINGS.matcher(bare).matches()) {
+            return new ShowWarnings();
         }
-        SqlScanner scanner = new SqlScanner(s);
-        SqlScanner.Span comment = scanner.leadingComment("route=");
+        FieldComment comment = FieldComment.find(s, scanner);
         if (comment == null) {
-            return SET.matcher(s).matches() ? new Nothing() : new Unusable("no comment with the field 'route'");
-        }
-        Map<String, String> fields = new HashMap<>();
-        for (String pair : s.substring(comment.from() + 2, comment.to() - 2).split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                fields.put(pair.substring(0, eq).strip(), pair.substring(eq + 1).strip());
-            }
+            return SET.matcher(bare).matches() ? new SetOption() : new Malformed("no comment with the field 'route'");
         }
-        String statement = s.substring(0, comment.from()) + s.substring(comment.to()).stripLeading();
-        return ask(fields, statement);
+        return run(comment.fields(), comment.statement());
     }
 
-    private static Statement ask(Map<String, String> fields, String statement) {
+    private static Statement run(Map<String, String> fields, String statement) {
         String trace = fields.getOrDefault("trace", "");
         if (!TRACE.matcher(trace).matches()) {
-            return new Unusable("field 'trace' is not 16 hex digits");
+            return new Malformed("field 'trace' is not 16 hex digits");
         }
         double patience = number(fields, "patience", -1);
         if (!(patience > 0 && patience <= MOST_MS)) {
-            return new Unusable("field 'patience' is not a number of milliseconds");
+            return new Malformed("field 'patience' is not a number of milliseconds");
         }
         double weight = number(fields, "weight", 0);
         if (!(weight >= 0 && weight <= MOST_MS)) {
-            return new Unusable("field 'weight' is not a number of milliseconds");
+            return new Malformed("field 'weight' is not a number of milliseconds");
         }
         double memory = number(fields, "est_mb", 0);
         if (!(memory >= 0 && memory < Integer.MAX_VALUE)) {
-            return new Unusable("field 'est_mb' is not a number of MB");
+            return new Malformed("field 'est_mb' is not a number of MB");
         }
         String once = fields.getOrDefault("once", "");
         if (!once.isEmpty() && !ONCE.matcher(once).matches()) {
-            return new Unusable("field 'once' is not 1 to 64 letters, digits, dots, dashes or underscores");
+            return new Malformed("field 'once' is not 1 to 64 letters, digits, dots, dashes or underscores");
         }
         String again = fields.getOrDefault("again", "0");
         if (!again.equals("0") && !again.equals("1") || again.equals("1") && once.isEmpty()) {
-            return new Unusable("field 'again' is not 0 or 1 beside 'once'");
+            return new Malformed("field 'again' is not 0 or 1 beside 'once'");
         }
         String tenant = new String(fields.getOrDefault("customer", "").getBytes(StandardCharsets.ISO_8859_1),
                 StandardCharsets.UTF_8);
         if (!tenant.isEmpty() && !TENANT.matcher(tenant).matches()) {
-            return new Unusable("field 'customer' is not 1 to 64 printable characters");
+            return new Malformed("field 'customer' is not 1 to 64 printable characters");
         }
         for (String key : new String[] {"nonce", "entity"}) {
             if (fields.containsKey(key) && !KEY.matcher(fields.get(key)).matches()) {
-                return new Unusable("field '" + key + "' is not 1 to 128 printable characters");
+                return new Malformed("field '" + key + "' is not 1 to 128 printable characters");
             }
         }
         if (statement.isBlank()) {
-            return new Unusable("no statement after the fields");
+            return new Malformed("no statement after the fields");
         }
-        return new Ask(new Query(fields.get("route"), trace, millis(patience), millis(weight), memory,
+        return new Run(new Query(fields.get("route"), trace, millis(patience), millis(weight), memory,
                 SqlScanner.tableGroup(statement), statement.getBytes(StandardCharsets.ISO_8859_1), once,
                 again.equals("1"), tenant, "", fields.getOrDefault("nonce", ""), fields.getOrDefault("entity", "")));
     }
@@ -107,10 +100,9 @@
     /** NaN where the field is there and is no number. */
     private static double number(Map<String, String> fields, String name, double otherwise) {
         String text = fields.get(name);
-        try {
-            return text == null ? otherwise : Double.parseDouble(text);
-        } catch (NumberFormatException e) {
-            return Double.NaN;
+        if (text == null) {
+            return otherwise;
         }
+        return DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
