--- a/gateway/src/main/java/sandpaddle/http/Attempt.java
+++ b/gateway/src/main/java/sandpaddle/http/Attempt.java
@@ -89,6 +89,9 @@
         } else {
             phase = Phase.OUT;
             Duration left = Duration.between(loop.now(), order.until());
+            if (LogEvent.isDebugOn()) {
+                line("written", 0).with("new", String.valueOf(!c.wasUsed())).debug();
+            }
             call(c, Requests.start(pool.host(), order, left), 0);
         }
     }
--- a/gateway/src/main/java/sandpaddle/serve/Exchanges.java
+++ b/gateway/src/main/java/sandpaddle/serve/Exchanges.java
@@ -65,7 +65,7 @@
         x.arrival = door.arrived(query, cls);
         open.put(x.id, x);
         waits(x, true);
-        QueryLog.taken(x);
+        QueryLog.taken(x, settings.classes().get(cls));
         x.overdue = loop.at(x.expiresAt.plus(OVERDUE), () -> {
             QueryLog.overdue(x);
             abandon(x);
--- a/gateway/src/main/java/sandpaddle/serve/QueryLog.java
+++ b/gateway/src/main/java/sandpaddle/serve/QueryLog.java
@@ -2,6 +2,8 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import sandpaddle.decide.Gateway;
+import sandpaddle.decide.Micros;
 import sandpaddle.log.LogEvent;
 import sandpaddle.query.Answer;
 import sandpaddle.query.AttemptEnd;
@@ -15,10 +17,14 @@
         return LogEvent.of(step).trace(x.query.trace()).with("route", x.query.route());
     }
 
-    static void taken(Exchange x) {
+    /** {@code cls}: its class, for what it is worth and when it is due, its estimated work taken as it is. */
+    static void taken(Exchange x, Gateway.RequestClass cls) {
         if (LogEvent.isDebugOn()) {
+            long aloneUs = Micros.of(x.query.work()) / cls.threads();
             LogEvent e = line(x, "taken").with("patience_ms", x.query.patience().toMillis())
-                    .with("work_ms", x.query.work().toMillis());
+                    .with("work_ms", x.query.work().toMillis()).with("worth", cls.worth())
+                    .with("late_worth", cls.lateWorth()).with("effect", cls.effect().name())
+                    .with("due_ms", (cls.aimUs() + (long) (cls.aimStretch() * aloneUs)) / 1000);
             if (x.arrival != null) {
                 e.with("returns", String.valueOf(x.arrival.isReturn()))
                         .with("yields", String.valueOf(x.arrival.yields()));
