--- a/gateway/src/main/java/sandpaddle/http/Attempt.java
+++ b/gateway/src/main/java/sandpaddle/http/Attempt.java
@@ -65,8 +65,7 @@
             @Override
             public void down(EnginePool.Down how, String why) {
                 if (phase == Phase.CONNECTING) {
-                    end(how == EnginePool.Down.NO_ROOM ? new AttemptEnd.NotSent(why)
-                            : new AttemptEnd.NotConnected(why));
+                    end(how.tellsOfEngine() ? new AttemptEnd.NotConnected(why) : new AttemptEnd.NotSent(why));
                 }
             }
         };
@@ -209,7 +208,7 @@
         }
         tellOutOfReach(how);
         loop.after(AGAIN, () -> {
-            if (phase == Phase.OUT && how == EnginePool.Down.NO_ROOM) {
+            if (phase == Phase.OUT && !how.tellsOfEngine()) {
                 pool.acquire(new Asker(page)); // one that is idle serves as well
             } else if (phase == Phase.OUT) {
                 askAgain(page);
@@ -219,7 +218,7 @@
 
     /** Long before the attempt may end: nobody else needs to try this engine meanwhile. */
     private void tellOutOfReach(EnginePool.Down how) {
-        if (how != EnginePool.Down.NO_ROOM && !outOfReach) {
+        if (how.tellsOfEngine() && !outOfReach) {
             outOfReach = true;
             listener.outOfReach();
         }
--- a/gateway/src/main/java/sandpaddle/http/EngineConnection.java
+++ b/gateway/src/main/java/sandpaddle/http/EngineConnection.java
@@ -89,6 +89,7 @@
 
     @Override
     public void received(ByteBuffer bytes) {
+        pool.heard();
         if (call == null) {
             fail(Failure.MALFORMED, "bytes that nobody asked for");
             return;
--- a/gateway/src/main/java/sandpaddle/http/EnginePool.java
+++ b/gateway/src/main/java/sandpaddle/http/EnginePool.java
@@ -18,8 +18,19 @@
  * ones are retired before the engine closes them, so that no call meets a connection that is about to end.
  */
 final class EnginePool {
-    /** Why no connection came up. {@code NO_ROOM} says nothing of the engine: this process has none to spare. */
-    enum Down { REFUSED, UNREACHABLE, NO_ROOM }
+    /** Why no connection came up. */
+    enum Down {
+        REFUSED, UNREACHABLE,
+        /** Not up in time, though the engine was heard on another one meanwhile: this one is late, no more. */
+        LATE,
+        /** This process has none to spare. */
+        NO_ROOM;
+
+        /** Whether it tells of the engine, not of one connection or of this process alone. */
+        boolean tellsOfEngine() {
+            return this == REFUSED || this == UNREACHABLE;
+        }
+    }
 
     /** Who waits for a connection; one of the two is called, {@link #up} maybe at once. */
     interface Waiter {
@@ -32,12 +43,19 @@
 
     /** What comes late after an answer, a copy or noise, must not be read as the answer to another call. */
     static final Duration QUIET = Duration.ofMillis(50);
+    /** A connection that is not up by then never will be. */
+    private static final Duration LATEST = Duration.ofSeconds(2);
+    private static final Duration NEW = Duration.ofSeconds(2); // since it came up: its engine was in reach so lately
+    private static final int MOST_LATE = 2; // that come up with nobody waiting: spares for what comes next
 
     private final Loop loop;
     private final Engines engines;
     private final String id;
     private final InetSocketAddress address;
     private final ArrayDeque<Idle> idle = new ArrayDeque<>(); // the last one used is taken first
+    private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>(); // those that any connection serves
+    private final ArrayDeque<Opening> late = new ArrayDeque<>(); // still coming up, with nobody waiting for it
+    private Instant heardAt = Instant.MIN; // when the engine was last heard, on any connection
     private boolean retired;
 
     EnginePool(Loop loop, Engines engines, String id, InetSocketAddress address) {
@@ -86,11 +104,20 @@
                     waiter.up(next.connection);
                 } else {
                     next.connection.abandon();
-                    connect(waiter, reserved);
+                    connectOrReuse(waiter, reserved);
                 }
             });
         } else {
-            connect(waiter, reserved);
+            connectOrReuse(waiter, reserved);
+        }
+    }
+
+    /** A new connection may be late: one that becomes free meanwhile serves as well. */
+    private void connectOrReuse(Waiter waiter, boolean reserved) {
+        ConnectionRequest request = new ConnectionRequest(loop, engines, this, waiter, reserved);
+        request.begin();
+        if (!request.isOver()) {
+            waiting.addLast(request);
         }
     }
 
@@ -117,68 +144,111 @@
 
     /**
      * A new connection in place of the idle ones, which may lead to a machine that is cut off and reads what they bring
-     * when it is back. They are closed first: many gateways' idle connections fill an engine's table.
+     * when it is back. They are closed first: many gateways' idle connections fill an engine's table. One that has just
+     * come up, too late for its own request, is new.
      */
     void renew(Waiter waiter) {
+        EngineConnection proven = takeNew();
         closeIdle();
-        connect(waiter);
+        if (proven == null) {
+            connect(waiter);
+        } else {
+            waiter.up(proven);
+        }
+    }
+
+    private EngineConnection takeNew() {
+        Instant from = loop.now().minus(NEW);
+        for (Idle i : idle) {
+            if (!i.connection.wasUsed() && i.connection.isUpSince(from) && mayReuse(i.connection)) {
+                idle.remove(i);
+                return i.connection;
+            }
+        }
+        return null;
     }
 
     /** A new connection, whatever is idle. */
     void connect(Waiter waiter) {
-        connect(waiter, false);
+        new ConnectionRequest(loop, engines, this, waiter, false).begin();
     }
 
-    private void connect(Waiter waiter, boolean reserved) {
-        if (!engines.mayOpen(reserved)) {
-            waiter.down(Down.NO_ROOM, "no descriptor to spare");
-            return;
-        }
-        if (!engines.counts(id, this, reserved)) {
-            waiter.down(Down.NO_ROOM, "no connection in the fleet's budget");
-            return;
-        }
-        engines.opened();
-        EngineConnection c = new EngineConnection(loop, this);
-        Opening opening = new Opening(c, waiter);
-        try {
-            opening.connection = Connection.open(loop, Loop.Rank.ENGINE, address, opening);
-        } catch (IOException e) {
-            engines.ended(id);
-            waiter.down(kind(e, Down.NO_ROOM), e.toString());
-        }
+    /** A request was served, or no connection came up for it. */
+    void over(ConnectionRequest request) {
+        waiting.remove(request);
     }
 
-    private static Down kind(Exception cause, Down otherwise) {
-        return cause instanceof ConnectException ? Down.REFUSED
-                : cause instanceof NoRouteToHostException ? Down.UNREACHABLE : otherwise;
+    /** The engine was heard on one of its connections. */
+    void heard() {
+        heardAt = loop.now();
+    }
+
+    boolean wasHeardSince(Instant from) {
+        return !heardAt.isBefore(from);
+    }
+
+    /** Begins to open a connection for a request; it was counted by whoever asks. */
+    Opening open(ConnectionRequest request) throws IOException {
+        Opening opening = new Opening(request);
+        opening.begin();
+        return opening;
     }
 
-    /** A connection that is coming up. */
-    private final class Opening implements Connection.Owner {
-        private final EngineConnection next;
-        private final Waiter waiter;
-        private final Timers.Timer bound;
+    String id() {
+        return id;
+    }
+
+    /** A connection that is coming up. Where it is late for its request, it is kept for the next one. */
+    final class Opening implements Connection.Owner {
+        private final EngineConnection next = new EngineConnection(loop, EnginePool.this);
+        private final ConnectionRequest request;
         private Connection connection;
+        private Timers.Timer bound;
+
+        private Opening(ConnectionRequest request) {
+            this.request = request;
+        }
 
-        Opening(EngineConnection next, Waiter waiter) {
-            this.next = next;
-            this.waiter = waiter;
-            bound = loop.after(engines.connectTimeout(), this::late);
+        private void begin() throws IOException {
+            connection = Connection.open(loop, Loop.Rank.ENGINE, address, this);
+            Duration inTime = engines.connectTimeout();
+            bound = loop.after(inTime.compareTo(LATEST) > 0 ? inTime : LATEST, this::abandon);
         }
 
-        private void late() {
+        /** Its request is over. */
+        void keepAsSpare() {
+            if (!connection.isUp()) {
+                late.addLast(this);
+                if (late.size() > MOST_LATE) {
+                    late.peekFirst().abandon();
+                }
+            }
+        }
+
+        private void abandon() {
             connection.close();
+            ended();
+            request.forget(this);
+        }
+
+        private void ended() {
+            bound.cancel();
+            late.remove(this);
             engines.ended(id);
-            closeIdle(); // a machine that is cut off leaves them open and silent
-            waiter.down(Down.UNREACHABLE, "no connection in " + engines.connectTimeout().toMillis() + " ms");
         }
 
         @Override
         public void connected() {
             bound.cancel();
+            late.remove(this);
+            heard();
             next.attach(connection);
-            waiter.up(next);
+            ConnectionRequest first = request.isOver() ? waiting.peekFirst() : request;
+            if (first == null || request.isOver() && retired) {
+                release(next);
+            } else {
+                first.serve(next);
+            }
         }
 
         @Override
@@ -188,17 +258,32 @@
 
         @Override
         public void closed(Exception cause) {
-            bound.cancel();
-            engines.ended(id);
-            waiter.down(kind(cause, Down.UNREACHABLE), String.valueOf(cause));
+            ended();
+            request.ended(this, kind(cause, Down.UNREACHABLE), String.valueOf(cause));
         }
     }
 
+    static Down kind(Exception cause, Down otherwise) {
+        return cause instanceof ConnectException ? Down.REFUSED
+                : cause instanceof NoRouteToHostException ? Down.UNREACHABLE : otherwise;
+    }
+
     void release(EngineConnection c) {
         if (retired || c.isEnded() || c.isDoubted()) {
             c.abandon();
         } else {
             idle.addLast(new Idle(c, loop.now()));
+            if (!waiting.isEmpty()) {
+                loop.after(QUIET, this::serveWaiting);
+            }
+        }
+    }
+
+    private void serveWaiting() {
+        EngineConnection c = waiting.isEmpty() ? null : quietOne();
+        while (c != null) {
+            waiting.peekFirst().serve(c);
+            c = waiting.isEmpty() ? null : quietOne();
         }
     }
 
@@ -226,8 +311,20 @@
         }
     }
 
-    /** Closes the one that has been idle longest; whether there was one. */
+    /** Closes all that no call is out on or waits for. */
+    void closeSpare() {
+        closeIdle();
+        while (!late.isEmpty()) {
+            late.peekFirst().abandon();
+        }
+    }
+
+    /** Closes one that is late, else the one that has been idle longest; whether there was one. */
     boolean closeOldest() {
+        if (!late.isEmpty()) {
+            late.peekFirst().abandon();
+            return true;
+        }
         Idle oldest = idle.pollFirst();
         if (oldest != null) {
             oldest.connection.abandon();
@@ -238,6 +335,6 @@
     /** The engine is gone: what is out may end, and nothing is kept. */
     void retire() {
         retired = true;
-        closeIdle();
+        closeSpare();
     }
 }
--- a/gateway/src/main/java/sandpaddle/http/Engines.java
+++ b/gateway/src/main/java/sandpaddle/http/Engines.java
@@ -67,7 +67,7 @@
             e.pool = new EnginePool(loop, this, id, address);
         }
         if (!startedAt.equals(e.startedAt)) {
-            e.pool.closeIdle();
+            e.pool.closeSpare();
         }
         e.goneAt = null;
         if (gone) {
@@ -129,11 +129,16 @@
     boolean mayOpen(boolean reserved) {
         int most = mostConnections + (reserved ? RESERVED : 0);
         if (connections >= most) {
-            entries.values().forEach(e -> e.pool.closeIdle());
+            entries.values().forEach(e -> e.pool.closeSpare());
         }
         return connections < most;
     }
 
+    /** Counts one more connection where there is room for it with nothing closed. */
+    boolean hasSpare(String id) {
+        return connections < mostConnections && budget.opens(id, false);
+    }
+
     void sideCalls(int more) {
         sideCalls += more;
     }
--- a/gateway/src/main/java/sandpaddle/http/Probe.java
+++ b/gateway/src/main/java/sandpaddle/http/Probe.java
@@ -34,7 +34,7 @@
 
     @Override
     public void down(EnginePool.Down how, String why) {
-        end(how == EnginePool.Down.NO_ROOM ? ProbeEnd.Kind.NOT_MADE : ProbeEnd.Kind.NOT_CONNECTED, null);
+        end(how.tellsOfEngine() ? ProbeEnd.Kind.NOT_CONNECTED : ProbeEnd.Kind.NOT_MADE, null);
     }
 
     @Override
--- /dev/null
+++ b/gateway/src/test/java/sandpaddle/http/LateConnectionTest.java
@@ -0,0 +1,132 @@
+package sandpaddle.http;
+
+import static org.testng.Assert.assertEquals;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.Test;
+import sandpaddle.query.AttemptEnd;
+
+/**
+ * Connections that come up late though their engine is well. One is made late by a listener whose queue is full: its
+ * first SYN is dropped, and the kernel sends the next a second later.
+ */
+public class LateConnectionTest extends AttemptStage {
+    private final List<SocketChannel> fillers = new ArrayList<>();
+
+    /** Listens with a short queue instead, and fills it. */
+    private void fill() throws IOException {
+        listening.close();
+        listening = ServerSocketChannel.open();
+        listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
+        listening.configureBlocking(false);
+        engines.listed("e", (InetSocketAddress) listening.getLocalAddress(), Instant.EPOCH, true, false);
+        fillAgain();
+    }
+
+    private void fillAgain() throws IOException {
+        for (int i = 0; i < 2; i++) { // the kernel takes one more than it is told
+            fillers.add(SocketChannel.open(listening.getLocalAddress()));
+        }
+    }
+
+    private void takeFillers() throws IOException {
+        for (int i = 0; i < 2; i++) {
+            listening.accept().close();
+        }
+    }
+
+    /** Lets time pass for the gateway alone: the listener's queue stays as it is. */
+    private void passWithoutAccepting(Duration span) throws IOException {
+        Instant end = clock.now.plus(span);
+        while (clock.now.isBefore(end)) {
+            clock.now = clock.now.plusMillis(10);
+            loop.turn(() -> { }, Duration.ofMillis(1));
+        }
+    }
+
+    @AfterMethod
+    public void closeFillers() throws IOException {
+        for (SocketChannel c : fillers) {
+            c.close();
+        }
+        fillers.clear();
+    }
+
+    /** Guards a query against the one connection that is late: a second one carries it. */
+    @Test
+    public void aSecondConnectionIsOpenedWhereTheFirstIsLate() throws Exception {
+        fill();
+        Heard heard = new Heard();
+        start(heard);
+        passWithoutAccepting(Duration.ofMillis(20));
+        takeFillers();
+        pass(Duration.ofMillis(100));
+        until(() -> posts() == 1);
+        assertEquals(accepted.size(), 1);
+        assertEquals(heard.ends, List.of());
+    }
+
+    /** Guards the price of handshakes: what came up too late for one query carries the next. */
+    @Test
+    public void aConnectionThatIsLateServesTheNextQuery() throws Exception {
+        fill();
+        Heard first = new Heard();
+        start(first);
+        passWithoutAccepting(Duration.ofMillis(300));
+        assertEquals(first.ends.get(0).getClass(), AttemptEnd.NotConnected.class);
+        takeFillers();
+        until(() -> accepted.size() == 2); // both that were opened, by now
+        Heard trial = new Heard();
+        start(trial, true);
+        pass(Duration.ofMillis(60));
+        until(() -> posts() == 1);
+        assertEquals(accepted.size(), 2);
+    }
+
+    /** Guards the judgement of an engine: one that is heard on another connection is not out of reach. */
+    @Test
+    public void aLateConnectionToAnEngineThatIsHeardTellsNothingOfIt() throws Exception {
+        fill();
+        takeFillers();
+        Heard running = new Heard();
+        start(running);
+        until(() -> posts() == 1);
+        fillAgain();
+        Heard second = new Heard();
+        start(second);
+        passWithoutAccepting(Duration.ofMillis(200));
+        answer(0, "HTTP/1.1 202 -\r\nContent-Length: 0\r\n\r\n");
+        passWithoutAccepting(Duration.ofMillis(100));
+        assertEquals(second.ends.get(0).getClass(), AttemptEnd.NotSent.class);
+        assertEquals(running.ends, List.of());
+    }
+
+    /** Guards a query that waits for a connection while another one becomes free. */
+    @Test
+    public void aConnectionThatBecomesFreeServesWhoWaits() throws Exception {
+        fill();
+        takeFillers();
+        Heard running = new Heard();
+        start(running);
+        until(() -> posts() == 1);
+        fillAgain();
+        Heard second = new Heard();
+        start(second);
+        passWithoutAccepting(Duration.ofMillis(20));
+        answer(0);
+        passWithoutAccepting(Duration.ofMillis(120));
+        takeFillers();
+        until(() -> posts() == 2);
+        assertEquals(running.ends.get(0).getClass(), AttemptEnd.Done.class);
+        assertEquals(accepted.size(), 1);
+    }
+}
