--- a/gateway/src/main/java/sandpaddle/decide/Health.java
+++ b/gateway/src/main/java/sandpaddle/decide/Health.java
@@ -44,7 +44,7 @@
         e.silent = true;
         close(e);
         List<Engine> zone = m.listed.stream().filter(x -> x.room == e.room).toList();
-        boolean zoneLost = zone.size() > 1 && 2 * zone.stream().filter(x -> x.silent).count() >= zone.size();
+        boolean zoneLost = 2 * zone.stream().filter(x -> x.silent).count() >= Math.max(zone.size(), 3); // of two, both
         for (Engine x : zoneLost ? zone : again ? List.of(e) : List.<Engine>of()) {
             x.lostAt = m.now;
             x.beginCold(m.now, learning.drawnDebt(x));
--- a/gateway/src/test/java/sandpaddle/decide/GrownTest.java
+++ b/gateway/src/test/java/sandpaddle/decide/GrownTest.java
@@ -228,6 +228,21 @@
         assertTrue(actions(site, Gateway.Log.class).stream().noneMatch(l -> l.text().contains("zone")));
     }
 
+    /** One connection that does not come up is no sign that a zone is lost, however few engines it has. */
+    @Test
+    void aZoneOfTwoIsLostOnlyWithBoth() {
+        Site site = new Site(gateways(6)).list(Gateway.ListKind.FULL,
+                Site.engine("a0", 0, 0, 0, Gateway.Status.UP, 0), Site.engine("a1", 0, 0, 0, Gateway.Status.UP, 0),
+                Site.engine("b0", 1, 0, 1, Gateway.Status.UP, 0), Site.engine("b1", 1, 0, 1, Gateway.Status.UP, 0));
+        drive(site, 20);
+        Map<String, Engine> engines = site.module.m.engines;
+        site.on(new Gateway.ProbeResult("a0", Gateway.Result.CONNECT_FAILED, 0, null));
+        assertTrue(engines.values().stream().allMatch(e -> e.lostAt == State.NEVER));
+        site.on(new Gateway.ProbeResult("a1", Gateway.Result.CONNECT_FAILED, 0, null));
+        assertEquals(List.of("a0", "a1"),
+                engines.values().stream().filter(e -> e.lostAt > State.NEVER).map(e -> e.id).sorted().toList());
+    }
+
     @Test
     void ownThreadsOverTheShareArePressureWhereReportsLackQueries() {
         long nearBusy = sentWithOwnThreadsOnly(0.8);
--- a/gateway/src/test/java/sandpaddle/http/LateConnectionTest.java
+++ b/gateway/src/test/java/sandpaddle/http/LateConnectionTest.java
@@ -73,6 +73,8 @@
         until(() -> posts() == 1);
         assertEquals(accepted.size(), 1);
         assertEquals(heard.ends, List.of());
+        until(() -> accepted.size() == 2); // the first, which carries nothing
+        assertEquals(posts(), 1);
     }
 
     /** Guards the price of handshakes: what came up too late for one query carries the next. */
