--- a/gateway/src/main/java/sandpaddle/http/ConnectionRequest.java
+++ b/gateway/src/main/java/sandpaddle/http/ConnectionRequest.java
@@ -23,7 +23,7 @@
     private final EnginePool.Waiter waiter;
     private final boolean reserved;
     private final Instant from;
-    private final List<EnginePool.Opening> openings = new ArrayList<>();
+    private final List<ConnectionOpening> openings = new ArrayList<>();
     private Timers.Timer second, bound;
     private boolean over;
 
@@ -57,12 +57,12 @@
     private boolean open() {
         engines.opened();
         try {
-            openings.add(pool.open(this));
+            openings.add(new ConnectionOpening(loop, engines, pool, this));
             return true;
         } catch (IOException e) {
             engines.ended(pool.id());
             if (openings.isEmpty()) {
-                fail(EnginePool.kind(e, EnginePool.Down.NO_ROOM), e.toString());
+                fail(EnginePool.Down.of(e, EnginePool.Down.NO_ROOM), e.toString());
             }
             return false;
         }
@@ -86,12 +86,12 @@
     }
 
     /** One of its connections was given up. */
-    void forget(EnginePool.Opening opening) {
+    void forget(ConnectionOpening opening) {
         openings.remove(opening);
     }
 
     /** One of its connections has ended without coming up. */
-    void ended(EnginePool.Opening opening, EnginePool.Down how, String why) {
+    void ended(ConnectionOpening opening, EnginePool.Down how, String why) {
         forget(opening);
         if (!over && (how == EnginePool.Down.REFUSED || openings.isEmpty())) {
             fail(how, why);
@@ -115,8 +115,8 @@
             bound.cancel();
         }
         pool.over(this);
-        List<EnginePool.Opening> still = List.copyOf(openings);
+        List<ConnectionOpening> still = List.copyOf(openings);
         openings.clear();
-        still.forEach(EnginePool.Opening::keepAsSpare);
+        still.forEach(ConnectionOpening::keepForNext);
     }
 }
--- a/gateway/src/main/java/sandpaddle/http/EnginePool.java
+++ b/gateway/src/main/java/sandpaddle/http/EnginePool.java
@@ -1,17 +1,13 @@
 package sandpaddle.http;
 
-import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.NoRouteToHostException;
-import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.Iterator;
-import sandpaddle.net.Connection;
 import sandpaddle.net.Loop;
-import sandpaddle.net.Timers;
 
 /**
  * The connections to one engine, by its id: another engine at the same address has a pool of its own. Idle
@@ -26,6 +22,12 @@
         /** This process has none to spare. */
         NO_ROOM;
 
+        /** What a failure to connect tells. */
+        static Down of(Exception cause, Down otherwise) {
+            return cause instanceof ConnectException ? REFUSED
+                    : cause instanceof NoRouteToHostException ? UNREACHABLE : otherwise;
+        }
+
         /** Whether it tells of the engine, not of one connection or of this process alone. */
         boolean tellsOfEngine() {
             return this == REFUSED || this == UNREACHABLE;
@@ -43,8 +45,6 @@
 
     /** What comes late after an answer, a copy or noise, must not be read as the answer to another call. */
     static final Duration QUIET = Duration.ofMillis(50);
-    /** A connection that is not up by then never will be. */
-    private static final Duration LATEST = Duration.ofSeconds(2);
     private static final Duration NEW = Duration.ofSeconds(2); // since it came up: its engine was in reach so lately
     private static final int MOST_LATE = 2; // that come up with nobody waiting: spares for what comes next
 
@@ -54,7 +54,7 @@
     private final InetSocketAddress address;
     private final ArrayDeque<Idle> idle = new ArrayDeque<>(); // the last one used is taken first
     private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>(); // those that any connection serves
-    private final ArrayDeque<Opening> late = new ArrayDeque<>(); // still coming up, with nobody waiting for it
+    private final ArrayDeque<ConnectionOpening> late = new ArrayDeque<>(); // coming up, with nobody waiting for it
     private Instant heardAt = Instant.MIN; // when the engine was last heard, on any connection
     private boolean retired;
 
@@ -187,85 +187,34 @@
         return !heardAt.isBefore(from);
     }
 
-    /** Begins to open a connection for a request; it was counted by whoever asks. */
-    Opening open(ConnectionRequest request) throws IOException {
-        Opening opening = new Opening(request);
-        opening.begin();
-        return opening;
-    }
-
     String id() {
         return id;
     }
 
-    /** A connection that is coming up. Where it is late for its request, it is kept for the next one. */
-    final class Opening implements Connection.Owner {
-        private final EngineConnection next = new EngineConnection(loop, EnginePool.this);
-        private final ConnectionRequest request;
-        private Connection connection;
-        private Timers.Timer bound;
-
-        private Opening(ConnectionRequest request) {
-            this.request = request;
-        }
-
-        private void begin() throws IOException {
-            connection = Connection.open(loop, Loop.Rank.ENGINE, address, this);
-            Duration inTime = engines.connectTimeout();
-            bound = loop.after(inTime.compareTo(LATEST) > 0 ? inTime : LATEST, this::abandon);
-        }
-
-        /** Its request is over. */
-        void keepAsSpare() {
-            if (!connection.isUp()) {
-                late.addLast(this);
-                if (late.size() > MOST_LATE) {
-                    late.peekFirst().abandon();
-                }
-            }
-        }
-
-        private void abandon() {
-            connection.close();
-            ended();
-            request.forget(this);
-        }
-
-        private void ended() {
-            bound.cancel();
-            late.remove(this);
-            engines.ended(id);
-        }
-
-        @Override
-        public void connected() {
-            bound.cancel();
-            late.remove(this);
-            heard();
-            next.attach(connection);
-            ConnectionRequest first = request.isOver() ? waiting.peekFirst() : request;
-            if (first == null || request.isOver() && retired) {
-                release(next);
-            } else {
-                first.serve(next);
-            }
-        }
-
-        @Override
-        public void received(ByteBuffer bytes) {
-            throw new IllegalStateException("read before connected");
+    /** The request of a connection that is coming up is over: it is kept for the next one. */
+    void isLate(ConnectionOpening opening) {
+        late.addLast(opening);
+        if (late.size() > MOST_LATE) {
+            late.peekFirst().abandon();
         }
+    }
 
-        @Override
-        public void closed(Exception cause) {
-            ended();
-            request.ended(this, kind(cause, Down.UNREACHABLE), String.valueOf(cause));
+    /** A connection is up. Whoever waits longest has it where its own request is over. */
+    void cameUp(ConnectionOpening opening, EngineConnection next, ConnectionRequest request) {
+        late.remove(opening);
+        heard();
+        ConnectionRequest first = request.isOver() ? waiting.peekFirst() : request;
+        if (first == null || request.isOver() && retired) {
+            release(next);
+        } else {
+            first.serve(next);
         }
     }
 
-    static Down kind(Exception cause, Down otherwise) {
-        return cause instanceof ConnectException ? Down.REFUSED
-                : cause instanceof NoRouteToHostException ? Down.UNREACHABLE : otherwise;
+    /** A connection has ended without coming up. */
+    void ended(ConnectionOpening opening) {
+        late.remove(opening);
+        engines.ended(id);
     }
 
     void release(EngineConnection c) {
