--- a/gateway/src/main/java/sandpaddle/app/Server.java
+++ b/gateway/src/main/java/sandpaddle/app/Server.java
@@ -24,6 +24,8 @@
 /** One gateway: all parts put together, its start and its planned end. */
 public final class Server {
     private static final Duration WATCH = Duration.ofSeconds(1);
+    /** A turn that has taken so long looks at the engine list once more before anything is sent. */
+    private static final Duration LONG_TURN = Duration.ofMillis(20);
     private static final int MB_BITS = 20;
     private static final int CLIENTS_PART = 3; // clients hold at most this part of the descriptors
     private static final int MORE_CLIENTS = 24; // for those beside the usual ones, and those just going
@@ -31,6 +33,7 @@
     private static final int BESIDE_HEAP_MB = 48; // code, classes, stacks, direct buffers: 30 to 35 seen under load
     private static final int OTHER_DESCRIPTORS = 28; // 13 of the JVM's, the listener, the feeds, a file read anew
 
+    private final Clock clock;
     private final Loop loop;
     private final Engines engines;
     private final Dispatcher dispatcher;
@@ -67,6 +70,7 @@
     /** {@code operator}: the operator's file as it was read for the start. */
     public Server(ConfigSource source, OperatorSource operatorSource, OperatorFile operator, Clock clock)
             throws IOException, FieldException {
+        this.clock = clock;
         this.source = source;
         this.operatorSource = operatorSource;
         this.operator = operator;
@@ -136,6 +140,9 @@
             reloadOperator();
             reload();
         }
+        if (Duration.between(loop.now(), clock.instant()).compareTo(LONG_TURN) >= 0) {
+            feed.look();
+        }
         dispatcher.handOn();
         if (endAsked) {
             end.begin();
--- a/gateway/src/main/java/sandpaddle/feed/Feed.java
+++ b/gateway/src/main/java/sandpaddle/feed/Feed.java
@@ -5,6 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
@@ -23,6 +24,8 @@
 public final class Feed {
     /** A line comes every second; what a feed that stands still had to tell counts as told soon after. */
     private static final Duration SILENCE = Duration.ofMillis(1600);
+    /** From its first byte: a list of thousands of engines may come slowly, one that never ends is none. */
+    private static final Duration WHOLE_LINE = Duration.ofSeconds(5);
     private static final Duration CONNECT = Duration.ofMillis(800);
     private static final Duration AGAIN_FIRST = Duration.ofMillis(10);
     private static final Duration AGAIN_MOST = Duration.ofMillis(400);
@@ -36,7 +39,7 @@
     private long last;
     private long doubted; // the last event that was asked for once more, since part of it cannot be used
     private Link link;
-    private Link former; // at the address before: heard until the new one has spoken
+    private Link former; // at the address before: heard until a while after the new one has spoken
     private Timers.Timer restart;
     private Duration again = AGAIN_FIRST;
 
@@ -55,7 +58,8 @@
 
     /**
      * The feed has another address: it is asked there at once. Guards against missing what the old one still
-     * tells: its connection stays until the new one has spoken, and an event that both tell is applied once.
+     * tells: its connection stays until {@link #SILENCE} after the new one's first line, and an event that both tell
+     * is applied once.
      */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -73,14 +77,27 @@
         start();
     }
 
+    /** What the former feed has told by now is heard first. */
     private void leaveFormer() {
         Link left = former;
-        former = null;
         if (left != null) {
+            left.look();
+            former = null;
             left.leave();
         }
     }
 
+    /**
+     * Hears what has come since the turn began: in a turn that takes long, so that no request is sent after the grace
+     * of a drain that is told meanwhile.
+     */
+    public void look() {
+        if (former != null) {
+            former.look();
+        }
+        link.look();
+    }
+
     /** Applies an event that is the next one, or that stands for all before it; an old one changes nothing. */
     public boolean apply(ListEvent event) {
         if (event.number() > last + 1 && !event.whole()) {
@@ -105,7 +122,8 @@
         private final LineReader lines = new LineReader();
         private Connection connection;
         private Timers.Timer bound;
-        private boolean over;
+        private Instant lineSince; // when the first byte of a line that is not whole came, or null
+        private boolean spoke, over;
 
         void open() {
             bound = loop.after(CONNECT, () -> end("no connection"));
@@ -127,14 +145,33 @@
             bound = loop.after(SILENCE, () -> end("silent"));
         }
 
+        void look() {
+            if (!over && connection != null) {
+                connection.look();
+            }
+        }
+
+        /** Bytes are no silence, though no line is whole yet; a line that has begun must end in its time. */
+        private void progressed() {
+            lineSince = !lines.isWithinLine() ? null : lineSince == null ? loop.now() : lineSince;
+            if (lineSince != null && !loop.now().isBefore(lineSince.plus(WHOLE_LINE))) {
+                end("a line that does not end");
+            } else {
+                listen();
+            }
+        }
+
         @Override
         public void received(ByteBuffer bytes) {
             try {
                 for (byte[] line = lines.next(bytes); line != null && !over; line = lines.next(bytes)) {
+                    lineSince = null;
                     line(line);
                 }
                 if (lines.isTooLong()) {
                     end("line too long");
+                } else if (!over) {
+                    progressed();
                 }
             } catch (IOException | FieldException e) {
                 end("malformed line: " + e.getMessage());
@@ -142,18 +179,24 @@
         }
 
         private void line(byte[] line) throws IOException, FieldException {
-            listen();
-            if (this == link) {
-                leaveFormer();
+            if (this == link && !spoke && former != null) {
+                Link left = former;
+                loop.after(SILENCE, () -> {
+                    if (left == former) {
+                        leaveFormer();
+                    }
+                });
             }
+            spoke = true;
             String text = new String(line, StandardCharsets.UTF_8).strip();
             if (text.isEmpty()) {
                 return;
             }
             if (NUMBER.matcher(text).matches()) {
-                again = AGAIN_FIRST;
                 if (Long.parseLong(text) > last) {
                     end("events up to " + text + " were missed");
+                } else {
+                    again = AGAIN_FIRST;
                 }
                 return;
             }
--- a/gateway/src/test/java/sandpaddle/crossing/HandClock.java
+++ b/gateway/src/test/java/sandpaddle/crossing/HandClock.java
@@ -7,12 +7,12 @@
 import java.time.ZoneOffset;
 
 /** A clock that stands still until the test moves it. */
-final class HandClock extends Clock {
+public final class HandClock extends Clock {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     private Instant now = START;
 
-    void pass(Duration span) {
+    public void pass(Duration span) {
         now = now.plus(span);
     }
 
--- a/gateway/src/test/java/sandpaddle/story/ScriptedFeed.java
+++ b/gateway/src/test/java/sandpaddle/story/ScriptedFeed.java
@@ -9,20 +9,20 @@
 import java.nio.charset.StandardCharsets;
 
 /** A control feed; a test takes each connection and writes its lines. */
-final class ScriptedFeed implements AutoCloseable {
+public final class ScriptedFeed implements AutoCloseable {
     /** One connection, whose first line was read. */
-    record Link(Socket socket, String subscription) {
+    public record Link(Socket socket, String subscription) {
         /** Waits until the gateway has left. */
-        boolean isLeft() throws IOException {
+        public boolean isLeft() throws IOException {
             return socket.getInputStream().read() < 0;
         }
 
-        void line(String text) throws IOException {
+        public void line(String text) throws IOException {
             socket.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
         /** A line whose bytes come a few at a time. */
-        void pieces(String text, int bytes) throws IOException {
+        public void pieces(String text, int bytes) throws IOException {
             byte[] all = (text + "\n").getBytes(StandardCharsets.UTF_8);
             for (int i = 0; i < all.length; i += bytes) {
                 socket.getOutputStream().write(all, i, Math.min(bytes, all.length - i));
@@ -32,16 +32,16 @@
 
     private final ServerSocket listening;
 
-    ScriptedFeed() throws IOException {
+    public ScriptedFeed() throws IOException {
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listening.setSoTimeout(8000);
     }
 
-    int port() {
+    public int port() {
         return listening.getLocalPort();
     }
 
-    Link accept() throws IOException {
+    public Link accept() throws IOException {
         Socket s = listening.accept();
         return new Link(s, new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8))
                 .readLine());
