--- a/gateway/src/main/java/sandpaddle/feed/LineReader.java
+++ b/gateway/src/main/java/sandpaddle/feed/LineReader.java
@@ -5,7 +5,8 @@
 
 /** Cuts a stream of bytes into lines. It holds what the line that is coming needs, and nothing of those before. */
 final class LineReader {
-    static final int MOST_BYTES = 4 * 1024 * 1024; // a list of 4,096 engines with all fields, and long names
+    /** A list of 16,384 engines, each line of a kilobyte: names as long as an operator may make them. */
+    static final int MOST_BYTES = 16_384 * 1024;
     private static final int FIRST_BYTES = 1024;
 
     private byte[] line = new byte[FIRST_BYTES];
--- a/gateway/src/test/java/sandpaddle/feed/FeedTest.java
+++ b/gateway/src/test/java/sandpaddle/feed/FeedTest.java
@@ -31,6 +31,7 @@
     private static final Duration STEP = Duration.ofMillis(10);
     private static final Duration RETRY = STEP.multipliedBy(6); // of its first retries
     private static final int READ_MS = 2000;
+    private static final int MANY = 16_384;
 
     private final HandClock clock = new HandClock();
     private final List<ListEvent> events = new ArrayList<>();
@@ -299,4 +300,23 @@
             }
         });
     }
+
+    /** Nothing caps a list under 16,384 engines, with names as long as an operator may make them. */
+    @Test
+    public void aListOfManyThousandEnginesIsTaken() throws Exception {
+        var link = accept(server);
+        String name = "x".repeat(220);
+        String whole = event(2, true, IntStream.range(0, MANY).mapToObj(i -> host(name + i, "Ready", 0))
+                .toArray(String[]::new));
+        CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
+            try {
+                link.line(whole);
+            } catch (IOException e) {
+                throw new AssertionError(e);
+            }
+        });
+        until(() -> events.size() == 1);
+        assertEquals(events.get(0).hosts().size(), MANY);
+        written.join();
+    }
 }
--- a/gateway/src/test/java/sandpaddle/story/ProgramStories.java
+++ b/gateway/src/test/java/sandpaddle/story/ProgramStories.java
@@ -16,6 +16,9 @@
 public class ProgramStories {
     private static final String SQL = "SELECT 1";
     private static final int MANY = 1024;
+    private static final int VERY_MANY = 8500;
+    private static final String[] LIMITS = {"-Xms48m", "-Xmx88m", "-Xss512k", "-XX:MaxDirectMemorySize=8m",
+        "-XX:MaxMetaspaceSize=32m", "-XX:ReservedCodeCacheSize=24m", "-XX:+ExitOnOutOfMemoryError"};
 
     private static String config(int feedPort, String event) {
         return """
@@ -168,4 +171,30 @@
             assertEquals(program.end(), 143, "as the JVM ends after SIGTERM");
         }
     }
+
+    /** Guards the gateway against the size of a list: thousands of engines come whole, twice, as one line each. */
+    @Test
+    public void thousandsOfEnginesThatComeWholeAreServedWithinTheLimits() throws Exception {
+        try (var first = new ScriptedEngine(c -> ok("1st\t\t\n"));
+                var second = new ScriptedEngine(c -> ok("2nd\t\t\n")); var feed = new ScriptedFeed();
+                var program = new Program(config(feed.port(), Stage.event(1, true, Stage.host("e", first, "Ready"))),
+                        "", LIMITS)) {
+            var link = feed.accept();
+            Client client = Client.ready(program.address());
+            link.pieces(Stage.event(2, true, hosts(0, VERY_MANY, second, "Ready")), 10_000);
+            link.pieces(Stage.event(3, true, hosts(VERY_MANY, 2 * VERY_MANY, second, "Ready")), 10_000);
+            int asked = 0;
+            while (!client.ask(Stage.fields("lookup", asked++, 5000) + SQL).equals("2nd||")) {
+                assertTrue(asked < 3000, "the new list was never heard");
+            }
+            link.line("9");
+            assertEquals(feed.accept().subscription(), "SUB 3");
+            for (int i = 0; i < 100; i++) {
+                assertEquals(client.ask(Stage.fields("lookup", asked++, 5000) + SQL), "2nd||");
+            }
+            assertTrue(program.residentMb() <= 144, program.residentMb() + " MB");
+            client.close();
+            assertEquals(program.end(), 143, "as the JVM ends after SIGTERM");
+        }
+    }
 }
