--- a/gateway/src/main/java/sandpaddle/http/EnginePool.java
+++ b/gateway/src/main/java/sandpaddle/http/EnginePool.java
@@ -28,7 +28,8 @@
         void down(Down how, String why);
     }
 
-    private record Idle(EngineConnection connection, Instant since) { }
+    /** {@code generation}: of the pool when the connection became idle. */
+    private record Idle(EngineConnection connection, Instant since, int generation) { }
 
     /** What comes late after an answer, a copy or noise, must not be read as the answer to another call. */
     static final Duration QUIET = Duration.ofMillis(50);
@@ -38,6 +39,7 @@
     private final String id;
     private final InetSocketAddress address;
     private final ArrayDeque<Idle> idle = new ArrayDeque<>(); // the last one used is taken first
+    private int generation; // connections that became idle in an earlier one are not trusted any more
     private boolean retired;
 
     EnginePool(Loop loop, Engines engines, String id, InetSocketAddress address) {
@@ -82,7 +84,7 @@
             waiter.up(c);
         } else if (next != null) {
             loop.at(next.since.plus(QUIET), () -> {
-                if (mayReuse(next.connection)) {
+                if (mayReuse(next)) {
                     waiter.up(next.connection);
                 } else {
                     next.connection.abandon();
@@ -94,8 +96,8 @@
         }
     }
 
-    private boolean mayReuse(EngineConnection c) {
-        return !retired && !c.isStale();
+    private boolean mayReuse(Idle kept) {
+        return !retired && kept.generation == generation && !kept.connection.isStale();
     }
 
     private EngineConnection quietOne() {
@@ -107,7 +109,7 @@
                 continue;
             }
             i.remove();
-            if (mayReuse(next.connection)) {
+            if (mayReuse(next)) {
                 return next.connection;
             }
             next.connection.abandon(); // takes nothing more out of the list
@@ -120,7 +122,7 @@
      * when it is back. They are closed first: many gateways' idle connections fill an engine's table.
      */
     void renew(Waiter waiter) {
-        closeIdle();
+        distrustIdle();
         connect(waiter);
     }
 
@@ -170,7 +172,7 @@
         private void late() {
             connection.close();
             engines.ended(id);
-            closeIdle(); // a machine that is cut off leaves them open and silent
+            distrustIdle(); // a machine that is cut off leaves them open and silent
             waiter.down(Down.UNREACHABLE, "no connection in " + engines.connectTimeout().toMillis() + " ms");
         }
 
@@ -198,7 +200,7 @@
         if (retired || c.isEnded() || c.isDoubted()) {
             c.abandon();
         } else {
-            idle.addLast(new Idle(c, loop.now()));
+            idle.addLast(new Idle(c, loop.now(), generation));
         }
     }
 
@@ -220,6 +222,12 @@
         }
     }
 
+    /** Closes what is idle and lets none be used that is waited for: their process may have died unseen. */
+    void distrustIdle() {
+        generation++;
+        closeIdle();
+    }
+
     void closeIdle() {
         while (!idle.isEmpty()) {
             idle.pollLast().connection.abandon();
--- a/gateway/src/main/java/sandpaddle/http/Engines.java
+++ b/gateway/src/main/java/sandpaddle/http/Engines.java
@@ -67,7 +67,7 @@
             e.pool = new EnginePool(loop, this, id, address);
         }
         if (!startedAt.equals(e.startedAt)) {
-            e.pool.closeIdle();
+            e.pool.distrustIdle();
         }
         e.goneAt = null;
         if (gone) {
--- a/gateway/src/test/java/sandpaddle/http/OutOfReachTest.java
+++ b/gateway/src/test/java/sandpaddle/http/OutOfReachTest.java
@@ -2,7 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 
+import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.List;
 import org.testng.annotations.Test;
 import sandpaddle.query.AttemptEnd;
@@ -42,6 +44,22 @@
         assertEquals(second.ends, List.of());
     }
 
+    /** Guards against a POST to a process that died unseen: the list tells its successor while the quiet is waited for. */
+    @Test
+    public void aConnectionThatIsWaitedForIsNotUsedOnceItsEngineHasStartedAgain() throws Exception {
+        Heard first = new Heard();
+        start(first);
+        until(() -> posts() == 1);
+        answer(0);
+        until(() -> !first.ends.isEmpty());
+        start(new Heard());
+        engines.listed("e", (InetSocketAddress) listening.getLocalAddress(), Instant.EPOCH.plusMillis(1), true, false);
+        pass(Duration.ofMillis(60));
+        until(() -> posts() == 2);
+        assertEquals(accepted.size(), 2);
+        until(() -> hasEnded(accepted.get(0)));
+    }
+
     /** Guards against two attempts out at once: that an engine cannot be told to stop does not stop it. */
     @Test
     public void whatCannotBeGivenUpIsOutUntilItsEngineHasDroppedIt() throws Exception {
