--- a/gateway/src/test/java/sandpaddle/crossing/Worker.java
+++ b/gateway/src/test/java/sandpaddle/crossing/Worker.java
@@ -31,7 +31,8 @@
     /** A call that came whole. */
     record Call(int connection, String method, String trace) { }
 
-    private final ServerSocketChannel listening = ServerSocketChannel.open();
+    private final InetSocketAddress address;
+    private ServerSocketChannel listening;
     private final List<SocketChannel> accepted = new ArrayList<>();
     private final List<StringBuilder> read = new ArrayList<>();
     private final List<StringBuilder> unheard = new ArrayList<>();
@@ -40,17 +41,35 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(8 * 1024);
 
     Worker() throws IOException {
-        listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        listening.configureBlocking(false);
+        listening = listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        address = (InetSocketAddress) listening.getLocalAddress();
     }
 
-    InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) listening.getLocalAddress();
+    private static ServerSocketChannel listen(InetSocketAddress at) throws IOException {
+        ServerSocketChannel channel = ServerSocketChannel.open();
+        channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+        channel.bind(at);
+        channel.configureBlocking(false);
+        return channel;
+    }
+
+    InetSocketAddress address() {
+        return address;
+    }
+
+    /** Its process dies: connections are reset, and new ones are refused. */
+    void die() throws IOException {
+        abort();
+    }
+
+    /** A process listens at its address again. */
+    void comeBack() throws IOException {
+        listening = listen(address);
     }
 
     /** Takes new connections and reads what has come. */
     void read() throws IOException {
-        for (SocketChannel c = listening.accept(); c != null; c = listening.accept()) {
+        for (SocketChannel c = accept(); c != null; c = accept()) {
             c.configureBlocking(false);
             accepted.add(c);
             read.add(new StringBuilder());
@@ -61,6 +80,10 @@
         }
     }
 
+    private SocketChannel accept() throws IOException {
+        return listening.isOpen() ? listening.accept() : null;
+    }
+
     private void read(int i) throws IOException {
         ByteBuffer b = buffer.clear();
         try {
--- a/gateway/src/test/java/sandpaddle/feed/FeedTest.java
+++ b/gateway/src/test/java/sandpaddle/feed/FeedTest.java
@@ -30,6 +30,7 @@
     private static final Duration SILENCE = Duration.ofMillis(1600); // README, Guards worth knowing
     private static final Duration STEP = Duration.ofMillis(10);
     private static final Duration RETRY = STEP.multipliedBy(6); // of its first retries
+    private static final Duration LONGEST_PAUSE = Duration.ofMillis(400); // docs/operators/rare-moments.md
     private static final int READ_MS = 2000;
     private static final int MANY = 16_384;
 
@@ -319,4 +320,19 @@
         assertEquals(events.get(0).hosts().size(), MANY);
         written.join();
     }
+
+    /** Guards gateways that know no engine, or an old list: a feed that is back is asked within the longest pause. */
+    @Test
+    public void aFeedThatWasDownIsAskedSoonAfterItsReturn() throws Exception {
+        int port = server.port();
+        accept(server).socket().close();
+        server.close();
+        pass(Duration.ofSeconds(8));
+        server = new ScriptedFeed(port);
+        pass(LONGEST_PAUSE.plus(STEP.multipliedBy(2)));
+        var link = accept(server);
+        assertEquals(link.subscription(), "SUB 1");
+        link.line(drain(2));
+        until(() -> numbers().equals(List.of(2L)));
+    }
 }
--- a/gateway/src/test/java/sandpaddle/story/ProgramStories.java
+++ b/gateway/src/test/java/sandpaddle/story/ProgramStories.java
@@ -15,6 +15,7 @@
 /** The real program, started as in service: its size, its signals. */
 public class ProgramStories {
     private static final String SQL = "SELECT 1";
+    private static final int PING = 14; // COM_PING
     private static final int MANY = 1024;
     private static final int VERY_MANY = 8500;
     private static final String[] LIMITS = {"-Xms48m", "-Xmx88m", "-Xss512k", "-XX:MaxDirectMemorySize=8m",
@@ -197,4 +198,23 @@
             assertEquals(program.end(), 143, "as the JVM ends after SIGTERM");
         }
     }
+
+    /** Guards a start under load: it waits for nobody, neither its feed nor an engine, and needs no class-data archive. */
+    @Test
+    public void aGatewayIsReadyWithoutItsFeedItsEnginesAndItsArchive() throws Exception {
+        int noFeed;
+        try (var closed = new ScriptedFeed()) {
+            noFeed = closed.port();
+        }
+        try (var engine = new ScriptedEngine(c -> ok("1st\t\t\n"))) {
+            engine.close(); // its port refuses
+            try (var program = new Program(config(noFeed, Stage.event(1, true, Stage.host("e", engine, "Ready"))), "",
+                    "-Xshare:auto", "-XX:SharedArchiveFile=no-such-file.jsa")) {
+                Client client = Client.ready(program.address());
+                client.write(Client.command(PING, ""));
+                assertEquals(client.answer(), "ok");
+                client.close();
+            }
+        }
+    }
 }
--- a/gateway/src/test/java/sandpaddle/story/ScriptedFeed.java
+++ b/gateway/src/test/java/sandpaddle/story/ScriptedFeed.java
@@ -33,7 +33,12 @@
     private final ServerSocket listening;
 
     public ScriptedFeed() throws IOException {
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        this(0);
+    }
+
+    /** One that is back at the port of one that was closed. */
+    public ScriptedFeed(int port) throws IOException {
+        listening = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         listening.setSoTimeout(8000);
     }
 
