--- a/gateway/src/main/java/sandpaddle/config/Section.java
+++ b/gateway/src/main/java/sandpaddle/config/Section.java
@@ -231,8 +231,8 @@
     void noOthers() {
         members.forEach((key, t) -> {
             if (!asked.contains(key)) {
-                String near = asked.stream().filter(a -> Slips.distance(a, key) <= NEAR)
-                        .min(java.util.Comparator.comparingInt(a -> Slips.distance(a, key))).orElse(null);
+                String near = asked.stream().filter(a -> EditDistance.between(a, key) <= NEAR)
+                        .min(java.util.Comparator.comparingInt(a -> EditDistance.between(a, key))).orElse(null);
                 faults.add(t.line(), t.column(), Faults.join(path, key), "an unknown key",
                         near != null ? "'" + near + "', if that was meant" : known());
             }
