--- a/gateway/src/main/java/sandpaddle/http/Probe.java
+++ b/gateway/src/main/java/sandpaddle/http/Probe.java
@@ -42,7 +42,7 @@
         if (kept != null) {
             pool.release(kept);
         }
-        end(r.status() == OK ? ProbeEnd.Kind.WELL : ProbeEnd.Kind.UNWELL, r.header(Attempt.STATS));
+        end(r.status() == OK ? ProbeEnd.Kind.WELL : ProbeEnd.Kind.UNWELL, r.header(QueryPolling.STATS));
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/http/SideCall.java
+++ b/gateway/src/main/java/sandpaddle/http/SideCall.java
@@ -67,7 +67,7 @@
     public void up(EngineConnection connection) {
         writing++;
         fresh = connection.isUpSince(from);
-        connection.call(request, Attempt.SILENT, this);
+        connection.call(request, QueryPolling.SILENT, this);
     }
 
     @Override
