--- a/gateway/src/main/java/sandpaddle/feed/Feed.java
+++ b/gateway/src/main/java/sandpaddle/feed/Feed.java
@@ -2,10 +2,8 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.time.Instant;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
@@ -13,7 +11,6 @@
 import sandpaddle.config.Json;
 import sandpaddle.config.ListEvent;
 import sandpaddle.config.Names;
-import sandpaddle.net.Connection;
 import sandpaddle.net.Loop;
 import sandpaddle.net.Timers;
 
@@ -22,68 +19,65 @@
  * that is silent, or that says what cannot be understood, is replaced by one from the last number on.
  */
 public final class Feed {
-    /** A line comes every second; what a feed that stands still had to tell counts as told soon after. */
-    private static final Duration SILENCE = Duration.ofMillis(1600);
-    /** From its first byte: a list of thousands of engines may come slowly, one that never ends is none. */
-    private static final Duration WHOLE_LINE = Duration.ofSeconds(5);
-    private static final Duration CONNECT = Duration.ofMillis(800);
-    private static final Duration AGAIN_FIRST = Duration.ofMillis(10);
-    private static final Duration AGAIN_MOST = Duration.ofMillis(400);
-
+    private static final Duration RETRY_FIRST = Duration.ofMillis(10);
+    private static final Duration RETRY_MOST = Duration.ofMillis(400);
     private static final Pattern NUMBER = Pattern.compile("\\d{1,18}");
 
     private final Loop loop;
     private final Names names;
-    private final Consumer<ListEvent> told;
+    private final Consumer<ListEvent> listener;
+    private final FeedConnection.Reader reader = new Events();
     private InetSocketAddress address;
-    private long last;
-    private long doubted; // the last event that was asked for once more, since part of it cannot be used
-    private Link link;
-    private Link former; // at the address before: heard until a while after the new one has spoken
-    private Timers.Timer restart;
-    private Duration again = AGAIN_FIRST;
-
-    public Feed(Loop loop, InetSocketAddress address, Names names, long last, Consumer<ListEvent> told) {
+    private long lastNumber;
+    private long repeatedNumber; // the last event that was asked for once more, since part of it cannot be used
+    private FeedConnection current;
+    private FeedConnection former; // at the address before: heard until a while after the current one has spoken
+    private Timers.Timer retry;
+    private Duration retryPause = RETRY_FIRST;
+
+    /** {@code lastNumber}: of the last event that {@code listener} has been told otherwise. */
+    public Feed(Loop loop, InetSocketAddress address, Names names, long lastNumber, Consumer<ListEvent> listener) {
         this.loop = loop;
         this.address = address;
         this.names = names;
-        this.last = last;
-        this.told = told;
+        this.lastNumber = lastNumber;
+        this.listener = listener;
     }
 
+    /** Subscribes; until it is called nothing is heard. */
     public void start() {
-        link = new Link();
-        link.open();
+        current = new FeedConnection(loop, reader);
+        current.open(address);
     }
 
     /**
      * The feed has another address: it is asked there at once. Guards against missing what the old one still
-     * tells: its connection stays until {@link #SILENCE} after the new one's first line, and an event that both tell
-     * is applied once.
+     * tells: its connection stays for a while after the new one's first line, and an event that both tell is applied
+     * once.
      */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
-        Logger.info("control feed: now at {}, from {}", next, last);
+        Logger.info("control feed: now at {}, from {}", next, lastNumber);
         address = next;
-        again = AGAIN_FIRST;
-        if (restart != null) {
-            restart.cancel();
-            restart = null;
+        retryPause = RETRY_FIRST;
+        if (retry != null) {
+            retry.cancel();
+            retry = null;
         }
         leaveFormer();
-        former = link.over ? null : link;
+        former = current;
         start();
     }
 
     /** What the former feed has told by now is heard first. */
     private void leaveFormer() {
-        Link left = former;
+        FeedConnection left = former;
         if (left != null) {
             left.look();
             former = null;
-            left.leave();
+            left.close();
         }
     }
 
@@ -95,142 +89,79 @@
         if (former != null) {
             former.look();
         }
-        link.look();
+        current.look();
     }
 
     /** Applies an event that is the next one, or that stands for all before it; an old one changes nothing. */
     public boolean apply(ListEvent event) {
-        if (event.number() > last + 1 && !event.whole()) {
+        if (event.number() > lastNumber + 1 && !event.whole()) {
             return false;
         }
-        if (event.number() > last) {
-            last = event.number();
-            told.accept(event);
+        if (event.number() > lastNumber) {
+            lastNumber = event.number();
+            listener.accept(event);
         }
         return true;
     }
 
-    private void restart(String why) {
-        Logger.info("control feed: {}; once more from {}", why, last);
-        restart = loop.after(again, this::start);
-        Duration doubled = again.multipliedBy(2);
-        again = doubled.compareTo(AGAIN_MOST) < 0 ? doubled : AGAIN_MOST;
+    private void retry(String why) {
+        Logger.info("control feed: {}; once more from {}", why, lastNumber);
+        retry = loop.after(retryPause, this::start);
+        Duration doubled = retryPause.multipliedBy(2);
+        retryPause = doubled.compareTo(RETRY_MOST) < 0 ? doubled : RETRY_MOST;
     }
 
-    /** One connection to the feed. */
-    private final class Link implements Connection.Owner {
-        private final LineReader lines = new LineReader();
-        private Connection connection;
-        private Timers.Timer bound;
-        private Instant lineSince; // when the first byte of a line that is not whole came, or null
-        private boolean spoke, over;
-
-        void open() {
-            bound = loop.after(CONNECT, () -> end("no connection"));
-            try {
-                connection = Connection.open(loop, Loop.Rank.LIST, address, this);
-            } catch (IOException e) {
-                end(e.toString());
-            }
-        }
-
+    /** What the lines of a connection mean. */
+    private final class Events implements FeedConnection.Reader {
         @Override
-        public void connected() {
-            connection.write(("SUB " + last + "\n").getBytes(StandardCharsets.US_ASCII));
-            listen();
+        public long lastNumber() {
+            return lastNumber;
         }
 
-        private void listen() {
-            bound.cancel();
-            bound = loop.after(SILENCE, () -> end("silent"));
-        }
-
-        void look() {
-            if (!over && connection != null) {
-                connection.look();
+        @Override
+        public void line(FeedConnection from, byte[] line) throws IOException, FieldException {
+            if (from == current && !from.hasSpoken() && former != null) {
+                leaveLater(former);
             }
-        }
-
-        /** Bytes are no silence, though no line is whole yet; a line that has begun must end in its time. */
-        private void progressed() {
-            lineSince = !lines.isWithinLine() ? null : lineSince == null ? loop.now() : lineSince;
-            if (lineSince != null && !loop.now().isBefore(lineSince.plus(WHOLE_LINE))) {
-                end("a line that does not end");
-            } else {
-                listen();
+            String text = new String(line, StandardCharsets.UTF_8).strip();
+            if (NUMBER.matcher(text).matches()) {
+                heartbeat(from, Long.parseLong(text));
+            } else if (!text.isEmpty()) {
+                event(from, ListEvent.read(Json.object(line, ""), names));
             }
         }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            try {
-                for (byte[] line = lines.next(bytes); line != null && !over; line = lines.next(bytes)) {
-                    lineSince = null;
-                    line(line);
-                }
-                if (lines.isTooLong()) {
-                    end("line too long");
-                } else if (!over) {
-                    progressed();
+        private void leaveLater(FeedConnection left) {
+            loop.after(FeedConnection.SILENCE, () -> {
+                if (left == former) {
+                    leaveFormer();
                 }
-            } catch (IOException | FieldException e) {
-                end("malformed line: " + e.getMessage());
-            }
+            });
         }
 
-        private void line(byte[] line) throws IOException, FieldException {
-            if (this == link && !spoke && former != null) {
-                Link left = former;
-                loop.after(SILENCE, () -> {
-                    if (left == former) {
-                        leaveFormer();
-                    }
-                });
-            }
-            spoke = true;
-            String text = new String(line, StandardCharsets.UTF_8).strip();
-            if (text.isEmpty()) {
-                return;
-            }
-            if (NUMBER.matcher(text).matches()) {
-                if (Long.parseLong(text) > last) {
-                    end("events up to " + text + " were missed");
-                } else {
-                    again = AGAIN_FIRST;
-                }
-                return;
-            }
-            ListEvent event = ListEvent.read(Json.object(line, ""), names);
-            if (!event.faults().isEmpty() && event.number() > doubted) {
-                doubted = event.number(); // spoilt on its way, or so for good: then it comes again as it is
-                end("event " + event.number() + ": " + event.faults().get(0));
-            } else if (apply(event)) {
-                again = AGAIN_FIRST;
+        private void heartbeat(FeedConnection from, long number) {
+            if (number > lastNumber) {
+                from.end("events up to " + number + " were missed");
             } else {
-                end("event " + event.number() + " came too early");
+                retryPause = RETRY_FIRST;
             }
         }
 
-        @Override
-        public void closed(Exception cause) {
-            end(cause == null ? "closed" : cause.toString());
-        }
-
-        private void end(String why) {
-            if (over) {
-                return;
-            }
-            leave();
-            if (this == link) {
-                restart(why);
+        private void event(FeedConnection from, ListEvent event) {
+            if (!event.faults().isEmpty() && event.number() > repeatedNumber) {
+                repeatedNumber = event.number(); // spoilt on its way, or so for good: then it comes again as it is
+                from.end("event " + event.number() + ": " + event.faults().get(0));
+            } else if (apply(event)) {
+                retryPause = RETRY_FIRST;
+            } else {
+                from.end("event " + event.number() + " came too early");
             }
         }
 
-        private void leave() {
-            over = true;
-            bound.cancel();
-            if (connection != null) {
-                connection.close();
+        @Override
+        public void ended(FeedConnection from, String why) {
+            if (from == current) {
+                retry(why);
             }
         }
     }
