--- a/gateway/src/main/java/sandpaddle/feed/Feed.java
+++ b/gateway/src/main/java/sandpaddle/feed/Feed.java
@@ -53,7 +53,7 @@
     /**
      * The feed has another address: it is asked there at once. Guards against missing what the old one still
      * tells: its connection stays for a while after the new one's first line, and an event that both tell is applied
-     * once.
+     * once. Of several moves in a row the connection stays that was heard last.
      */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -66,8 +66,12 @@
             retry.cancel();
             retry = null;
         }
-        leaveFormer();
-        former = current;
+        if (current.hasSpoken() || former == null || former.isOver()) {
+            leaveFormer();
+            former = current;
+        } else {
+            current.close();
+        }
         start();
     }
 
--- a/gateway/src/test/java/sandpaddle/feed/FeedTest.java
+++ b/gateway/src/test/java/sandpaddle/feed/FeedTest.java
@@ -335,4 +335,21 @@
         link.line(drain(2));
         until(() -> numbers().equals(List.of(2L)));
     }
+
+    /** Two moves in a row: the feed that was heard last is heard on, the one between never spoke. */
+    @Test
+    public void ofTwoMovesInARowTheFeedThatWasHeardLastStays() throws Exception {
+        var former = accept(server);
+        former.line("1");
+        turn();
+        try (var between = new ScriptedFeed()) {
+            feed.moveTo(address(between));
+            var silent = accept(between);
+            feed.moveTo(address(nextServer));
+            assertEquals(accept(nextServer).subscription(), "SUB 1");
+            assertTrue(silent.isLeft());
+            former.line(drain(2));
+            until(() -> numbers().equals(List.of(2L)));
+        }
+    }
 }
