--- a/gateway/src/main/java/sandpaddle/feed/Feed.java
+++ b/gateway/src/main/java/sandpaddle/feed/Feed.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.function.Consumer;
@@ -12,7 +11,6 @@
 import sandpaddle.config.Json;
 import sandpaddle.config.ListEvent;
 import sandpaddle.config.Names;
-import sandpaddle.net.Connection;
 import sandpaddle.net.Loop;
 import sandpaddle.net.Timers;
 
@@ -21,173 +19,153 @@
  * that is silent, or that says what cannot be understood, is replaced by one from the last number on.
  */
 public final class Feed {
-    /** A line comes every second; what a feed that stands still had to tell counts as told soon after. */
-    private static final Duration SILENCE = Duration.ofMillis(1600);
-    private static final Duration CONNECT = Duration.ofMillis(800);
-    private static final Duration AGAIN_FIRST = Duration.ofMillis(10);
-    private static final Duration AGAIN_MOST = Duration.ofMillis(400);
-
+    private static final Duration RETRY_FIRST = Duration.ofMillis(10);
+    private static final Duration RETRY_MOST = Duration.ofMillis(400);
     private static final Pattern NUMBER = Pattern.compile("\\d{1,18}");
 
     private final Loop loop;
     private final Names names;
-    private final Consumer<ListEvent> told;
+    private final Consumer<ListEvent> listener;
+    private final FeedConnection.Reader reader = new Events();
     private InetSocketAddress address;
-    private long last;
-    private long doubted; // the last event that was asked for once more, since part of it cannot be used
-    private Link link;
-    private Link former; // at the address before: heard until the new one has spoken
-    private Timers.Timer restart;
-    private Duration again = AGAIN_FIRST;
-
-    public Feed(Loop loop, InetSocketAddress address, Names names, long last, Consumer<ListEvent> told) {
+    private long lastNumber;
+    private long repeatedNumber; // the last event that was asked for once more, since part of it cannot be used
+    private FeedConnection current;
+    private FeedConnection former; // at the address before: heard until a while after the current one has spoken
+    private Timers.Timer retry;
+    private Duration retryPause = RETRY_FIRST;
+
+    /** {@code lastNumber}: of the last event that {@code listener} has been told otherwise. */
+    public Feed(Loop loop, InetSocketAddress address, Names names, long lastNumber, Consumer<ListEvent> listener) {
         this.loop = loop;
         this.address = address;
         this.names = names;
-        this.last = last;
-        this.told = told;
+        this.lastNumber = lastNumber;
+        this.listener = listener;
     }
 
+    /** Subscribes; until it is called nothing is heard. */
     public void start() {
-        link = new Link();
-        link.open();
+        current = new FeedConnection(loop, reader);
+        current.open(address);
     }
 
     /**
      * The feed has another address: it is asked there at once. Guards against missing what the old one still
-     * tells: its connection stays until the new one has spoken, and an event that both tell is applied once.
+     * tells: its connection stays for a while after the new one's first line, and an event that both tell is applied
+     * once. Of several moves in a row the connection stays that was heard last.
      */
     public void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
-        Logger.info("control feed: now at {}, from {}", next, last);
+        Logger.info("control feed: now at {}, from {}", next, lastNumber);
         address = next;
-        again = AGAIN_FIRST;
-        if (restart != null) {
-            restart.cancel();
-            restart = null;
+        retryPause = RETRY_FIRST;
+        if (retry != null) {
+            retry.cancel();
+            retry = null;
+        }
+        if (current.hasSpoken() || former == null || former.isOver()) {
+            leaveFormer();
+            former = current;
+        } else {
+            current.close();
         }
-        leaveFormer();
-        former = link.over ? null : link;
         start();
     }
 
+    /** What the former feed has told by now is heard first. */
     private void leaveFormer() {
-        Link left = former;
-        former = null;
+        FeedConnection left = former;
         if (left != null) {
-            left.leave();
+            left.look();
+            former = null;
+            left.close();
+        }
+    }
+
+    /**
+     * Hears what has come since the turn began: in a turn that takes long, so that no request is sent after the grace
+     * of a drain that is told meanwhile.
+     */
+    public void look() {
+        if (former != null) {
+            former.look();
         }
+        current.look();
     }
 
     /** Applies an event that is the next one, or that stands for all before it; an old one changes nothing. */
     public boolean apply(ListEvent event) {
-        if (event.number() > last + 1 && !event.whole()) {
+        if (event.number() > lastNumber + 1 && !event.whole()) {
             return false;
         }
-        if (event.number() > last) {
-            last = event.number();
-            told.accept(event);
+        if (event.number() > lastNumber) {
+            lastNumber = event.number();
+            listener.accept(event);
         }
         return true;
     }
 
-    private void restart(String why) {
-        Logger.info("control feed: {}; once more from {}", why, last);
-        restart = loop.after(again, this::start);
-        Duration doubled = again.multipliedBy(2);
-        again = doubled.compareTo(AGAIN_MOST) < 0 ? doubled : AGAIN_MOST;
+    private void retry(String why) {
+        Logger.info("control feed: {}; once more from {}", why, lastNumber);
+        retry = loop.after(retryPause, this::start);
+        Duration doubled = retryPause.multipliedBy(2);
+        retryPause = doubled.compareTo(RETRY_MOST) < 0 ? doubled : RETRY_MOST;
     }
 
-    /** One connection to the feed. */
-    private final class Link implements Connection.Owner {
-        private final LineReader lines = new LineReader();
-        private Connection connection;
-        private Timers.Timer bound;
-        private boolean over;
-
-        void open() {
-            bound = loop.after(CONNECT, () -> end("no connection"));
-            try {
-                connection = Connection.open(loop, Loop.Rank.LIST, address, this);
-            } catch (IOException e) {
-                end(e.toString());
-            }
-        }
-
+    /** What the lines of a connection mean. */
+    private final class Events implements FeedConnection.Reader {
         @Override
-        public void connected() {
-            connection.write(("SUB " + last + "\n").getBytes(StandardCharsets.US_ASCII));
-            listen();
-        }
-
-        private void listen() {
-            bound.cancel();
-            bound = loop.after(SILENCE, () -> end("silent"));
+        public long lastNumber() {
+            return lastNumber;
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
-            try {
-                for (byte[] line = lines.next(bytes); line != null && !over; line = lines.next(bytes)) {
-                    line(line);
-                }
-                if (lines.isTooLong()) {
-                    end("line too long");
-                }
-            } catch (IOException | FieldException e) {
-                end("malformed line: " + e.getMessage());
-            }
-        }
-
-        private void line(byte[] line) throws IOException, FieldException {
-            listen();
-            if (this == link) {
-                leaveFormer();
+        public void line(FeedConnection from, byte[] line) throws IOException, FieldException {
+            if (from == current && !from.hasSpoken() && former != null) {
+                leaveLater(former);
             }
             String text = new String(line, StandardCharsets.UTF_8).strip();
-            if (text.isEmpty()) {
-                return;
-            }
             if (NUMBER.matcher(text).matches()) {
-                again = AGAIN_FIRST;
-                if (Long.parseLong(text) > last) {
-                    end("events up to " + text + " were missed");
-                }
-                return;
-            }
-            ListEvent event = ListEvent.read(Json.object(line, ""), names);
-            if (!event.faults().isEmpty() && event.number() > doubted) {
-                doubted = event.number(); // spoilt on its way, or so for good: then it comes again as it is
-                end("event " + event.number() + ": " + event.faults().get(0));
-            } else if (apply(event)) {
-                again = AGAIN_FIRST;
-            } else {
-                end("event " + event.number() + " came too early");
+                heartbeat(from, Long.parseLong(text));
+            } else if (!text.isEmpty()) {
+                event(from, ListEvent.read(Json.object(line, ""), names));
             }
         }
 
-        @Override
-        public void closed(Exception cause) {
-            end(cause == null ? "closed" : cause.toString());
+        private void leaveLater(FeedConnection left) {
+            loop.after(FeedConnection.SILENCE, () -> {
+                if (left == former) {
+                    leaveFormer();
+                }
+            });
         }
 
-        private void end(String why) {
-            if (over) {
-                return;
+        private void heartbeat(FeedConnection from, long number) {
+            if (number > lastNumber) {
+                from.end("events up to " + number + " were missed");
+            } else {
+                retryPause = RETRY_FIRST;
             }
-            leave();
-            if (this == link) {
-                restart(why);
+        }
+
+        private void event(FeedConnection from, ListEvent event) {
+            if (!event.faults().isEmpty() && event.number() > repeatedNumber) {
+                repeatedNumber = event.number(); // spoilt on its way, or so for good: then it comes again as it is
+                from.end("event " + event.number() + ": " + event.faults().get(0));
+            } else if (apply(event)) {
+                retryPause = RETRY_FIRST;
+            } else {
+                from.end("event " + event.number() + " came too early");
             }
         }
 
-        private void leave() {
-            over = true;
-            bound.cancel();
-            if (connection != null) {
-                connection.close();
+        @Override
+        public void ended(FeedConnection from, String why) {
+            if (from == current) {
+                retry(why);
             }
         }
     }
--- a/gateway/src/main/java/sandpaddle/http/ConnectionRequest.java
+++ b/gateway/src/main/java/sandpaddle/http/ConnectionRequest.java
@@ -80,7 +80,7 @@
         if (pool.wasHeardSince(from)) {
             fail(EnginePool.Down.LATE, why);
         } else {
-            pool.closeIdle(); // a machine that is cut off leaves them open and silent
+            pool.distrustIdle(); // a machine that is cut off leaves them open and silent
             fail(EnginePool.Down.UNREACHABLE, why);
         }
     }
--- a/gateway/src/main/java/sandpaddle/http/EnginePool.java
+++ b/gateway/src/main/java/sandpaddle/http/EnginePool.java
@@ -41,7 +41,8 @@
         void down(Down how, String why);
     }
 
-    private record Idle(EngineConnection connection, Instant since) { }
+    /** {@code generation}: of the pool when the connection became idle. */
+    private record Idle(EngineConnection connection, Instant since, int generation) { }
 
     /** What comes late after an answer, a copy or noise, must not be read as the answer to another call. */
     static final Duration QUIET = Duration.ofMillis(50);
@@ -56,6 +57,7 @@
     private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>(); // those that any connection serves
     private final ArrayDeque<ConnectionOpening> late = new ArrayDeque<>(); // coming up, with nobody waiting for it
     private Instant heardAt = Instant.MIN; // when the engine was last heard, on any connection
+    private int generation; // connections that became idle in an earlier one are not trusted any more
     private boolean retired;
 
     EnginePool(Loop loop, Engines engines, String id, InetSocketAddress address) {
@@ -100,7 +102,7 @@
             waiter.up(c);
         } else if (next != null) {
             loop.at(next.since.plus(QUIET), () -> {
-                if (mayReuse(next.connection)) {
+                if (mayReuse(next)) {
                     waiter.up(next.connection);
                 } else {
                     next.connection.abandon();
@@ -121,8 +123,8 @@
         }
     }
 
-    private boolean mayReuse(EngineConnection c) {
-        return !retired && !c.isStale();
+    private boolean mayReuse(Idle kept) {
+        return !retired && kept.generation == generation && !kept.connection.isStale();
     }
 
     private EngineConnection quietOne() {
@@ -134,7 +136,7 @@
                 continue;
             }
             i.remove();
-            if (mayReuse(next.connection)) {
+            if (mayReuse(next)) {
                 return next.connection;
             }
             next.connection.abandon(); // takes nothing more out of the list
@@ -149,7 +151,7 @@
      */
     void renew(Waiter waiter) {
         EngineConnection proven = takeNew();
-        closeIdle();
+        distrustIdle();
         if (proven == null) {
             connect(waiter);
         } else {
@@ -160,7 +162,7 @@
     private EngineConnection takeNew() {
         Instant from = loop.now().minus(NEW);
         for (Idle i : idle) {
-            if (!i.connection.wasUsed() && i.connection.isUpSince(from) && mayReuse(i.connection)) {
+            if (!i.connection.wasUsed() && i.connection.isUpSince(from) && mayReuse(i)) {
                 idle.remove(i);
                 return i.connection;
             }
@@ -221,7 +223,7 @@
         if (retired || c.isEnded() || c.isDoubted()) {
             c.abandon();
         } else {
-            idle.addLast(new Idle(c, loop.now()));
+            idle.addLast(new Idle(c, loop.now(), generation));
             if (!waiting.isEmpty()) {
                 loop.after(QUIET, this::serveWaiting);
             }
@@ -254,12 +256,24 @@
         }
     }
 
+    /** Closes what is idle and lets none be used that is waited for: their process may have died unseen. */
+    void distrustIdle() {
+        generation++;
+        closeIdle();
+    }
+
     void closeIdle() {
         while (!idle.isEmpty()) {
             idle.pollLast().connection.abandon();
         }
     }
 
+    /** Its process has started again: no connection to the former one is used. */
+    void distrustAll() {
+        generation++;
+        closeSpare();
+    }
+
     /** Closes all that no call is out on or waits for. */
     void closeSpare() {
         closeIdle();
