--- a/gateway/src/test/java/sandpaddle/http/AttemptStage.java
+++ b/gateway/src/test/java/sandpaddle/http/AttemptStage.java
@@ -9,16 +9,14 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
-import java.time.Clock;
 import java.time.Duration;
 import java.time.Instant;
-import java.time.ZoneId;
-import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
+import sandpaddle.crossing.HandClock;
 import sandpaddle.net.Loop;
 import sandpaddle.query.AttemptEnd;
 import sandpaddle.query.AttemptOrder;
@@ -30,25 +28,6 @@
     static final String DECLINED = "HTTP/1.1 503 -\r\nX-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     static final String DELETED = "HTTP/1.1 204 -\r\n\r\n";
 
-    static final class Hand extends Clock {
-        Instant now = Instant.parse("2026-01-01T00:00:00Z");
-
-        @Override
-        public ZoneId getZone() {
-            return ZoneOffset.UTC;
-        }
-
-        @Override
-        public Clock withZone(ZoneId zone) {
-            return this;
-        }
-
-        @Override
-        public Instant instant() {
-            return now;
-        }
-    }
-
     static final class Heard implements EngineSide.Listener {
         final List<AttemptEnd> ends = new ArrayList<>();
         int timesOutOfReach;
@@ -68,7 +47,7 @@
         }
     }
 
-    final Hand clock = new Hand();
+    final HandClock clock = new HandClock();
     final List<SocketChannel> accepted = new ArrayList<>();
     final StringBuilder read = new StringBuilder();
     ServerSocketChannel listening;
@@ -130,9 +109,9 @@
 
     /** Lets time pass in steps of 10 ms, with a few turns in each for what the kernel has to tell. */
     void pass(Duration span) throws IOException {
-        Instant end = clock.now.plus(span);
-        while (clock.now.isBefore(end)) {
-            clock.now = clock.now.plusMillis(10);
+        Instant end = clock.instant().plus(span);
+        while (clock.instant().isBefore(end)) {
+            clock.pass(Duration.ofMillis(10));
             turn();
             turn();
         }
@@ -144,7 +123,7 @@
 
     EngineSide.Running start(Heard heard, boolean trial) {
         String trace = "00000000000000%02d".formatted(traces++);
-        return engines.start("e", new AttemptOrder(trace, "load", new byte[] {'x'}, 0, 1, clock.now.plusSeconds(9),
+        return engines.start("e", new AttemptOrder(trace, "load", new byte[] {'x'}, 0, 1, clock.instant().plusSeconds(9),
                 true, trial), heard);
     }
 
--- a/gateway/src/test/java/sandpaddle/http/CopiedAnswerTest.java
+++ b/gateway/src/test/java/sandpaddle/http/CopiedAnswerTest.java
@@ -42,7 +42,7 @@
         until(() -> posts() == 1);
         answer(0, NEWS);
         until(() -> calls("GET /x/") == 1);
-        clock.now = clock.now.plus(Duration.ofMillis(250));
+        clock.pass(Duration.ofMillis(250));
         answer(0, NEWS);
         until(() -> calls("GET /x/") == 2);
         answer(0, OK);
