--- a/gateway/src/test/java/sandpaddle/feed/FeedTest.java
+++ b/gateway/src/test/java/sandpaddle/feed/FeedTest.java
@@ -97,7 +97,8 @@
     }
 
     private static String host(String id, String health, long bornMs) {
-        return "{\"host\":\"%s\",\"dial\":\"127.0.0.1:9\",\"site\":\"east\",\"class\":\"std\",\"health\":\"%s\",\"born_ms\":%d}"
+        return """
+                {"host":"%s","dial":"127.0.0.1:9","site":"east","class":"std","health":"%s","born_ms":%d}"""
                 .formatted(id, health, bornMs);
     }
 
@@ -259,7 +260,7 @@
         assertEquals(events.get(0).hosts().size(), 80);
     }
 
-    /** Guards against a feed that never ends a line: what it has to tell meanwhile counts as told after some seconds. */
+    /** Guards against a feed that never ends a line: what it has to tell counts as told after some seconds. */
     @Test
     public void aLineThatNeverEndsIsGivenUp() throws Exception {
         var link = accept(server);
@@ -273,7 +274,7 @@
         assertEquals(accept(server).subscription(), "SUB 1");
     }
 
-    /** Guards the feed against all gateways at once: one that counts further than it tells is asked ever more rarely. */
+    /** Guards the feed against all gateways at once: one that counts further than it tells is asked more rarely. */
     @Test
     public void aFeedThatIsAheadOfWhatItTellsIsNotAskedInASpin() throws Exception {
         int asked = 0;
--- a/gateway/src/test/java/sandpaddle/http/AttemptStage.java
+++ b/gateway/src/test/java/sandpaddle/http/AttemptStage.java
@@ -123,8 +123,8 @@
 
     EngineSide.Running start(Heard heard, boolean trial) {
         String trace = "00000000000000%02d".formatted(traces++);
-        return engines.start("e", new AttemptOrder(trace, "load", new byte[] {'x'}, 0, 1, clock.instant().plusSeconds(9),
-                true, trial), heard);
+        return engines.start("e", new AttemptOrder(trace, "load", new byte[] {'x'}, 0, 1,
+                clock.instant().plusSeconds(9), true, trial), heard);
     }
 
     int posts() {
--- a/gateway/src/test/java/sandpaddle/http/OutOfReachTest.java
+++ b/gateway/src/test/java/sandpaddle/http/OutOfReachTest.java
@@ -44,7 +44,7 @@
         assertEquals(second.ends, List.of());
     }
 
-    /** Guards against a POST to a process that died unseen: the list tells its successor while the quiet is waited for. */
+    /** Guards against a POST to a process that died unseen: its successor is listed while the quiet is waited for. */
     @Test
     public void aConnectionThatIsWaitedForIsNotUsedOnceItsEngineHasStartedAgain() throws Exception {
         Heard first = new Heard();
--- a/gateway/src/test/java/sandpaddle/story/ListStories.java
+++ b/gateway/src/test/java/sandpaddle/story/ListStories.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What a gateway does with the engine list when it is told at an awkward moment: a reload, a new list, the planned end. */
+/** What a gateway does with the engine list when it is told at an awkward moment: a reload, the planned end. */
 public class ListStories {
     private static final String SQL = "SELECT day FROM sales_17.orders";
     private static final Duration SLOW_READ = Duration.ofMillis(40);
@@ -139,7 +139,7 @@
         }
     }
 
-    /** The list is followed to the last: what waits for an engine while the gateway ends is served by one that comes. */
+    /** The list is followed to the last: what waits while the gateway ends is served by an engine that comes. */
     @Test
     public void aListThatComesDuringThePlannedEndIsFollowed() throws Exception {
         try (var first = engine("1st"); var second = engine("2nd"); var feed = new ScriptedFeed();
--- a/gateway/src/test/java/sandpaddle/story/ProgramStories.java
+++ b/gateway/src/test/java/sandpaddle/story/ProgramStories.java
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Guards a start under load: it waits for nobody, neither its feed nor an engine, and needs no class-data archive. */
+    /** Guards a start under load: it waits neither for its feed nor for an engine, and needs no class-data archive. */
     @Test
     public void aGatewayIsReadyWithoutItsFeedItsEnginesAndItsArchive() throws Exception {
         int noFeed;
