--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Handover.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Handover.java
@@ -20,6 +20,7 @@
     private final LongSupplier clock;
     private final LinkLog log = new LinkLog();
     private final AtomicLong waitingBytes = new AtomicLong();
+    private long messages; // under the lock of TcpLinks
 
     Handover(Links.Listener listener, Executor fleet, LongSupplier clock) {
         this.listener = listener;
@@ -31,6 +32,11 @@
         return waitingBytes.get();
     }
 
+    /** Messages received since the start. */
+    long messages() {
+        return messages;
+    }
+
     private void hand(int bytes, Runnable event) {
         waitingBytes.addAndGet(bytes);
         try {
@@ -52,6 +58,7 @@
 
     @Override
     public void received(String from, Kind kind, byte[] payload) {
+        messages++;
         hand(payload.length + OVERHEAD, () -> listener.received(from, kind, payload));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Sockets.java
@@ -38,6 +38,8 @@
     private Switchboard board;
     private boolean reading = true;
     private long now;
+    private long bytesIn;
+    private long bytesOut;
 
     Sockets(Selector selector) {
         this.selector = selector;
@@ -47,6 +49,16 @@
         board = by;
     }
 
+    /** Bytes that came over all sockets since the start. */
+    long bytesIn() {
+        return bytesIn;
+    }
+
+    /** Bytes that went out over all sockets since the start. */
+    long bytesOut() {
+        return bytesOut;
+    }
+
     void wake() {
         selector.wakeup();
     }
@@ -186,6 +198,7 @@
                 end(w, Loss.CLOSED, "closed by the peer");
                 return;
             }
+            bytesIn += n;
             if (!w.farewell && n > 0) {
                 board.bytes(now, w.number, in.flip());
             }
@@ -196,7 +209,9 @@
     }
 
     private void write(Wire w) throws IOException {
+        long before = w.sentBytes;
         Wire.Written written = w.write(out, () -> w.farewell ? null : board.nextFrame(w.number));
+        bytesOut += w.sentBytes - before;
         if (written != Wire.Written.NOTHING && !w.farewell) {
             board.wrote(now, w.number, w.isWritten());
         }
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -44,6 +44,7 @@
     private final Thread thread;
     private long tickAt;
     private long acceptAt;
+    private long messagesOut;
     private volatile boolean closed;
 
     /**
@@ -94,6 +95,13 @@
         }
     }
 
+    /** What went over all links since the start. */
+    public LinkTraffic traffic() {
+        synchronized (lock) {
+            return new LinkTraffic(sockets.bytesIn(), sockets.bytesOut(), handover.messages(), messagesOut);
+        }
+    }
+
     /** Bytes received that the fleet's thread has not taken yet. */
     public long waitingBytes() {
         return handover.waitingBytes();
@@ -104,6 +112,7 @@
         boolean taken;
         synchronized (lock) {
             taken = !closed && board.send(now(), to, kind, payload);
+            messagesOut += taken ? 1 : 0;
         }
         if (taken) {
             sockets.wake();
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/Wire.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/Wire.java
@@ -20,6 +20,7 @@
     boolean dirty;    // waits to be written to
     boolean farewell; // nothing but its last frame is written, and nothing read is used
     long closeAt;     // by when it is closed after its farewell
+    long sentBytes;   // taken by the kernel
     private final ArrayDeque<ByteBuffer> begun = new ArrayDeque<>();
 
     Wire(long number, SocketChannel channel) {
@@ -83,6 +84,7 @@
     }
 
     private void written(int bytes) {
+        sentBytes += bytes;
         int left = bytes;
         while (left > 0) {
             ByteBuffer frame = begun.peek();
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -10,6 +10,7 @@
 import sandpaddle.fleet.FleetSettings;
 import sandpaddle.fleet.limit.bound.LimitBounds;
 import sandpaddle.fleet.link.LinkSettings;
+import sandpaddle.fleet.link.tcp.LinkTraffic;
 import sandpaddle.fleet.link.tcp.TcpLinks;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.node.agree.Agreement;
@@ -25,6 +26,8 @@
 import sandpaddle.fleet.node.rights.PoolSide;
 import sandpaddle.fleet.node.rights.RightsKeeper;
 import sandpaddle.fleet.node.spread.EvidenceFlow;
+import sandpaddle.fleet.view.FleetView;
+import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.Shared;
 import sandpaddle.http.ConnectionBudget;
 import sandpaddle.net.Scheduler;
@@ -49,6 +52,7 @@
     private final Course course;
     private final LoopFetching fetching;
     private final LoopSide side;
+    private final Publication<FleetView> views;
 
     /**
      * Starts it. {@code wake}: has the loop take a turn, from any thread.
@@ -62,6 +66,7 @@
         long incarnation = Math.max(1, System.currentTimeMillis() << 10 | seed & 1023);
         long now = clock.now();
         Shared shared = Shared.fresh();
+        views = shared.views();
         Queue<Heard> heard = new SpscArrayQueue<>(MOST_HEARD);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // for the loop's thread
         FloorsOnDisk floors = settings.directory() == null ? null : new FloorsOnDisk(settings.directory(),
@@ -121,6 +126,21 @@
         return side;
     }
 
+    /** What the request path goes by now; from any thread. */
+    public FleetView view() {
+        return views.current();
+    }
+
+    /** What went over the links since the start; from any thread. */
+    public LinkTraffic traffic() {
+        return links.traffic();
+    }
+
+    /** The time that views count in; from any thread. */
+    public long now() {
+        return parts.clock().now();
+    }
+
     /** By which connections to engines are opened. */
     public ConnectionBudget connections() {
         return parts.pools().budget();
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkStories.java
@@ -50,6 +50,27 @@
         }
     }
 
+    @Test
+    public void bothSidesCountTheSameTraffic() throws Exception {
+        try (Gate a = new Gate("a", PATIENT); Gate b = new Gate("b", PATIENT)) {
+            a.want(b.member());
+            a.await("up");
+            b.await("up");
+            assertTrue(a.links.send("b", Kind.BEAT, new byte[1000]));
+            assertTrue(a.links.send("b", Kind.BEAT, new byte[2000]));
+            b.await("received BEAT");
+            b.await("received BEAT");
+            assertFalse(a.links.send("c", Kind.BEAT, new byte[9000]), "what is not taken is not counted");
+            assertEquals(a.links.traffic().messagesOut(), 2);
+            assertEquals(b.links.traffic().messagesIn(), 2);
+            assertEquals(a.links.traffic().messagesIn() + b.links.traffic().messagesOut(), 0);
+            Gate.until("all bytes that went out came in",
+                    () -> a.links.traffic().bytesOut() == b.links.traffic().bytesIn());
+            long bytes = b.links.traffic().bytesIn();
+            assertTrue(bytes > 3000 && bytes < 3000 + 1000, "payloads and a handshake: " + bytes);
+        }
+    }
+
     @Test
     public void whoAcceptsAndSaysNothingIsUnreachable() throws Exception {
         try (Gate a = new Gate("a", TIMES); ServerSocket server = RawPeer.listen()) {
