--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test races costs lint run try
+.PHONY: build test races costs scale lint run try
 
 build:
 	mvn -B -q -DskipTests package
@@ -18,6 +18,11 @@
 	mvn -B -q -DskipTests package
 	java -jar bench/target/bench.jar -prof gc
 
+# a small fleet of control machines and hollow gateways: about a minute
+scale:
+	mvn -B -q -DskipTests package
+	java -jar lab/target/lab.jar scale --gateways 60 --fault control-machine --short --json lab/target/scale.json
+
 lint:
 	mvn -B -q compile checkstyle:check
 
--- a/lab/src/main/java/sandpaddle/lab/Events.java
+++ b/lab/src/main/java/sandpaddle/lab/Events.java
@@ -15,19 +15,19 @@
  * they apply {@code request} (one for all tries of a client), {@code attempt} (the trace of a try), {@code engine},
  * {@code class}, {@code outcome}. From any thread. {@link Audit} recounts an experiment from it.
  */
-final class Events implements Closeable {
+public final class Events implements Closeable {
     private final OutputStream out;
     private final JsonGenerator json;
 
     /** Into a file, or to nowhere where it is null. */
-    Events(Path file) throws IOException {
+    public Events(Path file) throws IOException {
         out = file == null ? OutputStream.nullOutputStream() : new BufferedOutputStream(Files.newOutputStream(file));
         json = new JsonFactory().createGenerator(out);
         json.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
     /** Keys and values in turn; values that are null are left out. */
-    synchronized void add(long us, String party, String kind, Object... fields) {
+    public synchronized void add(long us, String party, String kind, Object... fields) {
         try {
             json.writeStartObject();
             json.writeNumberField("us", us);
--- a/lab/src/main/java/sandpaddle/lab/FleetAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetAudit.java
@@ -19,7 +19,7 @@
  * Recounts a fleet's run from the events of engines, clients, relays and the script. It shares no code with the
  * gateways: what runs is counted at the engines. Events come in any order and are sorted by their time.
  */
-final class FleetAudit {
+public final class FleetAudit {
     private static final long AFTER_STOP_US = 2_500_000; // to find out that it stood still, and answer what is late
 
     private final Map<String, Integer> answersOf = new HashMap<>();
@@ -60,7 +60,7 @@
     }
 
     /** All events of a file by their time. */
-    static List<Map<String, String>> read(Path file) throws IOException {
+    public static List<Map<String, String>> read(Path file) throws IOException {
         List<Map<String, String>> all = new ArrayList<>();
         try (JsonParser in = new JsonFactory().createParser(file.toFile())) {
             while (in.nextToken() == JsonToken.START_OBJECT) {
--- a/lab/src/main/java/sandpaddle/lab/FleetCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetCommand.java
@@ -21,7 +21,7 @@
         footerHeading = "%nExamples:%n",
         footer = {"  fleet --scenario cut --short --json out.json --events out.jsonl",
             "  fleet --scenario drawn --gateways 9 --seed 3"})
-final class FleetCommand implements Callable<Integer> {
+public final class FleetCommand implements Callable<Integer> {
     private static final long CLIENT_SLACK_MS = 500; // an answer's way, on a loaded machine
 
     @Option(names = "--scenario", defaultValue = "drawn", paramLabel = "NAME",
@@ -143,7 +143,7 @@
     }
 
     /** The folder of a run with its disks. */
-    static void remove(Path folder) throws IOException {
+    public static void remove(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path f : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(f);
--- a/lab/src/main/java/sandpaddle/lab/FleetLogs.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetLogs.java
@@ -9,11 +9,12 @@
 import java.time.ZoneId;
 import java.time.temporal.ChronoUnit;
 import java.util.Collection;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /** What gateways said in their logs of verdicts, versions and leaders, as events among the others. */
-final class FleetLogs {
+public final class FleetLogs {
     private static final Pattern LINE = Pattern.compile("(\\d\\d:\\d\\d:\\d\\d\\.\\d{3}) \\w+ \\S+: fleet: (.*)");
     private static final Pattern VERDICT = Pattern.compile("verdict (begins|ends): engine (\\S+) (\\w+).*");
     private static final Pattern RULES = Pattern.compile("version (\\d+) rules.*");
@@ -23,7 +24,8 @@
     private FleetLogs() {
     }
 
-    static void gather(Path folder, Collection<String> names, Events events) throws IOException {
+    /** Reads the logs of these gateways. */
+    public static void gather(Path folder, Collection<String> names, Events events) throws IOException {
         for (String name : names) {
             Path log = folder.resolve(name + ".log");
             if (Files.exists(log)) {
@@ -37,6 +39,23 @@
         }
     }
 
+    /** Who leads, by the highest term that these gateways' logs tell of. */
+    public static Optional<String> leader(Path folder, Collection<String> names) throws IOException {
+        long highest = -1;
+        String leader = null;
+        for (String name : names) {
+            for (String line : Files.readAllLines(folder.resolve(name + ".log"))) {
+                Matcher all = LINE.matcher(line);
+                Matcher leads = LEADS.matcher(all.matches() ? all.group(2) : "");
+                if (leads.matches() && Long.parseLong(leads.group(2)) > highest) {
+                    highest = Long.parseLong(leads.group(2));
+                    leader = leads.group(1);
+                }
+            }
+        }
+        return Optional.ofNullable(leader);
+    }
+
     private static long us(String time) {
         Instant at = LocalTime.parse(time).atDate(LocalDate.now()).atZone(ZoneId.systemDefault()).toInstant();
         return ChronoUnit.MICROS.between(Instant.EPOCH, at);
--- a/lab/src/main/java/sandpaddle/lab/FleetProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetProcess.java
@@ -16,7 +16,7 @@
  * A gateway of a fleet in a process of its own, with the faults that a machine has: killed, stopped, continued, a disk
  * that takes no more. Its log comes through a pipe, so that a limit on files does not stop it.
  */
-final class FleetProcess {
+public final class FleetProcess {
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m",
             "-Xmx128m", "-Xss512k", "-XX:MaxDirectMemorySize=16m", "-XX:+ExitOnOutOfMemoryError");
     private static final String MAIN = "sandpaddle.app.Main"; // where a path of classes is given in the jar's place
@@ -40,7 +40,7 @@
     }
 
     /** Founds its directory; fails where the program says so. */
-    static void format(Path jar, Path operator, String name) throws IOException {
+    public static void format(Path jar, Path operator, String name) throws IOException {
         List<String> command = java(jar);
         command.addAll(List.of("fleet", "format", "--operator", operator.toString(), "--name", name));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
@@ -54,7 +54,8 @@
         }
     }
 
-    static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator)
+    /** Starts it; its log goes to {@code NAME.log} in the folder. */
+    public static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator)
             throws IOException {
         List<String> command = java(jar);
         command.addAll(List.of("serve", "--operator", operator.toString()));
@@ -77,11 +78,12 @@
         t.start();
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return address;
     }
 
-    void awaitUp() throws IOException {
+    /** Waits until it takes connections. */
+    public void awaitUp() throws IOException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MS);
         while (true) {
             try (Socket s = new Socket()) {
@@ -104,16 +106,21 @@
         }
     }
 
-    boolean isAlive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
+    /** Its number at the operating system. */
+    public long pid() {
+        return process.pid();
+    }
+
     long cpuMs() {
         return process.info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(0L);
     }
 
     /** As if its machine lost power. */
-    void kill() {
+    public void kill() {
         process.destroyForcibly();
         try {
             process.waitFor();
@@ -158,7 +165,7 @@
     }
 
     /** A planned end. */
-    void end() {
+    public void end() {
         process.destroy();
         try {
             if (!process.waitFor(8, TimeUnit.SECONDS)) {
--- a/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A real gateway in a process of its own, from the built jar, with the flags that service uses. */
-final class GatewayProcess {
+public final class GatewayProcess {
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m",
             "-Xmx88m", "-Xss512k", "-XX:MaxDirectMemorySize=8m", "-XX:+ExitOnOutOfMemoryError");
     private static final int FIRST_PORT = 20_000; // below those that systems give away: a relay took one once
@@ -31,7 +31,7 @@
     }
 
     /** A port that was free a moment ago. */
-    static int freePort() throws IOException {
+    public static int freePort() throws IOException {
         for (int tries = 0; tries < PORTS; tries++) {
             int port = FIRST_PORT + NEXT.getAndIncrement() % PORTS;
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getByName(Loopback.HOST))) {
--- a/lab/src/main/java/sandpaddle/lab/Main.java
+++ b/lab/src/main/java/sandpaddle/lab/Main.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import sandpaddle.lab.scale.ScaleCommand;
 
 /** The lab's command line. */
 @Command(name = "lab", mixinStandardHelpOptions = true,
@@ -16,11 +17,11 @@
             "  java -jar lab/target/lab.jar audit storm.jsonl --against storm.json",
             "  java -jar lab/target/lab.jar try"},
         subcommands = {StormCommand.class, AuditCommand.class, ReportCommand.class, TryCommand.class, AskCommand.class,
-            CostCommand.class, FleetCommand.class,
+            CostCommand.class, FleetCommand.class, ScaleCommand.class,
             CommandLine.HelpCommand.class})
 public final class Main implements Callable<Integer> {
     /** A run in which a rule was broken. */
-    static final int BROKEN = 3;
+    public static final int BROKEN = 3;
 
     public static void main(String[] args) {
         System.exit(new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true).execute(args));
--- a/lab/src/main/java/sandpaddle/lab/Relay.java
+++ b/lab/src/main/java/sandpaddle/lab/Relay.java
@@ -19,7 +19,7 @@
  * unknown to the other. After a cut its connections cannot go on, since bytes are missing: they are reset when it
  * heals.
  */
-final class Relay {
+public final class Relay {
     /** What is done to one way of a link. */
     static final class Way {
         boolean cut;
@@ -45,7 +45,7 @@
     private long received; // bytes, both ways
 
     /** {@code framed}: what goes through is frames of four bytes' length and a body. */
-    Relay(Loop loop, InetSocketAddress target, SplittableRandom random, boolean framed) throws IOException {
+    public Relay(Loop loop, InetSocketAddress target, SplittableRandom random, boolean framed) throws IOException {
         this.loop = loop;
         this.target = target;
         this.random = random;
@@ -53,7 +53,7 @@
         acceptor = new Acceptor(loop, Loopback.at(0), this::accept);
     }
 
-    InetSocketAddress address() throws IOException {
+    public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
 
@@ -92,8 +92,14 @@
         List.copyOf(pairs).forEach(p -> p.halve(targets));
     }
 
+    /** Nothing passes any more, and both ends stay open. */
+    public void cut() {
+        there.cut = true;
+        back.cut = true;
+    }
+
     /** Both ways are well again. */
-    void heal() {
+    public void heal() {
         boolean wasCut = there.cut || back.cut || !halves.isEmpty();
         for (Way w : List.of(there, back)) {
             w.cut = false;
@@ -108,7 +114,8 @@
         }
     }
 
-    void close() {
+    /** Ends it with all that is open. */
+    public void close() {
         acceptor.close();
         reset();
     }
--- a/lab/src/main/java/sandpaddle/lab/Site.java
+++ b/lab/src/main/java/sandpaddle/lab/Site.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /** The deployment that the lab plays: classes, clients and rules after the operators' brief, scaled to one machine. */
-final class Site {
+public final class Site {
     /** A class; work in microseconds of one thread, of which {@code cpu} needs a core; {@code share} of all queries. */
     record Kind(String name, double share, double workUs, int threads, double cpu, long aimUs, double aimStretch,
             long limitUs, double worth, double lateWorth, boolean safe, double estimateMb) { }
@@ -42,6 +42,19 @@
     /** The platform's configuration of one gateway. */
     static String config(String name, int index, int gateways, int port, InetSocketAddress feed, String known,
             long seed, EngineModel.Spec engine) {
+        return config(name, index, gateways, port, feed, known, seed, engine, HALLS);
+    }
+
+    /** The configuration of a gateway that may talk with others, at a site with these halls. */
+    public static String configOfPeer(String name, int index, int gateways, int port, InetSocketAddress feed,
+            String known, long seed, List<String> halls) {
+        return config(name, index, gateways, port, feed, known, seed, EngineModel.Spec.usual(), halls)
+                .replace("\"peers\":false", "\"peers\":true");
+    }
+
+    /** The same at a site with these halls. */
+    static String config(String name, int index, int gateways, int port, InetSocketAddress feed, String known,
+            long seed, EngineModel.Spec engine, List<String> halls) {
         StringBuilder classes = new StringBuilder();
         for (Kind k : KINDS) {
             classes.append(classes.length() == 0 ? "" : ",").append(String.format(Locale.ROOT,
@@ -64,8 +77,8 @@
                 "grants_count":true,"takes_priority":true,"most_grant":0.4,"overbooked":"wait","size_cores":[8],
                 "kind_memory_mb":[16384.0],"progress_us":500000}}}
                 """, name, Loopback.HOST, port, seed, SOCKETS, Loopback.HOST, feed.getPort(), known, gateways,
-                index, index % HALLS.size(),
-                String.join("\",\"", HALLS), classes, MOST_PAUSE_US, engine.coldFrom(),
+                index, index % halls.size(),
+                String.join("\",\"", halls), classes, MOST_PAUSE_US, engine.coldFrom(),
                 Math.max(engine.coldUs(), 15_000_000), engine.tipMultiple(), engine.fallUs());
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/StandInFeed.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInFeed.java
@@ -17,7 +17,7 @@
 import sandpaddle.net.Loop;
 
 /** The control feed: tells the list of engines, each change as a numbered event, to all who ask. */
-final class StandInFeed {
+public final class StandInFeed {
     private static final Duration BEAT = Duration.ofSeconds(1);
 
     private final Loop loop;
@@ -59,7 +59,8 @@
         }
     }
 
-    StandInFeed(Loop loop, Events events, Tally tally) throws IOException {
+    /** Listens on a port of its own. */
+    public StandInFeed(Loop loop, Events events, Tally tally) throws IOException {
         this.loop = loop;
         this.events = events;
         this.tally = tally;
@@ -76,7 +77,7 @@
         loop.after(BEAT, this::beat);
     }
 
-    InetSocketAddress address() throws IOException {
+    public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
 
@@ -104,12 +105,13 @@
     }
 
     /** What a gateway that starts now is told, as its configuration holds it: the whole list as one event. */
-    String known() {
+    public String known() {
         int n = told.size();
         return "{\"n\":" + n + ",\"events\":[" + event(Math.max(1, n), true, String.join(",", listed.values())) + "]}";
     }
 
-    void close() {
+    /** Ends it with all that follow it. */
+    public void close() {
         acceptor.close();
         List.copyOf(links).forEach(l -> l.connection.close());
     }
--- a/lab/src/main/java/sandpaddle/lab/Tally.java
+++ b/lab/src/main/java/sandpaddle/lab/Tally.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What the clients count of themselves. {@link Audit} counts the same from the events, on its own. */
-final class Tally {
+public final class Tally {
     private static final long DRAIN_US = 300_000; // the rule's grace, and what counts for sockets
 
     private record Asked(Site.Kind kind, long at, boolean counts) { }
--- /dev/null
+++ b/lab/src/main/java/sandpaddle/lab/scale/ControlMachine.java
@@ -0,0 +1,49 @@
+package sandpaddle.lab.scale;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import sandpaddle.fleet.member.Member;
+import sandpaddle.lab.FleetProcess;
+import sandpaddle.lab.GatewayProcess;
+import sandpaddle.lab.Site;
+import sandpaddle.lab.StandInFeed;
+
+/** A voter of the fleet: a whole gateway's process with its directory, without clients and engines. */
+final class ControlMachine {
+    private final Member member;
+    private final Path operator;
+    private final Path config;
+    private final int port;
+    private FleetProcess process;
+
+    ControlMachine(Member member, int index, ScalePlan plan, ScaleSite site, StandInFeed feed) throws IOException {
+        this.member = member;
+        port = GatewayProcess.freePort();
+        operator = site.controlFile(member);
+        config = Files.writeString(plan.folder().resolve(member.name() + ".json"), Site.configOfPeer(member.name(),
+                index, plan.size().gateways() + plan.size().controlMachines(), port, feed.address(), feed.known(),
+                plan.seed() + index, site.zones()));
+    }
+
+    String name() {
+        return member.name();
+    }
+
+    /** Founds its directory and starts its process. */
+    void start(ScalePlan plan) throws IOException {
+        FleetProcess.format(plan.jar(), operator, member.name());
+        process = FleetProcess.start(plan.jar(), plan.folder(), member.name(), port, config, operator);
+    }
+
+    FleetProcess process() {
+        return process;
+    }
+
+    /** Kills it with the run that is broken off. */
+    void abandon() {
+        if (process != null) {
+            process.kill();
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/sandpaddle/lab/scale/HeapReader.java
@@ -0,0 +1,40 @@
+package sandpaddle.lab.scale;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.OptionalDouble;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** Heap of another Java process after a collection, by the tool that comes with Java. */
+final class HeapReader {
+    private static final Pattern USED = Pattern.compile("(?:generation|space|heap)\\s+total \\d+K, used (\\d+)K");
+    private static final double KB_PER_MB = 1024;
+
+    private HeapReader() {
+    }
+
+    /** Megabytes in use; empty where the process does not say. */
+    static OptionalDouble afterCollection(long pid) {
+        try {
+            run(pid, "GC.run");
+            Matcher m = USED.matcher(run(pid, "GC.heap_info"));
+            double sum = 0;
+            boolean found = false;
+            while (m.find()) {
+                sum += Long.parseLong(m.group(1)) / KB_PER_MB;
+                found = true;
+            }
+            return found ? OptionalDouble.of(sum) : OptionalDouble.empty();
+        } catch (IOException e) {
+            return OptionalDouble.empty();
+        }
+    }
+
+    private static String run(long pid, String command) throws IOException {
+        Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                Long.toString(pid), command).redirectErrorStream(true).start();
+        return new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/sandpaddle/lab/scale/ProgramBounds.java
@@ -0,0 +1,39 @@
+package sandpaddle.lab.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import sandpaddle.fleet.limit.table.CommandCodec;
+import sandpaddle.fleet.link.LinkSettings;
+import sandpaddle.fleet.member.Roster;
+import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.state.machine.Policy;
+
+/** Sizes that the program itself does not take, by the name of the constant that says so. */
+final class ProgramBounds {
+    private static final int MOST_VOTERS = 5;
+
+    private ProgramBounds() {
+    }
+
+    /** Each bound that a fleet of this size with this configuration is over. */
+    static List<String> faults(ScalePlan.Size size, Agreed agreed) {
+        List<String> faults = new ArrayList<>();
+        int members = size.gateways() + size.controlMachines();
+        over(faults, "members", members, "Roster.MOST_MEMBERS", Roster.MOST_MEMBERS);
+        over(faults, "links of a control machine", members - 1, "LinkSettings.Bounds.USUAL.accepted",
+                LinkSettings.Bounds.USUAL.accepted());
+        over(faults, "limits", agreed.limits().size(), "CommandCodec.MOST_LIMITS", CommandCodec.MOST_LIMITS);
+        over(faults, "bytes of the agreed text", agreed.text().length(), "Policy.MOST_TEXT_BYTES",
+                Policy.MOST_TEXT_BYTES);
+        if (size.controlMachines() % 2 == 0 || size.controlMachines() > MOST_VOTERS) {
+            faults.add(size.controlMachines() + " control machines: the program founds a fleet of one, three or five");
+        }
+        return faults;
+    }
+
+    private static void over(List<String> faults, String what, long needed, String bound, long most) {
+        if (needed > most) {
+            faults.add(needed + " " + what + " are over the program's bound " + bound + " = " + most);
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/sandpaddle/lab/scale/BoundsTest.java
@@ -0,0 +1,48 @@
+package sandpaddle.lab.scale;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Sizes that are refused before anything starts, each with what stands against it. */
+class BoundsTest {
+    private static final MachineBounds.Available LARGE = new MachineBounds.Available(1_000_000, 1_000_000, 1_000_000);
+
+    private static ScalePlan.Size gateways(int n) {
+        return new ScalePlan.Size(n, 10, 10, 6, 2, 3);
+    }
+
+    private static String refusal(ScalePlan.Size size) {
+        return assertThrows(RefusedException.class, () -> ScaleSite.check(size)).getMessage();
+    }
+
+    @Test
+    void namesTheProgramsOwnBounds() {
+        assertTrue(refusal(gateways(600)).contains("LinkSettings.Bounds.USUAL.accepted"), refusal(gateways(600)));
+        assertTrue(refusal(gateways(1100)).contains("Roster.MOST_MEMBERS = 1024"), refusal(gateways(1100)));
+        assertTrue(refusal(new ScalePlan.Size(10, 10, 1024, 6, 2, 3)).contains("CommandCodec.MOST_LIMITS"));
+        assertTrue(refusal(new ScalePlan.Size(10, 10, 10, 6, 2, 4)).contains("one, three or five"));
+    }
+
+    @Test
+    void tellsWhatIsNeededAndWhatIsThere() {
+        assertEquals(List.of(), MachineBounds.faults(gateways(100), 1, 100, LARGE));
+        List<String> faults = MachineBounds.faults(gateways(100), 1, 100,
+                new MachineBounds.Available(100, 50, 10));
+        assertEquals(3, faults.size(), faults.toString());
+        assertTrue(faults.get(0).endsWith("MB of memory are needed, 100 are there"), faults.toString());
+        assertTrue(faults.get(1).endsWith("descriptors in one process are needed, 50 are there"), faults.toString());
+        assertTrue(faults.get(2).endsWith("threads are needed, 10 are there"), faults.toString());
+    }
+
+    @Test
+    void refusesFaultsThatAreNotBuiltByName() throws RefusedException {
+        assertEquals(Fault.RESTART_TENTH, Fault.of("restart-tenth"));
+        RefusedException e = assertThrows(RefusedException.class, () -> Fault.of("slow-disk"));
+        assertTrue(e.getMessage().startsWith("fault 'slow-disk' is not built"), e.getMessage());
+        assertThrows(RefusedException.class, () -> Fault.of("earthquake"));
+    }
+}
