--- a/lab/src/main/java/sandpaddle/lab/FleetProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetProcess.java
@@ -18,7 +18,8 @@
  */
 public final class FleetProcess {
     private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m",
-            "-Xmx128m", "-Xss512k", "-XX:MaxDirectMemorySize=16m", "-XX:+ExitOnOutOfMemoryError");
+            "-Xss512k", "-XX:MaxDirectMemorySize=16m", "-XX:+ExitOnOutOfMemoryError");
+    private static final int USUAL_HEAP_MB = 128;
     private static final String MAIN = "sandpaddle.app.Main"; // where a path of classes is given in the jar's place
     private static final long START_MS = 30_000;
 
@@ -30,10 +31,11 @@
         this.address = address;
     }
 
-    private static List<String> java(Path jar) {
+    private static List<String> java(Path jar, int heapMb) {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
                 .toString()));
         command.addAll(FLAGS);
+        command.add("-Xmx" + heapMb + "m");
         command.addAll(jar.toString().endsWith(".jar") ? List.of("-jar", jar.toString())
                 : List.of("-cp", jar.toString(), MAIN));
         return command;
@@ -41,7 +43,7 @@
 
     /** Founds its directory; fails where the program says so. */
     public static void format(Path jar, Path operator, String name) throws IOException {
-        List<String> command = java(jar);
+        List<String> command = java(jar, USUAL_HEAP_MB);
         command.addAll(List.of("fleet", "format", "--operator", operator.toString(), "--name", name));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         String said = new String(p.getInputStream().readAllBytes());
@@ -54,10 +56,15 @@
         }
     }
 
-    /** Starts it; its log goes to {@code NAME.log} in the folder. */
-    public static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator)
+    static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator)
             throws IOException {
-        List<String> command = java(jar);
+        return start(jar, folder, name, port, config, operator, USUAL_HEAP_MB);
+    }
+
+    /** Starts it with so much heap at most; its log goes to {@code NAME.log} in the folder. */
+    public static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator,
+            int heapMb) throws IOException {
+        List<String> command = java(jar, heapMb);
         command.addAll(List.of("serve", "--operator", operator.toString()));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
--- a/lab/src/main/java/sandpaddle/lab/scale/ControlMachine.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ControlMachine.java
@@ -11,11 +11,15 @@
 
 /** A voter of the fleet: a whole gateway's process with its directory, without clients and engines. */
 final class ControlMachine {
+    /** The most heap of its process: a voter of some hundred gateways needs more than a gateway does. */
+    static final int HEAP_MB = 512;
+
     private final Member member;
     private final Path operator;
     private final Path config;
     private final int port;
     private FleetProcess process;
+    private boolean killed;
 
     ControlMachine(Member member, int index, ScalePlan plan, ScaleSite site, StandInFeed feed) throws IOException {
         this.member = member;
@@ -33,13 +37,24 @@
     /** Founds its directory and starts its process. */
     void start(ScalePlan plan) throws IOException {
         FleetProcess.format(plan.jar(), operator, member.name());
-        process = FleetProcess.start(plan.jar(), plan.folder(), member.name(), port, config, operator);
+        process = FleetProcess.start(plan.jar(), plan.folder(), member.name(), port, config, operator, HEAP_MB);
     }
 
     FleetProcess process() {
         return process;
     }
 
+    /** Whether its process has ended without having been killed by the run. */
+    boolean hasFailed() {
+        return !killed && process != null && !process.isAlive();
+    }
+
+    /** Kills its process, as if its machine lost power. */
+    void kill() {
+        killed = true;
+        process.kill();
+    }
+
     /** Kills it with the run that is broken off. */
     void abandon() {
         if (process != null) {
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowDemand.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowDemand.java
@@ -6,9 +6,9 @@
 /** Draws what clients would ask of one gateway, and what engines would answer. */
 final class HollowDemand {
     /** Queries a second at each gateway. */
-    static final double QUERIES_PER_SECOND = 2;
+    static final double QUERIES_PER_SECOND = 5;
     /** How many would run at each gateway on average, were there no limit. */
-    static final double MEAN_RUNNING = 1.6;
+    static final double MEAN_RUNNING = 2.5;
     /** How long a query waits for rights before its client gives up. */
     static final Duration PATIENCE = Duration.ofMillis(1500);
     private static final double MOST_RUN_SECONDS = 2; // below the time after which engines forget
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowGateway.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowGateway.java
@@ -232,6 +232,9 @@
         boolean begun = begin(ask, query);
         if (begun || host.clock().isAfter(until)) {
             side.waits(ask.requestClass(), query.tenant(), -1);
+            if (!begun) {
+                host.say("gave-up", "gateway", name);
+            }
         } else {
             later(RETRY, () -> again(ask, query, until));
         }
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
@@ -44,7 +44,6 @@
  */
 public final class HollowHost {
     private static final Duration LONGEST_TURN = Duration.ofMillis(100);
-    private static final Duration START_PAUSE = Duration.ofMillis(5); // between two gateways that start
     private static final double MB = 1 << 20;
 
     private final HollowPlan plan;
@@ -101,7 +100,7 @@
         input.start();
         for (int i = 0; i < gateways.size(); i++) {
             HollowGateway g = gateways.get(i);
-            loop.after(START_PAUSE.multipliedBy(i), () -> start(g));
+            loop.after(plan.startPause().multipliedBy(i), () -> start(g));
         }
         while (!ended) {
             loop.turn(this::turn, LONGEST_TURN);
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowPlan.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowPlan.java
@@ -5,15 +5,17 @@
 import java.io.Writer;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.List;
 import java.util.Properties;
 
 /**
  * What one process of hollow gateways is started with. {@code cutZone}: its gateways reach the control machines by the
- * routes of the operator's file, which can be cut; all others reach them straight. Empty: none.
+ * routes of the operator's file, which can be cut; all others reach them straight. Empty: none. {@code startPause}:
+ * between the starts of two gateways.
  */
 record HollowPlan(Path operator, Path config, Path events, List<String> names, int engines, int tenants, long seed,
-        String cutZone) {
+        String cutZone, Duration startPause) {
 
     boolean isCut(String zone) {
         return zone.equals(cutZone);
@@ -29,6 +31,7 @@
         p.setProperty("tenants", Integer.toString(tenants));
         p.setProperty("seed", Long.toString(seed));
         p.setProperty("cutZone", cutZone);
+        p.setProperty("startPauseMs", Long.toString(startPause.toMillis()));
         try (Writer to = Files.newBufferedWriter(file)) {
             p.store(to, null);
         }
@@ -42,6 +45,7 @@
         return new HollowPlan(Path.of(p.getProperty("operator")), Path.of(p.getProperty("config")),
                 Path.of(p.getProperty("events")), List.of(p.getProperty("names").split(",")),
                 Integer.parseInt(p.getProperty("engines")), Integer.parseInt(p.getProperty("tenants")),
-                Long.parseLong(p.getProperty("seed")), p.getProperty("cutZone"));
+                Long.parseLong(p.getProperty("seed")), p.getProperty("cutZone"),
+                Duration.ofMillis(Long.parseLong(p.getProperty("startPauseMs"))));
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/MachineBounds.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/MachineBounds.java
@@ -11,7 +11,7 @@
 /** Sizes that this machine does not bear: what a run needs of it, beside what is there. */
 final class MachineBounds {
     /** Memory of one control machine's process: its heap and what the virtual machine takes beside it. */
-    static final int CONTROL_MACHINE_MB = 260;
+    static final int CONTROL_MACHINE_MB = ControlMachine.HEAP_MB + 130;
     /** Memory of a process of hollow gateways, beside that of each of them. */
     static final int HOST_MB = 140;
     /** Memory of one hollow gateway, its threads included. */
--- a/lab/src/main/java/sandpaddle/lab/scale/RunningCount.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/RunningCount.java
@@ -10,6 +10,7 @@
     private final Map<String, String> tenantOf = new HashMap<>(); // by attempt that runs
     private long overMost;
     private long began;
+    private long gaveUp;
 
     void limit(String name, long amount) {
         limits.put(name, amount);
@@ -43,6 +44,16 @@
         return overMost;
     }
 
+    /** A query found no right in time. */
+    void gaveUp() {
+        gaveUp++;
+    }
+
+    /** Queries that found no right in time. */
+    long withoutRight() {
+        return gaveUp;
+    }
+
     /** Attempts that began. */
     long began() {
         return began;
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleAudit.java
@@ -66,6 +66,7 @@
         switch (e.get("kind")) {
             case "begin" -> running.begins(e.get("attempt"), e.get("tenant"));
             case "end" -> running.ends(e.get("attempt"));
+            case "gave-up" -> running.gaveUp();
             case "proposed" -> versions.proposed(Long.parseLong(e.get("version")), us);
             case "rules" -> versions.rules(gateway, Long.parseLong(e.get("start")),
                     Long.parseLong(e.get("version")), us);
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
@@ -81,6 +81,7 @@
 
     private void counts(Map<String, Object> f) {
         f.put("attempts", audit.running().began());
+        f.put("withoutRight", audit.running().withoutRight());
         f.put("limitOverMost", audit.running().overMost());
         f.put("limitOverBound", 0L);
         f.put("agreedLost", audit.agreedLost());
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
@@ -40,6 +40,10 @@
     private static final Duration TURN = Duration.ofMillis(20);
     private static final Duration REPLY_MOST = Duration.ofSeconds(20);
     private static final Duration START_MOST = Duration.ofSeconds(60);
+    private static final Duration LEADER_MOST = Duration.ofSeconds(30);
+    private static final Duration LEADER_LOOK = Duration.ofMillis(100);
+    private static final Duration RULES_AFTER = Duration.ofMillis(500); // a leader has its file agreed on meanwhile
+    private static final Duration START_PAUSE = Duration.ofMillis(20); // between two gateways, in whichever host
     private static final Duration SETTLE = Duration.ofSeconds(4); // from the last change to the end
 
     /** What was sampled: by role, and of processes what they took in the measured span. */
@@ -86,6 +90,7 @@
         StandInFeed feed = new StandInFeed(loop, events, new Tally());
         try {
             startControl(feed);
+            awaitLeader();
             startHosts(feed);
             awaitLeases();
             say("ready");
@@ -143,7 +148,8 @@
             }
             hosts.add(HostProcess.start(new HollowPlan(operator, config, plan.folder().resolve("host-" + h
                     + ".events"), names, plan.size().engines(), plan.size().limits() - 1, random.nextLong(),
-                    plan.fault().cutsZone() ? victimZone() : ""), plan.folder().resolve("host-" + h + ".plan")));
+                    plan.fault().cutsZone() ? victimZone() : "", START_PAUSE.multipliedBy(count)),
+                    plan.folder().resolve("host-" + h + ".plan")));
         }
     }
 
@@ -152,6 +158,18 @@
         return plan.size().zone(plan.size().zones() - 1);
     }
 
+    /** Gateways that start before the control machines agree on anything would all offer them their files at once. */
+    private void awaitLeader() throws IOException {
+        long until = System.nanoTime() + LEADER_MOST.toNanos();
+        while (leader().isEmpty()) {
+            if (System.nanoTime() > until) {
+                throw new IOException("no control machine leads after " + LEADER_MOST.toSeconds() + " s");
+            }
+            turnFor(LEADER_LOOK);
+        }
+        turnFor(RULES_AFTER);
+    }
+
     private void awaitLeases() throws IOException {
         long from = System.nanoTime();
         long all = plan.size().gateways();
@@ -271,7 +289,7 @@
 
     private void killLeader() throws IOException {
         String leader = leader().orElseThrow(() -> new IOException("no control machine leads"));
-        control.stream().filter(c -> c.name().equals(leader)).forEach(c -> c.process().kill());
+        control.stream().filter(c -> c.name().equals(leader)).forEach(ControlMachine::kill);
         say("killed", "gateway", leader);
     }
 
@@ -313,6 +331,11 @@
             if (hosts.stream().anyMatch(h -> !h.isAlive())) {
                 throw new IOException("a process of hollow gateways has ended; its log tells why");
             }
+            for (ControlMachine c : control) {
+                if (c.hasFailed()) {
+                    throw new IOException(c.name() + " has ended; its log tells why");
+                }
+            }
             if (System.nanoTime() > until) {
                 return false;
             }
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleSite.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleSite.java
@@ -25,7 +25,7 @@
     static final String ALL_LIMIT = "all";
     /** Thousandths of a burst in the agreed form. */
     static final long THOUSANDTHS = 1000;
-    private static final double LIMITED = 0.8; // part of the demand that limits let through
+    private static final double LIMITED = 0.8; // part of the demand that the limit on all lets through
     private static final String CLUSTER = "scale";
     private static final int ANY_PORT = 20_000;
 
@@ -112,20 +112,15 @@
     private static List<LimitSpec> limits(ScalePlan.Size size, long version) {
         List<LimitSpec> limits = new ArrayList<>();
         limits.add(versionLimit(version));
-        double demand = HollowDemand.MEAN_RUNNING * size.gateways();
-        limits.add(new LimitSpec(ALL_LIMIT, Scope.WHOLE, Unit.RUNNING, amount(demand), 0));
-        int tenants = size.limits() - 1;
-        for (int t = 1; t <= tenants; t++) {
+        long ofAll = Math.max(1, Math.round(HollowDemand.MEAN_RUNNING * size.gateways() * LIMITED));
+        limits.add(new LimitSpec(ALL_LIMIT, Scope.WHOLE, Unit.RUNNING, ofAll, 0));
+        for (int t = 1; t < size.limits(); t++) { // one right for each gateway
             limits.add(new LimitSpec(tenantLimit(t), new Scope(null, null, tenantLimit(t), null), Unit.RUNNING,
-                    amount(demand / tenants), 0));
+                    size.gateways(), 0));
         }
         return limits;
     }
 
-    private static long amount(double demand) {
-        return Math.max(1, Math.round(demand * LIMITED));
-    }
-
     /** The limit that carries a version. */
     static LimitSpec versionLimit(long version) {
         return new LimitSpec(VERSION_LIMIT, new Scope(null, null, "nobody", null), Unit.RATE, THOUSANDTHS,
