--- a/lab/src/main/java/sandpaddle/lab/scale/ProcessUse.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ProcessUse.java
@@ -21,6 +21,7 @@
     private static final int USER_TIME = 11; // fields of a stat line after the name
     private static final int SYSTEM_TIME = 12;
     private static final double KB_PER_MB = 1024;
+    private static final boolean[] BUSY_FIELDS = {true, true, true, false, false, true, true};
 
     /** Bytes of one connection, as the kernel counts them. */
     record SocketBytes(long in, long out) { }
@@ -58,6 +59,17 @@
         return (Long.parseLong(fields.get(USER_TIME)) + Long.parseLong(fields.get(SYSTEM_TIME))) / TICKS_PER_SECOND;
     }
 
+    /** Processor time that all processes of this machine have taken since its start. */
+    static double machineCpuSeconds() throws IOException {
+        String all = Files.readAllLines(Path.of("/proc/stat")).get(0);
+        List<String> fields = List.of(all.split("\\s+")); // cpu, user, nice, system, idle, waiting, interrupts, ...
+        long ticks = 0;
+        for (int i = 1; i <= BUSY_FIELDS.length; i++) {
+            ticks += BUSY_FIELDS[i - 1] ? Long.parseLong(fields.get(i)) : 0;
+        }
+        return ticks / TICKS_PER_SECOND;
+    }
+
     private static long descriptors(Path folder) throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.count();
--- a/lab/src/main/java/sandpaddle/lab/scale/ProgramBounds.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ProgramBounds.java
@@ -7,6 +7,7 @@
 import sandpaddle.fleet.member.Roster;
 import sandpaddle.fleet.node.agree.Agreed;
 import sandpaddle.fleet.state.machine.Policy;
+import sandpaddle.fleet.verdict.VerdictSettings;
 
 /** Sizes that the program itself does not take, by the name of the constant that says so. */
 final class ProgramBounds {
@@ -31,6 +32,21 @@
         return faults;
     }
 
+    /** Sizes that the program takes, and of which it leaves a part out without a word. */
+    static List<String> partial(ScalePlan.Size size) {
+        List<String> parts = new ArrayList<>();
+        partly(parts, "engines", size.engines(), "VerdictSettings.enginesMost", VerdictSettings.DEFAULT.enginesMost());
+        partly(parts, "members", size.gateways() + size.controlMachines(), "VerdictSettings.membersMost",
+                VerdictSettings.DEFAULT.membersMost());
+        return parts;
+    }
+
+    private static void partly(List<String> parts, String what, long all, String bound, long most) {
+        if (all > most) {
+            parts.add("verdicts count " + most + " of " + all + " " + what + " (" + bound + ")");
+        }
+    }
+
     private static void over(List<String> faults, String what, long needed, String bound, long most) {
         if (needed > most) {
             faults.add(needed + " " + what + " are over the program's bound " + bound + " = " + most);
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
@@ -99,6 +99,7 @@
                 .toAbsolutePath();
         ScalePlan plan = new ScalePlan(size, what, changes, brief ? SHORT_WARM_UP : WARM_UP,
                 Duration.ofSeconds(brief ? Math.min(SHORT_SECONDS, seconds) : seconds), seed, jar, folder);
+        ProgramBounds.partial(size).forEach(part -> System.err.println("note: " + part));
         Map<String, Object> figures = play(plan, version());
         figures.forEach((k, v) -> System.out.println("  " + k + " " + v));
         if (json != null) {
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
@@ -32,6 +32,7 @@
         worst(f);
         times(f);
         counts(f);
+        f.put("partial", ProgramBounds.partial(plan.size()));
         f.put("roles", roles());
         return f;
     }
@@ -50,6 +51,7 @@
         f.put("seconds", round(samples.seconds()));
         f.put("warmUpSeconds", plan.warmUp().toMillis() / 1000.0);
         f.put("cores", Runtime.getRuntime().availableProcessors());
+        f.put("busyCores", round(samples.busyCores()));
     }
 
     /** The worst gateway and the worst control machine. */
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
@@ -48,7 +48,7 @@
 
     /** What was sampled: by role, and of processes what they took in the measured span. */
     record Samples(Map<String, ProcessUse.Rates> control, Map<String, Double> controlHeapMb,
-            List<ProcessUse.Rates> hosts, Optional<String> leader, double seconds) { }
+            List<ProcessUse.Rates> hosts, Optional<String> leader, double seconds, double busyCores) { }
 
     private final ScalePlan plan;
     private final Events events;
@@ -187,9 +187,11 @@
         sample("begin", controlBefore, hostsBefore);
         say("begin");
         long from = System.nanoTime();
+        double busyBefore = ProcessUse.machineCpuSeconds();
         schedule();
         turnFor(plan.measured());
         double seconds = (System.nanoTime() - from) / 1e9;
+        double busyCores = (ProcessUse.machineCpuSeconds() - busyBefore) / seconds;
         say("measured");
         Optional<String> leader = leader();
         Map<String, ProcessUse> controlAfter = new LinkedHashMap<>();
@@ -205,7 +207,7 @@
         for (int i = 0; i < Math.min(hostsBefore.size(), hostsAfter.size()); i++) {
             hostRates.add(hostsBefore.get(i).until(hostsAfter.get(i)));
         }
-        return new Samples(rates, heaps(), hostRates, leader, seconds);
+        return new Samples(rates, heaps(), hostRates, leader, seconds, busyCores);
     }
 
     private void sample(String label, Map<String, ProcessUse> ofControl, List<ProcessUse> ofHosts) throws IOException {
