--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
@@ -131,9 +131,18 @@
         OptionalDouble heap = names.stream().filter(samples.controlHeapMb()::containsKey)
                 .mapToDouble(samples.controlHeapMb()::get).average();
         r.put("heapMb", heap.isPresent() ? round(heap.getAsDouble()) : null);
+        r.put("messagesFromGatewaysPerSecond", messagesFromGateways());
         return complete(r);
     }
 
+    /** To each control machine on average: gateways have links to no others. Null where not all of them were sampled. */
+    private Double messagesFromGateways() {
+        List<GatewaySamples.Rates> all = audit.gateways();
+        return all.size() < plan.size().gateways() ? null
+                : round(all.stream().mapToDouble(GatewaySamples.Rates::messagesOut).sum()
+                        / plan.size().controlMachines());
+    }
+
     /** The mean over some processes. */
     private static Map<String, Object> processRole(String role, List<ProcessUse.Rates> all) {
         Map<String, Object> r = new LinkedHashMap<>();
