--- a/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
@@ -184,7 +184,8 @@
     private void sample(String label) {
         ThreadMXBean times = ManagementFactory.getThreadMXBean();
         for (HollowGateway g : gateways) {
-            long cpuNs = g.threads().stream().mapToLong(t -> Math.max(0, times.getThreadCpuTime(t.getId()))).sum();
+            Long cpuNs = !plan.sampled() ? null
+                    : g.threads().stream().mapToLong(t -> Math.max(0, times.getThreadCpuTime(t.getId()))).sum();
             LinkTraffic t = g.traffic();
             say("sample", "label", label, "gateway", g.name(), "start", (long) g.starts(), "cpu_ns", cpuNs, "bytes_in",
                     t.bytesIn(), "bytes_out", t.bytesOut(), "messages_in", t.messagesIn(), "messages_out",
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowPlan.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowPlan.java
@@ -12,10 +12,10 @@
 /**
  * What one process of hollow gateways is started with. {@code cutZone}: its gateways reach the control machines by the
  * routes of the operator's file, which can be cut; all others reach them straight. Empty: none. {@code startPause}:
- * between the starts of two gateways.
+ * between the starts of two gateways. {@code sampled}: its processor time counts, so it has the flags of service.
  */
 record HollowPlan(Path operator, Path config, Path events, List<String> names, int engines, int tenants, long seed,
-        String cutZone, Duration startPause) {
+        String cutZone, Duration startPause, boolean sampled) {
 
     boolean isCut(String zone) {
         return zone.equals(cutZone);
@@ -32,6 +32,7 @@
         p.setProperty("seed", Long.toString(seed));
         p.setProperty("cutZone", cutZone);
         p.setProperty("startPauseMs", Long.toString(startPause.toMillis()));
+        p.setProperty("sampled", Boolean.toString(sampled));
         try (Writer to = Files.newBufferedWriter(file)) {
             p.store(to, null);
         }
@@ -46,6 +47,7 @@
                 Path.of(p.getProperty("events")), List.of(p.getProperty("names").split(",")),
                 Integer.parseInt(p.getProperty("engines")), Integer.parseInt(p.getProperty("tenants")),
                 Long.parseLong(p.getProperty("seed")), p.getProperty("cutZone"),
-                Duration.ofMillis(Long.parseLong(p.getProperty("startPauseMs"))));
+                Duration.ofMillis(Long.parseLong(p.getProperty("startPauseMs"))),
+                Boolean.parseBoolean(p.getProperty("sampled")));
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/HostProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HostProcess.java
@@ -33,13 +33,19 @@
         reader.start();
     }
 
-    /** Starts it from this process's own classes, with the flags of a gateway; its log goes beside its plan. */
+    /**
+     * Starts it from this process's own classes; its log goes beside its plan. One that is sampled has the flags of a
+     * gateway in service, any other the whole compiler, so that more gateways find room on the machine.
+     */
     static HostProcess start(HollowPlan plan, Path planFile) throws IOException {
         plan.write(planFile);
         int heapMb = BASE_HEAP_MB + HEAP_MB_OF_GATEWAY * plan.names().size();
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + heapMb + "m", "-Xss256k",
-                "-XX:+ExitOnOutOfMemoryError", "-cp", classPath(), HollowHost.class.getName(), planFile.toString()));
+                .toString(), "-XX:+UseSerialGC", "-Xmx" + heapMb + "m", "-Xss256k", "-XX:+ExitOnOutOfMemoryError"));
+        if (plan.sampled()) {
+            command.add("-XX:TieredStopAtLevel=1");
+        }
+        command.addAll(List.of("-cp", classPath(), HollowHost.class.getName(), planFile.toString()));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.redirectError(planFile.resolveSibling(planFile.getFileName() + ".log").toFile());
         return new HostProcess(builder.start(), plan);
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
@@ -58,7 +58,7 @@
     private void worst(Map<String, Object> f) {
         List<GatewaySamples.Rates> gateways = audit.gateways();
         f.put("gatewayBytesPerSecond", most(gateways, GatewaySamples.Rates::bytes));
-        f.put("gatewayCpuCores", most(gateways, GatewaySamples.Rates::cpuCores));
+        f.put("gatewayCpuCores", most(cpuOf(gateways), Double::doubleValue));
         f.put("gatewayMemoryMb", audit.memory().gateways() == 0 ? null
                 : round((audit.memory().heapMb() + audit.memory().directMb()) / audit.memory().gateways()));
         List<ProcessUse.Rates> control = List.copyOf(samples.control().values());
@@ -108,6 +108,11 @@
         return roles;
     }
 
+    /** Processor time of the gateways whose hosts are sampled. */
+    private static List<Double> cpuOf(List<GatewaySamples.Rates> gateways) {
+        return gateways.stream().flatMapToDouble(r -> r.cpuCores().stream()).boxed().toList();
+    }
+
     /** The mean over all gateways that ran through the measured span. */
     private Map<String, Object> gatewayRole() {
         List<GatewaySamples.Rates> all = audit.gateways();
@@ -118,7 +123,8 @@
         r.put("bytesOutPerSecond", mean(all, GatewaySamples.Rates::bytesOut));
         r.put("messagesInPerSecond", mean(all, GatewaySamples.Rates::messagesIn));
         r.put("messagesOutPerSecond", mean(all, GatewaySamples.Rates::messagesOut));
-        r.put("cpuCores", mean(all, GatewaySamples.Rates::cpuCores));
+        r.put("cpuCores", mean(cpuOf(all), Double::doubleValue));
+        r.put("cpuCount", cpuOf(all).size());
         r.put("heapMb", audit.memory().gateways() == 0 ? null
                 : round(audit.memory().heapMb() / audit.memory().gateways()));
         r.put("directMb", audit.memory().gateways() == 0 ? null
@@ -135,7 +141,7 @@
         return complete(r);
     }
 
-    /** To each control machine on average: gateways have links to no others. Null where not all of them were sampled. */
+    /** To each control machine on average: gateways have links to no others. Null where one of them was not sampled. */
     private Double messagesFromGateways() {
         List<GatewaySamples.Rates> all = audit.gateways();
         return all.size() < plan.size().gateways() ? null
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
@@ -37,6 +37,8 @@
 final class ScaleRun {
     /** The most hollow gateways of one process. */
     static final int MOST_GATEWAYS_OF_HOST = 100;
+    /** Where there are more hosts than one, the gateways of the one whose processor time counts. */
+    static final int SAMPLED_GATEWAYS = 25;
     private static final Duration TURN = Duration.ofMillis(20);
     private static final Duration REPLY_MOST = Duration.ofSeconds(20);
     private static final Duration START_MOST = Duration.ofSeconds(60);
@@ -71,7 +73,26 @@
 
     /** How many processes of hollow gateways a size needs. */
     static int hosts(int gateways) {
-        return (gateways + MOST_GATEWAYS_OF_HOST - 1) / MOST_GATEWAYS_OF_HOST;
+        return gateways <= MOST_GATEWAYS_OF_HOST ? 1
+                : 1 + (gateways - SAMPLED_GATEWAYS + MOST_GATEWAYS_OF_HOST - 1) / MOST_GATEWAYS_OF_HOST;
+    }
+
+    /** The gateways of each host: of several, the first has few, which are sampled, and the others share the rest. */
+    static List<List<String>> spread(List<String> gateways) {
+        int count = hosts(gateways.size());
+        if (count == 1) {
+            return List.of(gateways);
+        }
+        List<List<String>> spread = new ArrayList<>();
+        spread.add(gateways.subList(0, SAMPLED_GATEWAYS));
+        for (int h = 1; h < count; h++) {
+            List<String> names = new ArrayList<>();
+            for (int i = SAMPLED_GATEWAYS + h - 1; i < gateways.size(); i += count - 1) {
+                names.add(gateways.get(i));
+            }
+            spread.add(names);
+        }
+        return spread;
     }
 
     /** Files of events that hosts have written. */
@@ -140,15 +161,11 @@
         Path operator = site.hollowFile("hollow", routes);
         Path config = Files.writeString(plan.folder().resolve("hollow.json"), Site.configOfPeer("hollow", 0,
                 plan.size().gateways(), 1, feed.address(), feed.known(), plan.seed(), site.zones()));
-        int count = hosts(plan.size().gateways());
-        for (int h = 0; h < count; h++) {
-            List<String> names = new ArrayList<>();
-            for (int i = h; i < site.hollow().size(); i += count) {
-                names.add(site.hollow().get(i).name());
-            }
+        List<List<String>> spread = spread(site.hollow().stream().map(Member::name).toList());
+        for (int h = 0; h < spread.size(); h++) {
             hosts.add(HostProcess.start(new HollowPlan(operator, config, plan.folder().resolve("host-" + h
-                    + ".events"), names, plan.size().engines(), plan.size().limits() - 1, random.nextLong(),
-                    plan.fault().cutsZone() ? victimZone() : "", START_PAUSE.multipliedBy(count)),
+                    + ".events"), spread.get(h), plan.size().engines(), plan.size().limits() - 1, random.nextLong(),
+                    plan.fault().cutsZone() ? victimZone() : "", START_PAUSE.multipliedBy(spread.size()), h == 0),
                     plan.folder().resolve("host-" + h + ".plan")));
         }
     }
--- a/lab/src/test/java/sandpaddle/lab/scale/BoundsTest.java
+++ b/lab/src/test/java/sandpaddle/lab/scale/BoundsTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.TreeSet;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** Sizes that are refused before anything starts, each with what stands against it. */
@@ -38,6 +41,19 @@
         assertTrue(faults.get(2).endsWith("threads are needed, 10 are there"), faults.toString());
     }
 
+    @Test
+    void everyGatewayHasOneHostThatIsNotTooFull() {
+        for (int n : new int[] {1, 100, 101, 125, 126, 400}) {
+            List<String> all = IntStream.range(0, n).mapToObj(i -> "gateway-" + i).toList();
+            List<List<String>> spread = ScaleRun.spread(all);
+            assertEquals(ScaleRun.hosts(n), spread.size());
+            assertEquals(new TreeSet<>(all), spread.stream().flatMap(List::stream).collect(
+                    Collectors.toCollection(TreeSet::new)));
+            assertEquals(n, spread.stream().mapToInt(List::size).sum());
+            assertTrue(spread.stream().allMatch(h -> h.size() <= ScaleRun.MOST_GATEWAYS_OF_HOST), "" + n);
+        }
+    }
+
     @Test
     void refusesFaultsThatAreNotBuiltByName() throws RefusedException {
         assertEquals(Fault.RESTART_TENTH, Fault.of("restart-tenth"));
