--- a/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
@@ -157,9 +157,14 @@
         }
     }
 
-    /** A new version of the configuration at one gateway, as from an operator's hand. */
+    /** A new version of the configuration at one gateway that reaches the others, as from an operator's hand. */
     private void propose(long version) {
-        HollowGateway g = gateways.get((int) (version % gateways.size()));
+        List<HollowGateway> reached = gateways.stream().filter(g -> !plan.isCut(fleet.self(g.name()).hall()))
+                .filter(HollowGateway::isLeased).toList();
+        if (reached.isEmpty()) {
+            return; // nobody here could hand it on
+        }
+        HollowGateway g = reached.get((int) (version % reached.size()));
         List<LimitSpec> limits = new ArrayList<>();
         fleet.agreed().limits().forEach(l -> limits.add(l.id().equals(ScaleSite.VERSION_LIMIT)
                 ? ScaleSite.versionLimit(version) : l));
