--- a/gateway/src/test/java/sandpaddle/http/LateConnectionTest.java
+++ b/gateway/src/test/java/sandpaddle/http/LateConnectionTest.java
@@ -46,9 +46,9 @@
 
     /** Lets time pass for the gateway alone: the listener's queue stays as it is. */
     private void passWithoutAccepting(Duration span) throws IOException {
-        Instant end = clock.now.plus(span);
-        while (clock.now.isBefore(end)) {
-            clock.now = clock.now.plusMillis(10);
+        Instant end = clock.instant().plus(span);
+        while (clock.instant().isBefore(end)) {
+            clock.pass(Duration.ofMillis(10));
             loop.turn(() -> { }, Duration.ofMillis(1));
         }
     }
