--- a/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
@@ -100,6 +100,10 @@
         return process.isAlive();
     }
 
+    long pid() {
+        return process.pid();
+    }
+
     /** CPU that it has used so far (ms). */
     long cpuMs() {
         return process.info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(0L);
--- a/lab/src/main/java/sandpaddle/lab/Main.java
+++ b/lab/src/main/java/sandpaddle/lab/Main.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import sandpaddle.lab.capacity.PathCommand;
 
 /** The lab's command line. */
 @Command(name = "lab", mixinStandardHelpOptions = true,
@@ -16,7 +17,7 @@
             "  java -jar lab/target/lab.jar audit storm.jsonl --against storm.json",
             "  java -jar lab/target/lab.jar try"},
         subcommands = {StormCommand.class, AuditCommand.class, ReportCommand.class, TryCommand.class, AskCommand.class,
-            CostCommand.class, FleetCommand.class,
+            CostCommand.class, FleetCommand.class, PathCommand.class,
             CommandLine.HelpCommand.class})
 public final class Main implements Callable<Integer> {
     /** A run in which a rule was broken. */
--- a/lab/src/main/java/sandpaddle/lab/StandInEngine.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInEngine.java
@@ -77,6 +77,7 @@
             Link link = new Link(c);
             c.owner(link);
             links.add(link);
+            tally.engineConnections++;
             connections();
         });
         address = acceptor.address();
@@ -177,6 +178,7 @@
         if (c.method.equals("POST")) {
             start(c, link);
         } else if (c.path.equals("/load") || c.path.equals("/healthz")) {
+            tally.probes++;
             link.answer(response(200, "", ""));
         } else if (c.method.equals("DELETE")) {
             if (q != null && !q.over) {
@@ -250,6 +252,7 @@
             if (text.length() > MOST_CALL) {
                 connection.close();
                 links.remove(this);
+                tally.engineConnections--;
                 connections();
                 return;
             }
@@ -286,6 +289,7 @@
         @Override
         public void closed(Exception cause) {
             links.remove(this);
+            tally.engineConnections--;
             connections();
             queries.values().stream().filter(q -> q.waiting == this).forEach(q -> q.waiting = null);
         }
--- a/lab/src/main/java/sandpaddle/lab/StandInFeed.java
+++ b/lab/src/main/java/sandpaddle/lab/StandInFeed.java
@@ -12,6 +12,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.IntFunction;
 import sandpaddle.net.Acceptor;
 import sandpaddle.net.Connection;
 import sandpaddle.net.Loop;
@@ -82,9 +83,7 @@
 
     /** Tells of an engine; {@code health} is Ready, Terminating or Gone, {@code bornUs} 0 for long ago. */
     void tell(long now, String engine, InetSocketAddress address, String zone, String health, long bornUs) {
-        String host = String.format(Locale.ROOT, "{\"host\":\"%s\",\"dial\":\"%s:%d\",\"site\":\"%s\","
-                + "\"class\":\"std-8\",\"block\":0,\"health\":\"%s\",\"share\":1,\"born_ms\":%d}", engine,
-                Loopback.HOST, address.getPort(), zone, health, bornUs / 1000);
+        String host = host(engine, address, zone, health, bornUs);
         int n = told.size() + 1;
         told.add(event(n, n == 1, host));
         if (health.equals("Gone")) {
@@ -99,6 +98,23 @@
         links.stream().filter(l -> l.follows).forEach(l -> l.say(told.get(n - 1)));
     }
 
+    private static String host(String engine, InetSocketAddress address, String zone, String health, long bornUs) {
+        return String.format(Locale.ROOT, "{\"host\":\"%s\",\"dial\":\"%s:%d\",\"site\":\"%s\","
+                + "\"class\":\"std-8\",\"block\":0,\"health\":\"%s\",\"share\":1,\"born_ms\":%d}", engine,
+                Loopback.HOST, address.getPort(), zone, health, bornUs / 1000);
+    }
+
+    /** Lists so many engines that are ready, in one event that stands for all before it. */
+    void tellAll(int engines, IntFunction<InetSocketAddress> addresses) {
+        for (int i = 0; i < engines; i++) {
+            String engine = "engine-" + i;
+            listed.put(engine, host(engine, addresses.apply(i), Site.HALLS.get(i % Site.HALLS.size()), "Ready", 0));
+        }
+        int n = told.size() + 1;
+        told.add(event(n, true, String.join(",", listed.values())));
+        links.stream().filter(l -> l.follows).forEach(l -> l.say(told.get(n - 1)));
+    }
+
     private static String event(int n, boolean whole, String hosts) {
         return "{\"n\":" + n + ",\"members\":{\"seq\":" + n + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}}";
     }
--- a/lab/src/main/java/sandpaddle/lab/Tally.java
+++ b/lab/src/main/java/sandpaddle/lab/Tally.java
@@ -24,6 +24,7 @@
     final Map<String, Long> drained = new HashMap<>(); // engine, and when the feed first said that it drains or is gone
     private final Map<String, Integer> loadRuns = new HashMap<>();
     long tries, second, served, inTime, coldFalls, drainBreaks;
+    long probes, engineConnections; // those that reached engines, and those that are open at them
 
     /** An engine has begun a query. */
     void began(String request, Site.Kind kind, String engine, long us) {
