--- a/lab/src/main/java/sandpaddle/lab/Main.java
+++ b/lab/src/main/java/sandpaddle/lab/Main.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import sandpaddle.lab.capacity.CapacityCommand;
 import sandpaddle.lab.capacity.PathCommand;
 
 /** The lab's command line. */
@@ -18,6 +19,7 @@
             "  java -jar lab/target/lab.jar try"},
         subcommands = {StormCommand.class, AuditCommand.class, ReportCommand.class, TryCommand.class, AskCommand.class,
             CostCommand.class, FleetCommand.class, PathCommand.class,
+            CapacityCommand.class,
             CommandLine.HelpCommand.class})
 public final class Main implements Callable<Integer> {
     /** A run in which a rule was broken. */
--- /dev/null
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -0,0 +1,172 @@
+package sandpaddle.lab.capacity;
+
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalDouble;
+import java.util.stream.IntStream;
+import sandpaddle.fleet.limit.LimitSpec;
+import sandpaddle.fleet.limit.Scope;
+import sandpaddle.fleet.limit.Unit;
+import sandpaddle.fleet.member.Member;
+import sandpaddle.fleet.node.agree.Agreed;
+import sandpaddle.fleet.verdict.VerdictSettings;
+import sandpaddle.lab.capacity.Budget.Section;
+import sandpaddle.lab.capacity.Budget.SizeLine;
+
+/**
+ * The limits that the code sets, read from the classes themselves, beside what the planned size needs of each. So the
+ * page cannot tell of a limit that the code no longer has.
+ */
+final class CodeLimits {
+    /** A limit that moved or changed its name; the message tells which. */
+    static final class MissingLimitException extends Exception {
+        private static final long serialVersionUID = 1;
+
+        MissingLimitException(String name, Throwable cause) {
+            super("the limit " + name + " is not in the code any more: correct its entry in CodeLimits", cause);
+        }
+    }
+
+    /** What happens to what is over a limit. */
+    private enum Beyond {
+        REFUSED("refused"), LATER("waits for a later turn"), UNKNOWN_TO_IT("goes on unwatched"),
+        SETTING("a setting of the deployment");
+
+        private final String text;
+
+        Beyond(String text) {
+            this.text = text;
+        }
+    }
+
+    /** {@code need}: what the planned size asks of it; empty where the size does not tell. */
+    private record Entry(String owner, String field, String unit, OptionalDouble need, SizeLine line, Beyond beyond,
+            String reason) {
+        String name() {
+            return owner.substring(owner.lastIndexOf('.') + 1) + "." + field;
+        }
+
+        double value() throws MissingLimitException {
+            try {
+                Field constant = Class.forName("sandpaddle." + owner).getDeclaredField(field);
+                constant.setAccessible(true);
+                return ((Number) constant.get(null)).doubleValue();
+            } catch (ReflectiveOperationException | ClassCastException | NullPointerException e) {
+                throw new MissingLimitException(name(), e);
+            }
+        }
+    }
+
+    private static final String VERDICTS = "fleet.verdict.VerdictSettings"; // its defaults are no constants
+    private static final int LISTED_ENGINE_BYTES = 1024; // with all fields and long names, as LineReader counts
+    private static final int LIMIT_EACH = 50;
+    private static final int PORT = 7400;
+    private static final OptionalDouble GATEWAYS = OptionalDouble.of(OperatorSize.GATEWAYS);
+    private static final OptionalDouble ENGINES = OptionalDouble.of(OperatorSize.ENGINES);
+    private static final OptionalDouble LIMITS = OptionalDouble.of(OperatorSize.LIMITS);
+    private static final OptionalDouble SLOTS = OptionalDouble.of((double) OperatorSize.GATEWAYS * OperatorSize.LIMITS);
+    private static final OptionalDouble UNKNOWN = OptionalDouble.empty();
+
+    private static final List<Entry> ENTRIES = List.of(
+            members("fleet.member.Roster", "a faulty command must not fill the memory of all gateways"),
+            members("fleet.node.agree.Agreed", "the same for the agreed text"),
+            members("fleet.state.machine.Membership", "the same for the replicated membership"),
+            members("config.AgreedReader", "the same for the operator's file"),
+            members("fleet.limit.table.RightsTable", "rows of the rights table"),
+            limits("config.AgreedReader", "the operator's file"),
+            limits("fleet.limit.table.CommandCodec", "one command that sets all limits"),
+            limits("fleet.limit.table.RightsTable", "limits with those made for each engine, tenant or hall"),
+            new Entry("fleet.limit.table.RightsTable", "MOST_SLOTS", "slots", SLOTS, SizeLine.GATEWAYS,
+                    Beyond.REFUSED, "a right of each gateway in each limit"),
+            new Entry("fleet.limit.hold.Holder", "MOST_SLOTS", "slots", LIMITS, SizeLine.NONE,
+                    Beyond.REFUSED, "slots that one gateway holds"),
+            new Entry("fleet.limit.wire.Beat", "MOST_TOLD", "slots a beat", LIMITS, SizeLine.NONE,
+                    Beyond.LATER, "the rest is told with the next beats"),
+            new Entry("fleet.limit.wire.Grant", "MOST_GIVEN", "slots a grant", LIMITS, SizeLine.NONE,
+                    Beyond.LATER, "the rest goes with the next grants"),
+            new Entry("fleet.node.agree.Agreed", "MOST_TEXT", "bytes", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "one pool policy or one schedule"),
+            new Entry("fleet.state.machine.Policy", "MOST_TEXT_BYTES", "bytes", agreedText(), SizeLine.CONFIGURATION,
+                    Beyond.REFUSED, "the whole agreed configuration is one text"),
+            new Entry("fleet.state.raft.Parts", "MOST_COMMAND_BYTES", "bytes", agreedText(), SizeLine.CONFIGURATION,
+                    Beyond.REFUSED, "one command of the log"),
+            new Entry("config.Tree", "MOST_BYTES", "bytes", UNKNOWN, SizeLine.CONFIGURATION,
+                    Beyond.REFUSED, "the operator's file with all members and limits"),
+            new Entry("config.FleetReader", "MOST_FOUNDERS", "voters", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "first voters, of which a majority agrees on everything"),
+            new Entry("fleet.node.wire.News", "MOST_VOTERS", "voters", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "voters that a gateway is told of"),
+            new Entry("fleet.state.machine.Machine", "MOST_BYTES", "bytes", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "a snapshot, which goes out in chunks"),
+            new Entry("fleet.state.raft.Parts", "MOST_CHUNKS", "chunks", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "of a snapshot, a quarter of a megabyte each"),
+            new Entry("fleet.store.VoterStore", "MOST_ENTRIES", "entries", UNKNOWN, SizeLine.NONE,
+                    Beyond.LATER, "a log that long needs a snapshot first"),
+            new Entry("fleet.node.FleetNode", "MOST_HEARD", "messages", GATEWAYS, SizeLine.NONE,
+                    Beyond.REFUSED, "a queue from the links to the fleet's thread: one beat of each gateway"),
+            new Entry("fleet.link.frame.Frame", "MOST_GREETING_BYTES", "bytes", UNKNOWN, SizeLine.NONE,
+                    Beyond.REFUSED, "a frame before the other side has said who it is"),
+            new Entry("fleet.link.tcp.TcpLinks", "BACKLOG", "connections", UNKNOWN, SizeLine.FAILURES,
+                    Beyond.LATER, "connections that wait to be accepted, after a zone has come back"),
+            new Entry("fleet.link.tcp.TcpLinks", "MOST_ACCEPTED_AT_ONCE", "connections", UNKNOWN, SizeLine.FAILURES,
+                    Beyond.LATER, "connections taken in one turn of the link thread"),
+            new Entry("fleet.node.pool.PoolEngines", "MOST", "engines", ENGINES, SizeLine.ENGINES,
+                    Beyond.REFUSED, "engines that a pool's budgets know"),
+            new Entry("fleet.node.pool.PoolSlots", "MOST", "slots", ENGINES, SizeLine.ENGINES,
+                    Beyond.REFUSED, "an engine's part for each tenant: one tenant at least"),
+            new Entry("fleet.node.loop.Allowing", "MOST_BARRED", "engines", ENGINES, SizeLine.NONE,
+                    Beyond.LATER, "engines told as barred; the rest is found where an attempt would be written"),
+            new Entry("feed.LineReader", "MOST_BYTES", "bytes",
+                    OptionalDouble.of((double) OperatorSize.ENGINES * LISTED_ENGINE_BYTES), SizeLine.ENGINES,
+                    Beyond.REFUSED, "the engine list is one line; a kilobyte for an engine with long names"),
+            new Entry("config.Config", "SOCKETS", "descriptors", OptionalDouble.of(3.0
+                    * OperatorSize.CONNECTIONS_PER_GATEWAY), SizeLine.CONNECTIONS,
+                    Beyond.SETTING, "the default of limits.sockets, of which clients get a third"),
+            new Entry("net.Acceptor", "BACKLOG", "connections", UNKNOWN, SizeLine.NONE,
+                    Beyond.LATER, "clients that wait to be accepted"));
+
+    private CodeLimits() {
+    }
+
+    private static Entry members(String owner, String reason) {
+        return new Entry(owner, "MOST_MEMBERS", "gateways", GATEWAYS, SizeLine.GATEWAYS,
+                Beyond.REFUSED, reason);
+    }
+
+    private static Entry limits(String owner, String reason) {
+        return new Entry(owner, "MOST_LIMITS", "limits", LIMITS, SizeLine.NONE, Beyond.REFUSED, reason);
+    }
+
+    /** Bytes of the agreed text with every gateway and one limit for each engine, as the class writes it. */
+    private static OptionalDouble agreedText() {
+        List<Member> members = IntStream.range(0, OperatorSize.GATEWAYS).mapToObj(i -> new Member("gw-" + i,
+                "region-" + i % OperatorSize.REGIONS + "-zone-" + i % OperatorSize.ZONES, "10.0.100.100", PORT))
+                .toList();
+        List<LimitSpec> limits = IntStream.range(0, OperatorSize.LIMITS).mapToObj(i -> new LimitSpec("engine-" + i,
+                new Scope(null, null, null, "engine-" + i), Unit.RUNNING, LIMIT_EACH, 0)).toList();
+        return OptionalDouble.of(new Agreed(1, members, limits, "", "").text().length());
+    }
+
+    /** Every limit as a row: what is needed, beside the limit as its budget. */
+    static List<ProjectionRow> rows() throws MissingLimitException {
+        List<ProjectionRow> rows = new ArrayList<>();
+        for (Entry e : ENTRIES) {
+            rows.add(row(e, e.name(), e.value()));
+        }
+        VerdictSettings verdicts = VerdictSettings.DEFAULT;
+        Entry engines = new Entry(VERDICTS, "enginesMost", "engines", ENGINES, SizeLine.ENGINES,
+                Beyond.UNKNOWN_TO_IT, "engines watched, those first in the list");
+        Entry members = new Entry(VERDICTS, "membersMost", "gateways", GATEWAYS, SizeLine.GATEWAYS,
+                Beyond.UNKNOWN_TO_IT, "gateways whose evidence is kept");
+        rows.add(row(engines, engines.name(), verdicts.enginesMost()));
+        rows.add(row(members, members.name(), verdicts.membersMost()));
+        return rows;
+    }
+
+    private static ProjectionRow row(Entry e, String name, double limit) {
+        return new ProjectionRow(Section.CODE, "code", name, e.reason, e.unit, "fixed", true,
+                e.need.orElse(Double.NaN), OptionalDouble.empty(), OptionalDouble.empty(), OptionalDouble.of(limit),
+                e.line, "sandpaddle." + e.owner, ProjectionRow.Ground.ARGUED, e.beyond.text);
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Sample.java
@@ -0,0 +1,14 @@
+package sandpaddle.lab.capacity;
+
+import java.util.Map;
+
+/** One measured value. {@code version}: of the code that ran. */
+record Sample(SeriesName series, String version, Map<Axis, Double> sizes, double value, String unit) {
+    Sample {
+        sizes = Map.copyOf(sizes);
+    }
+
+    double size(Axis axis) {
+        return sizes.getOrDefault(axis, 0.0);
+    }
+}
--- /dev/null
+++ b/lab/src/test/java/sandpaddle/lab/capacity/CapacityPageTest.java
@@ -0,0 +1,118 @@
+package sandpaddle.lab.capacity;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import picocli.CommandLine;
+import sandpaddle.config.FieldException;
+import sandpaddle.config.Json;
+import sandpaddle.config.Row;
+
+/** The page agrees with the committed measurements and the code's limits; and the check sees where a page does not. */
+class CapacityPageTest {
+    private static final Path PAGE = Path.of("docs", "CAPACITY.md");
+    private static final Path MEASUREMENTS = Path.of("docs", "measurements", "capacity");
+    private static final int DIFFERS = 3;
+    private static final int UNUSABLE = 2;
+
+    @TempDir
+    private Path folder;
+
+    private static Map<String, List<String>> tables() throws Exception {
+        return PageTables.of(CapacityReport.of(Measurements.read(MEASUREMENTS)));
+    }
+
+    private static int run(Object... arguments) {
+        return new CommandLine(new CapacityCommand()).execute(java.util.Arrays.stream(arguments)
+                .map(Object::toString).toArray(String[]::new));
+    }
+
+    @Test
+    void theCommittedPageAgrees() throws Exception {
+        assertEquals(List.of(), Page.faults(Files.readAllLines(PAGE), tables()),
+                "after new measurements or limits: java -jar lab/target/lab.jar capacity --write docs/CAPACITY.md");
+    }
+
+    @Test
+    void aChangedFigureFails() throws IOException {
+        List<String> lines = new ArrayList<>(Files.readAllLines(PAGE));
+        int row = 0;
+        while (!lines.get(row).contains("fleet.member.Roster.MOST_MEMBERS` |")) {
+            row++;
+        }
+        lines.set(row, lines.get(row).replaceFirst("1,024", "1,025"));
+        Path changed = Files.write(folder.resolve("page.md"), lines);
+        assertEquals(DIFFERS, run("--check", changed));
+        assertEquals(0, run("--check", PAGE));
+        assertEquals(0, run("--write", changed));
+        assertEquals(Files.readAllLines(PAGE), Files.readAllLines(changed));
+    }
+
+    @Test
+    void eachDifferenceIsToldWithItsLine() {
+        Map<String, List<String>> tables = Map.of("a", List.of("| 1 |", "| 2 |"));
+        String begin = "<!-- table: a -->";
+        String end = "<!-- end: a -->";
+        assertEquals(List.of(), Page.faults(List.of("# Page", begin, "| 1 |", "| 2 |", end, "`7` [x](8.md)"), tables));
+        assertEquals(List.of("line 4: is '| 3 |', measured: '| 2 |'"),
+                Page.faults(List.of("# Page", begin, "| 1 |", "| 3 |", end), tables));
+        assertEquals(List.of("line 3: is '', measured: '| 2 |'"),
+                Page.faults(List.of(begin, "| 1 |", end), tables));
+        assertEquals(List.of("line 4: is '| 9 |', measured: ''"),
+                Page.faults(List.of(begin, "| 1 |", "| 2 |", "| 9 |", end), tables));
+        assertEquals(List.of("table 'a' is missing"), Page.faults(List.of("# Page"), tables));
+        assertEquals(List.of("line 1: table 'a' has no end"), Page.faults(List.of(begin, "| 1 |"), tables));
+        assertTrue(Page.faults(List.of("it is 12 MB"), tables).get(0).startsWith("line 1: a figure outside a table"));
+        assertTrue(Page.faults(List.of("<!-- table: b -->", "<!-- end: b -->"), tables)
+                .contains("line 1: table 'b' is not known"));
+        assertTrue(Page.faults(List.of(begin, "| 1 |", "| 2 |", end, begin, "| 1 |", "| 2 |", end), tables)
+                .contains("line 5: table 'a' comes twice"));
+    }
+
+    @Test
+    void whatWasNotMeasuredHasNoProjection() throws IOException, FieldException {
+        Path json = folder.resolve("capacity.json");
+        assertEquals(0, run("--measurements", folder.resolve("none"), "--json", json));
+        Row read = Json.object(Files.readAllBytes(json), "");
+        assertTrue(read.rows("predictions").isEmpty());
+        for (Row row : read.rows("rows")) {
+            assertEquals("argued", row.text("ground"));
+        }
+        List<String> without = new ArrayList<>();
+        for (Row none : read.rows("noGround")) {
+            assertEquals("no measurement", none.text("reason"));
+            without.add(none.text("measure"));
+        }
+        assertTrue(without.containsAll(List.of("choice-cpu", "gatewayCpuCores", "snapshotBytes", "configLastMs")));
+    }
+
+    @Test
+    void badInputIsRefused() throws IOException {
+        Files.writeString(folder.resolve("bad.json"), "{\"version\":1}");
+        assertEquals(UNUSABLE, run("--measurements", folder));
+        assertEquals(UNUSABLE, run("--check", folder.resolve("no-page.md")));
+    }
+
+    @Test
+    void limitsAreThoseOfTheCode() throws CodeLimits.MissingLimitException {
+        Map<String, Double> values = new java.util.HashMap<>();
+        for (ProjectionRow row : CodeLimits.rows()) {
+            values.put(row.mechanism() + " " + row.measure(), row.budget().orElseThrow());
+        }
+        assertEquals(sandpaddle.fleet.member.Roster.MOST_MEMBERS,
+                values.get("sandpaddle.fleet.member.Roster Roster.MOST_MEMBERS"));
+        assertEquals(64 << 10, values.get("sandpaddle.fleet.node.agree.Agreed Agreed.MOST_TEXT"));
+        assertEquals(16 << 20, values.get("sandpaddle.fleet.state.machine.Machine Machine.MOST_BYTES"));
+        assertEquals(5, values.get("sandpaddle.config.FleetReader FleetReader.MOST_FOUNDERS"));
+        assertEquals(sandpaddle.fleet.limit.table.RightsTable.MOST_SLOTS,
+                values.get("sandpaddle.fleet.limit.table.RightsTable RightsTable.MOST_SLOTS"));
+    }
+}
