--- a/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -66,6 +66,7 @@
     private static final OptionalDouble ENGINES = OptionalDouble.of(OperatorSize.ENGINES);
     private static final OptionalDouble LIMITS = OptionalDouble.of(OperatorSize.LIMITS);
     private static final OptionalDouble SLOTS = OptionalDouble.of((double) OperatorSize.GATEWAYS * OperatorSize.LIMITS);
+    private static final OptionalDouble ZONE = OptionalDouble.of(OperatorSize.GATEWAYS_PER_ZONE);
     private static final OptionalDouble UNKNOWN = OptionalDouble.empty();
 
     private static final List<Entry> ENTRIES = List.of(
@@ -107,9 +108,9 @@
                     Beyond.REFUSED, "a queue from the links to the fleet's thread: one beat of each gateway"),
             new Entry("fleet.link.frame.Frame", "MOST_GREETING_BYTES", "bytes", UNKNOWN, SizeLine.NONE,
                     Beyond.REFUSED, "a frame before the other side has said who it is"),
-            new Entry("fleet.link.tcp.TcpLinks", "BACKLOG", "connections", UNKNOWN, SizeLine.FAILURES,
-                    Beyond.LATER, "connections that wait to be accepted, after a zone has come back"),
-            new Entry("fleet.link.tcp.TcpLinks", "MOST_ACCEPTED_AT_ONCE", "connections", UNKNOWN, SizeLine.FAILURES,
+            new Entry("fleet.link.tcp.TcpLinks", "BACKLOG", "connections", ZONE, SizeLine.FAILURES,
+                    Beyond.LATER, "links that wait to be accepted: a zone that comes back"),
+            new Entry("fleet.link.tcp.TcpLinks", "MOST_ACCEPTED_AT_ONCE", "connections", ZONE, SizeLine.FAILURES,
                     Beyond.LATER, "connections taken in one turn of the link thread"),
             new Entry("fleet.node.pool.PoolEngines", "MOST", "engines", ENGINES, SizeLine.ENGINES,
                     Beyond.REFUSED, "engines that a pool's budgets know"),
--- a/lab/src/main/java/sandpaddle/lab/capacity/Measurements.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Measurements.java
@@ -40,12 +40,15 @@
             "messagesInPerSecond", "messagesOutPerSecond", "cpuCores", "heapMb", "directMb", "residentMb",
             "descriptors", "diskBytesPerSecond", "snapshotBytes", "snapshotMs", "agreementMsMedian",
             "agreementMsP99");
-    private static final List<String> EFFECTS = List.of("configLastMs", "leaderLastMs", "successorLastMs",
-            "returnLastMs", "restartLastMs", "limitOverMost", "agreedLost", "olderVersions", "wrongVerdicts",
+    private static final List<String> EFFECTS = List.of("configLastMs", "configNotHeard", "leaderLastMs",
+            "leaderNotHeard", "successorLastMs", "returnLastMs", "restartLastMs",
+            "limitOverMost", "agreedLost", "olderVersions", "wrongVerdicts",
             "bystandersWithoutLease", "notRestarted");
     private static final List<Axis> SCALE_AXES = List.of(Axis.GATEWAYS, Axis.ENGINES, Axis.LIMITS, Axis.CHANGES,
             Axis.CONTROL_MACHINES);
     private static final String THREADS = "cpuByThread";
+    /** The program's own threads that a fleet needs; the others are the JVM's. */
+    private static final String FLEET_THREADS = "fleet";
     /** The process that plays gateways in a scale run; no part of a fleet. */
     private static final String HOST = "hollow-host";
 
@@ -170,7 +173,9 @@
             if (role.has(THREADS) && ((Map<?, ?>) fields.get(i)).get(THREADS) instanceof Map<?, ?> threads) {
                 Row byThread = role.row(THREADS);
                 for (Object thread : threads.keySet()) {
-                    found.add(name, thread.toString(), THREADS + "." + thread, byThread);
+                    if (thread.toString().startsWith(FLEET_THREADS)) {
+                        found.add(name, thread.toString(), THREADS + "." + thread, byThread);
+                    }
                 }
             }
         }
--- a/lab/src/main/java/sandpaddle/lab/capacity/OperatorSize.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/OperatorSize.java
@@ -13,6 +13,10 @@
     static final int GATEWAYS_PER_CONTROL_MACHINE = 331;
     static final int ZONES = 6;
     static final int REGIONS = 2;
+    static final int GATEWAYS_PER_ZONE = GATEWAYS / ZONES;
+    static final int ENGINES_PER_ZONE = (int) Math.round((double) ENGINES / ZONES);
+    static final int MACHINE_FAILURES_PER_DAY = 38;
+    static final int RESTARTS_PER_DAY = 4_100;
 
     /** A gateway's control part, in cores, megabytes and bytes a second. */
     static final double CONTROL_CORES = 0.037;
--- a/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
@@ -82,6 +82,11 @@
         lines.add(size(SizeLine.CONTROL, "for control", Figures.of(OperatorSize.CONTROL_MACHINES) + " machines",
                 Figures.of(OperatorSize.CONTROL_CORES) + " cores, " + Figures.of(OperatorSize.CONTROL_MB) + " MB, "
                 + Figures.of(OperatorSize.CONTROL_BYTES_PER_SECOND) + " bytes/s"));
+        lines.add(size(SizeLine.FAILURES, "failures", Figures.of(OperatorSize.MACHINE_FAILURES_PER_DAY)
+                + " machines and " + Figures.of(OperatorSize.RESTARTS_PER_DAY) + " restarts a day; "
+                + Figures.of(OperatorSize.REGIONS) + " regions, " + Figures.of(OperatorSize.ZONES) + " zones of "
+                + Figures.of(OperatorSize.GATEWAYS_PER_ZONE) + " gateways and "
+                + Figures.of(OperatorSize.ENGINES_PER_ZONE) + " engines", "-"));
         return lines;
     }
 
--- a/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
@@ -115,30 +115,40 @@
 
     /** Axes with too few sizes to test a slope, and conditions, are held at their most frequent size. */
     private Set<Axis> holdAxes() {
-        Set<Axis> varying = new TreeSet<>();
-        for (Axis axis : samples.stream().flatMap(s -> s.sizes().keySet().stream())
-                .collect(Collectors.toCollection(TreeSet::new))) {
-            Map<Double, Long> counts = samples.stream().collect(Collectors.groupingBy(s -> s.size(axis), TreeMap::new,
-                    Collectors.counting()));
-            if (counts.size() >= SIZES_LEAST && axis.planned().isPresent()) {
-                varying.add(axis);
-                continue;
-            }
-            double kept = counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
-            if (counts.size() > 1) {
-                notes.add(counts.size() + " sizes of " + axis.symbol() + " are too few: held at " + Figures.of(kept));
-                samples = samples.stream().filter(s -> s.size(axis) == kept).toList();
+        Set<Axis> axes = samples.stream().flatMap(s -> s.sizes().keySet().stream())
+                .collect(Collectors.toCollection(TreeSet::new));
+        boolean leftOut = true;
+        while (leftOut) { // what is left out for one axis may leave too few sizes of another
+            leftOut = false;
+            for (Axis axis : axes) {
+                leftOut |= !mayVary(axis) && hold(axis);
             }
-            held.put(axis, kept);
         }
-        varying.removeIf(axis -> {
-            boolean lost = samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() < SIZES_LEAST;
-            if (lost) {
+        axes.removeIf(axis -> {
+            if (!mayVary(axis)) {
                 held.put(axis, samples.get(0).size(axis));
             }
-            return lost;
+            return !mayVary(axis);
         });
-        return varying;
+        return axes;
+    }
+
+    private boolean mayVary(Axis axis) {
+        return axis.planned().isPresent()
+                && samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() >= SIZES_LEAST;
+    }
+
+    /** Leaves out the samples that are not at the axis's most frequent size; whether there were any. */
+    private boolean hold(Axis axis) {
+        Map<Double, Long> counts = samples.stream().collect(Collectors.groupingBy(s -> s.size(axis), TreeMap::new,
+                Collectors.counting()));
+        if (counts.size() == 1) {
+            return false;
+        }
+        double kept = counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+        notes.add(counts.size() + " sizes of " + axis.symbol() + " are too few: held at " + Figures.of(kept));
+        samples = samples.stream().filter(s -> s.size(axis) == kept).toList();
+        return true;
     }
 
     /** The planned sizes on the axes that were varied, and the held ones. */
--- a/lab/src/test/java/sandpaddle/lab/capacity/MeasurementsTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/MeasurementsTest.java
@@ -20,7 +20,8 @@
             {"version":"v1","mechanism":"star","gateways":100,"engines":8,"controlMachines":3,"limits":4,
             "changesPerSecond":0.36,"fault":"none","gatewayBytesPerSecond":1200.5,"configLastMs":null,
             "leaderLastMs":7,"roles":[
-            {"role":"leader","count":1,"bytesInPerSecond":5,"snapshotBytes":null,"cpuByThread":{"fleet":0.25}},
+            {"role":"leader","count":1,"bytesInPerSecond":5,"snapshotBytes":null,
+            "cpuByThread":{"fleet":0.25,"VM Thread":0.1}},
             {"role":"voter","count":0,"bytesInPerSecond":5},
             {"role":"hollow-host","count":2,"bytesInPerSecond":5}]}
             """;
