--- a/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
@@ -1,7 +1,6 @@
 package sandpaddle.lab.capacity;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -166,9 +165,12 @@
         if (report.noGround().isEmpty()) {
             return List.of("None.");
         }
-        List<String> lines = table("figure", "why there is no projection");
-        report.noGround().stream().sorted(Comparator.comparing(CapacityReport.NoGround::series))
-                .forEach(n -> lines.add(line(n.series().toString(), n.reason())));
+        Map<String, List<SeriesName>> byReason = report.noGround().stream().collect(Collectors.groupingBy(
+                n -> n.series().role() + " | " + n.reason(), TreeMap::new,
+                Collectors.mapping(CapacityReport.NoGround::series, Collectors.toList())));
+        List<String> lines = table("role", "why there is no projection", "figures");
+        byReason.forEach((reason, series) -> lines.add(line(reason, series.stream().sorted()
+                .map(SeriesName::measure).distinct().collect(Collectors.joining(", ")))));
         return lines;
     }
 
--- a/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
@@ -117,12 +117,10 @@
     private Set<Axis> holdAxes() {
         Set<Axis> axes = samples.stream().flatMap(s -> s.sizes().keySet().stream())
                 .collect(Collectors.toCollection(TreeSet::new));
-        boolean leftOut = true;
-        while (leftOut) { // what is left out for one axis may leave too few sizes of another
-            leftOut = false;
-            for (Axis axis : axes) {
-                leftOut |= !mayVary(axis) && hold(axis);
-            }
+        Optional<Axis> next = nextToHold(axes);
+        while (next.isPresent()) { // what is left out for one axis may leave too few sizes of another
+            hold(next.get());
+            next = nextToHold(axes);
         }
         axes.removeIf(axis -> {
             if (!mayVary(axis)) {
@@ -138,17 +136,26 @@
                 && samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() >= SIZES_LEAST;
     }
 
-    /** Leaves out the samples that are not at the axis's most frequent size; whether there were any. */
-    private boolean hold(Axis axis) {
-        Map<Double, Long> counts = samples.stream().collect(Collectors.groupingBy(s -> s.size(axis), TreeMap::new,
-                Collectors.counting()));
-        if (counts.size() == 1) {
-            return false;
-        }
+    private Map<Double, Long> counts(Axis axis) {
+        return samples.stream().collect(Collectors.groupingBy(s -> s.size(axis), TreeMap::new, Collectors.counting()));
+    }
+
+    private long mostFrequent(Axis axis) {
+        return counts(axis).values().stream().mapToLong(Long::longValue).max().orElse(0);
+    }
+
+    /** Of the axes that have two sizes or are conditions, the one that costs the fewest samples to hold. */
+    private Optional<Axis> nextToHold(Set<Axis> axes) {
+        return axes.stream().filter(a -> !mayVary(a) && counts(a).size() > 1)
+                .max(Comparator.comparingLong(this::mostFrequent));
+    }
+
+    /** Leaves out the samples that are not at the axis's most frequent size. */
+    private void hold(Axis axis) {
+        Map<Double, Long> counts = counts(axis);
         double kept = counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
         notes.add(counts.size() + " sizes of " + axis.symbol() + " are too few: held at " + Figures.of(kept));
         samples = samples.stream().filter(s -> s.size(axis) == kept).toList();
-        return true;
     }
 
     /** The planned sizes on the axes that were varied, and the held ones. */
--- a/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
@@ -119,11 +119,11 @@
 
     @Test
     void whatIsLeftOutForOneAxisMayHoldAnother() {
-        List<Sample> samples = List.of(sample(25, 64, 1, "v1", "bytes/s"), sample(50, 64, 2, "v1", "bytes/s"),
-                sample(100, 16, 3, "v1", "bytes/s"));
+        List<Sample> samples = List.of(sample(25, 64, 1, "v1", "bytes/s"), sample(25, 64, 1, "v1", "bytes/s"),
+                sample(50, 64, 2, "v1", "bytes/s"), sample(100, 16, 3, "v1", "bytes/s"));
         TooFewSizesException e = assertThrows(TooFewSizesException.class, () -> SeriesAnalysis.of(BYTES, samples));
         assertTrue(e.getMessage().contains("2 sizes of L are too few: held at 64"), e.getMessage());
-        assertTrue(e.getMessage().contains("2 sizes of N are too few"), e.getMessage());
+        assertTrue(e.getMessage().contains("2 sizes of N are too few: held at 25"), e.getMessage());
     }
 
     @Test
