--- a/lab/src/main/java/sandpaddle/lab/capacity/Budgets.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Budgets.java
@@ -14,6 +14,8 @@
     private static final String LINKS = "one link of each gateway to each voter: fleet.node.Course, fleet.link.tcp";
     private static final String BEATS =
             "a beat of each gateway to each voter: fleet.node.Rounds, fleet.limit.wire.Beat";
+    private static final String EVIDENCE =
+            "each voter hands the evidence of all to each gateway: fleet.verdict.evidence.Spread; beats and grants";
     private static final String GRANTS = "one leader that grants all: fleet.node.lead.Leading, fleet.limit.allot.Desk";
     private static final String LOG = "one replicated log: fleet.state.raft, fleet.store.mv";
     private static final String TEXT = "the whole configuration as one text: fleet.node.agree.Agreed";
@@ -96,7 +98,7 @@
     private static Optional<Budget> worstGateway(SeriesName series) {
         return switch (series.measure()) {
             case "gatewayBytesPerSecond" -> Optional.of(plain(Section.CONTROL_PART, series,
-                    OptionalDouble.of(OperatorSize.CONTROL_BYTES_PER_SECOND), SizeLine.CONTROL, BEATS));
+                    OptionalDouble.of(OperatorSize.CONTROL_BYTES_PER_SECOND), SizeLine.CONTROL, EVIDENCE));
             case "gatewayCpuCores" -> Optional.of(plain(Section.CONTROL_PART, series,
                     OptionalDouble.of(OperatorSize.CONTROL_CORES), SizeLine.CONTROL, BEATS));
             case "gatewayMemoryMb" -> Optional.of(plain(Section.CONTROL_PART, series,
@@ -110,7 +112,7 @@
         return switch (series.measure()) {
             case "machineBytesPerSecond" -> Optional.of(plain(Section.CONTROL_MACHINE, series,
                     OptionalDouble.of(OperatorSize.CONTROL_BYTES_PER_SECOND
-                            * OperatorSize.GATEWAYS_PER_CONTROL_MACHINE), SizeLine.GATEWAYS, BEATS));
+                            * OperatorSize.GATEWAYS_PER_CONTROL_MACHINE), SizeLine.GATEWAYS, EVIDENCE));
             case "machineMemoryMb" -> Optional.of(plain(Section.CONTROL_MACHINE, series,
                     OptionalDouble.of(OperatorSize.GATEWAY_MB), SizeLine.GATEWAYS, GRANTS));
             default -> Optional.of(plain(Section.CONTROL_MACHINE, series, OptionalDouble.empty(), SizeLine.GATEWAYS,
--- a/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -8,6 +8,7 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.Scope;
 import sandpaddle.fleet.limit.Unit;
+import sandpaddle.fleet.link.LinkSettings;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.node.agree.Agreed;
 import sandpaddle.fleet.verdict.VerdictSettings;
@@ -44,7 +45,7 @@
     private record Entry(String owner, String field, String unit, OptionalDouble need, SizeLine line, Beyond beyond,
             String reason) {
         String name() {
-            return owner.substring(owner.lastIndexOf('.') + 1) + "." + field;
+            return owner.substring(owner.lastIndexOf('.') + 1).replace('$', '.') + "." + field;
         }
 
         double value() throws MissingLimitException {
@@ -59,6 +60,7 @@
     }
 
     private static final String VERDICTS = "fleet.verdict.VerdictSettings"; // its defaults are no constants
+    private static final String LINKS = "fleet.link.LinkSettings$Bounds";
     private static final int LISTED_ENGINE_BYTES = 1024; // with all fields and long names, as LineReader counts
     private static final int LIMIT_EACH = 50;
     private static final int PORT = 7400;
@@ -153,20 +155,39 @@
     static List<ProjectionRow> rows() throws MissingLimitException {
         List<ProjectionRow> rows = new ArrayList<>();
         for (Entry e : ENTRIES) {
-            rows.add(row(e, e.name(), e.value()));
+            rows.add(row(e, e.value()));
         }
-        VerdictSettings verdicts = VerdictSettings.DEFAULT;
-        Entry engines = new Entry(VERDICTS, "enginesMost", "engines", ENGINES, SizeLine.ENGINES,
-                Beyond.UNKNOWN_TO_IT, "engines watched, those first in the list");
-        Entry members = new Entry(VERDICTS, "membersMost", "gateways", GATEWAYS, SizeLine.GATEWAYS,
-                Beyond.UNKNOWN_TO_IT, "gateways whose evidence is kept");
-        rows.add(row(engines, engines.name(), verdicts.enginesMost()));
-        rows.add(row(members, members.name(), verdicts.membersMost()));
+        rows.addAll(verdicts());
+        rows.addAll(links());
         return rows;
     }
 
-    private static ProjectionRow row(Entry e, String name, double limit) {
-        return new ProjectionRow(Section.CODE, "code", name, e.reason, e.unit, "fixed", true,
+    private static List<ProjectionRow> verdicts() {
+        VerdictSettings d = VerdictSettings.DEFAULT;
+        return List.of(
+                row(new Entry(VERDICTS, "enginesMost", "engines", ENGINES, SizeLine.ENGINES, Beyond.UNKNOWN_TO_IT,
+                        "engines watched, those first in the list"), d.enginesMost()),
+                row(new Entry(VERDICTS, "membersMost", "gateways", GATEWAYS, SizeLine.GATEWAYS, Beyond.UNKNOWN_TO_IT,
+                        "gateways whose evidence is kept, the first by name"), d.membersMost()));
+    }
+
+    private static List<ProjectionRow> links() {
+        LinkSettings.Bounds d = LinkSettings.Bounds.USUAL;
+        return List.of(
+                row(new Entry(LINKS, "accepted", "links", GATEWAYS, SizeLine.GATEWAYS, Beyond.REFUSED,
+                        "links that a voter accepts: one from each gateway"), d.accepted()),
+                row(new Entry(LINKS, "greeting", "links", ZONE, SizeLine.FAILURES, Beyond.REFUSED,
+                        "of them in their handshake: a zone that comes back"), d.greeting()),
+                row(new Entry(LINKS, "frameBytes", "bytes", agreedText(), SizeLine.CONFIGURATION, Beyond.REFUSED,
+                        "one frame, which holds the agreed text"), d.frameBytes()),
+                row(new Entry(LINKS, "queueBytes", "bytes", UNKNOWN, SizeLine.NONE, Beyond.REFUSED,
+                        "what may wait for one peer"), d.queueBytes()),
+                row(new Entry(LINKS, "inboundBytes", "bytes", UNKNOWN, SizeLine.NONE, Beyond.LATER,
+                        "received and not yet taken, over all peers"), d.inboundBytes()));
+    }
+
+    private static ProjectionRow row(Entry e, double limit) {
+        return new ProjectionRow(Section.CODE, "code", e.name(), e.reason, e.unit, "fixed", true,
                 e.need.orElse(Double.NaN), OptionalDouble.empty(), OptionalDouble.empty(), OptionalDouble.of(limit),
                 e.line, "sandpaddle." + e.owner, ProjectionRow.Ground.ARGUED, e.beyond.text);
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
@@ -122,13 +122,17 @@
     private List<String> limits() {
         List<String> lines = table("limit", "value", "needed", "ratio", "what is over it", "for");
         report.rows().stream().filter(r -> r.section() == Section.CODE).forEach(r -> lines.add(line(
-                "`" + r.mechanism().substring("sandpaddle.".length()) + r.measure().substring(r.measure()
-                        .indexOf('.')) + "`",
+                "`" + packageOf(r) + r.measure() + "`",
                 withUnit(r.budget(), r.unit()), withUnit(OptionalDouble.of(r.projected()), r.unit()), ratio(r),
                 r.note(), r.label())));
         return lines;
     }
 
+    private static String packageOf(ProjectionRow row) {
+        String owner = row.mechanism().substring("sandpaddle.".length());
+        return owner.substring(0, owner.lastIndexOf('.') + 1);
+    }
+
     /** For each fault the largest run of it, the worst of its repeats. */
     private List<String> failures() {
         if (report.faults().isEmpty()) {
