--- a/lab/src/main/java/sandpaddle/lab/capacity/CapacityReport.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CapacityReport.java
@@ -94,16 +94,16 @@
         return String.join("; ", parts);
     }
 
-    /** The rows over their budget, the worst first; those whose form does not hold are left out. */
+    /** The rows over their budget, the worst first; those that may not be planned with are left out. */
     List<ProjectionRow> overBudget() {
-        return rows.stream().filter(r -> r.formHolds() && r.ratio().isPresent() && r.ratio().getAsDouble() > 1)
+        return rows.stream().filter(r -> r.isUsable() && r.ratio().isPresent() && r.ratio().getAsDouble() > 1)
                 .sorted(Comparator.comparingDouble((ProjectionRow r) -> -r.ratio().getAsDouble())
                         .thenComparing(ProjectionRow::measure)).toList();
     }
 
     /** The row of a line of the size that is worst against its budget. */
     Optional<ProjectionRow> worst(Budget.SizeLine line) {
-        return rows.stream().filter(r -> r.line() == line && r.formHolds() && r.ratio().isPresent()
+        return rows.stream().filter(r -> r.line() == line && r.isUsable() && r.ratio().isPresent()
                 && Double.isFinite(r.ratio().getAsDouble())).max(Comparator.comparingDouble(
                         (ProjectionRow r) -> r.ratio().getAsDouble()).thenComparing(ProjectionRow::measure));
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/ProjectionRow.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/ProjectionRow.java
@@ -23,6 +23,11 @@
         }
     }
 
+    /** Whether it may be planned with: a value that was measured needs no form. */
+    boolean isUsable() {
+        return formHolds || ground == Ground.MEASURED;
+    }
+
     /** Projected over budget; empty where there is no budget. */
     OptionalDouble ratio() {
         return budget.isPresent() ? OptionalDouble.of(projected / budget.getAsDouble()) : OptionalDouble.empty();
