--- a/lab/src/main/java/sandpaddle/lab/capacity/Model.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Model.java
@@ -26,8 +26,8 @@
         return fit.form() + " (" + slope + error + " " + unit + ")";
     }
 
-    /** Whether every prediction was within tolerance. */
+    /** Whether every prediction was within tolerance, and the projection is one that a figure can have: 0 or more. */
     boolean formHolds() {
-        return predictions.stream().allMatch(Prediction::holds);
+        return predictions.stream().allMatch(Prediction::holds) && projected.estimate().value() >= 0;
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
@@ -1,12 +1,15 @@
 package sandpaddle.lab.capacity;
 
 import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.TreeMap;
+import java.util.function.BinaryOperator;
 import java.util.stream.Collectors;
 import sandpaddle.lab.capacity.Budget.Section;
 import sandpaddle.lab.capacity.Budget.SizeLine;
@@ -157,7 +160,7 @@
             return List.of("No form could be tested.");
         }
         List<String> lines = table("series", "form", "left out", "predicted", "measured", "error", "form");
-        for (Prediction p : report.predictions()) {
+        for (Prediction p : worstPredictions()) {
             lines.add(line(p.series().toString(), p.form().toString(), SeriesAnalysis.text(p.sizes()),
                     Figures.of(p.predicted()), Figures.of(p.measured()), Figures.of(100 * p.error()) + "%",
                     p.holds() ? "holds" : "**wrong**"));
@@ -165,6 +168,14 @@
         return lines;
     }
 
+    /** For each series and axis the prediction that missed by most. */
+    private Collection<Prediction> worstPredictions() {
+        Map<String, Prediction> worst = new LinkedHashMap<>();
+        report.predictions().forEach(p -> worst.merge(p.series() + " by " + p.axis(), p,
+                BinaryOperator.maxBy(Comparator.comparingDouble(Prediction::error))));
+        return worst.values();
+    }
+
     private List<String> noGround() {
         if (report.noGround().isEmpty()) {
             return List.of("None.");
--- a/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
@@ -93,6 +93,14 @@
         assertEquals(20_000, missed.measured(), 1_000);
     }
 
+    @Test
+    void aFigureBelowZeroIsNoProjection() throws TooFewSizesException {
+        Model m = model((n, l) -> 1000 - n);
+        assertTrue(m.projected().estimate().value() < 0);
+        assertTrue(m.predictions().stream().allMatch(Prediction::holds), m.predictions().toString());
+        assertFalse(m.formHolds());
+    }
+
     @Test
     void cpuMayMissByMore() {
         SeriesName cpu = new SeriesName("star", "leader", "cpuByThread.fleet");
