--- a/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
@@ -20,6 +20,7 @@
  */
 final class SeriesAnalysis {
     private static final int SIZES_LEAST = 3; // two to fit a slope to, one to test it by
+    private static final int REPEATS = 5; // of a point, for its spread to be known
     private static final double CLEARLY = 6; // of the criterion: strong evidence for the richer form
     private static final double MEDIAN = 50;
 
@@ -47,6 +48,7 @@
         keepOneVersion();
         leaveOutScattered();
         Set<Axis> varying = holdAxes();
+        tellFewRepeats();
         Optional<Model> measured = atPlannedSize(unit);
         if (varying.isEmpty() && measured.isEmpty()) {
             throw new TooFewSizesException("too few sizes: " + sizesSeen());
@@ -131,6 +133,13 @@
         return axes;
     }
 
+    private void tellFewRepeats() {
+        int fewest = points(samples).values().stream().mapToInt(List::size).min().orElse(0);
+        if (fewest < REPEATS) {
+            notes.add("fewest repeats of a point: " + fewest);
+        }
+    }
+
     private boolean mayVary(Axis axis) {
         return axis.planned().isPresent()
                 && samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() >= SIZES_LEAST;
--- a/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
@@ -179,6 +179,7 @@
         assertEquals(Model.Ground.MEASURED, m.projected().ground());
         assertEquals(5100, m.projected().estimate().value());
         assertEquals(5000, m.projected().estimate().low().orElseThrow());
+        assertEquals(List.of("fewest repeats of a point: 3"), m.notes());
     }
 
     @Test
