--- a/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
@@ -31,7 +31,13 @@
 
     private SeriesAnalysis(SeriesName series, List<Sample> samples) {
         this.series = series;
-        this.samples = samples;
+        this.samples = inOrder(samples);
+    }
+
+    /** One order whatever the files' order, so that sums, and figures on the edge of rounding, are always the same. */
+    private static List<Sample> inOrder(List<Sample> samples) {
+        return samples.stream().sorted(Comparator.comparing((Sample s) -> new TreeMap<>(s.sizes()).toString())
+                .thenComparingDouble(Sample::value)).toList();
     }
 
     /**
@@ -109,7 +115,7 @@
             }
         });
         notes.sort(Comparator.naturalOrder());
-        samples = kept;
+        samples = inOrder(kept);
         if (samples.isEmpty()) {
             throw new TooFewSizesException(String.join("; ", notes));
         }
--- a/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
@@ -6,8 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleBiFunction;
@@ -101,6 +103,18 @@
         assertFalse(m.formHolds());
     }
 
+    @Test
+    void theOrderOfSamplesChangesNoBit() throws TooFewSizesException {
+        List<Sample> samples = drawn((n, l) -> 500 + 40 * n * l, "v1");
+        Model inOrder = SeriesAnalysis.of(BYTES, samples);
+        List<Sample> shuffled = new ArrayList<>(samples);
+        Collections.shuffle(shuffled, new Random(3));
+        Model other = SeriesAnalysis.of(BYTES, shuffled);
+        assertEquals(inOrder.projected(), other.projected());
+        assertEquals(inOrder.predictions(), other.predictions());
+        assertEquals(inOrder.fit().slope(0), other.fit().slope(0));
+    }
+
     @Test
     void cpuMayMissByMore() {
         SeriesName cpu = new SeriesName("star", "leader", "cpuByThread.fleet");
