--- a/lab/src/main/java/sandpaddle/lab/Main.java
+++ b/lab/src/main/java/sandpaddle/lab/Main.java
@@ -3,6 +3,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import sandpaddle.lab.capacity.CapacityCommand;
+import sandpaddle.lab.capacity.PathCommand;
 import sandpaddle.lab.scale.ScaleCommand;
 
 /** The lab's command line. */
@@ -17,7 +19,7 @@
             "  java -jar lab/target/lab.jar audit storm.jsonl --against storm.json",
             "  java -jar lab/target/lab.jar try"},
         subcommands = {StormCommand.class, AuditCommand.class, ReportCommand.class, TryCommand.class, AskCommand.class,
-            CostCommand.class, FleetCommand.class, ScaleCommand.class,
+            CostCommand.class, FleetCommand.class, ScaleCommand.class, PathCommand.class, CapacityCommand.class,
             CommandLine.HelpCommand.class})
 public final class Main implements Callable<Integer> {
     /** A run in which a rule was broken. */
