--- a/gateway/src/main/java/sandpaddle/decide/Bounds.java
+++ b/gateway/src/main/java/sandpaddle/decide/Bounds.java
@@ -25,10 +25,7 @@
     private static final long PRESSURE_HOLD_US = 1_000_000; // us that a busy report counts
     private static final long FULL_HOLD_US = 300_000; // us without sends after a refusal as full
 
-    /**
-     * Where this gateway has nothing on the engine, its share of the fleet's bound binds: many gateways with one query
-     * each jam every engine. One query is always allowed; what fits in part may go with that chance.
-     */
+    /** Without own queries there the fleet's bound binds. One is always allowed; what fits in part may go by chance. */
     boolean hasRoom(Held h, Engine e) {
         double room = learning.yieldsMost(h.request.cls()) ? LIGHT_ROOM : 1;
         boolean within = e.queries > 0 ? e.ownAll < e.bound * room * m.share : m.fleet.ownAll == 0
@@ -44,8 +41,13 @@
         return e.slow > Math.log(PRESSURE_SLOW)
                 || m.now - Math.max(e.busyAt, m.stalledAt) < (seldom ? View.REPORT_FRESH_US : PRESSURE_HOLD_US)
                 || e != m.fleet && view.threadsKnown(e) > View.BUSY_THREADS * cold.coresNow(e)
-                || e != m.fleet && seldom && cold.warm(e) && pressed(m.fleet) && !(view.atEase(e)
-                        && m.ease.have(m.now, m.freeRate, m.freeRate * Decide.SWEEP_US) >= 0);
+                || e != m.fleet && seldom && cold.warm(e) && pressed(m.fleet) && !mayFill(e);
+    }
+
+    /** One at ease is filled at a rate, while own work is in bounds: cores wait where memory or disks choke. */
+    private boolean mayFill(Engine e) {
+        return view.atEase(e) && m.fleet.ownAll < MOST * m.share * m.fleet.cores
+                && m.ease.have(m.now, m.freeRate, m.freeRate * Decide.SWEEP_US) >= 0;
     }
 
     /** While answers come near their best, one that doesn't come is lost, not slow: time-outs have no say. */
@@ -61,7 +63,7 @@
             e.slow += SLOW_WEIGHT * (slow - e.slow);
             if (e.slow < Math.log(WIDEN_BELOW)) {
                 double more = e == m.fleet ? FLEET_GROWTH * e.cores : 1;
-                double most = e == m.fleet ? FLEET_MOST : MOST;
+                double most = e == m.fleet && m.inflightField < 0 ? FLEET_MOST : MOST; // without queries shares are guessed
                 e.bound = Math.min(e.bound + more / (e.bound * m.share), most * e.cores);
             } else if (e.slow > Math.log(PRESSURE_SLOW)) {
                 cut(e);
@@ -102,18 +104,19 @@
         if (!pressed(m.fleet)) {
             m.ease.owe(m.now, learning.drawnDebt(m.fleet));
         }
-        if (m.viewedAverage > View.BUSY_THREADS || ownLoadIsHigh()) {
+        if (m.viewedAverage > View.BUSY_THREADS || ownLoadIsHigh(heard)) {
             m.fleet.busyAt = m.now;
         }
     }
 
     /**
-     * Own threads past this gateway's share of a busy fleet: where reports lack running queries, the earliest sign of
-     * a jam that nobody sees begin. Harm: a few heavy queries are enough at a gateway with little traffic, so reports
-     * of engines at ease on average overrule it.
+     * Own threads past this gateway's share of a busy fleet: the earliest sign of a jam where reports lack queries or
+     * come by probes alone. Harm: a few heavy queries are enough at little traffic, so ease on average overrules it.
      */
-    private boolean ownLoadIsHigh() {
-        return m.inflightField < 0 && (m.viewedAverage == 0 || m.viewedAverage > NEAR_BUSY)
+    private boolean ownLoadIsHigh(long heard) {
+        boolean current = m.s.reportsInAnswers() || 2 * heard >= m.listed.size();
+        boolean eased = current && m.viewedAverage > 0 && m.viewedAverage <= NEAR_BUSY;
+        return !eased && (m.inflightField < 0 || !m.s.reportsInAnswers())
                 && m.fleet.ownAll > View.BUSY_THREADS * m.share * m.fleet.cores;
     }
 }
--- a/gateway/src/main/java/sandpaddle/decide/Engine.java
+++ b/gateway/src/main/java/sandpaddle/decide/Engine.java
@@ -14,6 +14,7 @@
     final double[] threads; // own, by class
     double ownAll; // their sum
     int queries; // own
+    int ownAtReport; // own queries when the latest report was read
     Engine room; // of its zone
     final Engine[] lines; // each class on this engine, judged for silence by itself
     boolean isLine;
@@ -57,6 +58,7 @@
     void reported(double[] load, long at) {
         report = load;
         reportAt = at;
+        ownAtReport = queries;
         scarcest = 0;
         waiting = 0;
     }
--- a/gateway/src/main/java/sandpaddle/decide/Release.java
+++ b/gateway/src/main/java/sandpaddle/decide/Release.java
@@ -16,7 +16,6 @@
         State.dropBefore(m.takenAt, m.now - m.s.rules().budgetSpanUs());
         m.takenAt.add(m.now);
         m.takenSince++;
-        m.firstsSince += r.retry() ? 0 : 1;
         Held h = new Held(r, m.s.classes().get(r.cls()), m.now, m.seq++, m.random.nextDouble());
         double alone = learning.workOf(h) / h.cls.threads();
         h.due = Math.min(h.expiresAt, m.now + h.cls.aimUs() + (long) (h.cls.aimStretch() * alone));
--- a/gateway/src/main/java/sandpaddle/decide/State.java
+++ b/gateway/src/main/java/sandpaddle/decide/State.java
@@ -51,12 +51,11 @@
     long answeredAt = NEVER, stalledAt = NEVER, sweptAt, seq;
     double share; // this gateway's part of the traffic
     double takenRate; // requests a second, smoothed
-    double firstsRate; // the first tries among them
-    int takenSince, firstsSince; // since the last sweep
+    int takenSince; // since the last sweep
     final Tokens ease = new Tokens(); // what engines at ease may be sent under pressure
     double freeRate; // this gateway's share of what they have left
     double borneRate; // work a core that warm engines bore, of late; kept while none is warm
-    double calmShare; // share for each first try a second, learnt while nothing is held
+    double ownSeen, allSeen; // queries on engines freshly heard, own and all, smoothed
     double answersSlow; // logarithm of the fleet's slowdown by answers alone
     double viewedAverage; // threads per core over the engines seen: what one not seen counts as
     double width = 1; // threads of an own query, on average
@@ -185,9 +184,7 @@
         long elapsed = Math.max(1, now - sweptAt);
         sweptAt = now;
         takenRate += weight * (takenSince * 1e6 / elapsed - takenRate);
-        firstsRate += weight * (firstsSince * 1e6 / elapsed - firstsRate);
         takenSince = 0;
-        firstsSince = 0;
     }
 
     void endLingering() {
--- a/gateway/src/main/java/sandpaddle/decide/View.java
+++ b/gateway/src/main/java/sandpaddle/decide/View.java
@@ -11,6 +11,7 @@
     static final long REPORT_FRESH_US = 3_000_000; // us: an older report counts as none
     private static final double HEARD_OFTEN = 3; // own queries a second and engine: reports are current
     private static final double BUSY_SHARE = 0.9; // reported share of cores, disks or memory: little is left
+    private static final double EQUAL_SHARE_QUERIES = 30; // queries seen that weigh as much as an equal share
     private static final double SHARE_LEAST = 0.3; // of an equal share: the least assumed
     private static final Set<Field> SHARES = EnumSet.of(Field.UTIL, Field.MEMORY, Field.DISKS);
 
@@ -44,6 +45,9 @@
             if (f == Field.MEMORY || m.inflightField < 0 && SHARES.contains(f)) { // others level off at 1
                 e.scarcest = Math.max(e.scarcest, load[i]);
             }
+            if (f == Field.INFLIGHT) { // a busy engine's threads have all of it in use
+                e.scarcest = Math.max(e.scarcest, load[i] * m.width * BUSY_SHARE / (BUSY_THREADS * e.cores));
+            }
             e.waiting += f == Field.QUEUE ? load[i] : 0;
             if (SHARES.contains(f) && load[i] >= BUSY_SHARE || f == Field.QUEUE && load[i] >= 1) {
                 e.busyAt = Math.max(e.busyAt, at);
@@ -68,26 +72,20 @@
         return m.alone() ? threadsKnown(e) : Math.max(threadsKnown(e), busy);
     }
 
-    /**
-     * This gateway's part of the traffic: by reported queries, else one of n. One that holds must not shrink by it: its
-     * share then follows its first tries. (If held queries counted, all shares grew where all gateways held, and the
-     * bounds opened just when they should bind.) Harm: one that holds takes growth of all traffic for its share's.
-     */
+    /** Its part of the queries in fresh reports, as two smoothed sums (a mean of ratios is too high); at first 1/n. */
     void learnShare() {
         double own = 0, all = 0, threads = 0;
         for (Engine e : m.listed) {
             if (m.inflightField >= 0 && fresh(e)) {
-                own += e.queries;
-                all += Math.max(e.report[m.inflightField], e.queries);
+                own += e.ownAtReport;
+                all += Math.max(e.report[m.inflightField], e.ownAtReport);
                 threads += e.ownAll;
             }
         }
-        double seen = 1.0 / m.s.gateways();
-        if (all > 0) {
-            seen = m.held.isEmpty() ? own / all : Math.max(own / all, m.calmShare * m.firstsRate);
-            m.calmShare = !m.held.isEmpty() ? m.calmShare : m.firstsRate > 0 ? m.share / m.firstsRate : 0;
-        }
-        m.share += SHARE_WEIGHT * (State.clamp(seen, SHARE_LEAST / m.s.gateways(), 1) - m.share);
+        m.ownSeen += SHARE_WEIGHT * (own - m.ownSeen);
+        m.allSeen += SHARE_WEIGHT * (all - m.allSeen);
+        double seen = (m.ownSeen + EQUAL_SHARE_QUERIES / m.s.gateways()) / (m.allSeen + EQUAL_SHARE_QUERIES);
+        m.share = State.clamp(seen, SHARE_LEAST / m.s.gateways(), 1);
         m.width += own > 0 ? SHARE_WEIGHT * (threads / own - m.width) : 0;
     }
 }
