--- a/gateway/src/main/java/sandpaddle/decide/Bounds.java
+++ b/gateway/src/main/java/sandpaddle/decide/Bounds.java
@@ -63,7 +63,7 @@
             e.slow += SLOW_WEIGHT * (slow - e.slow);
             if (e.slow < Math.log(WIDEN_BELOW)) {
                 double more = e == m.fleet ? FLEET_GROWTH * e.cores : 1;
-                double most = e == m.fleet && m.inflightField < 0 ? FLEET_MOST : MOST; // without queries shares are guessed
+                double most = e == m.fleet && m.inflightField < 0 ? FLEET_MOST : MOST; // shares are guessed
                 e.bound = Math.min(e.bound + more / (e.bound * m.share), most * e.cores);
             } else if (e.slow > Math.log(PRESSURE_SLOW)) {
                 cut(e);
--- a/gateway/src/test/java/sandpaddle/decide/ProbedReportsTest.java
+++ b/gateway/src/test/java/sandpaddle/decide/ProbedReportsTest.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Where engines tell of their cores alone, these idle while memory or disks choke: under pressure ease lets a gateway
-     * begin nothing past its share of 2.5 threads a core, 12 of 36 x 8 cores by 60; the fleet's bound allows it 14.4.
+     * Where engines tell of their cores alone, these idle while memory or disks choke: under pressure ease lets a
+     * gateway begin nothing past its share of 2.5 threads a core, 12 of 36 x 8 cores by 60; its bound allows 14.4.
      */
     @Test
     void easeOfCoresAloneLetsNoGatewayPastItsShare() {
--- a/lab/src/main/java/sandpaddle/lab/capacity/Budgets.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Budgets.java
@@ -11,12 +11,14 @@
 final class Budgets {
     private static final double MICROS_IN_SECOND = 1e6;
     private static final double SNAPSHOT_BYTES = 16 << 20;
-    private static final String LINKS = "one link of each gateway to each voter: fleet.node.Course, fleet.link.tcp";
+    private static final String LINKS =
+            "one link of each gateway to each voter: fleet.node.FleetTopology, fleet.link.tcp";
     private static final String BEATS =
-            "a beat of each gateway to each voter: fleet.node.Rounds, fleet.limit.wire.Beat";
+            "a beat of each gateway to each voter: fleet.node.PeriodicTasks, fleet.limit.wire.Heartbeat";
     private static final String EVIDENCE =
-            "each voter hands the evidence of all to each gateway: fleet.verdict.evidence.Spread; beats and grants";
-    private static final String GRANTS = "one leader that grants all: fleet.node.lead.Leading, fleet.limit.allot.Desk";
+            "each voter hands the evidence of all to each gateway: fleet.verdict.evidence; beats and grants";
+    private static final String GRANTS =
+            "one leader that grants all: fleet.node.lead.FleetLeader, fleet.limit.allocator.LimitAllocator";
     private static final String LOG = "one replicated log: fleet.state.raft, fleet.store.mv";
     private static final String TEXT = "the whole configuration as one text: fleet.node.agree.FleetConfig";
     private static final Map<String, Budget> PATH = path();
--- a/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -90,10 +90,10 @@
                     Beyond.LATER, "the rest goes with the next grants"),
             new Entry("fleet.node.agree.FleetConfig", "MAX_TEXT", "bytes", UNKNOWN, SizeLine.NONE,
                     Beyond.REFUSED, "one pool policy or one schedule"),
-            new Entry("fleet.state.machine.VersionedTexts", "MAX_TEXT_BYTES", "bytes", agreedText(), SizeLine.CONFIGURATION,
-                    Beyond.REFUSED, "the whole agreed configuration is one text"),
-            new Entry("fleet.state.raft.CommonCodec", "MAX_COMMAND_BYTES", "bytes", agreedText(), SizeLine.CONFIGURATION,
-                    Beyond.REFUSED, "one command of the log"),
+            new Entry("fleet.state.machine.VersionedTexts", "MAX_TEXT_BYTES", "bytes", agreedText(),
+                    SizeLine.CONFIGURATION, Beyond.REFUSED, "the whole agreed configuration is one text"),
+            new Entry("fleet.state.raft.CommonCodec", "MAX_COMMAND_BYTES", "bytes", agreedText(),
+                    SizeLine.CONFIGURATION, Beyond.REFUSED, "one command of the log"),
             new Entry("config.Tree", "MOST_BYTES", "bytes", UNKNOWN, SizeLine.CONFIGURATION,
                     Beyond.REFUSED, "the operator's file with all members and limits"),
             new Entry("config.FleetReader", "MOST_FOUNDERS", "voters", UNKNOWN, SizeLine.NONE,
@@ -133,12 +133,17 @@
     }
 
     private static Entry members(String owner, String reason) {
-        return new Entry(owner, owner.startsWith("config.") ? "MOST_MEMBERS" : "MAX_MEMBERS", "gateways", GATEWAYS, SizeLine.GATEWAYS,
-                Beyond.REFUSED, reason);
+        return new Entry(owner, prefix(owner) + "MEMBERS", "gateways", GATEWAYS, SizeLine.GATEWAYS, Beyond.REFUSED,
+                reason);
     }
 
     private static Entry limits(String owner, String reason) {
-        return new Entry(owner, owner.startsWith("config.") ? "MOST_LIMITS" : "MAX_LIMITS", "limits", LIMITS, SizeLine.NONE, Beyond.REFUSED, reason);
+        return new Entry(owner, prefix(owner) + "LIMITS", "limits", LIMITS, SizeLine.NONE, Beyond.REFUSED, reason);
+    }
+
+    /** Bounds are named so in each package. */
+    private static String prefix(String owner) {
+        return owner.startsWith("config.") ? "MOST_" : "MAX_";
     }
 
     /** Bytes of the agreed text with every gateway and one limit for each engine, as the class writes it. */
