--- a/lab/src/main/java/sandpaddle/lab/scale/ProcessUse.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ProcessUse.java
@@ -10,6 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import sandpaddle.lab.ProcessUsage;
 
 /**
  * What a process has taken until one moment, as the operating system counts it. {@code cpuSeconds}: by thread name,
@@ -20,7 +21,6 @@
     private static final double TICKS_PER_SECOND = 100; // USER_HZ, the same on every Linux that Java runs on
     private static final int USER_TIME = 11; // fields of a stat line after the name
     private static final int SYSTEM_TIME = 12;
-    private static final double KB_PER_MB = 1024;
     private static final boolean[] BUSY_FIELDS = {true, true, true, false, false, true, true};
 
     /** Bytes of one connection, as the kernel counts them. */
@@ -29,10 +29,11 @@
     /** Reads a process that runs; empty where it does not. */
     static Optional<ProcessUse> of(long pid, Map<String, SocketBytes> sockets) {
         Path proc = Path.of("/proc", Long.toString(pid));
+        ProcessUsage now = new ProcessUsage(pid);
         try {
             return Optional.of(new ProcessUse(System.nanoTime(), threads(proc.resolve("task")),
                     cpuSeconds(proc.resolve("stat")), number(proc.resolve("io"), "write_bytes"),
-                    descriptors(proc.resolve("fd")), number(proc.resolve("status"), "VmRSS") / KB_PER_MB, sockets));
+                    now.descriptors(), now.residentMb(), sockets));
         } catch (IOException e) {
             return Optional.empty();
         }
@@ -70,12 +71,6 @@
         return ticks / TICKS_PER_SECOND;
     }
 
-    private static long descriptors(Path folder) throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.count();
-        }
-    }
-
     private static long number(Path file, String key) throws IOException {
         Matcher m = Pattern.compile("(?m)^" + key + ":\\s+(\\d+)").matcher(Files.readString(file));
         if (!m.find()) {
