--- a/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
@@ -8,7 +8,7 @@
 /**
  * What the operator's file says of outages and stored answers. {@code maxAgeMs}: by class's name, how old an answer may
  * be handed out; a class without it is never stored. {@code fillWorkUs}: engine work a second that filling may take in
- * the whole hall.
+ * the whole zone.
  */
 public record OutageSettings(
         Schedule schedule,
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/AnswerReplication.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/AnswerReplication.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * Replicates stored answers between the gateways of a hall: the holder offers an answer, whoever lacks it requests it
+ * Replicates stored answers between the gateways of a zone: the holder offers an answer, whoever lacks it requests it
  * part by part. Lost, repeated and late messages are repaired by offering and requesting again; a transfer resumes
  * where it stopped. The receiver bounds what is in flight, the sender what is offered. No I/O of its own: messages come
  * in and go out.
@@ -47,7 +47,7 @@
         outgoing.up(peer, false);
     }
 
-    /** A gateway that is of the hall no more; what came of its copies may be finished by another. */
+    /** A gateway that is of the zone no more; what came of its copies may be finished by another. */
     public void forget(String peer) {
         outgoing.forget(peer);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaSender.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaSender.java
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A gateway that left the hall for good. */
+    /** A gateway that left the zone for good. */
     void forget(String peer) {
         neighbours.remove(peer);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationMessage.java
@@ -3,7 +3,7 @@
 import sandpaddle.fleet.content.Candidate;
 import sandpaddle.fleet.content.ContentId;
 
-/** A message between the neighbours of a hall about stored answers. Each may come twice, late, or not at all. */
+/** A message between the neighbours of a zone about stored answers. Each may come twice, late, or not at all. */
 public sealed interface ReplicationMessage {
     /** The sender expects so many asks of it in the window that comes; the receiver is who fetches it. */
     record Want(Candidate what, double asks) implements ReplicationMessage {}
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/Decision.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/Decision.java
@@ -6,7 +6,7 @@
 public sealed interface Decision {
     /**
      * It is, marked as stored. {@code ageMs}: since an engine was asked for it. {@code unknownMs}: a load that ended
-     * within that last time may have outdated it without anybody in the hall knowing; at most the age.
+     * within that last time may have outdated it without anybody in the zone knowing; at most the age.
      */
     record Stored(long ageMs, long unknownMs, ResultSet rows) implements Decision {}
 
@@ -15,7 +15,7 @@
 
     /** Why a stored answer is not handed out. */
     enum Reason {
-        /** The hall reaches its engines, or is not known to be cut off. */
+        /** The zone reaches its engines, or is not known to be cut off. */
         NOT_ISOLATED,
         /** Its class may not repeat. */
         NOT_REPEATABLE,
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
@@ -6,10 +6,10 @@
 import sandpaddle.fleet.content.StoredAnswer;
 
 /**
- * Decides whether a stored answer may answer an ask: only while the hall is known to be cut off, only to the same
+ * Decides whether a stored answer may answer an ask: only while the zone is known to be cut off, only to the same
  * statement of the same tenant, user and class, only of a class that may repeat, no older than the class states, and
  * not where a load that is known of has changed its data. So what is handed out is never older than
- * {@code min(maxAge stored, maxAge now)}, and a change that it misses is one that nobody in the hall heard of: it came
+ * {@code min(maxAge stored, maxAge now)}, and a change that it misses is one that nobody in the zone heard of: it came
  * within the time since anything was last heard from outside. Pure; a few comparisons and a look at each data group.
  */
 public final class ServeRule {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitScope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitScope.java
@@ -9,15 +9,15 @@
  * The queries that a limit covers. A dimension is null (any name), a name (only that one), or {@link #EACH} (each name
  * has a limit of theirs own).
  */
-public record LimitScope(String hall, String requestClass, String tenant, String engine) {
+public record LimitScope(String zone, String requestClass, String tenant, String engine) {
     /** The wildcard: an instance of the limit is created for each name of the dimension. */
     public static final String EACH = "*";
     /** Covers every query of the fleet. */
     public static final LimitScope WHOLE_FLEET = new LimitScope(null, null, null, null);
 
-    /** The dimensions: hall, class, tenant, engine; names may be null. */
+    /** The dimensions: zone, class, tenant, engine; names may be null. */
     public List<String> dimensions() {
-        return Arrays.asList(hall, requestClass, tenant, engine);
+        return Arrays.asList(zone, requestClass, tenant, engine);
     }
 
     /** Whether a name can be used in a scope and in a message; names of clients and engines may be any text. */
@@ -50,7 +50,7 @@
     /** This scope with each {@link #EACH} replaced by the name that the query has; an empty name if it has none. */
     public LimitScope resolve(LimitScope names) {
         return new LimitScope(
-                resolve(hall, names.hall),
+                resolve(zone, names.zone),
                 resolve(requestClass, names.requestClass),
                 resolve(tenant, names.tenant),
                 resolve(engine, names.engine));
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
@@ -14,7 +14,7 @@
 public record LimitSpec(String id, LimitScope scope, LimitUnit unit, long amount, long burst) {
     /** Max length of an id, also of an instance, in bytes of UTF-8. */
     public static final int MAX_ID_BYTES = 512;
-    /** Max length of the name of a hall, class, tenant, engine or member, in bytes of UTF-8. */
+    /** Max length of the name of a zone, class, tenant, engine or member, in bytes of UTF-8. */
     public static final int MAX_NAME_BYTES = 128;
     /** Max amount or burst, in the limit's unit. */
     public static final long MAX_AMOUNT = 1_000_000_000L;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
@@ -96,8 +96,8 @@
 
     /** Whether a gateway may have rights under a limit. */
     private static boolean appliesTo(LimitRow row, GatewayRow member) {
-        String hall = row.spec().scope().hall();
-        return !row.dropped() && !member.leaving() && (hall == null || hall.equals(member.hall()));
+        String zone = row.spec().scope().zone();
+        return !row.dropped() && !member.leaving() && (zone == null || zone.equals(member.zone()));
     }
 
     private static long allocated(LimitRow row, GatewayRow member) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
@@ -3,7 +3,7 @@
 /**
  * A gateway that may have rights, as the voters agreed on it.
  *
- * @param hall the data hall that the gateway stands in
+ * @param zone the zone that the gateway stands in
  * @param incarnation the gateway's current process; 0 before the first
  * @param formerIncarnation the process before it; 0 for none
  * @param session incremented by each reclaim and each new process: rights and renewals of an older one are void
@@ -12,7 +12,7 @@
  */
 public record GatewayRow(
         String name,
-        String hall,
+        String zone,
         long incarnation,
         long formerIncarnation,
         long session,
@@ -21,26 +21,26 @@
     private static final long FIRST_SESSION = 1;
 
     /** A gateway that joins for the first time. */
-    static GatewayRow joined(String name, String hall) {
-        return new GatewayRow(name, hall, 0, 0, FIRST_SESSION, false, 0);
+    static GatewayRow joined(String name, String zone) {
+        return new GatewayRow(name, zone, 0, 0, FIRST_SESSION, false, 0);
     }
 
-    /** This gateway after another join: perhaps in another hall, and no longer leaving. */
-    GatewayRow rejoined(String nextHall) {
-        return new GatewayRow(name, nextHall, incarnation, formerIncarnation, session, false, validityUs);
+    /** This gateway after another join: perhaps in another zone, and no longer leaving. */
+    GatewayRow rejoined(String nextZone) {
+        return new GatewayRow(name, nextZone, incarnation, formerIncarnation, session, false, validityUs);
     }
 
     GatewayRow markedLeaving() {
-        return new GatewayRow(name, hall, incarnation, formerIncarnation, session, true, validityUs);
+        return new GatewayRow(name, zone, incarnation, formerIncarnation, session, true, validityUs);
     }
 
     /** This gateway with a new process, which begins a new session. */
     GatewayRow restarted(long nextIncarnation, long nextValidityUs) {
-        return new GatewayRow(name, hall, nextIncarnation, incarnation, session + 1, leaving, nextValidityUs);
+        return new GatewayRow(name, zone, nextIncarnation, incarnation, session + 1, leaving, nextValidityUs);
     }
 
     /** This gateway in the session after a reclaim. */
     GatewayRow reclaimed() {
-        return new GatewayRow(name, hall, incarnation, formerIncarnation, session + 1, leaving, validityUs);
+        return new GatewayRow(name, zone, incarnation, formerIncarnation, session + 1, leaving, validityUs);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
@@ -14,8 +14,8 @@
     /** The first command of a leader: from here on commands of other terms are refused. */
     record BeginTerm(long term) implements LimitCommand {}
 
-    /** Adds a gateway of this hall to the fleet, or moves it there. */
-    record Join(String member, String hall) implements LimitCommand {}
+    /** Adds a gateway of this zone to the fleet, or moves it there. */
+    record Join(String member, String zone) implements LimitCommand {}
 
     /** Marks a gateway as leaving: it is removed by a {@link Reclaim} once its rights are certainly unused. */
     record Leave(String member) implements LimitCommand {}
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandCodec.java
@@ -38,7 +38,7 @@
         if (command instanceof LimitCommand.BeginTerm beginTerm) {
             out.number(BEGIN_TERM).number(beginTerm.term());
         } else if (command instanceof LimitCommand.Join join) {
-            out.number(JOIN).text(join.member()).text(join.hall());
+            out.number(JOIN).text(join.member()).text(join.zone());
         } else if (command instanceof LimitCommand.Leave leave) {
             out.number(LEAVE).text(leave.member());
         } else if (command instanceof LimitCommand.SetLimits setLimits) {
@@ -151,7 +151,7 @@
         return name.equals(NULL_NAME) ? null : name;
     }
 
-    /** Reads the name of a limit, gateway, tenant, engine, class or hall. */
+    /** Reads the name of a limit, gateway, tenant, engine, class or zone. */
     public static String name(CborIn in) throws FaultyMessageException {
         return in.text(LimitSpec.MAX_NAME_BYTES);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
@@ -131,7 +131,7 @@
         membershipRevision++;
         members.put(
                 command.member(),
-                row == null ? GatewayRow.joined(command.member(), command.hall()) : row.rejoined(command.hall()));
+                row == null ? GatewayRow.joined(command.member(), command.zone()) : row.rejoined(command.zone()));
         return LimitCommandOutcome.done();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
@@ -33,7 +33,7 @@
 
     private static void writeGateway(CborOut out, GatewayRow row) {
         out.text(row.name())
-                .text(row.hall())
+                .text(row.zone())
                 .number(row.incarnation())
                 .number(row.formerIncarnation())
                 .number(row.session())
--- a/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
@@ -105,7 +105,7 @@
     public LinkSettings {
         MemberName.check("cluster", cluster);
         MemberName.check("member name", self.name());
-        MemberName.check("hall of " + self.name(), self.hall());
+        MemberName.check("hall of " + self.name(), self.zone());
         addressOverrides = Map.copyOf(addressOverrides);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
@@ -12,7 +12,7 @@
     EVIDENCE,
     /** A configuration that a gateway asks the leader to commit. */
     PROPOSAL,
-    /** Stored answers and their requests, between gateways of a hall. */
+    /** Stored answers and their requests, between gateways of a zone. */
     CONTENT,
     /** Voters, leader and configuration in force, from a voter to followers. */
     STATUS
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
@@ -105,7 +105,7 @@
                 .number(greeting.maxVersion())
                 .text(greeting.cluster())
                 .text(greeting.member().name())
-                .text(greeting.member().hall())
+                .text(greeting.member().zone())
                 .text(greeting.member().host())
                 .number(greeting.member().port())
                 .text(greeting.targetName())
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/GreetingValidator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/GreetingValidator.java
@@ -74,10 +74,10 @@
                     RejectionCode.CLUSTER,
                     self + " is of cluster " + settings.cluster() + ", not " + printable(greeting.cluster()));
         }
-        if (!MemberName.isValid(name) || !MemberName.isValid(greeting.member().hall())) {
+        if (!MemberName.isValid(name) || !MemberName.isValid(greeting.member().zone())) {
             return reject(
                     RejectionCode.NAME,
-                    printable(name) + " of hall " + printable(greeting.member().hall()) + " is no valid name");
+                    printable(name) + " of hall " + printable(greeting.member().zone()) + " is no valid name");
         }
         if (!HOST.matcher(greeting.member().host()).matches()
                 || greeting.member().port() == 0) {
@@ -115,13 +115,13 @@
                             + " answered");
         }
         return greeting.member().name().equals(dialled)
-                        && MemberName.isValid(greeting.member().hall())
+                        && MemberName.isValid(greeting.member().zone())
                 ? Optional.empty()
                 : reject(
                         RejectionCode.NOT_ME,
                         dialled + " was looked for, "
                                 + printable(greeting.member().name()) + " of hall "
-                                + printable(greeting.member().hall()) + " answered");
+                                + printable(greeting.member().zone()) + " answered");
     }
 
     private static Optional<Rejection> reject(RejectionCode code, String detail) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLogger.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLogger.java
@@ -19,7 +19,7 @@
     void linkUp(Member peer, long incarnation) {
         LogEvent.of("link up")
                 .with("peer", peer.name())
-                .with("hall", peer.hall())
+                .with("hall", peer.zone())
                 .with("incarnation", incarnation)
                 .info();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/member/LinkHealth.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/LinkHealth.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * Which peers and halls this gateway reaches, since when, and the round trip times. It is the view of one gateway:
+ * Which peers and zones this gateway reaches, since when, and the round trip times. It is the view of one gateway:
  * the fleet's verdicts compare several views to decide whether a peer or the path to it fails. Memory: the peers
  * watched. Not thread-safe. Times are monotonic microseconds.
  */
@@ -16,7 +16,7 @@
      * A peer as seen from this gateway.
      *
      * @param name name of the peer
-     * @param hall hall of the peer
+     * @param zone zone of the peer
      * @param isUp whether there is a link to it
      * @param sinceUs when it came up, went down or was first watched
      * @param roundTripUs smoothed round trip time of the link, 0 before the first measurement
@@ -25,20 +25,20 @@
      */
     public record Peer(
             String name,
-            String hall,
+            String zone,
             boolean isUp,
             long sinceUs,
             long roundTripUs,
             long incarnation,
             String lastLoss) {}
 
-    /** A hall as seen from this gateway; reachable if at least half of its watched members are up. */
-    public record Hall(String name, int memberCount, int upCount, boolean isReachable, long sinceUs) {}
+    /** A zone as seen from this gateway; reachable if at least half of its watched members are up. */
+    public record Zone(String name, int memberCount, int upCount, boolean isReachable, long sinceUs) {}
 
-    private record HallState(boolean isReachable, long sinceUs) {}
+    private record ZoneState(boolean isReachable, long sinceUs) {}
 
     private final Map<String, Peer> peers = new TreeMap<>();
-    private final Map<String, HallState> halls = new TreeMap<>();
+    private final Map<String, ZoneState> zones = new TreeMap<>();
 
     /** Sets the peers that need links; the state of those that stay is retained. */
     public void setPeers(long nowUs, Collection<Member> members) {
@@ -48,10 +48,10 @@
             kept.put(
                     member.name(),
                     peer == null
-                            ? new Peer(member.name(), member.hall(), false, nowUs, 0, 0, "")
+                            ? new Peer(member.name(), member.zone(), false, nowUs, 0, 0, "")
                             : new Peer(
                                     peer.name,
-                                    member.hall(),
+                                    member.zone(),
                                     peer.isUp,
                                     peer.sinceUs,
                                     peer.roundTripUs,
@@ -60,15 +60,15 @@
         }
         peers.clear();
         peers.putAll(kept);
-        updateHalls(nowUs);
+        updateZones(nowUs);
     }
 
     /** A link to a peer came up. */
     public void linkUp(long nowUs, String name, long incarnation) {
         Peer peer = peers.get(name);
         if (peer != null) {
-            peers.put(name, new Peer(name, peer.hall, true, nowUs, peer.roundTripUs, incarnation, peer.lastLoss));
-            updateHalls(nowUs);
+            peers.put(name, new Peer(name, peer.zone, true, nowUs, peer.roundTripUs, incarnation, peer.lastLoss));
+            updateZones(nowUs);
         }
     }
 
@@ -77,8 +77,8 @@
         Peer peer = peers.get(name);
         if (peer != null) {
             peers.put(
-                    name, new Peer(name, peer.hall, false, peer.isUp ? nowUs : peer.sinceUs, 0, peer.incarnation, how));
-            updateHalls(nowUs);
+                    name, new Peer(name, peer.zone, false, peer.isUp ? nowUs : peer.sinceUs, 0, peer.incarnation, how));
+            updateZones(nowUs);
         }
     }
 
@@ -87,27 +87,27 @@
         Peer peer = peers.get(name);
         if (peer != null && peer.isUp) {
             peers.put(
-                    name, new Peer(name, peer.hall, true, peer.sinceUs, roundTripUs, peer.incarnation, peer.lastLoss));
+                    name, new Peer(name, peer.zone, true, peer.sinceUs, roundTripUs, peer.incarnation, peer.lastLoss));
         }
     }
 
-    private void updateHalls(long nowUs) {
+    private void updateZones(long nowUs) {
         Map<String, int[]> counts = counts();
-        halls.keySet().retainAll(counts.keySet());
-        counts.forEach((hall, c) -> {
+        zones.keySet().retainAll(counts.keySet());
+        counts.forEach((zone, c) -> {
             boolean reachable = 2 * c[1] >= c[0];
-            HallState was = halls.get(hall);
+            ZoneState was = zones.get(zone);
             if (was == null || was.isReachable != reachable) {
-                halls.put(hall, new HallState(reachable, nowUs));
+                zones.put(zone, new ZoneState(reachable, nowUs));
             }
         });
     }
 
-    /** Number of members watched and up, by hall. */
+    /** Number of members watched and up, by zone. */
     private Map<String, int[]> counts() {
         Map<String, int[]> counts = new TreeMap<>();
         for (Peer peer : peers.values()) {
-            int[] c = counts.computeIfAbsent(peer.hall, h -> new int[2]);
+            int[] c = counts.computeIfAbsent(peer.zone, h -> new int[2]);
             c[0]++;
             c[1] += peer.isUp ? 1 : 0;
         }
@@ -119,19 +119,19 @@
         return List.copyOf(peers.values());
     }
 
-    /** All halls, ordered by name. */
-    public List<Hall> halls() {
-        List<Hall> all = new ArrayList<>();
-        counts().forEach((hall, c) -> {
-            HallState state = halls.get(hall);
-            all.add(new Hall(hall, c[0], c[1], state.isReachable, state.sinceUs));
+    /** All zones, ordered by name. */
+    public List<Zone> zones() {
+        List<Zone> all = new ArrayList<>();
+        counts().forEach((zone, c) -> {
+            ZoneState state = zones.get(zone);
+            all.add(new Zone(zone, c[0], c[1], state.isReachable, state.sinceUs));
         });
         return all;
     }
 
-    /** Whether a hall is reachable; false for an unknown one. */
-    public boolean isReachable(String hall) {
-        HallState state = halls.get(hall);
+    /** Whether a zone is reachable; false for an unknown one. */
+    public boolean isReachable(String zone) {
+        ZoneState state = zones.get(zone);
         return state != null && state.isReachable;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.member;
 
-/** Syntax of the names of members, halls and clusters, so that they can stand in logs, files and frames unescaped. */
+/** Syntax of the names of members, zones and clusters, so that they can stand in logs, files and frames unescaped. */
 public final class MemberName {
     /** Longest name in characters. */
     public static final int MAX_CHARS = 64;
--- a/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
@@ -38,13 +38,13 @@
     }
 
     /**
-     * This roster with a member added, or with its hall and address replaced; its incarnation stays.
+     * This roster with a member added, or with its zone and address replaced; its incarnation stays.
      *
-     * @throws IllegalArgumentException naming the member, if its name, hall or port is invalid or the roster is full
+     * @throws IllegalArgumentException naming the member, if its name, zone or port is invalid or the roster is full
      */
     public Roster with(Member member) {
         MemberName.check("member name", member.name());
-        MemberName.check("hall of " + member.name(), member.hall());
+        MemberName.check("hall of " + member.name(), member.zone());
         if (member.port() < 1 || member.port() > 65535) {
             throw new IllegalArgumentException(
                     "port of " + member.name() + " is " + member.port() + ", not from 1 to 65535");
@@ -103,19 +103,19 @@
         return Collections.unmodifiableSortedSet(new TreeSet<>(entries.keySet()));
     }
 
-    /** The members of a hall, ordered by name. */
-    public List<Member> inHall(String hall) {
+    /** The members of a zone, ordered by name. */
+    public List<Member> inZone(String zone) {
         return members().stream()
-                .filter(member -> member.hall().equals(hall))
+                .filter(member -> member.zone().equals(zone))
                 .sorted(Comparator.comparing(Member::name))
                 .toList();
     }
 
-    /** The halls that have a member. */
-    public SortedSet<String> halls() {
-        SortedSet<String> halls = new TreeSet<>();
-        entries.values().forEach(e -> halls.add(e.member().hall()));
-        return halls;
+    /** The zones that have a member. */
+    public SortedSet<String> zones() {
+        SortedSet<String> zones = new TreeSet<>();
+        entries.values().forEach(e -> zones.add(e.member().zone()));
+        return zones;
     }
 
     /** Number of members. */
--- a/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
@@ -12,10 +12,10 @@
 import java.util.function.Predicate;
 
 /**
- * Plans which members vote: an odd number, spread over halls as evenly as the live members allow, with as few changes
+ * Plans which members vote: an odd number, spread over zones as evenly as the live members allow, with as few changes
  * as possible. The leader takes the next change and commits it before it asks for another, as Raft changes its
  * membership by one server at a time (Ongaro's thesis, 4.1 to 4.3). A voter is replaced if it was unresponsive for
- * long or is no member any more; a live one moves only if its hall has two voters more than another could have. No
+ * long or is no member any more; a live one moves only if its zone has two voters more than another could have. No
  * change is planned that leaves fewer live voters than a majority. Cost: O(members log members). Stateless and
  * thread-safe.
  */
@@ -26,7 +26,7 @@
      * @param voterCount 3 or 5
      * @param replaceAfterUs a voter that was unresponsive for this long is replaced
      * @param minUptimeUs a member that was up for less does not become a voter
-     * @param minChangeIntervalUs interval between two changes, so that a flapping hall does not move voters back and
+     * @param minChangeIntervalUs interval between two changes, so that a flapping zone does not move voters back and
      *     forth; a change that restores an odd number does not wait
      */
     public record Settings(int voterCount, long replaceAfterUs, long minUptimeUs, long minChangeIntervalUs) {
@@ -79,13 +79,13 @@
         this.settings = settings;
     }
 
-    /** The voters of a new fleet: an odd number, chosen hall by hall, so that all gateways choose the same. */
+    /** The voters of a new fleet: an odd number, chosen zone by zone, so that all gateways choose the same. */
     public static List<String> initialVoters(Roster roster, int max) {
         int odd = Math.min(max, roster.size() % 2 == 0 ? roster.size() - 1 : roster.size());
         List<String> voters = new ArrayList<>();
         for (int place = 0; voters.size() < odd; place++) {
-            for (String hall : roster.halls()) {
-                List<Member> members = roster.inHall(hall);
+            for (String zone : roster.zones()) {
+                List<Member> members = roster.inZone(zone);
                 if (place < members.size() && voters.size() < odd) {
                     voters.add(members.get(place).name());
                 }
@@ -131,7 +131,7 @@
         private final long now;
         private final List<Member> candidates = new ArrayList<>(); // live, stable and not voting
         private final List<String> lostVoters = new ArrayList<>(); // removed members and unresponsive voters
-        private final Map<String, Integer> votersPerHall = new TreeMap<>(); // remaining voters
+        private final Map<String, Integer> votersPerZone = new TreeMap<>(); // remaining voters
 
         Round(ClusterState state, long nowUs) {
             this.state = state;
@@ -153,7 +153,7 @@
                 } else {
                     state.roster()
                             .member(voter)
-                            .ifPresent(member -> votersPerHall.merge(member.hall(), 1, Integer::sum));
+                            .ifPresent(member -> votersPerZone.merge(member.zone(), 1, Integer::sum));
                 }
             }
             lostVoters.sort(
@@ -168,15 +168,15 @@
                 return Optional.empty();
             }
             if (size > target) {
-                return remove(lostVoters.isEmpty() ? voterOfLargestHall() : Optional.of(lostVoters.get(0)));
+                return remove(lostVoters.isEmpty() ? voterOfLargestZone() : Optional.of(lostVoters.get(0)));
             }
             if (size < target) {
-                return candidateOfSmallestHall()
+                return candidateOfSmallestZone()
                         .map(member -> new Change(Optional.of(member.name()), Optional.empty()));
             }
             return lostVoters.isEmpty()
                     ? rebalance()
-                    : candidateOfSmallestHall()
+                    : candidateOfSmallestZone()
                             .map(member -> new Change(Optional.of(member.name()), Optional.of(lostVoters.get(0))));
         }
 
@@ -197,33 +197,33 @@
             return Math.min(settings.voterCount(), keepsLostVoter ? size : odd);
         }
 
-        /** The candidate of the hall with the fewest voters; the first by hall and name. */
-        private Optional<Member> candidateOfSmallestHall() {
+        /** The candidate of the zone with the fewest voters; the first by zone and name. */
+        private Optional<Member> candidateOfSmallestZone() {
             return candidates.stream()
-                    .min(Comparator.comparingInt((Member member) -> votersPerHall.getOrDefault(member.hall(), 0))
-                            .thenComparing(Member::hall)
+                    .min(Comparator.comparingInt((Member member) -> votersPerZone.getOrDefault(member.zone(), 0))
+                            .thenComparing(Member::zone)
                             .thenComparing(Member::name));
         }
 
-        /** A voter of the hall with the most voters, never the leader, whose removal would cause an election. */
-        private Optional<String> voterOfLargestHall() {
+        /** A voter of the zone with the most voters, never the leader, whose removal would cause an election. */
+        private Optional<String> voterOfLargestZone() {
             return state.voters().stream()
                     .filter(voter ->
                             !voter.equals(state.leader()) && state.roster().contains(voter))
-                    .max(Comparator.comparingInt((String voter) -> votersPerHall.get(hallOf(voter)))
+                    .max(Comparator.comparingInt((String voter) -> votersPerZone.get(zoneOf(voter)))
                             .thenComparing(Comparator.naturalOrder()));
         }
 
-        private String hallOf(String voter) {
-            return state.roster().member(voter).orElseThrow().hall();
+        private String zoneOf(String voter) {
+            return state.roster().member(voter).orElseThrow().zone();
         }
 
-        /** Moves a live voter only if that makes the halls more even by a whole voter. */
+        /** Moves a live voter only if that makes the zones more even by a whole voter. */
         private Optional<Change> rebalance() {
-            Map<String, Integer> counts = new HashMap<>(votersPerHall);
-            return candidateOfSmallestHall()
-                    .flatMap(to -> voterOfLargestHall()
-                            .filter(voter -> counts.get(hallOf(voter)) - counts.getOrDefault(to.hall(), 0) >= 2)
+            Map<String, Integer> counts = new HashMap<>(votersPerZone);
+            return candidateOfSmallestZone()
+                    .flatMap(to -> voterOfLargestZone()
+                            .filter(voter -> counts.get(zoneOf(voter)) - counts.getOrDefault(to.zone(), 0) >= 2)
                             .map(voter -> new Change(Optional.of(to.name()), Optional.of(voter))));
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -61,7 +61,7 @@
      * @param name name of this gateway
      * @param site settings of the decision module
      * @param classes query classes by index
-     * @param halls zone names by number
+     * @param zones zone names by number
      * @param kinds kinds of engines by number
      * @param loop the event loop
      * @param wake makes the event loop take a turn, from any thread
@@ -73,7 +73,7 @@
             String name,
             DecisionSettings site,
             List<String> classes,
-            List<String> halls,
+            List<String> zones,
             List<String> kinds,
             Scheduler loop,
             Runnable wake,
@@ -93,7 +93,7 @@
         RightsManager rights = new RightsManager(
                 name,
                 incarnation,
-                self.hall(),
+                self.zone(),
                 classes,
                 floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(),
@@ -125,7 +125,7 @@
                 settings.verdicts(),
                 settings.limits().clockDrift(),
                 links,
-                halls,
+                zones,
                 classes.size(),
                 nowUs);
         VoterSetup agreement =
@@ -146,7 +146,7 @@
                 ? null
                 : new OutageThread(
                         settings.outages(),
-                        new LocalNode(name, self.hall(), incarnation, clock, site, classes),
+                        new LocalNode(name, self.zone(), incarnation, clock, site, classes),
                         settings.directory(),
                         links,
                         fetcher,
@@ -185,7 +185,7 @@
                 "fleet {}: {} of hall {} listens on {} for {} gateways",
                 settings.cluster(),
                 name,
-                self.hall(),
+                self.zone(),
                 settings.listen(),
                 settings.agreed().members().size());
         dispatcher.start(components, periodicTasks);
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -21,7 +21,7 @@
  * fleet's thread, except {@link #isMember}.
  */
 final class FleetTopology {
-    private static final int MAX_NEIGHBOURS = 8; // of the hall, linked for stored answers
+    private static final int MAX_NEIGHBOURS = 8; // of the zone, linked for stored answers
 
     private final Map<String, Long> configVersionOf = new HashMap<>(); // version in force at each peer
     private final Set<String> peerUp = new HashSet<>();
@@ -30,7 +30,7 @@
     private FleetConfig localConfig;
     private FleetConfig learnedConfig = FleetConfig.NONE; // in force according to the status of voters
     private StatusMessage lastStatus = new StatusMessage(0, "", List.of(), 0, "");
-    private Map<String, String> hallOf = Map.of();
+    private Map<String, String> zoneOf = Map.of();
     private Set<String> linkedVoters = Set.of();
 
     FleetTopology(FleetConfig localConfig) {
@@ -101,9 +101,9 @@
         return !Set.copyOf(voters()).equals(linkedVoters);
     }
 
-    /** The hall of a member, null if the name is not a member. */
-    String hallOf(String name) {
-        return hallOf.get(name);
+    /** The zone of a member, null if the name is not a member. */
+    String zoneOf(String name) {
+        return zoneOf.get(name);
     }
 
     /** Applies a change of members, voters or file: who may open links, and which links this gateway keeps. */
@@ -112,31 +112,31 @@
         components.pools().rules(agreed);
         memberNames = names(agreed, localConfig);
         List<String> voting = voters();
-        String hall = components.self().hall();
+        String zone = components.self().zone();
         Set<Member> wanted = new HashSet<>();
-        Map<String, String> halls = new HashMap<>(Map.of(components.self().name(), hall));
-        agreed.members().forEach(member -> halls.put(member.name(), member.hall()));
+        Map<String, String> zones = new HashMap<>(Map.of(components.self().name(), zone));
+        agreed.members().forEach(member -> zones.put(member.name(), member.zone()));
         agreed.members().stream().filter(member -> isOther(member, voting)).forEach(wanted::add);
         localConfig.members().stream()
                 .filter(member ->
                         isOther(member, voting) && agreed.member(member.name()).isEmpty())
                 .forEach(wanted::add); // a founder must be reachable before it is committed as a member
         if (components.outage()
-                != null) { // neighbours replicate stored answers, and stay in contact while the hall is isolated
+                != null) { // neighbours replicate stored answers, and stay in contact while the zone is isolated
             agreed.members().stream()
-                    .filter(member -> member.hall().equals(hall) && !components.isSelf(member.name()))
+                    .filter(member -> member.zone().equals(zone) && !components.isSelf(member.name()))
                     .limit(MAX_NEIGHBOURS)
                     .forEach(wanted::add);
             Set<String> neighbours = new TreeSet<>();
             wanted.stream()
-                    .filter(member -> member.hall().equals(hall))
+                    .filter(member -> member.zone().equals(zone))
                     .forEach(member -> neighbours.add(member.name()));
             components.outage().neighbours(neighbours);
         }
-        hallOf = Map.copyOf(halls);
+        zoneOf = Map.copyOf(zones);
         components.links().setPeers(wanted);
         linkedVoters = Set.copyOf(voting);
-        components.evidence().updateRoster(halls, linkedVoters);
+        components.evidence().updateRoster(zones, linkedVoters);
     }
 
     private boolean isOther(Member member, List<String> voting) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/LocalNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/LocalNode.java
@@ -7,7 +7,7 @@
  * Identity and settings of this gateway.
  *
  * @param name name of the gateway
- * @param hall hall of the gateway
+ * @param zone zone of the gateway
  * @param incarnation incarnation of its process
  * @param clock monotonic clock
  * @param site settings of the decision module
@@ -15,7 +15,7 @@
  */
 public record LocalNode(
         String name,
-        String hall,
+        String zone,
         long incarnation,
         MonotonicClock clock,
         DecisionSettings site,
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -39,7 +39,7 @@
 
     private void dispatch(String from, MessageKind kind, byte[] payload) throws FaultyMessageException {
         long nowUs = components.clock().now();
-        if (components.outage() != null && !components.self().hall().equals(topology.hallOf(from))) {
+        if (components.outage() != null && !components.self().zone().equals(topology.zoneOf(from))) {
             components.outage().heardOutside(nowUs);
         }
         switch (kind) {
@@ -54,7 +54,7 @@
             case PROPOSAL -> components.committedConfig().offer(new String(payload, StandardCharsets.US_ASCII));
             case STATUS -> topology.statusReceived(StatusMessage.decode(payload));
             case CONTENT -> {
-                if (components.outage() != null && components.self().hall().equals(topology.hallOf(from))) {
+                if (components.outage() != null && components.self().zone().equals(topology.zoneOf(from))) {
                     components.outage().received(from, payload);
                 }
             }
@@ -93,7 +93,7 @@
         if (components.leader() != null) {
             components.leader().met(peer.name(), nowUs);
         }
-        Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.hall());
+        Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.zone());
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -26,7 +26,7 @@
  * @param pools pool policy
  * @param voter consensus, null without a directory
  * @param leader tasks of the leader, null without a directory
- * @param outage outages of the hall, null if nothing is stored
+ * @param outage outages of the zone, null if nothing is stored
  * @param wake makes the event loop take a turn
  */
 record NodeComponents(
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -124,7 +124,7 @@
         long nowUs = components.clock().now();
         components.evidence().tick(nowUs);
         if (components.outage() != null) {
-            components.outage().link(components.evidence().ownHallLink());
+            components.outage().link(components.evidence().ownZoneLink());
             components.evidence().forEachLoadedGroup(nowUs, components.outage()::changed);
         }
     }
@@ -145,9 +145,9 @@
         });
     }
 
-    private Set<String> isolatedHalls() {
+    private Set<String> isolatedZones() {
         return components.outage() != null && components.outage().isolation().isIsolated()
-                ? Set.of(components.self().hall())
+                ? Set.of(components.self().zone())
                 : Set.of();
     }
 
@@ -159,7 +159,7 @@
                 .leader()
                 .tick(
                         nowUs,
-                        components.pools().state(nowUs, components.evidence().moduleVerdicts(nowUs), isolatedHalls()),
+                        components.pools().state(nowUs, components.evidence().moduleVerdicts(nowUs), isolatedZones()),
                         grant -> {
                             if (components.isSelf(grant.member())) {
                                 dispatcher.grantReceived(grant);
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -14,7 +14,7 @@
 
 /**
  * The fleet-wide part of the operator's file: the highest {@code version} is in force, whichever gateway has it. {@code
- * pool}: the text of the pool policy, empty for none; {@code schedule}: the text of the halls' outages, empty for none.
+ * pool}: the text of the pool policy, empty for none; {@code schedule}: the text of the zones' outages, empty for none.
  */
 public record FleetConfig(
         long version, List<Member> members, List<LimitSpec> limits, String poolPolicy, String schedule) {
@@ -41,7 +41,7 @@
                 .list(
                         members,
                         (o, member) -> o.text(member.name())
-                                .text(member.hall())
+                                .text(member.zone())
                                 .text(member.host())
                                 .number(member.port()))
                 .list(limits, LimitCommandCodec::spec)
@@ -77,7 +77,7 @@
                         in.number(1, 65_535));
         try {
             MemberName.check("member name", member.name());
-            MemberName.check("hall of " + member.name(), member.hall());
+            MemberName.check("hall of " + member.name(), member.zone());
         } catch (IllegalArgumentException e) {
             throw in.wrong(e.getMessage());
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/evidence/EvidenceExchange.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/evidence/EvidenceExchange.java
@@ -18,10 +18,10 @@
 import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.verdict.FleetEngineVerdict;
 import sandpaddle.fleet.verdict.FleetVerdicts;
-import sandpaddle.fleet.verdict.HallLink;
 import sandpaddle.fleet.verdict.VerdictChangeLog;
 import sandpaddle.fleet.verdict.VerdictSettings;
 import sandpaddle.fleet.verdict.VerdictSnapshot;
+import sandpaddle.fleet.verdict.ZoneLink;
 import sandpaddle.fleet.verdict.evidence.Topic;
 import sandpaddle.fleet.verdict.watch.ListedEngine;
 import sandpaddle.fleet.verdict.wire.EvidenceCodec;
@@ -41,15 +41,15 @@
 
     private final FleetVerdicts verdicts;
     private final Links links;
-    private final List<String> halls;
-    private final String hall;
+    private final List<String> zones;
+    private final String zone;
     private final Map<String, ListedEngine> listedEngines = new HashMap<>();
     private final double[] typicalLatencyUs;
     private VerdictSnapshot current = VerdictSnapshot.NONE;
     private final Map<String, OpenLink> openLinks = new TreeMap<>();
 
     /**
-     * Creates the exchange; {@code halls}: zone names by number; {@code incarnation}: greater than that of any
+     * Creates the exchange; {@code zones}: zone names by number; {@code incarnation}: greater than that of any
      * earlier process.
      */
     public EvidenceExchange(
@@ -58,19 +58,19 @@
             VerdictSettings settings,
             double drift,
             Links links,
-            List<String> halls,
+            List<String> zones,
             int classes,
             long nowUs) {
         this.links = links;
-        this.halls = halls;
-        hall = self.hall();
+        this.zones = zones;
+        zone = self.zone();
         typicalLatencyUs = new double[classes];
-        verdicts = new FleetVerdicts(self.name(), self.hall(), incarnation, settings, drift, nowUs);
+        verdicts = new FleetVerdicts(self.name(), self.zone(), incarnation, settings, drift, nowUs);
     }
 
-    /** Sets the agreed members with their halls, and the voters. Open links to new members count from now on. */
-    public void updateRoster(Map<String, String> hallOf, Set<String> voters) {
-        verdicts.updateRoster(hallOf, voters);
+    /** Sets the agreed members with their zones, and the voters. Open links to new members count from now on. */
+    public void updateRoster(Map<String, String> zoneOf, Set<String> voters) {
+        verdicts.updateRoster(zoneOf, voters);
         openLinks.forEach((peer, up) -> verdicts.linkUp(peer, up.incarnation, up.openedUs));
     }
 
@@ -115,11 +115,11 @@
             if (entry.status() == EngineStatus.REMOVED) {
                 listedEngines.remove(entry.id());
             } else {
-                String hallName = entry.zone() >= 0 && entry.zone() < halls.size() ? halls.get(entry.zone()) : "";
+                String zoneName = entry.zone() >= 0 && entry.zone() < zones.size() ? zones.get(entry.zone()) : "";
                 listedEngines.put(
                         entry.id(),
                         new ListedEngine(
-                                entry.id(), hallName, entry.startedUs(), entry.status() == EngineStatus.DRAINING));
+                                entry.id(), zoneName, entry.startedUs(), entry.status() == EngineStatus.DRAINING));
             }
         }
         verdicts.updateEngines(change.nowUs(), listedEngines.values());
@@ -178,9 +178,9 @@
         };
     }
 
-    /** Whether this gateway's hall reaches the engines outside of it. */
-    public HallLink ownHallLink() {
-        return current.halls().getOrDefault(hall, new HallLink(hall, HallLink.State.UNKNOWN, 0, 0));
+    /** Whether this gateway's zone reaches the engines outside of it. */
+    public ZoneLink ownZoneLink() {
+        return current.zones().getOrDefault(zone, new ZoneLink(zone, ZoneLink.State.UNKNOWN, 0, 0));
     }
 
     /** The verdicts of the last tick. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -31,7 +31,7 @@
 
 /**
  * The leader's tasks, on the fleet's thread: commits the newest configuration, brings members and limits in line with
- * it, receives heartbeats, moves rights, and keeps the voters spread over halls. Everything it does is a proposal;
+ * it, receives heartbeats, moves rights, and keeps the voters spread over zones. Everything it does is a proposal;
  * those of a former leader are refused.
  */
 public final class FleetLeader {
@@ -205,8 +205,8 @@
                                         : FleetMembership.joinCommand(member)));
             }
             var row = parts.table().members().get(member.name());
-            if (row == null || row.leaving() || !row.hall().equals(member.hall())) {
-                commands.add(rights(new LimitCommand.Join(member.name(), member.hall())));
+            if (row == null || row.leaving() || !row.zone().equals(member.zone())) {
+                commands.add(rights(new LimitCommand.Join(member.name(), member.zone())));
             }
         }
         parts.table().members().values().stream()
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ListedEngines.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ListedEngines.java
@@ -8,7 +8,7 @@
 import sandpaddle.decision.event.EngineListReceived;
 import sandpaddle.decision.event.EngineStatus;
 
-/** The engines that the list shows as up, and which of them stand in this gateway's hall. Used on the event loop. */
+/** The engines that the list shows as up, and which of them stand in this gateway's zone. Used on the event loop. */
 final class ListedEngines {
     private final int zone;
     private final Set<String> up = new LinkedHashSet<>();
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
@@ -31,7 +31,7 @@
  * by the event loop, except {@link #isBusy}.
  */
 public final class LoopCoordinator implements FleetCoordination {
-    /** Looks up a stored answer while the hall is isolated; {@code then} may be called on any thread. */
+    /** Looks up a stored answer while the zone is isolated; {@code then} may be called on any thread. */
     public interface StoredAnswerLookup {
         void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> then);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopEvent.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopEvent.java
@@ -28,6 +28,6 @@
     /** The first query of a tenant was received. */
     record TenantSeen(long nowUs, String tenant) implements LoopEvent {}
 
-    /** A query was received, which may be repeated while the hall is isolated. */
+    /** A query was received, which may be repeated while the zone is isolated. */
     record QueryReceived(long nowUs, int classIndex, String tenant, Query query) implements LoopEvent {}
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -27,7 +27,7 @@
     /**
      * Empty where the query goes its usual way.
      *
-     * @param mayRunInside whether an engine within the hall may answer it
+     * @param mayRunInside whether an engine within the zone may answer it
      * @param returnAt when (wall, ms) the link is expected back
      */
     Optional<Answer> answer(Decision decision, boolean isolated, boolean mayRunInside, long wallMs, long returnAt) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -31,8 +31,8 @@
 import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.outage.margin.Margins;
 import sandpaddle.fleet.outage.phase.Evidence;
-import sandpaddle.fleet.outage.phase.HallPhase;
 import sandpaddle.fleet.outage.phase.Phase;
+import sandpaddle.fleet.outage.phase.ZonePhase;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.AskHistory;
 import sandpaddle.fleet.outage.plan.Budget;
@@ -47,8 +47,8 @@
 import sandpaddle.query.ResultSet;
 
 /**
- * One gateway's part in its hall's outages: stores what was answered, fetches what the plan names, replicates it to the
- * neighbour that owns it too, and answers from it while the hall is cut off. All calls come from the thread {@code
+ * One gateway's part in its zone's outages: stores what was answered, fetches what the plan names, replicates it to the
+ * neighbour that owns it too, and answers from it while the zone is cut off. All calls come from the thread {@code
  * fleet-content}, which may wait for the disk.
  */
 public final class OutageService {
@@ -68,7 +68,7 @@
     private final MonotonicClock clock;
     private final long process;
     private final AnswerFetcher fetching;
-    private final HallPhase phase;
+    private final ZonePhase phase;
     private final Margins margins;
     private final ContentStore store;
     private final ContentReplicaStore shelf;
@@ -97,8 +97,8 @@
         this.store = store;
         this.fetching = fetching;
         margins = new Margins(settings.margins());
-        phase = new HallPhase(
-                itself.hall(), settings.schedule(), margins, settings.margins().maxMs(), settings.phase());
+        phase = new ZonePhase(
+                itself.zone(), settings.schedule(), margins, settings.margins().maxMs(), settings.phase());
         shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
         copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
         links = new ReplicationLinks(over, copies);
@@ -124,7 +124,7 @@
         return System.currentTimeMillis();
     }
 
-    /** The hall's gateways that live, this one among them. */
+    /** The zone's gateways that live, this one among them. */
     public void neighbours(Set<String> names) {
         Set<String> before = new TreeSet<>(live);
         live.clear();
@@ -263,7 +263,7 @@
         });
     }
 
-    /** Whether the hall is cut off, as of the last {@link #tick}. */
+    /** Whether the zone is cut off, as of the last {@link #tick}. */
     public boolean isIsolated() {
         return phase.phase() == Phase.ISOLATED;
     }
@@ -272,7 +272,7 @@
         return phase.phase();
     }
 
-    /** The answer to a query while the hall is cut off; empty where it goes its usual way after all. */
+    /** The answer to a query while the zone is cut off; empty where it goes its usual way after all. */
     public void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> answer) {
         long nowUs = clock.now();
         long wallMs = wall();
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -18,14 +18,14 @@
 import sandpaddle.fleet.node.TaskThread;
 import sandpaddle.fleet.node.loop.LoopEvent;
 import sandpaddle.fleet.outage.phase.Evidence;
-import sandpaddle.fleet.verdict.HallLink;
+import sandpaddle.fleet.verdict.ZoneLink;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.query.Answer;
 import sandpaddle.query.Query;
 
 /**
- * The hall's outages on a thread of their own ({@code fleet-content}), which waits for the disk so that nobody else
+ * The zone's outages on a thread of their own ({@code fleet-content}), which waits for the disk so that nobody else
  * does. What it finds is published for the fleet's thread; what it is told is queued, bounded, and may be lost.
  */
 public final class OutageThread implements AutoCloseable {
@@ -35,7 +35,7 @@
     private final OutageService service;
     private final MonotonicClock clock;
     private volatile FleetView.Isolation isolation = FleetView.Isolation.NONE;
-    private volatile HallLink link;
+    private volatile ZoneLink link;
     private volatile long heardOutsideAt;
 
     /** {@code directory}: of this gateway, null for none; {@code busy}: whether live traffic needs all there is. */
@@ -73,26 +73,26 @@
     }
 
     private void tick(boolean busy) {
-        HallLink hallLink = link;
-        Evidence evidence = hallLink == null || hallLink.state() == HallLink.State.UNKNOWN
+        ZoneLink zoneLink = link;
+        Evidence evidence = zoneLink == null || zoneLink.state() == ZoneLink.State.UNKNOWN
                 ? Evidence.NONE
                 : new Evidence(
-                        hallLink.state() == HallLink.State.CONNECTED
+                        zoneLink.state() == ZoneLink.State.CONNECTED
                                 ? Evidence.Link.REACHABLE
                                 : Evidence.Link.UNREACHABLE,
-                        hallLink.sinceUs());
+                        zoneLink.sinceUs());
         service.tick(evidence, heardOutsideAt, busy);
         if (service.isIsolated() != isolation.isIsolated()) {
             isolation = new FleetView.Isolation(service.isIsolated(), clock.now(), 0);
         }
     }
 
-    /** What the fleet's thread knows of the hall's link now. */
-    public void link(HallLink now) {
+    /** What the fleet's thread knows of the zone's link now. */
+    public void link(ZoneLink now) {
         link = now;
     }
 
-    /** Something came from outside the hall. */
+    /** Something came from outside the zone. */
     public void heardOutside(long at) {
         heardOutsideAt = at;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -36,8 +36,8 @@
     private static final int SPARE_PART = 4;
     private static final double FADED = 0.25; // what evening out leaves of a demand that is over takes no connection
 
-    /** What the leader knows besides demand; {@code halls}: of the gateways that take part, by name. */
-    public record Known(Optional<Policy> policy, List<PoolEngine> engines, Map<String, String> halls) {
+    /** What the leader knows besides demand; {@code zones}: of the gateways that take part, by name. */
+    public record Known(Optional<Policy> policy, List<PoolEngine> engines, Map<String, String> zones) {
         public static final Known NOTHING = new Known(Optional.empty(), List.of(), Map.of());
     }
 
@@ -102,7 +102,7 @@
 
     private SolverInput solverInput(FleetState state) {
         List<SolverInput.Gateway> gateways = new ArrayList<>();
-        known.halls().forEach((name, hall) -> gateways.add(new SolverInput.Gateway(name, hall)));
+        known.zones().forEach((name, zone) -> gateways.add(new SolverInput.Gateway(name, zone)));
         List<SolverInput.Engine> engines = known.engines().stream()
                 .filter(PoolEngine::up)
                 .map(e -> new SolverInput.Engine(e.name(), e.kind(), false))
@@ -110,7 +110,7 @@
         boolean spare = hasSpare();
         List<SolverInput.Demand> all = new ArrayList<>();
         demands.forEach((limit, of) -> of.forEach((slot, n) -> {
-            if (known.halls().containsKey(slot.member()) && all.size() < SolverInput.MAX_DEMANDS) {
+            if (known.zones().containsKey(slot.member()) && all.size() < SolverInput.MAX_DEMANDS) {
                 all.add(new SolverInput.Demand(
                         slot.tenant(),
                         "",
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
@@ -33,7 +33,7 @@
     private final PoolEngines engines;
     private final ActivePoolPolicy ruling = new ActivePoolPolicy();
     private final PoolAllocator allocator = new PoolAllocator();
-    private Map<String, String> halls = Map.of();
+    private Map<String, String> zones = Map.of();
 
     /** {@code kinds}: of engines, their names by number. */
     public PoolCoordinator(RightsManager rights, PoolBudget budget, List<String> kinds) {
@@ -53,8 +53,8 @@
     /** What the fleet goes by now. */
     public void rules(FleetConfig agreed) {
         Map<String, String> next = new HashMap<>();
-        agreed.members().forEach(member -> next.put(member.name(), member.hall()));
-        halls = Map.copyOf(next);
+        agreed.members().forEach(member -> next.put(member.name(), member.zone()));
+        zones = Map.copyOf(next);
         if (ruling.agreed(agreed)) {
             rights.pool(ruling.policy(), ruling.isBehind());
         }
@@ -66,7 +66,7 @@
 
     /** What conditions are judged by, once all that is known here was handed on. */
     public FleetState state(long nowUs, List<FleetView.Verdict> verdicts, Set<String> isolated) {
-        allocator.known(new PoolAllocator.Known(ruling.policy(), engines.all(nowUs), halls));
+        allocator.known(new PoolAllocator.Known(ruling.policy(), engines.all(nowUs), zones));
         return state(engines.all(nowUs), verdicts, isolated);
     }
 
@@ -93,7 +93,7 @@
         List<PoolEngine> all = engines.all(nowUs);
         rights.poolEngines(all);
         Map<String, Integer> control = new HashMap<>();
-        ruling.policy().filter(p -> !ruling.isBehind() && !halls.isEmpty()).ifPresent(p -> control(p, all, control));
+        ruling.policy().filter(p -> !ruling.isBehind() && !zones.isEmpty()).ifPresent(p -> control(p, all, control));
         budget.control(control);
     }
 
@@ -106,7 +106,7 @@
                     .map(b -> (int) Math.min(
                                     b.connections(),
                                     Capacity.ofEngine(budgets, b, false).control())
-                            / halls.size())
+                            / zones.size())
                     .filter(n -> n > 0)
                     .ifPresent(n -> control.put(e.name(), n));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
@@ -32,7 +32,7 @@
     private final RightsHolder holder;
     private final SlotNumbering numbering;
     private final MeasuredUsage demand;
-    private final String hall;
+    private final String zone;
     private final List<String> classes;
     private final Publication<FleetView> views;
     private final PoolSlots pools = new PoolSlots();
@@ -45,16 +45,16 @@
     public RightsManager(
             String member,
             long incarnation,
-            String hall,
+            String zone,
             List<String> classes,
             LimitSettings settings,
             List<SavedFloor> floors,
             SharedState shared,
             long nowUs) {
-        this.hall = hall;
+        this.zone = zone;
         this.classes = classes;
         views = shared.views();
-        numbering = new SlotNumbering(classes, hall);
+        numbering = new SlotNumbering(classes, zone);
         demand = new MeasuredUsage(numbering, shared.usages(), shared.connections());
         holder = new RightsHolder(member, incarnation, nowUs, settings, demand, floors);
     }
@@ -147,7 +147,7 @@
                     holder.limitFor(
                                     spec,
                                     new LimitScope(
-                                            hall,
+                                            zone,
                                             s.requestClass() == null ? null : cls.isEmpty() ? s.requestClass() : cls,
                                             s.tenant() == null ? null : tenant.isEmpty() ? s.tenant() : tenant,
                                             s.engine() == null ? null : engine.isEmpty() ? s.engine() : engine))
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
@@ -26,13 +26,13 @@
     record Order(long number, List<LimitSlot> slots, Map<Rights.Key, Integer> places) {}
 
     private final List<String> classes;
-    private final String hall;
+    private final String zone;
     private final ArrayDeque<Order> orders = new ArrayDeque<>(); // the latest first
     private List<LimitSlot> each = List.of();
 
-    SlotNumbering(List<String> classes, String hall) {
+    SlotNumbering(List<String> classes, String zone) {
         this.classes = classes;
-        this.hall = hall;
+        this.zone = zone;
         orders.add(new Order(0, List.of(), Map.of()));
     }
 
@@ -71,9 +71,9 @@
 
     /** A limit of a class that no query here has must not count them all. */
     private boolean bindsHere(LimitSpec spec) {
-        String of = spec.scope().hall();
+        String of = spec.scope().zone();
         String cls = spec.scope().requestClass();
-        return (of == null || of.equals(hall) || of.equals(LimitScope.EACH))
+        return (of == null || of.equals(zone) || of.equals(LimitScope.EACH))
                 && (cls == null || classes.contains(cls) || cls.equals(LimitScope.EACH));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
@@ -9,7 +9,7 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * How far outages stray from their plan, by hall and rule: the margin before is the quantile of how early earlier
+ * How far outages stray from their plan, by zone and rule: the margin before is the quantile of how early earlier
  * ones began, the margin after that of how late they ended, each clipped to the settings. Exact quantiles over the
  * last {@value OffsetHistory#SIZE} windows: a sketch as KLL would save nothing at so few, and never forget. A missed
  * window moves no margin, nor does one in which the clock was set; an offset beyond the longest margin counts as that,
@@ -27,7 +27,7 @@
         private long missed;
     }
 
-    private record RuleKey(String hall, String rule) {}
+    private record RuleKey(String zone, String rule) {}
 
     private final MarginSettings settings;
     private final Map<RuleKey, Learnt> byRule = new LinkedHashMap<>(16, 0.75f, true) {
@@ -46,7 +46,7 @@
     /** Learns from a window that is over; one that several rules made teaches each of them. */
     public void learn(WindowOutcome e) {
         for (String rule : e.rules()) {
-            Learnt l = byRule.computeIfAbsent(new RuleKey(e.hall(), rule), p -> new Learnt());
+            Learnt l = byRule.computeIfAbsent(new RuleKey(e.zone(), rule), p -> new Learnt());
             if (e.doubtful()) {
                 continue;
             }
@@ -64,27 +64,27 @@
     }
 
     /** How long (ms) before its planned beginning a window may begin: the longest of its rules' margins. */
-    public long before(String hall, Iterable<String> rules) {
-        return max(hall, rules, l -> l.early.isEmpty() ? 0 : l.early.quantile(settings.quantile()));
+    public long before(String zone, Iterable<String> rules) {
+        return max(zone, rules, l -> l.early.isEmpty() ? 0 : l.early.quantile(settings.quantile()));
     }
 
     /** How long (ms) after its planned end a window may end. */
-    public long after(String hall, Iterable<String> rules) {
-        return max(hall, rules, l -> l.late.isEmpty() ? 0 : l.late.quantile(settings.quantile()));
+    public long after(String zone, Iterable<String> rules) {
+        return max(zone, rules, l -> l.late.isEmpty() ? 0 : l.late.quantile(settings.quantile()));
     }
 
-    private long max(String hall, Iterable<String> rules, ToLongFunction<Learnt> margin) {
+    private long max(String zone, Iterable<String> rules, ToLongFunction<Learnt> margin) {
         long max = settings.minMs();
         for (String rule : rules) {
-            Learnt l = byRule.get(new RuleKey(hall, rule));
+            Learnt l = byRule.get(new RuleKey(zone, rule));
             max = Math.max(max, settings.clip(l == null ? 0 : margin.applyAsLong(l)));
         }
         return max;
     }
 
     /** Windows of a rule that passed without a loss. */
-    public long missed(String hall, String rule) {
-        Learnt l = byRule.get(new RuleKey(hall, rule));
+    public long missed(String zone, String rule) {
+        Learnt l = byRule.get(new RuleKey(zone, rule));
         return l == null ? 0 : l.missed;
     }
 
@@ -93,7 +93,7 @@
         return new CborOut()
                 .number(VERSION)
                 .list(new ArrayList<>(byRule.entrySet()), (out, e) -> {
-                    out.text(e.getKey().hall).text(e.getKey().rule).number(e.getValue().missed);
+                    out.text(e.getKey().zone).text(e.getKey().rule).number(e.getValue().missed);
                     offsets(out, e.getValue().early);
                     offsets(out, e.getValue().late);
                 })
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
@@ -8,4 +8,4 @@
  * meanwhile, or the outage was under way before the window or ran into the next: the offsets tell nothing of it.
  */
 public record WindowOutcome(
-        String hall, Set<String> rules, boolean missed, boolean doubtful, long startLateMs, long endLateMs) {}
+        String zone, Set<String> rules, boolean missed, boolean doubtful, long startLateMs, long endLateMs) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Episode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Episode.java
@@ -65,6 +65,6 @@
         }
         Set<String> rules = new TreeSet<>(window.rules());
         return Optional.of(
-                new WindowOutcome(window.hall(), rules, !lost, doubtful, lossLate, lost ? backAt - planned.to() : 0));
+                new WindowOutcome(window.zone(), rules, !lost, doubtful, lossLate, lost ? backAt - planned.to() : 0));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Evidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Evidence.java
@@ -1,11 +1,11 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * What is known of a hall's link to the engines. {@code since}: monotonic time (us) from which on it has been so
+ * What is known of a zone's link to the engines. {@code since}: monotonic time (us) from which on it has been so
  * without a break; a verdict without fresh evidence is {@link Link#UNKNOWN}.
  */
 public record Evidence(Link link, long since) {
-    /** Whether engines outside the hall answer. */
+    /** Whether engines outside the zone answer. */
     public enum Link {
         REACHABLE,
         UNREACHABLE,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -1,11 +1,11 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * Where a hall stands. The schedule moves it between the first three only; into and out of {@link #ISOLATED} leads
- * evidence alone, so that a clock that was set, or a schedule that is wrong, never makes a hall serve stored answers.
+ * Where a zone stands. The schedule moves it between the first three only; into and out of {@link #ISOLATED} leads
+ * evidence alone, so that a clock that was set, or a schedule that is wrong, never makes a zone serve stored answers.
  */
 public enum Phase {
-    /** The hall reaches the engines, and nothing else is expected soon. */
+    /** The zone reaches the engines, and nothing else is expected soon. */
     CONNECTED {
         @Override
         Phase next(PhaseInputs s) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseInputs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseInputs.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * What a hall's phase is judged by in one turn.
+ * What a zone's phase is judged by in one turn.
  *
  * @param lost evidence of loss held long enough
  * @param back evidence of return held long enough
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.outage.phase;
 
-/** A hall's transition from one phase to another, with its reason. */
+/** A zone's transition from one phase to another, with its reason. */
 public record PhaseTransition(Phase from, Phase to, Why why) {
     /** What led there. */
     public enum Why {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/HallPhase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/ZonePhase.java
@@ -11,17 +11,17 @@
 import sandpaddle.fleet.outage.schedule.Window;
 
 /**
- * The state machine of one hall: from the schedule it learns what to expect, from evidence on the hall's link what is
+ * The state machine of one zone: from the schedule it learns what to expect, from evidence on the zone's link what is
  * so. The wall clock serves the schedule alone; dwell times run on monotonic time. A wall clock that moves against the
  * monotonic one by more than {@value #STEP_MS} ms between two turns counts as set: what is expected is judged anew, a
- * window under way teaches nothing, and the hall is neither cut off nor back because of it. A turn costs a look at
+ * window under way teaches nothing, and the zone is neither cut off nor back because of it. A turn costs a look at
  * the windows of the next hours; memory is one window and {@value #MAX_ENDINGS} endings.
  */
-public final class HallPhase {
+public final class ZonePhase {
     static final long STEP_MS = 2000;
     static final int MAX_ENDINGS = 64;
 
-    private final String hall;
+    private final String zone;
     private final PhaseSettings settings;
     private final Margins margins;
     private final long maxMarginMs;
@@ -37,8 +37,8 @@
     private TimeRange done; // the window that ended last, so that its margin does not begin it again
 
     /** {@code maxMarginMs}: the longest margin that {@code margins} gives; windows so long past still count. */
-    public HallPhase(String hall, Schedule schedule, Margins margins, long maxMarginMs, PhaseSettings settings) {
-        this.hall = hall;
+    public ZonePhase(String zone, Schedule schedule, Margins margins, long maxMarginMs, PhaseSettings settings) {
+        this.zone = zone;
         this.schedule = schedule;
         this.margins = margins;
         this.maxMarginMs = maxMarginMs;
@@ -137,7 +137,7 @@
                 episode = null;
             });
         }
-        List<Window> windows = schedule.windows(hall, wall - maxMarginMs, settings.expectMs() + 2 * maxMarginMs);
+        List<Window> windows = schedule.windows(zone, wall - maxMarginMs, settings.expectMs() + 2 * maxMarginMs);
         if (episode != null) {
             replan(windows, wall);
         }
@@ -212,11 +212,11 @@
     }
 
     private long before(Window w) {
-        return margins.before(hall, w.rules());
+        return margins.before(zone, w.rules());
     }
 
     private long after(Window w) {
-        return margins.after(hall, w.rules());
+        return margins.after(zone, w.rules());
     }
 
     private long earliestLoss() {
@@ -224,7 +224,7 @@
         return w.span().from() - before(w);
     }
 
-    /** When (wall, ms) the loss may come at the earliest, where a window is expected and the hall is not cut off. */
+    /** When (wall, ms) the loss may come at the earliest, where a window is expected and the zone is not cut off. */
     public Optional<Long> lossAt() {
         return episode == null || phase == Phase.ISOLATED ? Optional.empty() : Optional.of(earliestLoss());
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
@@ -15,7 +15,7 @@
  * What was learnt of answers that may be stored: whose they are, what they cost an engine and how large they are, as
  * the last few told (exponentially weighted). Bounded by entries and by the bytes of their statements; the one not
  * asked for longest goes first. Neighbours' asks come in as {@link #wanted}, so that the one gateway that fetches for
- * all knows what all of the hall ask.
+ * all knows what all of the zone ask.
  */
 public final class Catalogue {
     private static final double NEWEST = 0.3;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -11,8 +11,8 @@
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
- * Prefetching of one gateway: hears what is asked and what answers cost, and while its hall expects to be cut off says
- * which answers to fetch now. Every answer is fetched by one gateway of the hall, the first of its {@link
+ * Prefetching of one gateway: hears what is asked and what answers cost, and while its zone expects to be cut off says
+ * which answers to fetch now. Every answer is fetched by one gateway of the zone, the first of its {@link
  * ReplicaOwners}; the others tell that one how often they expect it to be asked. The plan is made anew every {@code
  * replanUs}, so that it follows what was fetched, what was not, and how near the loss is. A turn costs O(n log n) for n
  * candidates when it plans, and next to nothing otherwise.
@@ -24,7 +24,7 @@
     /** An expectation for the gateway that fetches the answer. */
     public record Want(String to, Candidate what, double asks) {}
 
-    /** What surrounds a turn: the hall's phase, the expected outage (wall, ms), its live gateways, this one among. */
+    /** What surrounds a turn: the zone's phase, the expected outage (wall, ms), its live gateways, this one among. */
     public record View(Phase phase, Optional<TimeRange> outage, Collection<String> live) {}
 
     private final String self;
@@ -39,7 +39,7 @@
 
     /**
      * {@code budget}: of this gateway alone. Its bytes are the store's, divided by {@link ReplicaOwners#COPIES}, since
-     * as much again comes from neighbours; its work is the hall's, divided by its gateways.
+     * as much again comes from neighbours; its work is the zone's, divided by its gateways.
      */
     public Prefetcher(String self, Budget budget, long replanUs, AskHistory history, Catalogue catalogue) {
         this.self = self;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
@@ -8,7 +8,7 @@
 import sandpaddle.fleet.content.ContentId;
 
 /**
- * Which gateways of a hall hold an answer: rendezvous hashing (Thaler and Ravishankar 1998) ranks the live ones for
+ * Which gateways of a zone hold an answer: rendezvous hashing (Thaler and Ravishankar 1998) ranks the live ones for
  * each answer, and the first {@value #COPIES} hold it; the first of them asks the engine. When a gateway dies, only
  * what it held finds a new holder, and the one left copies it there. O(gateways) for an answer.
  */
@@ -17,7 +17,7 @@
 
     private ReplicaOwners() {}
 
-    /** The holders of an answer among the hall's live gateways, the one that asks first. */
+    /** The holders of an answer among the zone's live gateways, the one that asks first. */
     public static List<String> of(ContentId id, Collection<String> live) {
         List<String> ranked = new ArrayList<>(live);
         ranked.sort(Comparator.comparingLong((String name) -> score(id, name))
--- a/gateway/src/main/java/sandpaddle/fleet/outage/recovery/ReturnScheduler.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/ReturnScheduler.java
@@ -6,7 +6,7 @@
 import sandpaddle.overload.RetryAfterScheduler;
 
 /**
- * Brings a hall back: clients that were refused in the outage get places in a calendar of slots (the one that spreads
+ * Brings a zone back: clients that were refused in the outage get places in a calendar of slots (the one that spreads
  * retry storms), and refreshes of stored answers take a small part of what is left. Both go by warm capacity, the work
  * a second that engines can do whose caches are filled, so that a cold engine is given nothing that it cannot do yet.
  * Clients come first: a refresh gets no more than its share, and nothing while live traffic or a storm needs it.
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /**
- * Floors for the length of an expected outage: the gateways of the hall that leaves get what they are expected to
+ * Floors for the length of an expected outage: the gateways of the zone that leaves get what they are expected to
  * need, within a stated part of the limit, and the floors of all others shrink by as much in proportion, each to its
  * least at most. The sum of floors never grows, so that whatever bound on a limit held with the usual floors holds
  * with these. While the shift lasts is a matter of the wall clock; that a right is another's only once its holder
@@ -24,26 +24,26 @@
         return wall >= leave.lossAt() - settings.leadMs() && wall < leave.returnAt();
     }
 
-    /** The halls whose shift is in force: by schedule, or because they are still cut off. */
+    /** The zones whose shift is in force: by schedule, or because they are still cut off. */
     public static Set<String> leaving(
             List<PlannedOutage> leaves, Set<String> cutOff, long wall, RightsSettings settings) {
-        Set<String> halls = new TreeSet<>();
-        leaves.stream().filter(l -> isInForce(l, wall, settings)).forEach(l -> halls.add(l.hall()));
+        Set<String> zones = new TreeSet<>();
+        leaves.stream().filter(l -> isInForce(l, wall, settings)).forEach(l -> zones.add(l.zone()));
         // unannounced outages move nothing: who is cut off hears of no new floor
         leaves.stream()
-                .filter(l -> cutOff.contains(l.hall()) && wall >= l.lossAt() - settings.leadMs())
-                .forEach(l -> halls.add(l.hall()));
-        return halls;
+                .filter(l -> cutOff.contains(l.zone()) && wall >= l.lossAt() - settings.leadMs())
+                .forEach(l -> zones.add(l.zone()));
+        return zones;
     }
 
-    /** The floors of all gateways of one limit while some halls leave; the usual ones where none does. */
+    /** The floors of all gateways of one limit while some zones leave; the usual ones where none does. */
     public static Map<String, Long> floors(long limit, List<FloorShare> shares, Set<String> leaving, RightsSettings s) {
         Map<String, Long> floors = new LinkedHashMap<>();
         shares.forEach(x -> floors.put(x.gateway(), x.floor()));
         List<FloorShare> going =
-                shares.stream().filter(x -> leaving.contains(x.hall())).toList();
+                shares.stream().filter(x -> leaving.contains(x.zone())).toList();
         List<FloorShare> staying =
-                shares.stream().filter(x -> !leaving.contains(x.hall())).toList();
+                shares.stream().filter(x -> !leaving.contains(x.zone())).toList();
         long wanted =
                 going.stream().mapToLong(x -> Math.max(0, x.need() - x.floor())).sum();
         long spare = staying.stream()
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/PlannedOutage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/rights/PlannedOutage.java
@@ -1,4 +1,4 @@
 package sandpaddle.fleet.outage.rights;
 
-/** An expected outage of a hall, margins included, by the wall clock (ms). */
-public record PlannedOutage(String hall, long lossAt, long returnAt) {}
+/** An expected outage of a zone, margins included, by the wall clock (ms). */
+public record PlannedOutage(String zone, long lossAt, long returnAt) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/RightsSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/rights/RightsSettings.java
@@ -6,7 +6,7 @@
  * @param leaseMs a gateway uses its rights so long at most without being told of others
  * @param reclaimMs attempts begun on a right have ended at the engines so long after it was given up
  * @param slackMs for the agreement itself, and for clocks
- * @param maxShare of a limit that the floors of all halls about to be cut off may take together
+ * @param maxShare of a limit that the floors of all zones about to be cut off may take together
  * @param minEach floor that every gateway keeps that had as much before
  */
 public record RightsSettings(long leaseMs, long reclaimMs, long slackMs, double maxShare, long minEach) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Expansion.java
@@ -8,14 +8,14 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * The windows of one rule within a look-ahead. The recurrence runs on local times without a zone, and each is then
- * placed by the zone's rules: a time that the clocks skip is later by what they skip, a time that they show twice is
- * the first of both (RFC 5545, 3.3.10 and 3.3.5). At most {@value #MAX_OCCURRENCES} beginnings are looked at.
+ * The windows of one rule within a look-ahead. The recurrence runs on local times without a time zone, and each is then
+ * placed by the time zone's rules: a time that the clocks skip is later by what they skip, a time that they show twice
+ * is the first of both (RFC 5545, 3.3.10 and 3.3.5). At most {@value #MAX_OCCURRENCES} beginnings are looked at.
  */
 final class Expansion {
     /** Beginnings of one rule in one look-ahead: hourly windows for 40 days. */
     static final int MAX_OCCURRENCES = 1000;
-    /** Zones are at most 18 hours from UTC; a day more covers every change of the clocks. */
+    /** Time zones are at most 18 hours from UTC; a day more covers every change of the clocks. */
     private static final int SLACK_DAYS = 2;
 
     private Expansion() {}
@@ -55,7 +55,7 @@
     }
 
     private static TimeRange place(Rule rule, LocalDateTime begin) {
-        long from = ZonedDateTime.of(begin, rule.zone()).toInstant().toEpochMilli();
+        long from = ZonedDateTime.of(begin, rule.timeZone()).toInstant().toEpochMilli();
         return new TimeRange(from, from + rule.length().toMillis());
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RawRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RawRule.java
@@ -9,8 +9,8 @@
 public record RawRule(
         String path,
         String name,
-        String hall,
         String zone,
+        String timeZone,
         String start,
         String length,
         String rrule,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Rule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Rule.java
@@ -8,15 +8,15 @@
 import org.dmfs.rfc5545.recur.RecurrenceRule;
 
 /**
- * When a hall is expected to lose its uplink: once, or by a recurrence of RFC 5545. {@code first} is the first
- * window's beginning by the clocks of {@code zone}; {@code recurrence} is empty for a window that comes once. Each
+ * When a zone is expected to lose its uplink: once, or by a recurrence of RFC 5545. {@code first} is the first
+ * window's beginning by the clocks of {@code timeZone}; {@code recurrence} is empty for a window that comes once. Each
  * window lasts {@code length} of elapsed time, whatever the clocks are set to meanwhile. {@code except} names
- * beginnings that do not come (EXDATE), by the clocks of the zone.
+ * beginnings that do not come (EXDATE), by the clocks of the time zone.
  */
 public record Rule(
         String name,
-        String hall,
-        ZoneId zone,
+        String zone,
+        ZoneId timeZone,
         LocalDateTime first,
         Duration length,
         String recurrence,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RuleReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RuleReader.java
@@ -65,10 +65,10 @@
         } else if (!names.add(r.name())) {
             fault(r.path(), "name", r.name(), "a name that no other rule has");
         }
-        if (!NAME.matcher(r.hall()).matches()) {
-            fault(r.path(), "hall", r.hall(), "a hall's name of 1 to 64 letters, digits, dots, dashes, underscores");
+        if (!NAME.matcher(r.zone()).matches()) {
+            fault(r.path(), "hall", r.zone(), "a hall's name of 1 to 64 letters, digits, dots, dashes, underscores");
         }
-        ZoneId zone = zone(r);
+        ZoneId timeZone = timeZone(r);
         LocalDateTime first = time(r.path(), "start", r.start());
         Duration length = length(r);
         if (!r.rrule().isEmpty() && first != null) {
@@ -84,14 +84,14 @@
                 except.add(t);
             }
         }
-        return new Rule(r.name(), r.hall(), zone, first, length, r.rrule(), except);
+        return new Rule(r.name(), r.zone(), timeZone, first, length, r.rrule(), except);
     }
 
-    private ZoneId zone(RawRule r) {
+    private ZoneId timeZone(RawRule r) {
         try {
-            return ZoneId.of(r.zone());
+            return ZoneId.of(r.timeZone());
         } catch (DateTimeException e) {
-            fault(r.path(), "zone", r.zone(), "a time zone as Europe/Berlin, UTC or +02:00");
+            fault(r.path(), "zone", r.timeZone(), "a time zone as Europe/Berlin, UTC or +02:00");
             return null;
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 
 /**
- * When halls are expected to lose their uplink: windows that come once and recurrences (RFC 5545, by lib-recur),
- * placed by time zone and merged by hall where they overlap. It only says what is expected; that a hall is cut off
+ * When zones are expected to lose their uplink: windows that come once and recurrences (RFC 5545, by lib-recur),
+ * placed by time zone and merged by zone where they overlap. It only says what is expected; that a zone is cut off
  * takes evidence. A look-ahead is expanded once and kept until it no longer covers what is asked; it costs at most
- * {@value Expansion#MAX_OCCURRENCES} steps a rule and holds at most {@value #MAX_WINDOWS} windows a hall.
+ * {@value Expansion#MAX_OCCURRENCES} steps a rule and holds at most {@value #MAX_WINDOWS} windows a zone.
  */
 public final class Schedule {
     /** Rules in one schedule. */
@@ -27,7 +27,7 @@
     private record Ahead(TimeRange covered, List<Window> windows) {}
 
     private final List<Rule> rules;
-    private final Map<String, Ahead> byHall = new HashMap<>(); // an entry a hall that a rule names
+    private final Map<String, Ahead> byZone = new HashMap<>(); // an entry a zone that a rule names
 
     public Schedule(List<Rule> rules) {
         this.rules = List.copyOf(rules);
@@ -37,28 +37,28 @@
         return rules;
     }
 
-    /** The merged windows of a hall that end after {@code wall} (ms) and begin within {@code ahead} (ms) of it. */
-    public List<Window> windows(String hall, long wall, long ahead) {
+    /** The merged windows of a zone that end after {@code wall} (ms) and begin within {@code ahead} (ms) of it. */
+    public List<Window> windows(String zone, long wall, long ahead) {
         long until = wall + Math.min(ahead, AHEAD_MS / 2);
-        Ahead known = byHall.get(hall);
+        Ahead known = byZone.get(zone);
         if (known == null || known.covered.from() + BEHIND_MS / 2 > wall || known.covered.to() < until) {
-            if (rules.stream().noneMatch(r -> r.hall().equals(hall))) {
+            if (rules.stream().noneMatch(r -> r.zone().equals(zone))) {
                 return List.of();
             }
-            known = expand(hall, new TimeRange(wall - BEHIND_MS, wall + AHEAD_MS));
-            byHall.put(hall, known);
+            known = expand(zone, new TimeRange(wall - BEHIND_MS, wall + AHEAD_MS));
+            byZone.put(zone, known);
         }
         return known.windows.stream()
                 .filter(w -> w.span().to() > wall && w.span().from() <= until)
                 .toList();
     }
 
-    private Ahead expand(String hall, TimeRange asked) {
+    private Ahead expand(String zone, TimeRange asked) {
         List<Window> all = new ArrayList<>();
         for (Rule r : rules) {
-            if (r.hall().equals(hall)) {
+            if (r.zone().equals(zone)) {
                 for (TimeRange s : Expansion.of(r, asked)) {
-                    all.add(new Window(hall, s, new TreeSet<>(List.of(r.name()))));
+                    all.add(new Window(zone, s, new TreeSet<>(List.of(r.name()))));
                 }
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
@@ -3,13 +3,13 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** An expected outage of a hall: overlapping windows made one, with the names of the rules that it came from. */
-public record Window(String hall, TimeRange span, SortedSet<String> rules) {
+/** An expected outage of a zone: overlapping windows made one, with the names of the rules that it came from. */
+public record Window(String zone, TimeRange span, SortedSet<String> rules) {
     Window with(Window other) {
         SortedSet<String> all = new TreeSet<>(rules);
         all.addAll(other.rules);
         return new Window(
-                hall,
+                zone,
                 new TimeRange(Math.min(span.from(), other.span.from()), Math.max(span.to(), other.span.to())),
                 all);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
@@ -17,8 +17,8 @@
 import sandpaddle.fleet.pool.model.Statement;
 
 /**
- * Tells rules that never hold. Times of day in several zones are compared over each minute of a day in winter and one
- * in summer; a relation that holds only in the hours when clocks change is not seen.
+ * Tells rules that never hold. Times of day in several time zones are compared over each minute of a day in winter and
+ * one in summer; a relation that holds only in the hours when clocks change is not seen.
  */
 final class ConditionsCheck {
     static final List<Instant> DAYS =
@@ -40,7 +40,7 @@
     }
 
     private String never(List<Condition> when) {
-        List<TimeOfDay> zoned = new ArrayList<>();
+        List<TimeOfDay> withTimeZone = new ArrayList<>();
         List<TimeOfDay> local = new ArrayList<>();
         for (int i = 0; i < when.size(); i++) {
             Condition a = when.get(i);
@@ -48,7 +48,7 @@
                 if (time.from() == time.to()) {
                     return "a time of day that is empty";
                 }
-                (time.zone().isPresent() ? zoned : local).add(time);
+                (time.timeZone().isPresent() ? withTimeZone : local).add(time);
             }
             for (Condition b : when.subList(0, i)) {
                 if (a instanceof InPhase && b instanceof InPhase) {
@@ -59,14 +59,14 @@
                 }
             }
         }
-        return meet(zoned) && meet(local) ? null : "times of day that never meet";
+        return meet(withTimeZone) && meet(local) ? null : "times of day that never meet";
     }
 
-    /** While an outage lasts, none of the hall comes as conditions mean it. */
+    /** While an outage lasts, none of the zone comes as conditions mean it. */
     private static boolean excluded(Condition a, Condition b) {
         return a instanceof OutageLasts lasts
                 && b instanceof OutageWithin within
-                && lasts.hall().equals(within.hall());
+                && lasts.zone().equals(within.zone());
     }
 
     private boolean meet(List<TimeOfDay> times) {
@@ -76,7 +76,7 @@
         for (int minute = 0; minute < DAYS.size() * DAY; minute++) {
             boolean all = true;
             for (TimeOfDay time : times) {
-                all &= time.contains(minutesOf(time.zone().orElse(ZoneOffset.UTC))[minute]);
+                all &= time.contains(minutesOf(time.timeZone().orElse(ZoneOffset.UTC))[minute]);
             }
             if (all) {
                 return true;
@@ -85,9 +85,9 @@
         return false;
     }
 
-    /** The zone's time of day at each minute of the days that are looked at. */
-    private int[] minutesOf(ZoneId zone) {
-        return minutes.computeIfAbsent(zone, z -> {
+    /** The time zone's time of day at each minute of the days that are looked at. */
+    private int[] minutesOf(ZoneId timeZone) {
+        return minutes.computeIfAbsent(timeZone, z -> {
             int[] of = new int[DAYS.size() * DAY];
             for (int i = 0; i < of.length; i++) {
                 LocalTime time = LocalTime.ofInstant(DAYS.get(i / DAY).plusSeconds(i % DAY * 60L), z);
@@ -110,9 +110,12 @@
             return x.overPercent() >= y.overPercent();
         }
         if (a instanceof OutageWithin x && b instanceof OutageWithin y) {
-            return x.hall().equals(y.hall()) && x.within().compareTo(y.within()) <= 0;
+            return x.zone().equals(y.zone()) && x.within().compareTo(y.within()) <= 0;
         }
-        return a instanceof TimeOfDay x && b instanceof TimeOfDay y && x.zone().equals(y.zone()) && within(x, y);
+        return a instanceof TimeOfDay x
+                && b instanceof TimeOfDay y
+                && x.timeZone().equals(y.timeZone())
+                && within(x, y);
     }
 
     private static boolean within(TimeOfDay inner, TimeOfDay outer) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
@@ -16,7 +16,7 @@
 
 /**
  * How many connections all floors of one kind of selection need together, at least: floors by tenant are disjoint, as
- * are those by hall, so each such family adds up. A default counts for all that may be and have no floor of their own.
+ * are those by zone, so each such family adds up. A default counts for all that may be and have no floor of their own.
  */
 final class FloorSums {
     /** The sum of a family, and the statement that adds most to it. */
@@ -24,7 +24,7 @@
 
     private final int tenants;
     private final int classes;
-    private final int halls;
+    private final int zones;
     private final int gateways;
 
     FloorSums(Set<Selector> selections, int tenants, KnownNames known) {
@@ -34,7 +34,7 @@
                         names.computeIfAbsent(t.form(), f -> new HashSet<>()).add(t.name())));
         this.tenants = tenants + 1; // all others share one
         classes = known.classes().map(Set::size).orElse(Math.max(1, size(names, Form.CLASS)));
-        halls = known.halls().map(Set::size).orElse(Math.max(1, size(names, Form.HALL)));
+        zones = known.zones().map(Set::size).orElse(Math.max(1, size(names, Form.ZONE)));
         gateways = Math.max(known.maxGateways(), size(names, Form.GATEWAY));
     }
 
@@ -120,7 +120,7 @@
             size *= switch (term.form()) {
                 case ANY_TENANT -> tenants;
                 case ANY_CLASS -> classes;
-                case ANY_HALL -> halls;
+                case ANY_ZONE -> zones;
                 case ANY_GATEWAY -> gateways;
                 default -> 1;
             };
@@ -132,7 +132,7 @@
     static List<Selector> generals(Selector of) {
         List<Selector> generals = new ArrayList<>();
         int terms = of.terms().size();
-        Set<Form> replaceable = EnumSet.of(Form.TENANT, Form.CLASS, Form.GATEWAY, Form.HALL);
+        Set<Form> replaceable = EnumSet.of(Form.TENANT, Form.CLASS, Form.GATEWAY, Form.ZONE);
         for (int mask = 1; mask < 1 << terms; mask++) {
             List<Term> changed = new ArrayList<>(of.terms());
             boolean possible = true;
@@ -154,7 +154,7 @@
         return switch (form.dimension()) {
             case TENANT -> Form.ANY_TENANT;
             case CLASS -> Form.ANY_CLASS;
-            case PLACE -> form == Form.HALL ? Form.ANY_HALL : Form.ANY_GATEWAY;
+            case PLACE -> form == Form.ZONE ? Form.ANY_ZONE : Form.ANY_GATEWAY;
         };
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
@@ -64,7 +64,7 @@
                 }
             }
             case CLASS -> known.classes().ifPresent(names -> unknown(mention, "class", names));
-            case HALL -> known.halls().ifPresent(names -> unknown(mention, "hall", names));
+            case ZONE -> known.zones().ifPresent(names -> unknown(mention, "hall", names));
             case GATEWAY -> known.gateways().ifPresent(names -> unknown(mention, "gateway", names));
             case KIND -> known.engines().ifPresent(kinds -> unknown(mention, "engine kind", kinds.keySet()));
             default ->
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
@@ -24,7 +24,7 @@
 
 /**
  * States of the fleet that tell all combinations of a policy's conditions apart: each phase, a moment between any two
- * times of day, each threshold, each hall isolated or not, each outage. Where the combinations are too many, each
+ * times of day, each threshold, each zone isolated or not, each outage. Where the combinations are too many, each
  * change is tried by itself and all together, and {@code complete} is false.
  */
 record Scenarios(List<FleetState> states, boolean complete) {
@@ -83,11 +83,11 @@
             } else if (condition instanceof Condition.Condemned c) {
                 thresholds.add(c.overPercent());
             } else if (condition instanceof Condition.Isolated c) {
-                isolated.add(c.hall());
+                isolated.add(c.zone());
             } else if (condition instanceof Condition.OutageLasts c) {
-                outages.computeIfAbsent(c.hall(), h -> new TreeSet<>()).add(Duration.ZERO);
+                outages.computeIfAbsent(c.zone(), h -> new TreeSet<>()).add(Duration.ZERO);
             } else if (condition instanceof Condition.OutageWithin c) {
-                outages.computeIfAbsent(c.hall(), h -> new TreeSet<>()).add(c.within());
+                outages.computeIfAbsent(c.zone(), h -> new TreeSet<>()).add(c.within());
             }
         }
         List<Choice> choices = new ArrayList<>();
@@ -95,23 +95,24 @@
             choices.add(choice(
                     moments,
                     (s, now) -> new FleetState(
-                            now, s.zone(), s.phase(), s.condemnedShare(), s.isolatedHalls(), s.outages())));
+                            now, s.timeZone(), s.phase(), s.condemnedShare(), s.isolatedZones(), s.outages())));
         }
         if (!phases.isEmpty()) {
             choices.add(choice(
                     List.of(Phase.values()),
                     (s, phase) -> new FleetState(
-                            s.now(), s.zone(), phase, s.condemnedShare(), s.isolatedHalls(), s.outages())));
+                            s.now(), s.timeZone(), phase, s.condemnedShare(), s.isolatedZones(), s.outages())));
         }
         if (!thresholds.isEmpty()) {
             List<Double> shares = new ArrayList<>(List.of(0.0));
             thresholds.forEach(percent -> shares.add((percent + 0.5) / 100));
             choices.add(choice(
                     shares,
-                    (s, share) -> new FleetState(s.now(), s.zone(), s.phase(), share, s.isolatedHalls(), s.outages())));
+                    (s, share) ->
+                            new FleetState(s.now(), s.timeZone(), s.phase(), share, s.isolatedZones(), s.outages())));
         }
-        isolated.forEach(hall -> choices.add(choice(List.of(false, true), (s, is) -> is ? isolated(s, hall) : s)));
-        outages.forEach((hall, times) -> choices.add(outage(hall, times)));
+        isolated.forEach(zone -> choices.add(choice(List.of(false, true), (s, is) -> is ? isolated(s, zone) : s)));
+        outages.forEach((zone, times) -> choices.add(outage(zone, times)));
         return choices;
     }
 
@@ -125,20 +126,20 @@
         return new Choice(ways);
     }
 
-    private static FleetState isolated(FleetState s, String hall) {
-        Set<String> halls = new HashSet<>(s.isolatedHalls());
-        halls.add(hall);
-        return new FleetState(s.now(), s.zone(), s.phase(), s.condemnedShare(), halls, s.outages());
+    private static FleetState isolated(FleetState s, String zone) {
+        Set<String> zones = new HashSet<>(s.isolatedZones());
+        zones.add(zone);
+        return new FleetState(s.now(), s.timeZone(), s.phase(), s.condemnedShare(), zones, s.outages());
     }
 
     /** No outage, or one that comes after just the time of a condition; after no time it lasts. */
-    private static Choice outage(String hall, Set<Duration> times) {
+    private static Choice outage(String zone, Set<Duration> times) {
         Map<Duration, Duration> ways = new LinkedHashMap<>();
         times.forEach(t -> ways.put(t, t));
         Choice choice = choice(ways.values(), (s, in) -> {
             List<Outage> all = new ArrayList<>(s.outages());
-            all.add(new Outage(hall, s.now().plus(in), s.now().plus(in).plus(Duration.ofHours(1))));
-            return new FleetState(s.now(), s.zone(), s.phase(), s.condemnedShare(), s.isolatedHalls(), all);
+            all.add(new Outage(zone, s.now().plus(in), s.now().plus(in).plus(Duration.ofHours(1))));
+            return new FleetState(s.now(), s.timeZone(), s.phase(), s.condemnedShare(), s.isolatedZones(), all);
         });
         choice.ways.add(0, s -> s);
         return choice;
@@ -146,12 +147,13 @@
 
     /** Where the range begins and ends, on a day in winter and one in summer. */
     private static List<Instant> moments(Condition.TimeOfDay time) {
-        ZoneId zone = time.zone().orElse(ZoneOffset.UTC);
+        ZoneId timeZone = time.timeZone().orElse(ZoneOffset.UTC);
         List<Instant> moments = new ArrayList<>();
         for (Instant day : ConditionsCheck.DAYS) {
             LocalDate date = LocalDate.ofInstant(day, ZoneOffset.UTC);
             for (int minute : new int[] {time.from(), time.to()}) {
-                moments.add(date.atStartOfDay().plusMinutes(minute).atZone(zone).toInstant());
+                moments.add(
+                        date.atStartOfDay().plusMinutes(minute).atZone(timeZone).toInstant());
             }
         }
         return moments;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
@@ -100,7 +100,7 @@
         return value;
     }
 
-    Optional<ZoneId> zone(TerminalNode node) {
+    Optional<ZoneId> timeZone(TerminalNode node) {
         String text = node.getText();
         try {
             return Optional.of(ZoneId.of(text.substring(1, text.length() - 1)));
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyDraft.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyDraft.java
@@ -21,7 +21,7 @@
         TENANT,
         GROUP,
         CLASS,
-        HALL,
+        ZONE,
         GATEWAY,
         KIND,
         ENGINE
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
@@ -52,7 +52,7 @@
                     switch (from.getStop().getType()) {
                         case PoolPolicyParser.TENANT -> Form.ANY_TENANT;
                         case PoolPolicyParser.CLASS -> Form.ANY_CLASS;
-                        case PoolPolicyParser.HALL -> Form.ANY_HALL;
+                        case PoolPolicyParser.HALL -> Form.ANY_ZONE;
                         default -> Form.ANY_GATEWAY;
                     },
                     "");
@@ -60,7 +60,7 @@
         if (from.TENANT() == null) {
             return switch (from.getStart().getType()) {
                 case PoolPolicyParser.CLASS -> named(Form.CLASS, Subject.CLASS, from.STRING());
-                case PoolPolicyParser.HALL -> named(Form.HALL, Subject.HALL, from.STRING());
+                case PoolPolicyParser.HALL -> named(Form.ZONE, Subject.ZONE, from.STRING());
                 default -> named(Form.GATEWAY, Subject.GATEWAY, from.STRING());
             };
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
@@ -185,20 +185,20 @@
                 new Condition.TimeOfDay(
                         literals.minute(from.TIME_OF_DAY(0), 0),
                         literals.minute(from.TIME_OF_DAY(1), 24 * 60),
-                        from.ZONE() == null ? Optional.empty() : literals.zone(from.STRING()));
+                        from.ZONE() == null ? Optional.empty() : literals.timeZone(from.STRING()));
             case PoolPolicyParser.CONDEMNED ->
                 new Condition.Condemned(literals.whole(from.INT(), 0, 99, "a share in percent of"));
-            case PoolPolicyParser.ISOLATED -> new Condition.Isolated(mention(Subject.HALL, from.STRING()));
+            case PoolPolicyParser.ISOLATED -> new Condition.Isolated(mention(Subject.ZONE, from.STRING()));
             default -> outage(from);
         };
     }
 
     private Condition outage(ConditionContext from) {
-        String hall = mention(Subject.HALL, from.STRING());
+        String zone = mention(Subject.ZONE, from.STRING());
         return from.LASTS() != null
-                ? new Condition.OutageLasts(hall)
+                ? new Condition.OutageLasts(zone)
                 : new Condition.OutageWithin(
-                        hall,
+                        zone,
                         literals.duration(from.duration(), Duration.ofMinutes(1), Duration.ofDays(7), "a time of"));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Condition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Condition.java
@@ -19,12 +19,12 @@
 
     /**
      * The wall clock shows a time of day from {@code from} (included) to {@code to} (excluded), in minutes since
-     * midnight, 0 to 1440; past midnight where {@code from} is the greater. Without a zone, the fleet's holds.
+     * midnight, 0 to 1440; past midnight where {@code from} is the greater. Without a time zone, the fleet's holds.
      */
-    record TimeOfDay(int from, int to, Optional<ZoneId> zone) implements Condition {
+    record TimeOfDay(int from, int to, Optional<ZoneId> timeZone) implements Condition {
         @Override
         public boolean holds(FleetState state) {
-            LocalTime time = LocalTime.ofInstant(state.now(), zone.orElse(state.zone()));
+            LocalTime time = LocalTime.ofInstant(state.now(), timeZone.orElse(state.timeZone()));
             return contains(time.getHour() * 60 + time.getMinute());
         }
 
@@ -41,31 +41,31 @@
         }
     }
 
-    /** A hall's gateways reach no engine. */
-    record Isolated(String hall) implements Condition {
+    /** A zone's gateways reach no engine. */
+    record Isolated(String zone) implements Condition {
         @Override
         public boolean holds(FleetState state) {
-            return state.isolatedHalls().contains(hall);
+            return state.isolatedZones().contains(zone);
         }
     }
 
-    /** A foreseen outage of the hall has not begun, and begins within this time. */
-    record OutageWithin(String hall, Duration within) implements Condition {
+    /** A foreseen outage of the zone has not begun, and begins within this time. */
+    record OutageWithin(String zone, Duration within) implements Condition {
         @Override
         public boolean holds(FleetState state) {
             return state.outages().stream()
-                            .anyMatch(o -> o.hall().equals(hall)
+                            .anyMatch(o -> o.zone().equals(zone)
                                     && state.now().isBefore(o.from())
                                     && !o.from().isAfter(state.now().plus(within)))
-                    && state.outages().stream().noneMatch(o -> o.hall().equals(hall) && o.lasts(state.now()));
+                    && state.outages().stream().noneMatch(o -> o.zone().equals(zone) && o.lasts(state.now()));
         }
     }
 
-    /** A foreseen outage of the hall has begun and has not ended. */
-    record OutageLasts(String hall) implements Condition {
+    /** A foreseen outage of the zone has begun and has not ended. */
+    record OutageLasts(String zone) implements Condition {
         @Override
         public boolean holds(FleetState state) {
-            return state.outages().stream().anyMatch(o -> o.hall().equals(hall) && o.lasts(state.now()));
+            return state.outages().stream().anyMatch(o -> o.zone().equals(zone) && o.lasts(state.now()));
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/KnownNames.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/KnownNames.java
@@ -13,7 +13,7 @@
 public record KnownNames(
         Optional<Map<String, Set<String>>> engines,
         Optional<Set<String>> classes,
-        Optional<Set<String>> halls,
+        Optional<Set<String>> zones,
         Optional<Set<String>> gateways,
         Optional<Set<String>> tenants,
         int maxGateways) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
@@ -26,9 +26,9 @@
         CLASS(Dimension.CLASS, 4, "class"),
         ANY_CLASS(Dimension.CLASS, 1, "default class"),
         GATEWAY(Dimension.PLACE, 4, "gateway"),
-        HALL(Dimension.PLACE, 3, "hall"),
+        ZONE(Dimension.PLACE, 3, "hall"),
         ANY_GATEWAY(Dimension.PLACE, 2, "default gateway"),
-        ANY_HALL(Dimension.PLACE, 1, "default hall");
+        ANY_ZONE(Dimension.PLACE, 1, "default hall");
 
         private final Dimension dimension;
         private final int level;
@@ -45,7 +45,7 @@
         }
 
         public boolean isDefault() {
-            return this == ANY_TENANT || this == ANY_CLASS || this == ANY_GATEWAY || this == ANY_HALL;
+            return this == ANY_TENANT || this == ANY_CLASS || this == ANY_GATEWAY || this == ANY_ZONE;
         }
 
         /** How the policy's author writes it. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SolverInput.java
@@ -17,7 +17,7 @@
     public static final int MAX_CONNECTIONS = 1_000_000;
 
     /** A gateway that takes part. */
-    public record Gateway(String name, String hall) {}
+    public record Gateway(String name, String zone) {}
 
     /** An engine that may be connected to; {@code returning}: it comes back and is still cold. */
     public record Engine(String name, String kind, boolean returning) {}
@@ -60,9 +60,9 @@
         }
     }
 
-    public Map<String, String> hallsByGateway() {
-        Map<String, String> halls = new HashMap<>();
-        gateways.forEach(g -> halls.put(g.name(), g.hall()));
-        return halls;
+    public Map<String, String> zonesByGateway() {
+        Map<String, String> zones = new HashMap<>();
+        gateways.forEach(g -> zones.put(g.name(), g.zone()));
+        return zones;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
@@ -19,7 +19,7 @@
  */
 public final class ShareIndex {
     /** Who uses connections, and where. */
-    public record Subject(String tenant, String className, String gateway, String hall) {}
+    public record Subject(String tenant, String className, String gateway, String zone) {}
 
     private final Map<List<Form>, Map<List<String>, Share>> byForms = new LinkedHashMap<>();
     private final Map<String, List<String>> groupsOf;
@@ -78,7 +78,7 @@
                 case GROUP, TOGETHER -> group;
                 case CLASS -> subject.className;
                 case GATEWAY -> subject.gateway;
-                case HALL -> subject.hall;
+                case ZONE -> subject.zone;
                 default -> "";
             };
         }
@@ -105,7 +105,7 @@
                         case GROUP, ANY_TENANT -> new Term(Form.TENANT, subject.tenant);
                         case ANY_CLASS -> new Term(Form.CLASS, subject.className);
                         case ANY_GATEWAY -> new Term(Form.GATEWAY, subject.gateway);
-                        case ANY_HALL -> new Term(Form.HALL, subject.hall);
+                        case ANY_ZONE -> new Term(Form.ZONE, subject.zone);
                         default -> term;
                     });
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -57,7 +57,7 @@
         weight = new long[demand.length];
         ties = new int[demand.length];
         links = new int[demand.length][];
-        Map<String, String> halls = solverInput.hallsByGateway();
+        Map<String, String> zones = solverInput.zonesByGateway();
         Map<String, OptionalLong> kinds = new HashMap<>();
         Map<Object, Integer> linkNumbers = new HashMap<>();
         List<Long> bounds = new ArrayList<>();
@@ -65,7 +65,7 @@
         for (int row = 0; row < demand.length; row++) {
             Name name = names.get(row);
             ShareIndex.Subject subject =
-                    new ShareIndex.Subject(name.tenant, name.className, name.gateway, halls.get(name.gateway));
+                    new ShareIndex.Subject(name.tenant, name.className, name.gateway, zones.get(name.gateway));
             weight[row] = shares.weight(subject);
             ties[row] = tie(name);
             List<Integer> of = new ArrayList<>(6);
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetMembership.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetMembership.java
@@ -114,7 +114,7 @@
         }
         if (existing != null && !(existing.host().equals(member.host()) && existing.port() == member.port())) {
             return CommandResult.refused("the name " + member.name() + " belongs to the gateway at " + existing.host()
-                    + ":" + existing.port() + " in hall " + existing.hall());
+                    + ":" + existing.port() + " in hall " + existing.zone());
         }
         if (existing == null && members.size() >= MAX_MEMBERS) {
             return CommandResult.refused("the fleet has " + MAX_MEMBERS + " members already");
@@ -162,7 +162,7 @@
     }
 
     private static void write(CborOut out, Member m) {
-        out.text(m.name()).text(m.hall()).text(m.host()).number(m.port());
+        out.text(m.name()).text(m.zone()).text(m.host()).number(m.port());
     }
 
     private static Member read(CborIn in) throws FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/FleetEngineVerdict.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/FleetEngineVerdict.java
@@ -21,7 +21,7 @@
         UNRESPONSIVE("SILENT"),
         /** Answers much later than expected. */
         SLOW("SLOW"),
-        /** Unreachable from this gateway's hall only. */
+        /** Unreachable from this gateway's zone only. */
         LINK_DOWN("LINK"),
         /** Started recently, according to the engine list. */
         WARMING_UP("COLD"),
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.verdict.watch.LocalObserver;
 
 /**
- * Verdicts on engines, halls and tenants for a whole fleet without a leader. Each gateway reports evidence, voters
+ * Verdicts on engines, zones and tenants for a whole fleet without a leader. Each gateway reports evidence, voters
  * forward it as hubs, and each gateway derives the verdicts from the evidence it has.
  *
  * <p>The evidence is a state-based replicated data type, its dissemination takes two hops, and the rules ensure that
@@ -38,27 +38,27 @@
      * Creates the verdicts of one gateway.
      *
      * @param self name of this gateway
-     * @param hall hall of this gateway
+     * @param zone zone of this gateway
      * @param incarnation greater than that of any earlier process of this gateway
      * @param drift maximum relative difference between the monotonic clocks of two gateways
      * @param nowUs current time
      */
     public FleetVerdicts(
-            String self, String hall, long incarnation, VerdictSettings settings, double drift, long nowUs) {
+            String self, String zone, long incarnation, VerdictSettings settings, double drift, long nowUs) {
         this.self = self;
         this.settings = settings;
         evidenceStore = new EvidenceStore(settings);
         dissemination = new EvidenceDissemination(self, settings, drift, evidenceStore);
         evaluator = new VerdictEvaluator(self, settings, evidenceStore);
-        observer = new LocalObserver(self, hall, incarnation, settings, nowUs);
-        updateRoster(Map.of(self, hall), Set.of());
+        observer = new LocalObserver(self, zone, incarnation, settings, nowUs);
+        updateRoster(Map.of(self, zone), Set.of());
     }
 
-    /** Sets the agreed members with their halls, and the voters. */
-    public void updateRoster(Map<String, String> hallOf, Set<String> voters) {
-        evidenceStore.setMembers(hallOf.keySet());
-        dissemination.setRoles(voters, hallOf);
-        evaluator.updateRoster(hallOf);
+    /** Sets the agreed members with their zones, and the voters. */
+    public void updateRoster(Map<String, String> zoneOf, Set<String> voters) {
+        evidenceStore.setMembers(zoneOf.keySet());
+        dissemination.setRoles(voters, zoneOf);
+        evaluator.updateRoster(zoneOf);
     }
 
     /** Sets the complete engine list; only the first {@code maxEngines} entries are used. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictChangeLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/VerdictChangeLog.java
@@ -27,10 +27,10 @@
         describeChanges(lines, "engine spared, too many are bad at once: ", before.spared(), after.spared());
         describeChanges(lines, "tenant over its share: ", before.tenantsOverQuota(), after.tenantsOverQuota());
         describeChanges(lines, "gateway doubts itself: ", before.selfDoubtingGateways(), after.selfDoubtingGateways());
-        after.halls().forEach((hall, link) -> {
-            HallLink previous = before.halls().get(hall);
+        after.zones().forEach((zone, link) -> {
+            ZoneLink previous = before.zones().get(zone);
             if (previous == null || previous.state() != link.state()) {
-                lines.add("hall " + hall + " is " + link.state());
+                lines.add("hall " + zone + " is " + link.state());
             }
         });
         return lines;
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -10,8 +10,8 @@
 
 /**
  * Disseminates the evidence through hubs. A voter forwards changes to all peers; any other gateway sends its own
- * evidence to the voters and to linked gateways of its hall. A record takes at most two links, over as many paths as
- * there are voters, and without any voter the gateways of a hall still exchange their evidence. Data loads, which
+ * evidence to the voters and to linked gateways of its zone. A record takes at most two links, over as many paths as
+ * there are voters, and without any voter the gateways of a zone still exchange their evidence. Data loads, which
  * have no lease, are also sent back to voters that lost them.
  *
  * <p>Cost: each gateway receives each record once from each voter, except from where it came. Bound: one {@link
@@ -32,7 +32,7 @@
     private final Map<String, PeerCursor> cursors = new TreeMap<>();
     private final Map<String, Long> peerIncarnations = new TreeMap<>();
     private Set<String> voters = Set.of();
-    private Map<String, String> hallOf = Map.of();
+    private Map<String, String> zoneOf = Map.of();
 
     /**
      * Creates the dissemination of a store; {@code drift}: maximum relative difference between two monotonic clocks.
@@ -44,10 +44,10 @@
         this.store = evidence;
     }
 
-    /** Sets the voters, which forward evidence, and the hall of each member. */
-    public void setRoles(Set<String> newVoters, Map<String, String> hallOf) {
+    /** Sets the voters, which forward evidence, and the zone of each member. */
+    public void setRoles(Set<String> newVoters, Map<String, String> zoneOf) {
         voters = Collections.unmodifiableSet(new TreeSet<>(newVoters)); // sorted, so that iteration is deterministic
-        this.hallOf = Collections.unmodifiableMap(new TreeMap<>(hallOf));
+        this.zoneOf = Collections.unmodifiableMap(new TreeMap<>(zoneOf));
     }
 
     /**
@@ -58,7 +58,7 @@
      * @param openedUs time before which the peer cannot have sent anything on the link
      */
     public void linkUp(String peer, long incarnation, long openedUs) {
-        if (!hallOf.containsKey(peer)) {
+        if (!zoneOf.containsKey(peer)) {
             return; // not a member: the number of cursors would be unbounded
         }
         PeerCursor cursor = cursors.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedUs)));
@@ -69,8 +69,8 @@
         if (!isSameIncarnation) {
             store.forgetSource(peer);
         }
-        cursors.keySet().retainAll(hallOf.keySet());
-        peerIncarnations.keySet().retainAll(hallOf.keySet());
+        cursors.keySet().retainAll(zoneOf.keySet());
+        peerIncarnations.keySet().retainAll(zoneOf.keySet());
     }
 
     /** The batch to send to a peer now, if any. Poll it every {@code evidenceIntervalUs}. */
@@ -99,8 +99,8 @@
         if (voters.contains(self)) {
             return true;
         }
-        boolean isSameHall = hallOf.getOrDefault(peer, "").equals(hallOf.get(self));
-        return (isSameHall || voters.contains(peer)) && (isPermanent || reporter.equals(self));
+        boolean isSameZone = zoneOf.getOrDefault(peer, "").equals(zoneOf.get(self));
+        return (isSameZone || voters.contains(peer)) && (isPermanent || reporter.equals(self));
     }
 
     /** The batch was queued on the link. A batch that was not queued is built again by the next call. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceRecord.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceRecord.java
@@ -4,7 +4,7 @@
  * A statement of one gateway about one subject. A reporter has one record for each subject; a later one replaces it.
  *
  * @param subject what the statement is about
- * @param reporter name of the gateway; its hall is taken from the roster, never from a message
+ * @param reporter name of the gateway; its zone is taken from the roster, never from a message
  * @param reporterIncarnation increases with each start of the reporter
  * @param sequence increases with each record of an incarnation, so that reordering and duplicates do no harm
  * @param finding what the reporter observed
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
@@ -26,10 +26,10 @@
     STALLED,
     /** Most engines look faulty to the reporter, so the fault may be its own. */
     MOST_ENGINES_FAILING,
-    /** An engine outside the reporter's hall answers it. */
+    /** An engine outside the reporter's zone answers it. */
     OUTSIDE_REACHABLE,
-    /** Only engines of the reporter's hall answer it. */
-    ONLY_OWN_HALL_REACHABLE,
+    /** Only engines of the reporter's zone answer it. */
+    ONLY_OWN_ZONE_REACHABLE,
     /** No engine answers the reporter. */
     NONE_REACHABLE;
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Topic.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Topic.java
@@ -19,8 +19,8 @@
     DATA_LOAD(EnumSet.of(Finding.CHANGED)),
     /** Health of the reporter itself; also its heartbeat. */
     SELF_HEALTH(EnumSet.of(Finding.SELF_HEALTHY, Finding.STALLED, Finding.MOST_ENGINES_FAILING)),
-    /** Which engines answer the reporter: outside its hall, only inside, or none. */
-    REACHABILITY(EnumSet.of(Finding.OUTSIDE_REACHABLE, Finding.ONLY_OWN_HALL_REACHABLE, Finding.NONE_REACHABLE));
+    /** Which engines answer the reporter: outside its zone, only inside, or none. */
+    REACHABILITY(EnumSet.of(Finding.OUTSIDE_REACHABLE, Finding.ONLY_OWN_ZONE_REACHABLE, Finding.NONE_REACHABLE));
 
     private final Set<Finding> findings;
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -13,29 +13,29 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 
 /**
- * Evaluates the evidence of the gateways on one engine process. A hall votes as the majority of its gateways with
- * evidence. The engine is at fault if at least two halls accuse it and outnumber those that do not, or if more than
- * half of all gateways with evidence accuse it and they are of two halls (two gateways in a fleet with one hall).
- * Otherwise each accusing hall has lost its link to the engine. One gateway alone causes neither for others, as long
- * as its hall has another one with recent traffic; a fleet of one gateway gives no verdict.
+ * Evaluates the evidence of the gateways on one engine process. A zone votes as the majority of its gateways with
+ * evidence. The engine is at fault if at least two zones accuse it and outnumber those that do not, or if more than
+ * half of all gateways with evidence accuse it and they are of two zones (two gateways in a fleet with one zone).
+ * Otherwise each accusing zone has lost its link to the engine. One gateway alone causes neither for others, as long
+ * as its zone has another one with recent traffic; a fleet of one gateway gives no verdict.
  */
 final class EngineVotes {
     private static final int MAX_STRENGTH = 50; // counted of one reporter, so that none outweighs all others
 
-    /** A fault of an engine, or of the links of the {@code hallsWithoutLink} to it. */
+    /** A fault of an engine, or of the links of the {@code zonesWithoutLink} to it. */
     record Accusation(
             FleetEngineVerdict.Kind kind,
-            Set<String> hallsWithoutLink,
+            Set<String> zonesWithoutLink,
             int reporters,
             int strength,
             long sinceUs,
             long observedAtUs) {}
 
     private final VerdictSettings settings;
-    private final HallRoster roster;
+    private final ZoneRoster roster;
     private final Set<VerdictGuard> guards;
 
-    EngineVotes(VerdictSettings settings, HallRoster roster, Set<VerdictGuard> guards) {
+    EngineVotes(VerdictSettings settings, ZoneRoster roster, Set<VerdictGuard> guards) {
         this.settings = settings;
         this.roster = roster;
         this.guards = guards;
@@ -48,7 +48,7 @@
      * @param isCondemned whether the engine is condemned already: then only its probers have outcomes, and one suffices
      */
     Accusation evaluate(List<EvidenceRecord> votes, boolean isCondemned) {
-        Map<String, int[]> byHall = new TreeMap<>(); // against, for
+        Map<String, int[]> byZone = new TreeMap<>(); // against, for
         List<EvidenceRecord> accusations = votes.stream()
                 .filter(record -> record.finding().isEngineFault())
                 .toList();
@@ -58,12 +58,12 @@
         if (accusations.isEmpty() || strength < (isCondemned ? 1 : settings.minOutcomes())) {
             return null;
         }
-        votes.forEach(record -> byHall.computeIfAbsent(roster.hallOfGateway(record.reporter()), h -> new int[2])[
+        votes.forEach(record -> byZone.computeIfAbsent(roster.zoneOfGateway(record.reporter()), h -> new int[2])[
                 record.finding().isEngineFault() ? 0 : 1]++);
         Set<String> against = new TreeSet<>();
-        byHall.forEach((hall, counts) -> {
+        byZone.forEach((zone, counts) -> {
             if (counts[0] > counts[1]) {
-                against.add(hall);
+                against.add(zone);
             }
         });
         FleetEngineVerdict.Kind kind = majorityKind(accusations);
@@ -73,7 +73,7 @@
                 .mapToLong(EvidenceRecord::observedAtUs)
                 .max()
                 .orElseThrow();
-        if (isEngineFault(votes, accusations, byHall.size() - against.size(), against.size())) {
+        if (isEngineFault(votes, accusations, byZone.size() - against.size(), against.size())) {
             return new Accusation(kind, Set.of(), accusations.size(), strength, sinceUs, observedAtUs);
         }
         Set<String> links = new TreeSet<>();
@@ -85,27 +85,27 @@
     }
 
     private boolean isEngineFault(
-            List<EvidenceRecord> votes, List<EvidenceRecord> accusations, int hallsFor, int hallsAgainst) {
-        Set<String> halls = new HashSet<>();
-        accusations.forEach(record -> halls.add(roster.hallOfGateway(record.reporter())));
-        boolean isSingleHall = roster.halls().size() <= 1;
-        if (hallsAgainst >= 2 && hallsAgainst > hallsFor) {
+            List<EvidenceRecord> votes, List<EvidenceRecord> accusations, int zonesFor, int zonesAgainst) {
+        Set<String> zones = new HashSet<>();
+        accusations.forEach(record -> zones.add(roster.zoneOfGateway(record.reporter())));
+        boolean isSingleZone = roster.zones().size() <= 1;
+        if (zonesAgainst >= 2 && zonesAgainst > zonesFor) {
             return true;
         }
         boolean isMajority = 2 * accusations.size() > votes.size();
         boolean isConfirmed = accusations.size() >= 2 || !guards.contains(VerdictGuard.NO_SINGLE_REPORTER);
-        boolean fromTwoHalls =
-                halls.size() >= 2 || isSingleHall || !guards.contains(VerdictGuard.SINGLE_HALL_IS_LINK_FAULT);
-        return isMajority && isConfirmed && fromTwoHalls;
+        boolean fromTwoZones =
+                zones.size() >= 2 || isSingleZone || !guards.contains(VerdictGuard.SINGLE_ZONE_IS_LINK_FAULT);
+        return isMajority && isConfirmed && fromTwoZones;
     }
 
-    /** Two gateways of a hall have to report it, or the only one of the hall. */
-    private boolean isLinkFault(String hall, List<EvidenceRecord> accusations) {
-        long gateways = roster.hallOf().values().stream().filter(hall::equals).count();
+    /** Two gateways of a zone have to report it, or the only one of the zone. */
+    private boolean isLinkFault(String zone, List<EvidenceRecord> accusations) {
+        long gateways = roster.zoneOf().values().stream().filter(zone::equals).count();
         long reporters = accusations.stream()
-                .filter(record -> roster.hallOfGateway(record.reporter()).equals(hall))
+                .filter(record -> roster.zoneOfGateway(record.reporter()).equals(zone))
                 .count();
-        return roster.halls().size() > 1
+        return roster.zones().size() > 1
                 && (reporters >= Math.min(2, gateways) || !guards.contains(VerdictGuard.NO_SINGLE_REPORTER));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ProbeAssignment.java
@@ -10,21 +10,21 @@
 /**
  * Assigns the gateways that continue to probe a condemned engine, so that a large fleet does not probe it from
  * everywhere: rendezvous hashing (Thaler and Ravishankar, 1998) over the live gateways that do not doubt themselves,
- * of two halls if possible. Gateways with the same evidence agree; with different evidence, an additional gateway may
+ * of two zones if possible. Gateways with the same evidence agree; with different evidence, an additional gateway may
  * probe.
  */
 final class ProbeAssignment {
     private ProbeAssignment() {}
 
     /** The probers of an engine among the live gateways, at most {@code max}. */
-    static Set<String> probersOf(String engine, Collection<String> live, HallRoster roster, int max) {
+    static Set<String> probersOf(String engine, Collection<String> live, ZoneRoster roster, int max) {
         List<String> byWeight = new ArrayList<>(live);
         byWeight.sort(Comparator.<String>comparingLong(gateway -> weight(engine, gateway))
                 .thenComparing(gateway -> gateway));
         Set<String> chosen = new HashSet<>();
-        Set<String> halls = new HashSet<>();
+        Set<String> zones = new HashSet<>();
         for (String gateway : byWeight) {
-            if (chosen.size() < max && halls.add(roster.hallOfGateway(gateway))) {
+            if (chosen.size() < max && zones.add(roster.zoneOfGateway(gateway))) {
                 chosen.add(gateway);
             }
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import sandpaddle.fleet.verdict.FleetEngineVerdict;
-import sandpaddle.fleet.verdict.HallLink;
 import sandpaddle.fleet.verdict.VerdictSettings;
 import sandpaddle.fleet.verdict.VerdictSnapshot;
+import sandpaddle.fleet.verdict.ZoneLink;
 import sandpaddle.fleet.verdict.evidence.EvidenceRecord;
 import sandpaddle.fleet.verdict.evidence.EvidenceStore;
 import sandpaddle.fleet.verdict.evidence.Finding;
@@ -33,9 +33,9 @@
     private final Set<VerdictGuard> guards;
     private final CondemnedEngines condemnedEngines;
     private final EngineListRule engineListRule;
-    private final HallLinkRule hallRule;
+    private final ZoneLinkRule zoneRule;
     private final TenantQuotaRule tenantRule = new TenantQuotaRule();
-    private HallRoster roster;
+    private ZoneRoster roster;
     private Map<String, Long> listedStartUs = Map.of();
     private Map<String, Double> tenantQuotas = Map.of();
     private final Map<String, Long> engineStartUs = new TreeMap<>();
@@ -48,15 +48,15 @@
         this.settings = settings;
         this.evidence = evidence;
         this.guards = guards;
-        roster = new HallRoster(self, Map.of());
+        roster = new ZoneRoster(self, Map.of());
         condemnedEngines = new CondemnedEngines(settings, guards);
         engineListRule = new EngineListRule(settings, guards);
-        hallRule = new HallLinkRule(settings);
+        zoneRule = new ZoneLinkRule(settings);
     }
 
-    /** Sets the agreed members and their halls, including this gateway. */
-    public void updateRoster(Map<String, String> hallOf) {
-        roster = new HallRoster(roster.self(), hallOf);
+    /** Sets the agreed members and their zones, including this gateway. */
+    public void updateRoster(Map<String, String> zoneOf) {
+        roster = new ZoneRoster(roster.self(), zoneOf);
     }
 
     /** Sets the engines of the list with their start times (us, platform time). */
@@ -79,7 +79,7 @@
         Set<String> healthyGateways = new TreeSet<>();
         selfHealth.forEach((gateway, record) ->
                 (record.finding() == Finding.SELF_HEALTHY ? healthyGateways : selfDoubting).add(gateway));
-        Map<String, HallLink> hallLinks = hallRule.evaluate(nowUs, roster, selfHealth, reachability);
+        Map<String, ZoneLink> zoneLinks = zoneRule.evaluate(nowUs, roster, selfHealth, reachability);
         Map<String, Accusation> links = new TreeMap<>();
         for (String engine : listedStartUs.keySet()) {
             evaluateEngine(nowUs, engine, selfDoubting, links);
@@ -101,13 +101,13 @@
                     isProber));
         }
         Map<String, Set<String>> linksDown = linksDown(links);
-        addOwnLinkVerdicts(links, hallLinks, healthyGateways, verdicts, spared);
+        addOwnLinkVerdicts(links, zoneLinks, healthyGateways, verdicts, spared);
         engineListRule.evaluate(nowUs, listedStartUs, evidence, verdicts);
         List<EvidenceRecord> usages = new ArrayList<>();
         evidence.forEach(Topic.TENANT_USAGE, nowUs, usages::add);
         Set<String> over = tenantRule.evaluate(tenantQuotas, usages, roster.self(), guards);
         return new VerdictSnapshot(
-                List.copyOf(verdicts), List.copyOf(spared), linksDown, over, hallLinks, Set.copyOf(selfDoubting));
+                List.copyOf(verdicts), List.copyOf(spared), linksDown, over, zoneLinks, Set.copyOf(selfDoubting));
     }
 
     /**
@@ -142,31 +142,31 @@
     private static Map<String, Set<String>> linksDown(Map<String, Accusation> links) {
         Map<String, Set<String>> down = new TreeMap<>();
         links.forEach((engine, accusation) -> accusation
-                .hallsWithoutLink()
+                .zonesWithoutLink()
                 .forEach(
-                        hall -> down.computeIfAbsent(hall, h -> new TreeSet<>()).add(engine)));
+                        zone -> down.computeIfAbsent(zone, h -> new TreeSet<>()).add(engine)));
         return Map.copyOf(down);
     }
 
     /**
-     * Adds verdicts on engines that this hall's links do not reach, as far as the maximum fraction allows. An
-     * isolated hall closes no engine by its links, since it could send the work nowhere else.
+     * Adds verdicts on engines that this zone's links do not reach, as far as the maximum fraction allows. An
+     * isolated zone closes no engine by its links, since it could send the work nowhere else.
      */
     private void addOwnLinkVerdicts(
             Map<String, Accusation> links,
-            Map<String, HallLink> hallLinks,
+            Map<String, ZoneLink> zoneLinks,
             Set<String> healthyGateways,
             List<FleetEngineVerdict> verdicts,
             List<String> spared) {
-        String hall = roster.ownHall();
-        HallLink own = hallLinks.get(hall);
+        String zone = roster.ownZone();
+        ZoneLink own = zoneLinks.get(zone);
         int maxByFraction = (int) Math.floor(listedStartUs.size() * settings.maxCondemnedFraction());
         int remaining = Math.max(maxByFraction, listedStartUs.size() >= 2 ? 1 : 0) - verdicts.size();
-        boolean isIsolated = own != null && own.state() == HallLink.State.ISOLATED;
-        Set<String> healthyInHall = new TreeSet<>(healthyGateways);
-        healthyInHall.removeIf(gateway -> !roster.hallOfGateway(gateway).equals(hall));
+        boolean isIsolated = own != null && own.state() == ZoneLink.State.ISOLATED;
+        Set<String> healthyInZone = new TreeSet<>(healthyGateways);
+        healthyInZone.removeIf(gateway -> !roster.zoneOfGateway(gateway).equals(zone));
         for (Map.Entry<String, Accusation> entry : links.entrySet()) {
-            if (!entry.getValue().hallsWithoutLink().contains(hall)) {
+            if (!entry.getValue().zonesWithoutLink().contains(zone)) {
                 continue;
             }
             if (isIsolated || remaining <= 0 && guards.contains(VerdictGuard.MAX_CONDEMNED_FRACTION)) {
@@ -174,7 +174,7 @@
                 continue;
             }
             remaining--;
-            boolean isProber = ProbeAssignment.probersOf(entry.getKey(), healthyInHall, roster, settings.maxProbers())
+            boolean isProber = ProbeAssignment.probersOf(entry.getKey(), healthyInZone, roster, settings.maxProbers())
                     .contains(roster.self());
             verdicts.add(new FleetEngineVerdict(
                     entry.getKey(),
@@ -191,7 +191,7 @@
         Map<String, EvidenceRecord> found = new TreeMap<>();
         evidence.forEach(topic, nowUs, record -> {
             if (record.subject().name().equals(record.reporter())
-                    && roster.hallOf().containsKey(record.reporter())) {
+                    && roster.zoneOf().containsKey(record.reporter())) {
                 found.put(record.reporter(), record);
             }
         });
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
@@ -2,8 +2,8 @@
 
 /** Rules that keep verdicts from doing harm. Tests disable one at a time to show its effect. */
 enum VerdictGuard {
-    /** An accusation by one hall only is a fault of its link. */
-    SINGLE_HALL_IS_LINK_FAULT,
+    /** An accusation by one zone only is a fault of its link. */
+    SINGLE_ZONE_IS_LINK_FAULT,
     /** No gateway condemns alone. */
     NO_SINGLE_REPORTER,
     /** Evidence of gateways that doubt themselves is ignored. */
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListedEngine.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ListedEngine.java
@@ -4,8 +4,8 @@
  * An entry of the engine list.
  *
  * @param name name of the engine
- * @param hall hall that it stands in
+ * @param zone zone that it stands in
  * @param startedUs start of its process (us, platform time), 0 if it started long ago
  * @param isDraining whether it accepts no new work
  */
-public record ListedEngine(String name, String hall, long startedUs, boolean isDraining) {}
+public record ListedEngine(String name, String zone, long startedUs, boolean isDraining) {}
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalObserver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalObserver.java
@@ -26,7 +26,7 @@
     public static final int MAX_TENANTS = 64;
 
     private final String self;
-    private final String hall;
+    private final String zone;
     private final VerdictSettings settings;
     private final EvidenceReporter reporter;
     private final LocalHealth localHealth;
@@ -39,9 +39,9 @@
     private Finding selfFinding = Finding.SELF_HEALTHY;
 
     /** Creates the observer; {@code incarnation}: greater than that of any earlier process of this gateway. */
-    public LocalObserver(String self, String hall, long incarnation, VerdictSettings settings, long nowUs) {
+    public LocalObserver(String self, String zone, long incarnation, VerdictSettings settings, long nowUs) {
         this.self = self;
-        this.hall = hall;
+        this.zone = zone;
         this.settings = settings;
         reporter = new EvidenceReporter(
                 self, incarnation, settings.evidenceLeaseUs(), settings.renewIntervalUs(), settings.minOutcomes());
@@ -84,7 +84,7 @@
             return; // the answer may be waiting in this stalled gateway, unread
         }
         outcomes.add(nowUs, outcome, latencyUs, expectedUs);
-        boolean isOutside = !outcomes.listed.hall().equals(hall);
+        boolean isOutside = !outcomes.listed.zone().equals(zone);
         if (outcome.isAnswered()) {
             reachability.answered(nowUs, isOutside);
         } else {
@@ -98,7 +98,7 @@
     public void answerReceived(long nowUs, String engine) {
         EngineOutcomes outcomes = engines.get(engine);
         if (outcomes != null) {
-            reachability.answered(nowUs, !outcomes.listed.hall().equals(hall));
+            reachability.answered(nowUs, !outcomes.listed.zone().equals(zone));
         }
     }
 
@@ -109,7 +109,7 @@
     public void healthCheckUnanswered(long nowUs, String engine) {
         EngineOutcomes outcomes = engines.get(engine);
         if (outcomes != null && !localHealth.isStalled(nowUs)) {
-            reachability.unanswered(nowUs, engine, !outcomes.listed.hall().equals(hall));
+            reachability.unanswered(nowUs, engine, !outcomes.listed.zone().equals(zone));
         }
     }
 
@@ -183,7 +183,7 @@
                 selfFindingSinceUs,
                 nowUs);
         reachability.evaluate(nowUs, (int) engines.values().stream()
-                .filter(engine -> !engine.listed.hall().equals(hall))
+                .filter(engine -> !engine.listed.zone().equals(zone))
                 .count());
         if (reachability.finding() != null) {
             reporter.report(
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachabilityTracker.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachabilityTracker.java
@@ -5,7 +5,7 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 
 /**
- * Tracks which engines answer this gateway: outside its hall, only inside, or none. No engine outside is reachable
+ * Tracks which engines answer this gateway: outside its zone, only inside, or none. No engine outside is reachable
  * after at least {@link #MIN_FAILURES} unanswered attempts at two engines (or the only one) since the last answer
  * from outside. Memory: one time for each listed engine.
  */
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Derives the finding; {@code enginesOutside}: number of listed engines outside the hall. */
+    /** Derives the finding; {@code enginesOutside}: number of listed engines outside the zone. */
     void evaluate(long nowUs, int enginesOutside) {
         unansweredEngines.values().removeIf(at -> nowUs - at >= windowUs);
         if (unansweredEngines.isEmpty()) {
@@ -53,7 +53,7 @@
         }
         Finding next = null;
         if (failures >= MIN_FAILURES && unansweredEngines.size() >= Math.min(MIN_ENGINES, enginesOutside)) {
-            next = nowUs - lastInsideAnswerUs < windowUs ? Finding.ONLY_OWN_HALL_REACHABLE : Finding.NONE_REACHABLE;
+            next = nowUs - lastInsideAnswerUs < windowUs ? Finding.ONLY_OWN_ZONE_REACHABLE : Finding.NONE_REACHABLE;
         } else if (nowUs - lastOutsideAnswerUs < windowUs) {
             next = Finding.OUTSIDE_REACHABLE;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/view/FleetView.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/FleetView.java
@@ -17,7 +17,7 @@
  * @param leaseExpiresUs until this time ceilings apply, then floors
  * @param verdicts conditions of engines for the decision module
  * @param outdated data groups whose stored answers are outdated
- * @param isolation whether this gateway's hall is isolated
+ * @param isolation whether this gateway's zone is isolated
  */
 public record FleetView(
         long numbering,
@@ -43,7 +43,7 @@
     /** A condition of an engine for the decision module. */
     public record Verdict(String engine, EngineCondition condition, long sinceUs, long untilUs) {}
 
-    /** Whether this gateway's hall is isolated from the engines outside, and when its uplink is expected to return. */
+    /** Whether this gateway's zone is isolated from the engines outside, and when its uplink is expected to return. */
     public record Isolation(boolean isIsolated, long sinceUs, long expectedReturnUs) {
         public static final Isolation NONE = new Isolation(false, 0, 0);
     }
--- a/gateway/src/test/java/sandpaddle/decision/FleetSizeTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/FleetSizeTest.java
@@ -18,7 +18,7 @@
 import sandpaddle.decision.event.EngineStatus;
 import sandpaddle.decision.settings.LoadField;
 
-/** The ends of the range: no engine, one gateway, an engine in no hall, a thousand engines, ids new all day. */
+/** The ends of the range: no engine, one gateway, an engine in no zone, a thousand engines, ids new all day. */
 class FleetSizeTest {
     private static TestGateway site(int gateways, EngineEntry... engines) {
         TestGateway.Spec spec = new TestGateway.Spec();
--- a/gateway/src/test/java/sandpaddle/fleet/content/replication/AnswerReplicationProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/replication/AnswerReplicationProperties.java
@@ -18,7 +18,7 @@
 import sandpaddle.fleet.content.StoredAnswer;
 import sandpaddle.fleet.outage.plan.ReplicaOwners;
 
-/** Gateways of a hall over links that lose, repeat and reorder messages, in virtual time. */
+/** Gateways of a zone over links that lose, repeat and reorder messages, in virtual time. */
 class AnswerReplicationProperties {
     private static final ReplicationSettings SETTINGS = new ReplicationSettings(4, 1000, 3, 2_000_000, 1_000_000, 3);
 
--- a/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void notWhileTheHallReachesItsEngines() {
+    void notWhileTheZoneReachesItsEngines() {
         isolated = false;
         refuses(Reason.NOT_ISOLATED);
     }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
@@ -50,13 +50,13 @@
     }
 
     /** A member whose address leads to the node of the same name. */
-    public static Member member(String name, String hall) {
-        return new Member(name, hall, name, 1);
+    public static Member member(String name, String zone) {
+        return new Member(name, zone, name, 1);
     }
 
     /** Starts a gateway. What it is told, it is told in virtual time. */
-    public Links node(String name, String hall, Links.Listener listener) {
-        VirtualNode node = new VirtualNode(this, member(name, hall), listener);
+    public Links node(String name, String zone, Links.Listener listener) {
+        VirtualNode node = new VirtualNode(this, member(name, zone), listener);
         nodes.put(name, node);
         node.start(++incarnations);
         return node;
--- a/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 class MemberTest {
-    private static Member member(String name, String hall) {
-        return new Member(name, hall, "10.0.0.1", 7000);
+    private static Member member(String name, String zone) {
+        return new Member(name, zone, "10.0.0.1", 7000);
     }
 
     @Test
@@ -37,8 +37,8 @@
         assertEquals(0, one.entry("a").orElseThrow().incarnation());
         assertEquals(7, two.entry("a").orElseThrow().incarnation());
         assertEquals(7, two.with(member("a", "h9")).entry("a").orElseThrow().incarnation(), "a moved member");
-        assertEquals(List.of(member("a", "h1"), member("c", "h1")), two.inHall("h1"));
-        assertEquals("[h1, h2]", two.halls().toString());
+        assertEquals(List.of(member("a", "h1"), member("c", "h1")), two.inZone("h1"));
+        assertEquals("[h1, h2]", two.zones().toString());
         assertEquals(Optional.empty(), two.without("b").member("b"));
         assertEquals(one, two.without("c").withIncarnation("a", 0));
         assertEquals(3, two.size());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void linkHealthShowsReachableHalls() {
+    void linkHealthShowsReachableZones() {
         LinkHealth health = new LinkHealth();
         health.setPeers(10, List.of(member("a", "h1"), member("b", "h2"), member("c", "h2"), member("d", "h2")));
         health.linkUp(20, "a", 5);
@@ -74,8 +74,8 @@
         health.linkUp(30, "c", 7);
         health.roundTripMeasured("c", 900);
         assertEquals(
-                List.of(new LinkHealth.Hall("h1", 1, 1, true, 20), new LinkHealth.Hall("h2", 3, 2, true, 30)),
-                health.halls());
+                List.of(new LinkHealth.Zone("h1", 1, 1, true, 20), new LinkHealth.Zone("h2", 3, 2, true, 30)),
+                health.zones());
         health.linkDown(40, "c", "SILENT");
         health.linkDown(41, "c", "UNREACHABLE");
         health.roundTripMeasured("c", 900);
--- a/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aLostVoterIsReplacedByOneOfTheHallWithTheFewest() {
+    void aLostVoterIsReplacedByOneOfTheZoneWithTheFewest() {
         assertEquals(
                 Optional.of(swap("c2", "c1")),
                 three(List.of("a1", "b1", "c1"), List.of("c1"), "a1", "a2", "b1", "b2", "c1", "c2"));
@@ -135,10 +135,10 @@
 
     @Property(seed = "52", tries = 200)
     void initialVotersAreOddAndEvenlySpread(
-            @ForAll @Size(min = 1, max = 5) List<@IntRange(min = 1, max = 5) Integer> halls, @ForAll boolean five) {
+            @ForAll @Size(min = 1, max = 5) List<@IntRange(min = 1, max = 5) Integer> zones, @ForAll boolean five) {
         List<String> names = new ArrayList<>();
-        for (int h = 0; h < halls.size(); h++) {
-            for (int m = 0; m < halls.get(h); m++) {
+        for (int h = 0; h < zones.size(); h++) {
+            for (int m = 0; m < zones.get(h); m++) {
                 names.add((char) ('a' + h) + "" + m);
             }
         }
@@ -146,18 +146,18 @@
         List<String> first = VoterPlan.initialVoters(roster(names.toArray(String[]::new)), max);
         assertEquals(Math.min(max, names.size() - 1 + names.size() % 2), first.size());
         assertEquals(first.size(), new TreeSet<>(first).size());
-        Map<Character, Integer> perHall = new HashMap<>();
-        first.forEach(voter -> perHall.merge(voter.charAt(0), 1, Integer::sum));
+        Map<Character, Integer> perZone = new HashMap<>();
+        first.forEach(voter -> perZone.merge(voter.charAt(0), 1, Integer::sum));
         assertEquals(
-                first.isEmpty() ? 0 : minPeak(halls, first.size()),
-                perHall.values().stream().mapToInt(n -> n).max().orElse(0));
+                first.isEmpty() ? 0 : minPeak(zones, first.size()),
+                perZone.values().stream().mapToInt(n -> n).max().orElse(0));
     }
 
-    /** The most even spread of so many voters over halls of so many members, found by trying all. */
-    private static int minPeak(List<Integer> halls, int voters) {
+    /** The most even spread of so many voters over zones of so many members, found by trying all. */
+    private static int minPeak(List<Integer> zones, int voters) {
         for (int peak = 1; ; peak++) {
             int max = peak;
-            if (halls.stream().mapToInt(n -> Math.min(n, max)).sum() >= voters) {
+            if (zones.stream().mapToInt(n -> Math.min(n, max)).sum() >= voters) {
                 return peak;
             }
         }
@@ -220,17 +220,17 @@
             assertTrue(voters.size() >= Math.min(odd, settings.voterCount()), voters + " of live " + live);
         }
         if (lostVoters == 0) {
-            List<Integer> halls = new ArrayList<>();
-            Map<Character, Integer> perHall = new HashMap<>();
-            live.forEach(n -> perHall.merge(n.charAt(0), 1, Integer::sum));
-            halls.addAll(perHall.values());
+            List<Integer> zones = new ArrayList<>();
+            Map<Character, Integer> perZone = new HashMap<>();
+            live.forEach(n -> perZone.merge(n.charAt(0), 1, Integer::sum));
+            zones.addAll(perZone.values());
             Map<Character, Integer> peaks = new HashMap<>();
             voters.forEach(voter -> peaks.merge(voter.charAt(0), 1, Integer::sum));
             int peak = peaks.values().stream().mapToInt(n -> n).max().orElseThrow();
-            assertTrue(peak <= minPeak(halls, voters.size()) + 1, "uneven: " + voters + " of live " + live);
-            if (peak > minPeak(halls, voters.size())) {
+            assertTrue(peak <= minPeak(zones, voters.size()) + 1, "uneven: " + voters + " of live " + live);
+            if (peak > minPeak(zones, voters.size())) {
                 assertFalse(
-                        peaks.values().stream().anyMatch(n -> n < peak - 1) && uneven(peaks, perHall, peak),
+                        peaks.values().stream().anyMatch(n -> n < peak - 1) && uneven(peaks, perZone, peak),
                         "a hall has two voters less than another and a member to spare: " + voters);
             }
         }
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopCoordinatorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopCoordinatorTest.java
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void storedAnswersAreLookedForOnlyInAHallThatIsCutOff() {
+    void storedAnswersAreLookedForOnlyInAZoneThatIsCutOff() {
         LoopRig rig = new LoopRig(0);
         List<Optional<Answer>> answers = new ArrayList<>();
         rig.turn(TWO);
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
@@ -36,8 +36,8 @@
     private final RightsManager manager = new RightsManager(
             "g", 5, "east", CLASSES, SETTINGS, List.of(), new SharedState(views, usages, new OpenConnections()), 0);
 
-    private static LimitSpec limit(String id, String hall, String cls, String tenant, String engine) {
-        return new LimitSpec(id, new LimitScope(hall, cls, tenant, engine), LimitUnit.RUNNING, 10, 0);
+    private static LimitSpec limit(String id, String zone, String cls, String tenant, String engine) {
+        return new LimitSpec(id, new LimitScope(zone, cls, tenant, engine), LimitUnit.RUNNING, 10, 0);
     }
 
     private static RightsGrant grant(long confirmed, List<LimitSpec> limits, SlotGrant... given) {
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallClockTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/ZoneClockTest.java
@@ -10,8 +10,8 @@
 import sandpaddle.fleet.outage.phase.Evidence.Link;
 import sandpaddle.fleet.outage.schedule.Schedule;
 
-/** A hall whose clock is set, or whose schedule changes, before its window and in it. */
-class HallClockTest extends HallStory {
+/** A zone whose clock is set, or whose schedule changes, before its window and in it. */
+class ZoneClockTest extends ZoneStory {
     @Test
     void aClockSetForwardIntoTheWindowIsolatesNobody() {
         until("09:00");
@@ -19,11 +19,11 @@
         turn();
         until("12:50");
         assertFalse(moves.toString().contains("ISOLATED"), moves.toString());
-        assertEquals(1, hall.clockSteps());
+        assertEquals(1, zone.clockSteps());
         wall = at("20:00");
         turn();
         until("20:30");
-        assertEquals(Phase.CONNECTED, hall.phase());
+        assertEquals(Phase.CONNECTED, zone.phase());
         assertTrue(endings.stream().allMatch(WindowOutcome::doubtful), endings.toString());
     }
 
@@ -35,14 +35,14 @@
         wall = at("07:00");
         turn();
         until("07:10");
-        assertEquals(Phase.ISOLATED, hall.phase());
+        assertEquals(Phase.ISOLATED, zone.phase());
         wall = at("22:00");
         turn();
         until("22:10");
-        assertEquals(Phase.ISOLATED, hall.phase());
+        assertEquals(Phase.ISOLATED, zone.phase());
         link(Link.REACHABLE);
         until("22:30");
-        assertEquals(Phase.CONNECTED, hall.phase());
+        assertEquals(Phase.CONNECTED, zone.phase());
         assertTrue(endings.stream().allMatch(WindowOutcome::doubtful), endings.toString());
     }
 
@@ -52,10 +52,10 @@
         link(Link.UNREACHABLE);
         wall += 3_600_000;
         turn();
-        assertEquals(Phase.FILLING, hall.phase(), "the evidence is no older for it");
+        assertEquals(Phase.FILLING, zone.phase(), "the evidence is no older for it");
         now += 2_000_000;
         turn();
-        assertEquals(Phase.ISOLATED, hall.phase());
+        assertEquals(Phase.ISOLATED, zone.phase());
     }
 
     @Test
@@ -63,13 +63,13 @@
         until("12:00");
         link(Link.UNREACHABLE);
         until("12:30");
-        hall.reschedule(schedule("12:00", "PT3H"));
+        zone.reschedule(schedule("12:00", "PT3H"));
         until("12:31");
-        assertEquals(at("15:01"), hall.returnAt(now, wall, 1000));
-        hall.reschedule(Schedule.NONE);
+        assertEquals(at("15:01"), zone.returnAt(now, wall, 1000));
+        zone.reschedule(Schedule.NONE);
         until("12:32");
-        assertEquals(Phase.ISOLATED, hall.phase());
-        assertEquals(at("15:01"), hall.returnAt(now, wall, 1000), "the last that was known");
+        assertEquals(Phase.ISOLATED, zone.phase());
+        assertEquals(at("15:01"), zone.returnAt(now, wall, 1000), "the last that was known");
         link(Link.REACHABLE);
         until("16:00");
         assertEquals(0, endings.get(0).startLateMs());
@@ -79,9 +79,9 @@
     @Test
     void aWindowWithdrawnOrMovedBeforeItsLoss() {
         until("11:45");
-        hall.reschedule(schedule("14:30", "PT1H"));
+        zone.reschedule(schedule("14:30", "PT1H"));
         until("11:46");
-        hall.reschedule(Schedule.NONE);
+        zone.reschedule(Schedule.NONE);
         until("11:50");
         went("EXPECTING WINDOW_NEARS", "FILLING FILL_DUE", "CONNECTED WINDOW_GONE");
         assertEquals(List.of(), endings, "what was withdrawn was not missed");
@@ -92,8 +92,8 @@
         wall = at("12:30");
         link(Link.UNREACHABLE);
         until("12:31");
-        assertEquals(Phase.ISOLATED, hall.phase());
-        assertEquals(at("13:01"), hall.returnAt(now, wall, 1000));
+        assertEquals(Phase.ISOLATED, zone.phase());
+        assertEquals(at("13:01"), zone.returnAt(now, wall, 1000));
         until("13:00");
         link(Link.REACHABLE);
         until("14:00");
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallPhaseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/ZonePhaseTest.java
@@ -10,18 +10,18 @@
 import sandpaddle.fleet.outage.margin.WindowOutcome;
 import sandpaddle.fleet.outage.phase.Evidence.Link;
 
-/** A hall whose window goes in each way that windows go. */
-class HallPhaseTest extends HallStory {
+/** A zone whose window goes in each way that windows go. */
+class ZonePhaseTest extends ZoneStory {
     @Test
     void anOutageInTime() {
         until("11:29");
         went("EXPECTING WINDOW_NEARS", "FILLING FILL_DUE");
-        assertEquals(Optional.of(at("11:59")), hall.lossAt());
+        assertEquals(Optional.of(at("11:59")), zone.lossAt());
         until("12:00");
         link(Link.UNREACHABLE);
         until("12:30");
-        assertEquals(Phase.ISOLATED, hall.phase());
-        assertEquals(at("13:01"), hall.returnAt(now, wall, 1000));
+        assertEquals(Phase.ISOLATED, zone.phase());
+        assertEquals(at("13:01"), zone.returnAt(now, wall, 1000));
         until("13:00");
         link(Link.REACHABLE);
         until("14:00");
@@ -44,7 +44,7 @@
         assertEquals("ISOLATED LOST_EARLY", moves.get(2));
         assertEquals(-10 * 60_000, endings.get(0).startLateMs());
         endings.forEach(margins::learn);
-        HallPhase next = hall(schedule("12:00", "PT1H"));
+        ZonePhase next = zone(schedule("12:00", "PT1H"));
         next.turn(now, at("11:00"), evidence);
         assertEquals(Optional.of(at("11:50")), next.lossAt());
     }
@@ -52,7 +52,7 @@
     @Test
     void aLateOneIsFilledForUntilItComes() {
         until("12:20");
-        assertEquals(Phase.FILLING, hall.phase());
+        assertEquals(Phase.FILLING, zone.phase());
         link(Link.UNREACHABLE);
         until("13:10");
         link(Link.REACHABLE);
@@ -73,8 +73,8 @@
         until("12:00");
         link(Link.UNREACHABLE);
         until("15:01");
-        assertEquals(Phase.ISOLATED, hall.phase());
-        assertEquals(wall + 2 * 3_600_000, hall.returnAt(now, wall, 1000), "as long again as it has overrun");
+        assertEquals(Phase.ISOLATED, zone.phase());
+        assertEquals(wall + 2 * 3_600_000, zone.returnAt(now, wall, 1000), "as long again as it has overrun");
         link(Link.REACHABLE);
         until("16:00");
         assertEquals(2 * 3_600_000 + 60_000, endings.get(0).endLateMs());
@@ -134,11 +134,11 @@
 
     @Test
     void overlappingWindowsAreOneOutage() {
-        hall = hall(schedule("12:00", "PT1H", "12:30", "PT1H30M"));
+        zone = zone(schedule("12:00", "PT1H", "12:30", "PT1H30M"));
         until("12:00");
         link(Link.UNREACHABLE);
         until("13:30");
-        assertEquals(at("14:01"), hall.returnAt(now, wall, 1000));
+        assertEquals(at("14:01"), zone.returnAt(now, wall, 1000));
         link(Link.REACHABLE);
         until("15:00");
         assertEquals(Set.of("r0", "r1"), endings.get(0).rules());
@@ -146,11 +146,11 @@
 
     @Test
     void oneThatLastsIntoTheNextWindowTeachesNothing() {
-        hall = hall(schedule("12:00", "PT1H", "14:00", "PT1H"));
+        zone = zone(schedule("12:00", "PT1H", "14:00", "PT1H"));
         until("12:00");
         link(Link.UNREACHABLE);
         until("14:30");
-        assertEquals(at("15:01"), hall.returnAt(now, wall, 1000));
+        assertEquals(at("15:01"), zone.returnAt(now, wall, 1000));
         until("15:00");
         link(Link.REACHABLE);
         until("16:00");
--- a/gateway/src/test/java/sandpaddle/fleet/outage/phase/HallStory.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/phase/ZoneStory.java
@@ -13,20 +13,20 @@
 import sandpaddle.fleet.outage.schedule.RuleReader;
 import sandpaddle.fleet.outage.schedule.Schedule;
 
-/** A hall with a window from 12:00 to 13:00 (UTC), filled for from 11:29 on, as it goes in each way that windows go. */
-abstract class HallStory {
+/** A zone with a window from 12:00 to 13:00 (UTC), filled for from 11:29 on, as it goes in each way that windows go. */
+abstract class ZoneStory {
     static final MarginSettings MARGIN = new MarginSettings(60_000, 20 * 60_000, 0.9);
 
     final Margins margins = new Margins(MARGIN);
     final List<String> moves = new ArrayList<>();
     final List<WindowOutcome> endings = new ArrayList<>();
-    HallPhase hall = hall(schedule("12:00", "PT1H"));
+    ZonePhase zone = zone(schedule("12:00", "PT1H"));
     long wall = at("06:00");
     long now = 77_000_000;
     Evidence evidence = new Evidence(Link.REACHABLE, now);
 
-    HallPhase hall(Schedule s) {
-        return new HallPhase("ship", s, margins, MARGIN.maxMs(), PhaseSettings.DEFAULT);
+    ZonePhase zone(Schedule s) {
+        return new ZonePhase("ship", s, margins, MARGIN.maxMs(), PhaseSettings.DEFAULT);
     }
 
     static long at(String time) {
@@ -59,8 +59,8 @@
     }
 
     void turn() {
-        hall.turn(now, wall, evidence).ifPresent(m -> moves.add(m.to() + " " + m.why()));
-        endings.addAll(hall.endings());
+        zone.turn(now, wall, evidence).ifPresent(m -> moves.add(m.to() + " " + m.why()));
+        endings.addAll(zone.endings());
     }
 
     void link(Link link) {
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
@@ -17,7 +17,7 @@
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
-/** Three gateways of a hall; each statement is asked at one of them only. */
+/** Three gateways of a zone; each statement is asked at one of them only. */
 class PrefetcherTest {
     private static final long HOUR = 3_600_000;
     private static final TimeRange OUTAGE = new TimeRange(36 * HOUR, 38 * HOUR);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void nothingIsBegunOnceTheHallIsCutOff() {
+    void nothingIsBegunOnceTheZoneIsCutOff() {
         learn(60);
         turn(Phase.FILLING, LIVE, OUTAGE.from() - 10_500);
         int before = fetched.size();
--- a/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
@@ -31,7 +31,7 @@
         long has = 0;
         for (FloorShare s : shares) {
             long f = floors.get(s.gateway());
-            if (s.hall().equals("h1")) {
+            if (s.zone().equals("h1")) {
                 assertTrue(f >= s.floor() && f <= Math.max(s.floor(), s.need()), s + " got " + f);
                 had += s.floor();
                 has += f;
@@ -43,7 +43,7 @@
     }
 
     @Example
-    void theHallGetsWhatItNeedsFromAllOthersAndTheUsualFloorsReturn() {
+    void theZoneGetsWhatItNeedsFromAllOthersAndTheUsualFloorsReturn() {
         List<FloorShare> shares = List.of(
                 new FloorShare("a", "ship", 2, 8),
                 new FloorShare("b", "ship", 2, 4),
@@ -56,7 +56,7 @@
     }
 
     @Example
-    void movingBeginsEarlyEnoughAndLastsWhileTheHallIsCutOff() {
+    void movingBeginsEarlyEnoughAndLastsWhileTheZoneIsCutOff() {
         List<PlannedOutage> leaves = List.of(new PlannedOutage("ship", 100_000, 200_000));
         assertEquals(9500, S.leadMs());
         assertFalse(FloorShift.isInForce(leaves.get(0), 90_499, S));
--- a/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/schedule/ScheduleTest.java
@@ -14,8 +14,8 @@
 class ScheduleTest {
     private static final long DAY = 24 * 3_600_000L;
 
-    static RawRule raw(String name, String zone, String start, String length, String rrule, String... except) {
-        return new RawRule("fleet.outages[0]", name, "ship", zone, start, length, rrule, List.of(except));
+    static RawRule raw(String name, String timeZone, String start, String length, String rrule, String... except) {
+        return new RawRule("fleet.outages[0]", name, "ship", timeZone, start, length, rrule, List.of(except));
     }
 
     private static long at(String instant) {
@@ -118,8 +118,8 @@
                 "a|UTC|2026-01-01T00:00|PT1H|FREQ=DAILY;COUNT=0|rrule"
             })
     void aFaultNamesTheKeyAndWhatIsAllowed(
-            String name, String zone, String start, String length, String rrule, String key) {
-        RuleReader.Read read = RuleReader.read(List.of(raw(name, zone, start, length, rrule == null ? "" : rrule)));
+            String name, String timeZone, String start, String length, String rrule, String key) {
+        RuleReader.Read read = RuleReader.read(List.of(raw(name, timeZone, start, length, rrule == null ? "" : rrule)));
         assertTrue(read.schedule().isEmpty());
         assertEquals(1, read.faults().size(), read.faults().toString());
         assertEquals("fleet.outages[0]." + key, read.faults().get(0).path());
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
@@ -10,7 +10,7 @@
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
- * Days of a hall, drawn from a seed: statements asked by Zipf's law, each with its own hours of the day, of four
+ * Days of a zone, drawn from a seed: statements asked by Zipf's law, each with its own hours of the day, of four
  * classes that age differently; loads that change data groups; and an outage every day that strays from its plan.
  */
 final class Drawn {
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keeper.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keeper.java
@@ -7,13 +7,13 @@
     /** An engine answered an ask at a time of the wall clock (ms). */
     void served(Candidate what, long wall);
 
-    /** A minute passes while the hall is connected. */
+    /** A minute passes while the zone is connected. */
     void minute(long wall);
 
     /** A load was heard of that changed a group. */
     default void loaded(long group, long wall) {}
 
-    /** The hall is cut off now, until the end that was drawn. */
+    /** The zone is cut off now, until the end that was drawn. */
     default void lost(int day) {}
 
     /** When (wall, ms) the answer at hand was asked for, -1 where there is none. */
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
@@ -13,8 +13,8 @@
 import sandpaddle.fleet.outage.margin.MarginSettings;
 import sandpaddle.fleet.outage.margin.Margins;
 import sandpaddle.fleet.outage.phase.Evidence;
-import sandpaddle.fleet.outage.phase.HallPhase;
 import sandpaddle.fleet.outage.phase.PhaseSettings;
+import sandpaddle.fleet.outage.phase.ZonePhase;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.AskHistory;
 import sandpaddle.fleet.outage.plan.Budget;
@@ -78,7 +78,7 @@
         private static final int STEPS = 12; // turns a minute
 
         private final Margins margins = new Margins(new MarginSettings(60_000, 20 * 60_000, 0.9));
-        private final HallPhase hall;
+        private final ZonePhase zone;
         private final AskHistory history = new AskHistory(0.3);
         private final Prefetcher prefetch;
         private final Allowance allowance;
@@ -98,7 +98,7 @@
                     120_000_000,
                     history,
                     new Catalogue(Drawn.STATEMENTS, 10_000_000));
-            hall = new HallPhase(
+            zone = new ZonePhase(
                     "ship",
                     RuleReader.read(List.of(new RawRule(
                                     "o", "daily", "ship", "UTC", "2000-01-01T13:00", "PT2H", "FREQ=DAILY", List.of())))
@@ -157,16 +157,16 @@
             turn(wall, new Evidence(Evidence.Link.REACHABLE, 0));
             for (int i = 0; i < STEPS; i++) {
                 long at = wall + i * 60_000L / STEPS;
-                Optional<TimeRange> outage = hall.lossAt()
+                Optional<TimeRange> outage = zone.lossAt()
                         .map(l -> new TimeRange(
                                 l,
                                 Math.max(
                                         l + 1,
-                                        hall.window().orElseThrow().span().to())));
+                                        zone.window().orElseThrow().span().to())));
                 for (Fetch f : prefetch.turn(
                         at * 1000,
                         shown(at),
-                        new Prefetcher.View(hall.phase(), outage, List.of("gw")),
+                        new Prefetcher.View(zone.phase(), outage, List.of("gw")),
                         allowance,
                         id -> held.containsKey(id) ? shown(held.get(id).at) : -1)) {
                     store(f.what(), at);
@@ -176,8 +176,8 @@
         }
 
         private void turn(long wall, Evidence evidence) {
-            hall.turn(wall * 1000, shown(wall), evidence);
-            hall.endings().forEach(margins::learn);
+            zone.turn(wall * 1000, shown(wall), evidence);
+            zone.endings().forEach(margins::learn);
         }
 
         /** A minute of the outage passes. */
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -24,7 +24,7 @@
 
 /**
  * A policy of the suite with what its comments say of it. In each file: "# known THING NAME..." for the checker,
- * "# engine KIND COUNT", "# gateway NAME HALL", "# demand TENANT CLASS GATEWAY KIND CONNECTIONS" and "# state WORD
+ * "# engine KIND COUNT", "# gateway NAME ZONE", "# demand TENANT CLASS GATEWAY KIND CONNECTIONS" and "# state WORD
  * VALUE" for the solver; then what must come out: "# fault LINE:COLUMN TEXT", "# warning LINE:COLUMN TEXT",
  * "# expect TENANT GATEWAY CONNECTIONS" with "*" for all of them.
  */
@@ -40,7 +40,7 @@
     private final List<SolverInput.Gateway> gateways = new ArrayList<>();
     private final List<SolverInput.Demand> demands = new ArrayList<>();
     private Instant now = Instant.parse("2026-01-15T12:00:00Z");
-    private ZoneId zone = ZoneId.of("UTC");
+    private ZoneId timeZone = ZoneId.of("UTC");
     private Phase phase = Phase.CALM;
     private double condemned;
     private final Set<String> isolated = new HashSet<>();
@@ -98,7 +98,7 @@
         switch (what) {
             case "phase" -> phase = Phase.valueOf(value);
             case "now" -> now = Instant.parse(value);
-            case "zone" -> zone = ZoneId.of(value);
+            case "zone" -> timeZone = ZoneId.of(value);
             case "condemned" -> condemned = Double.parseDouble(value);
             case "isolated" -> isolated.add(value);
             case "outage" ->
@@ -120,7 +120,7 @@
 
     SolverInput solverInput() {
         return new SolverInput(
-                new FleetState(now, zone, phase, condemned, isolated, outages), gateways, engines, demands);
+                new FleetState(now, timeZone, phase, condemned, isolated, outages), gateways, engines, demands);
     }
 
     static List<Path> all(String folder) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
@@ -29,7 +29,7 @@
                 Instant.parse("2026-01-15T12:00:00Z"), ZoneOffset.UTC, Phase.CALM, 0, Set.of(), List.of());
     }
 
-    /** Gateways g0.. in halls h0.. to h2, engines of kinds k0 and k1, tenants t0.. with demand on some gateways. */
+    /** Gateways g0.. in zones h0.. to h2, engines of kinds k0 and k1, tenants t0.. with demand on some gateways. */
     static SolverInput draw(Random random, int tenants, int gateways, int engines, int maxDemand) {
         List<SolverInput.Gateway> g = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/SolverInputTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/SolverInputTest.java
@@ -50,6 +50,6 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new FleetState(
-                        Fleets.calm().now(), Fleets.calm().zone(), Phase.CALM, Double.NaN, Set.of(), List.of()));
+                        Fleets.calm().now(), Fleets.calm().timeZone(), Phase.CALM, Double.NaN, Set.of(), List.of()));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/DrawnFaultsTest.java
@@ -11,24 +11,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sandpaddle.fleet.verdict.watch.AttemptOutcome;
 
-/** Whole fleets in virtual time: a truly sick engine, a liar, a gateway that stands still, lossy links, lost halls. */
+/** Whole fleets in virtual time: a truly sick engine, a liar, a gateway that stands still, lossy links, lost zones. */
 class DrawnFaultsTest {
     private static final int ENGINES = 10;
 
     private final Set<String> wrong = new TreeSet<>(); // engines that were condemned though well
     private long sickKnownAt = -1;
 
-    private static void traffic(VirtualFleet fleet, String liar, String sick, Set<String> unreachable, String cutHall) {
+    private static void traffic(VirtualFleet fleet, String liar, String sick, Set<String> unreachable, String cutZone) {
         for (String gateway : fleet.gateways.keySet()) {
             if (fleet.stopped.contains(gateway)) {
                 continue;
             }
-            boolean cut = fleet.halls.get(gateway).equals(cutHall);
+            boolean cut = fleet.zones.get(gateway).equals(cutZone);
             for (int i = 0; i < ENGINES; i++) {
                 String engine = "e" + i;
                 AttemptOutcome outcome =
                         engine.equals(sick) || gateway.equals(liar) ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
-                boolean outside = !cutHall.isEmpty() && i % 3 != Integer.parseInt(cutHall.substring(4));
+                boolean outside = !cutZone.isEmpty() && i % 3 != Integer.parseInt(cutZone.substring(4));
                 if (unreachable.contains(gateway) || cut && outside) {
                     outcome = AttemptOutcome.UNREACHABLE;
                 }
@@ -88,9 +88,9 @@
         assertTrue(sickKnownAt > 0 && sickKnownAt - sickAt < 2_000_000, "known after " + (sickKnownAt - sickAt));
     }
 
-    /** A hall that lost its uplink to the engines is named, by all, and no engine is blamed. */
+    /** A zone that lost its uplink to the engines is named, by all, and no engine is blamed. */
     @Test
-    void aHallWithoutUplinkIsIsolatedAndNoEngineIsCondemned() {
+    void aZoneWithoutUplinkIsIsolatedAndNoEngineIsCondemned() {
         VirtualFleet fleet = new VirtualFleet(9, 3, 3, VerdictSettings.DEFAULT, 11);
         fleet.engines(VirtualFleet.lines(ENGINES, 3));
         long cutAt = 3_000_000;
@@ -100,21 +100,21 @@
             fleet.runTo(fleet.now + 100_000);
             look(fleet, "");
             boolean all = fleet.verdicts.values().stream()
-                    .allMatch(v -> v.halls().get("hall2").state() == HallLink.State.ISOLATED
-                            && v.halls().get("hall0").state() == HallLink.State.CONNECTED);
+                    .allMatch(v -> v.zones().get("hall2").state() == ZoneLink.State.ISOLATED
+                            && v.zones().get("hall0").state() == ZoneLink.State.CONNECTED);
             knownAt = all && knownAt < 0 ? fleet.now : knownAt;
         }
         assertEquals(Set.of(), wrong);
         assertTrue(knownAt - cutAt > 0 && knownAt - cutAt < 1_000_000, "known after " + (knownAt - cutAt));
     }
 
-    /** The same where the gateways of the hall are cut off too: from inside nobody else is heard. */
+    /** The same where the gateways of the zone are cut off too: from inside nobody else is heard. */
     @Test
-    void aPartitionedHallDetectsItsOwnIsolation() {
+    void aPartitionedZoneDetectsItsOwnIsolation() {
         VirtualFleet fleet = new VirtualFleet(9, 3, 3, VerdictSettings.DEFAULT, 12);
         fleet.engines(VirtualFleet.lines(ENGINES, 3));
         fleet.cut = (from, to) -> fleet.now >= 3_000_000
-                && fleet.halls.get(from).equals("hall2") != fleet.halls.get(to).equals("hall2");
+                && fleet.zones.get(from).equals("hall2") != fleet.zones.get(to).equals("hall2");
         while (fleet.now < 8_000_000) {
             traffic(fleet, "", "", Set.of(), fleet.now >= 3_000_000 ? "hall2" : "");
             fleet.runTo(fleet.now + 100_000);
@@ -122,10 +122,10 @@
         }
         assertEquals(Set.of(), wrong);
         fleet.verdicts.forEach((gateway, v) -> {
-            boolean inside = fleet.halls.get(gateway).equals("hall2");
+            boolean inside = fleet.zones.get(gateway).equals("hall2");
             assertEquals(
-                    inside ? HallLink.State.ISOLATED : HallLink.State.UNKNOWN,
-                    v.halls().get("hall2").state(),
+                    inside ? ZoneLink.State.ISOLATED : ZoneLink.State.UNKNOWN,
+                    v.zones().get("hall2").state(),
                     gateway);
         });
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/VerdictChangeLogTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/VerdictChangeLogTest.java
@@ -15,7 +15,7 @@
                 List.of("e2"),
                 Map.of(),
                 Set.of("t"),
-                Map.of("a", new HallLink("a", HallLink.State.ISOLATED, 1, 1)),
+                Map.of("a", new ZoneLink("a", ZoneLink.State.ISOLATED, 1, 1)),
                 Set.of("g"));
         assertEquals(
                 List.of(
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/VirtualFleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/VirtualFleet.java
@@ -26,7 +26,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     final SplittableRandom random;
     final Map<String, FleetVerdicts> gateways = new TreeMap<>();
-    final Map<String, String> halls = new TreeMap<>();
+    final Map<String, String> zones = new TreeMap<>();
     final Map<String, VerdictSnapshot> verdicts = new HashMap<>();
     final Map<String, Long> offsets = new HashMap<>(); // of each gateway's clock
     final Set<String> stopped = new LinkedHashSet<>();
@@ -43,17 +43,17 @@
     long bytes;
     private long order;
 
-    VirtualFleet(int count, int hallCount, int voterCount, VerdictSettings settings, long seed) {
+    VirtualFleet(int count, int zoneCount, int voterCount, VerdictSettings settings, long seed) {
         random = new SplittableRandom(seed);
         this.settings = settings;
         for (int i = 0; i < count; i++) {
-            halls.put(name(i), "hall" + i % hallCount);
+            zones.put(name(i), "hall" + i % zoneCount);
         }
-        voters = new LinkedHashSet<>(new ArrayList<>(halls.keySet()).subList(0, Math.min(count, voterCount)));
-        for (String gateway : halls.keySet()) {
+        voters = new LinkedHashSet<>(new ArrayList<>(zones.keySet()).subList(0, Math.min(count, voterCount)));
+        for (String gateway : zones.keySet()) {
             offsets.put(gateway, random.nextLong(1_000_000_000L));
-            FleetVerdicts f = new FleetVerdicts(gateway, halls.get(gateway), 1, settings, 0.005, clock(gateway));
-            f.updateRoster(halls, voters);
+            FleetVerdicts f = new FleetVerdicts(gateway, zones.get(gateway), 1, settings, 0.005, clock(gateway));
+            f.updateRoster(zones, voters);
             gateways.put(gateway, f);
             at(random.nextLong(TICK), () -> tick(gateway));
         }
@@ -73,7 +73,7 @@
     List<String> peers(String gateway) {
         return peers.computeIfAbsent(
                 gateway,
-                k -> halls.keySet().stream()
+                k -> zones.keySet().stream()
                         .filter(p -> !p.equals(gateway) && (voters.contains(gateway) || voters.contains(p)))
                         .toList());
     }
@@ -82,10 +82,10 @@
         gateways.forEach((gateway, f) -> f.updateEngines(clock(gateway), lines));
     }
 
-    static List<ListedEngine> lines(int count, int hallCount) {
+    static List<ListedEngine> lines(int count, int zoneCount) {
         List<ListedEngine> lines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            lines.add(new ListedEngine("e" + i, "hall" + i % hallCount, 0, false));
+            lines.add(new ListedEngine("e" + i, "hall" + i % zoneCount, 0, false));
         }
         return lines;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
@@ -13,16 +13,16 @@
 class EvidenceDisseminationTest {
     private static final long NOW = 100_000_000;
     private static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
-    private static final Map<String, String> HALLS =
+    private static final Map<String, String> ZONES =
             Map.of("v", "north", "w", "south", "a", "north", "b", "north", "c", "south");
 
     private record Node(String name, EvidenceStore book, EvidenceDissemination spread) {
         static Node of(String name) {
             EvidenceStore evidence = new EvidenceStore(SETTINGS);
-            evidence.setMembers(HALLS.keySet());
+            evidence.setMembers(ZONES.keySet());
             EvidenceDissemination spread = new EvidenceDissemination(name, SETTINGS, 0.005, evidence);
-            spread.setRoles(Set.of("v", "w"), HALLS);
-            HALLS.keySet().stream().filter(p -> !p.equals(name)).forEach(p -> spread.linkUp(p, 1, NOW));
+            spread.setRoles(Set.of("v", "w"), ZONES);
+            ZONES.keySet().stream().filter(p -> !p.equals(name)).forEach(p -> spread.linkUp(p, 1, NOW));
             return new Node(name, evidence, spread);
         }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/ByzantineReporterProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/ByzantineReporterProperties.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import sandpaddle.fleet.verdict.FleetEngineVerdict.Kind;
-import sandpaddle.fleet.verdict.HallLink;
 import sandpaddle.fleet.verdict.VerdictSnapshot;
+import sandpaddle.fleet.verdict.ZoneLink;
 import sandpaddle.fleet.verdict.evidence.Finding;
 import sandpaddle.fleet.verdict.evidence.Topic;
 
@@ -43,11 +43,11 @@
                     random.nextDouble(1e6));
             VerdictSnapshot v = fixture.after(0);
             assertTrue(v.engines().stream().noneMatch(e -> e.kind().condemns()), "condemned: " + v.engines());
-            assertEquals(Map.of(), v.unreachableEnginesByHall());
+            assertEquals(Map.of(), v.unreachableEnginesByZone());
             assertTrue(
                     v.engines().stream().filter(e -> e.kind() == Kind.DRAINING).count() <= 3);
             assertTrue(v.tenantsOverQuota().isEmpty());
-            assertTrue(v.halls().values().stream().noneMatch(h -> h.state() == HallLink.State.ISOLATED), "isolated");
+            assertTrue(v.zones().values().stream().noneMatch(h -> h.state() == ZoneLink.State.ISOLATED), "isolated");
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorFixture.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorFixture.java
@@ -14,14 +14,14 @@
 import sandpaddle.fleet.verdict.evidence.Subject;
 import sandpaddle.fleet.verdict.evidence.Topic;
 
-/** A judge with a book into which a test writes what gateways say; {@code a1} is gateway 1 of hall {@code a}. */
+/** A judge with a book into which a test writes what gateways say; {@code a1} is gateway 1 of zone {@code a}. */
 final class VerdictEvaluatorFixture {
     static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
 
     final EvidenceStore book = new EvidenceStore(SETTINGS);
     final VerdictEvaluator judge;
     long now = 100_000_000;
-    private final Map<String, String> halls = new TreeMap<>();
+    private final Map<String, String> zones = new TreeMap<>();
     private long seq;
 
     /** The first gateway judges. */
@@ -29,10 +29,10 @@
         EnumSet<VerdictGuard> guards = EnumSet.allOf(VerdictGuard.class);
         guards.removeAll(List.of(without));
         List<String> names = List.of(gateways.split(" "));
-        names.forEach(gateway -> halls.put(gateway, gateway.substring(0, 1)));
+        names.forEach(gateway -> zones.put(gateway, gateway.substring(0, 1)));
         judge = new VerdictEvaluator(names.get(0), SETTINGS, book, guards);
-        book.setMembers(halls.keySet());
-        judge.updateRoster(halls);
+        book.setMembers(zones.keySet());
+        judge.updateRoster(zones);
         engines(10);
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorTest.java
@@ -21,18 +21,18 @@
 
     @ParameterizedTest
     @EnumSource(names = {"FAILING", "UNRESPONSIVE", "SLOW"})
-    void twoHallsCondemnAnEngine(Finding finding) {
+    void twoZonesCondemnAnEngine(Finding finding) {
         assertEquals(
                 List.of("e1 " + FleetEngineVerdict.Kind.valueOf(finding.name()).logName()),
                 new VerdictEvaluatorFixture(NINE).health("a1 b1", "e1", finding).closed());
     }
 
     @Test
-    void accusationsOfOneHallAreItsLinkFault() {
+    void accusationsOfOneZoneAreItsLinkFault() {
         VerdictEvaluatorFixture fixture =
                 new VerdictEvaluatorFixture("c1 a1 a2 a3 b1 b2 b3").health("a1 a2 a3", "e1", Finding.UNRESPONSIVE);
         assertEquals(List.of(), fixture.closed());
-        assertEquals(Map.of("a", Set.of("e1")), fixture.after(0).unreachableEnginesByHall());
+        assertEquals(Map.of("a", Set.of("e1")), fixture.after(0).unreachableEnginesByZone());
         assertEquals(
                 List.of("e1 LINK"),
                 new VerdictEvaluatorFixture("a3 a1 a2 b1")
@@ -40,7 +40,7 @@
                         .closed());
         assertEquals(
                 List.of("e1 SILENT"),
-                new VerdictEvaluatorFixture("c1 a1 a2 a3 b1", VerdictGuard.SINGLE_HALL_IS_LINK_FAULT)
+                new VerdictEvaluatorFixture("c1 a1 a2 a3 b1", VerdictGuard.SINGLE_ZONE_IS_LINK_FAULT)
                         .health("a1 a2 a3", "e1", Finding.UNRESPONSIVE)
                         .closed());
     }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void inASingleHallTwoGatewaysAndAMajorityCondemn() {
+    void inASingleZoneTwoGatewaysAndAMajorityCondemn() {
         assertEquals(
                 List.of("e1 SICK"),
                 new VerdictEvaluatorFixture("a1 a2 a3")
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aHallIsOutvotedByItsGatewaysAndTwoHallsByMoreHealthyHalls() {
+    void aZoneIsOutvotedByItsGatewaysAndTwoZonesByMoreHealthyZones() {
         assertEquals(
                 List.of(),
                 new VerdictEvaluatorFixture(NINE)
@@ -104,7 +104,7 @@
                 .health("c1 d1", "e1", Finding.HEALTHY);
         assertEquals(List.of(), fixture.closed());
         assertEquals(
-                Set.of("a", "b"), fixture.after(0).unreachableEnginesByHall().keySet());
+                Set.of("a", "b"), fixture.after(0).unreachableEnginesByZone().keySet());
     }
 
     @Test
@@ -289,7 +289,7 @@
     }
 
     @Test
-    void twoGatewaysOfTwoHallsProbeACondemnedEngine() {
+    void twoGatewaysOfTwoZonesProbeACondemnedEngine() {
         int trying = 0;
         for (String gateway : NINE.split(" ")) {
             VerdictEvaluatorFixture fixture = new VerdictEvaluatorFixture(
@@ -302,7 +302,7 @@
                 ProbeAssignment.probersOf(
                         "e1",
                         List.of("a1", "a2", "b1", "b2"),
-                        new HallRoster("a1", Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b")),
+                        new ZoneRoster("a1", Map.of("a1", "a", "a2", "a", "b1", "b", "b2", "b")),
                         2),
                 Set.of("a1", "a2"));
     }
