--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/HallLinkRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/ZoneLinkRuleTest.java
@@ -3,33 +3,33 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.verdict.HallLink;
-import sandpaddle.fleet.verdict.HallLink.State;
+import sandpaddle.fleet.verdict.ZoneLink;
+import sandpaddle.fleet.verdict.ZoneLink.State;
 import sandpaddle.fleet.verdict.evidence.Finding;
 
-class HallLinkRuleTest {
+class ZoneLinkRuleTest {
     private static final String SIX = "a1 a2 a3 a4 b1 b2";
 
-    private static HallLink a(VerdictEvaluatorFixture fixture) {
-        return fixture.after(0).halls().get("a");
+    private static ZoneLink a(VerdictEvaluatorFixture fixture) {
+        return fixture.after(0).zones().get("a");
     }
 
     @Test
-    void aHallIsIsolatedIfHalfOfItsGatewaysReachNothingOutside() {
+    void aZoneIsIsolatedIfHalfOfItsGatewaysReachNothingOutside() {
         VerdictEvaluatorFixture fixture = new VerdictEvaluatorFixture(SIX)
                 .reach("b1 b2 a3", Finding.OUTSIDE_REACHABLE)
                 .self("a4", Finding.SELF_HEALTHY)
-                .reach("a1", Finding.ONLY_OWN_HALL_REACHABLE);
+                .reach("a1", Finding.ONLY_OWN_ZONE_REACHABLE);
         assertEquals(State.CONNECTED, a(fixture).state());
-        HallLink link = a(fixture.reach("a2", Finding.NONE_REACHABLE));
+        ZoneLink link = a(fixture.reach("a2", Finding.NONE_REACHABLE));
         assertEquals(State.ISOLATED, link.state());
         assertEquals(0.5, link.confidence());
-        assertEquals(State.CONNECTED, fixture.after(0).halls().get("b").state());
+        assertEquals(State.CONNECTED, fixture.after(0).zones().get("b").state());
     }
 
-    /** Also in a hall of two, where one is half. */
+    /** Also in a zone of two, where one is half. */
     @Test
-    void oneGatewayDoesNotIsolateAHallIfAnotherReachesOutside() {
+    void oneGatewayDoesNotIsolateAZoneIfAnotherReachesOutside() {
         assertEquals(
                 State.CONNECTED,
                 a(new VerdictEvaluatorFixture("a1 a2 b1")
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void withoutEvidenceOfOtherHallsAHallIsIsolated() {
+    void withoutEvidenceOfOtherZonesAZoneIsIsolated() {
         assertEquals(
                 State.ISOLATED,
                 a(new VerdictEvaluatorFixture(SIX).reach("a1 a2 a3", Finding.NONE_REACHABLE))
@@ -47,33 +47,33 @@
     }
 
     @Test
-    void noEngineReachableFromAnyHallIsABlackout() {
+    void noEngineReachableFromAnyZoneIsABlackout() {
         assertEquals(
                 State.BLACKOUT,
                 a(new VerdictEvaluatorFixture(SIX).reach("a1 a2 b1 b2", Finding.NONE_REACHABLE))
                         .state());
     }
 
-    /** Most engines look bad in an isolated hall, so that doubt does not count here; standing still does. */
+    /** Most engines look bad in an isolated zone, so that doubt does not count here; standing still does. */
     @Test
     void stalledGatewaysAreIgnoredButNotThoseWithFailingEngines() {
         VerdictEvaluatorFixture fixture = new VerdictEvaluatorFixture(SIX)
                 .reach("b1 a3", Finding.OUTSIDE_REACHABLE)
-                .reach("a1 a2", Finding.ONLY_OWN_HALL_REACHABLE);
+                .reach("a1 a2", Finding.ONLY_OWN_ZONE_REACHABLE);
         assertEquals(
                 State.ISOLATED,
                 a(fixture.self("a1 a2", Finding.MOST_ENGINES_FAILING)).state());
         VerdictEvaluatorFixture still = new VerdictEvaluatorFixture(SIX)
                 .reach("b1 a3", Finding.OUTSIDE_REACHABLE)
-                .reach("a1 a2", Finding.ONLY_OWN_HALL_REACHABLE);
+                .reach("a1 a2", Finding.ONLY_OWN_ZONE_REACHABLE);
         assertEquals(State.CONNECTED, a(still.self("a1 a2", Finding.STALLED)).state());
     }
 
     @Test
-    void withoutEvidenceAHallIsUnknownAndIsolationEndsWithItsEvidence() {
+    void withoutEvidenceAZoneIsUnknownAndIsolationEndsWithItsEvidence() {
         assertEquals(State.UNKNOWN, a(new VerdictEvaluatorFixture(SIX)).state());
         VerdictEvaluatorFixture fixture =
-                new VerdictEvaluatorFixture(SIX).reach("a1 a2 a3", Finding.ONLY_OWN_HALL_REACHABLE);
+                new VerdictEvaluatorFixture(SIX).reach("a1 a2 a3", Finding.ONLY_OWN_ZONE_REACHABLE);
         long sinceUs = a(fixture).sinceUs();
         fixture.now += 1_000_000;
         assertEquals(sinceUs, a(fixture).sinceUs());
@@ -82,18 +82,18 @@
                 a(fixture.reach("a1 a2 a3", Finding.OUTSIDE_REACHABLE)).state());
         assertEquals(
                 State.UNKNOWN,
-                a(fixture.reach("a1 a2 a3", Finding.ONLY_OWN_HALL_REACHABLE)).state(),
+                a(fixture.reach("a1 a2 a3", Finding.ONLY_OWN_ZONE_REACHABLE)).state(),
                 "too soon again");
         fixture.now += VerdictEvaluatorFixture.SETTINGS.flapHoldUs();
         assertEquals(State.ISOLATED, a(fixture).state());
     }
 
-    /** In an isolated hall all links out are down: closing engines for that would leave nothing to try. */
+    /** In an isolated zone all links out are down: closing engines for that would leave nothing to try. */
     @Test
-    void anIsolatedHallClosesNoEngineByItsLinks() {
+    void anIsolatedZoneClosesNoEngineByItsLinks() {
         VerdictEvaluatorFixture fixture = new VerdictEvaluatorFixture(SIX).health("a1 a2", "e1", Finding.UNRESPONSIVE);
         assertEquals(1, fixture.after(0).engines().size());
-        fixture.reach("a1 a2 a3 a4", Finding.ONLY_OWN_HALL_REACHABLE);
+        fixture.reach("a1 a2 a3 a4", Finding.ONLY_OWN_ZONE_REACHABLE);
         assertEquals(0, fixture.after(0).engines().size());
         assertEquals(java.util.List.of("e1"), fixture.after(0).spared());
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/watch/LocalObserverTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/watch/LocalObserverTest.java
@@ -163,7 +163,7 @@
         ends("s2", AttemptOutcome.UNREACHABLE, 2);
         List<EvidenceRecord> told = tick();
         assertEquals(Map.of("g", Finding.MOST_ENGINES_FAILING), found(told, Topic.SELF_HEALTH));
-        assertEquals(Map.of("g", Finding.ONLY_OWN_HALL_REACHABLE), found(told, Topic.REACHABILITY));
+        assertEquals(Map.of("g", Finding.ONLY_OWN_ZONE_REACHABLE), found(told, Topic.REACHABILITY));
         ends("s1", AttemptOutcome.ANSWERED, 3);
         ends("s2", AttemptOutcome.ANSWERED, 3);
         told = tick();
--- a/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HollowHost.java
@@ -97,7 +97,7 @@
                 new InetSocketAddress(self.host(), self.port()),
                 null,
                 fleet.founders(),
-                plan.isCut(self.hall()) ? fleet.routes() : Map.of(),
+                plan.isCut(self.zone()) ? fleet.routes() : Map.of(),
                 fleet.links(),
                 fleet.limits(),
                 fleet.voters(),
@@ -176,7 +176,7 @@
     /** A new version of the configuration at one gateway that reaches the others, as from an operator's hand. */
     private void propose(long version) {
         List<HollowGateway> reached = gateways.stream()
-                .filter(g -> !plan.isCut(fleet.self(g.name()).hall()))
+                .filter(g -> !plan.isCut(fleet.self(g.name()).zone()))
                 .filter(HollowGateway::isLeased)
                 .toList();
         if (reached.isEmpty()) {
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleSite.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleSite.java
@@ -158,7 +158,7 @@
                         Locale.ROOT,
                         "{\"name\":\"%s\",\"hall\":\"%s\",\"address\":\"%s:%d\"}",
                         x.name(),
-                        x.hall(),
+                        x.zone(),
                         x.host(),
                         x.port()))
                 .collect(Collectors.joining(",\n"));
