--- a/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
@@ -5,13 +5,13 @@
  * search then finds a violation.
  */
 public enum Guard {
-    /** Ignores rights of an older or the same version, and acknowledgements of another version. */
+    /** Ignores quotas of an older or the same version, and acknowledgements of another version. */
     VERSION,
     /**
-     * Raises rights only from what is unallocated: reduced rights count once the gateway acknowledged the reduction.
+     * Raises quotas only from what is unallocated: reduced quotas count once the gateway acknowledged the reduction.
      */
     SHRINK_FIRST,
-    /** Reclaims the rights of a silent gateway only once engines have dropped its attempts. */
+    /** Reclaims the quotas of a silent gateway only once engines have dropped its attempts. */
     ENGINE_FORGETS,
     /** Renews leases only after a majority confirmed the leader. */
     MAJORITY,
@@ -21,7 +21,7 @@
     DRIFT,
     /** Lets a new process use nothing until engines have dropped the attempts of the former process. */
     FRESH_START,
-    /** Applies a renewal only to rights granted since the last reclaim. */
+    /** Applies a renewal only to quotas granted since the last reclaim. */
     SESSION,
     /** Makes a new leader treat every lease as renewed at its own election. */
     ELECTION_RENEWS,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
@@ -9,7 +9,7 @@
  * Settings of the fleet's limits.
  *
  * @param heartbeatUs between two heartbeats of a gateway (us)
- * @param leaseUs how long a gateway uses its rights after sending the last confirmed heartbeat (us)
+ * @param leaseUs how long a gateway uses its quotas after sending the last confirmed heartbeat (us)
  * @param engineForgetUs how long an engine runs an attempt that nobody polls any more (us)
  * @param nonIdempotentGraceUs how long attempts that are not idempotent may run on after the lease expired (us)
  * @param schedulingSlackUs how late a thread may run (us)
@@ -17,7 +17,7 @@
  * @param floorMaxAgeUs how old a stored floor may be that a restarted gateway uses (us)
  * @param clockDrift fraction by which a clock may be fast or slow, below 0.5
  * @param floorShare fraction of a limit that is reserved for floors
- * @param rebalanceBand fraction of its share that a gateway must lack before others are requested to give up rights
+ * @param rebalanceBand fraction of its share that a gateway must lack before others are requested to give up quota
  * @param guards the rules that are enforced; all of them outside tests
  */
 public record LimitSettings(
@@ -96,13 +96,13 @@
         return enforces(Guard.DRIFT) ? (long) Math.ceil(timeUs * (1 + clockDrift) / (1 - clockDrift)) : timeUs;
     }
 
-    /** How long after a confirmed heartbeat a gateway may use its rights (us). */
+    /** How long after a confirmed heartbeat a gateway may use its quotas (us). */
     public long validityUs() {
         return leaseUs + nonIdempotentGraceUs;
     }
 
     /**
-     * How long after the last heartbeat of a gateway with these settings its rights above the floor are unused (us).
+     * How long after the last heartbeat of a gateway with these settings its quotas above the floor are unused (us).
      */
     public long reclaimDelayUs() {
         return reclaimDelayUs(validityUs());
@@ -114,7 +114,7 @@
         return onAnyClockUs(Math.max(validityUs(), reportedValidityUs) + forget + schedulingSlackUs);
     }
 
-    /** How long a process uses no rights after its start (us). */
+    /** How long a process uses no quota after its start (us). */
     public long startupDelayUs() {
         return enforces(Guard.FRESH_START) ? onAnyClockUs(engineForgetUs + schedulingSlackUs) : 0;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
@@ -8,7 +8,7 @@
 
 /**
  * The leader's state of one gateway: when its last heartbeat was received, and which heartbeats may be confirmed. Owned
- * by {@link RightsAllocator}.
+ * by {@link QuotaAllocator}.
  */
 final class GatewayState {
     private static final int MAX_PENDING = 64;
@@ -126,7 +126,7 @@
         return changed;
     }
 
-    /** Whether the gateway would receive and use rights that are granted now. */
+    /** Whether the gateway would receive and use quotas that are granted now. */
     boolean isAlive(long nowUs, GatewayRow row) {
         return isCurrent(row) && nowUs - lastHeartbeatAtUs < settings.leaseUs();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GrantBuilder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GrantBuilder.java
@@ -9,29 +9,29 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.table.GatewayRow;
 import sandpaddle.fleet.limit.table.LimitRow;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.table.SlotAllocation;
 import sandpaddle.fleet.limit.table.SlotName;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 
 /**
- * Builds the grants that are due: unacknowledged rights, limits that a gateway does not know yet, and confirmations of
- * heartbeats. Owned by {@link RightsAllocator}.
+ * Builds the grants that are due: unacknowledged quotas, limits that a gateway does not know yet, and confirmations of
+ * heartbeats. Owned by {@link QuotaAllocator}.
  */
 final class GrantBuilder {
     private final LimitSettings settings;
-    private final RightsTable table;
+    private final QuotaTable table;
 
-    GrantBuilder(LimitSettings settings, RightsTable table) {
+    GrantBuilder(LimitSettings settings, QuotaTable table) {
         this.settings = settings;
         this.table = table;
     }
 
-    List<RightsGrant> build(long nowUs, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
+    List<QuotaGrant> build(long nowUs, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
         Map<String, List<SlotGrant>> slotGrants = new TreeMap<>();
         allocators.forEach((limit, allocator) -> addSlotGrants(nowUs, limit, allocator, gateways, slotGrants));
-        List<RightsGrant> grants = new ArrayList<>();
+        List<QuotaGrant> grants = new ArrayList<>();
         gateways.forEach((name, gateway) -> {
             GatewayRow row = table.members().get(name);
             if (row != null && gateway.incarnation != 0 && gateway.incarnation == row.incarnation()) {
@@ -74,14 +74,14 @@
             Map<String, List<SlotGrant>> slotGrants) {
         SlotGrant grant = state.dueGrant(nowUs, limit, name.tenant(), slot, settings);
         List<SlotGrant> ofGateway = slotGrants.computeIfAbsent(name.member(), missing -> new ArrayList<>());
-        if (grant != null && ofGateway.size() < RightsGrant.MAX_SLOTS) {
+        if (grant != null && ofGateway.size() < QuotaGrant.MAX_SLOTS) {
             ofGateway.add(grant);
             state.recordSent(nowUs, grant);
         }
     }
 
     /** The grant for one gateway; empty if none is due. */
-    private Optional<RightsGrant> build(long nowUs, GatewayRow row, GatewayState gateway, List<SlotGrant> slotGrants) {
+    private Optional<QuotaGrant> build(long nowUs, GatewayRow row, GatewayState gateway, List<SlotGrant> slotGrants) {
         long confirmed = gateway.confirmedSequence(row);
         boolean stale = gateway.session != row.session() || gateway.epoch != table.epoch();
         boolean due = !slotGrants.isEmpty()
@@ -94,7 +94,7 @@
         gateway.lastGrantAtUs = nowUs;
         boolean includesLimits = gateway.epoch != table.epoch();
         List<LimitSpec> limits = includesLimits ? List.copyOf(table.specs().values()) : List.of();
-        return Optional.of(new RightsGrant(
+        return Optional.of(new QuotaGrant(
                 row.name(),
                 row.incarnation(),
                 row.session(),
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
@@ -12,9 +12,9 @@
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * Moves the rights of one limit towards their targets, reducing first. What is unallocated goes to the slots that are
- * short. Others are requested to give up rights only if a slot is short by more than the rebalance band, so that noise
- * moves nothing; and they give up only what exceeds their own target. Owned by {@link RightsAllocator}.
+ * Moves the quotas of one limit towards their targets, reducing first. What is unallocated goes to the slots that are
+ * short. Others are requested to give up quota only if a slot is short by more than the rebalance band, so that noise
+ * moves nothing; and they give up only what exceeds their own target. Owned by {@link QuotaAllocator}.
  */
 final class LimitAllocator {
     /** Max number of slots of one limit that a leader plans. */
@@ -30,7 +30,7 @@
     private final LimitSettings settings;
     final TreeMap<SlotName, SlotState> slotStates = new TreeMap<>();
     boolean dirty = true; // whether something changed since the last plan
-    boolean settled; // whether all gateways have acknowledged their rights
+    boolean settled; // whether all gateways have acknowledged their quotas
     private long seenRevision = -1;
     private long plannedAtUs = Long.MIN_VALUE / 2; // long ago
 
@@ -70,7 +70,7 @@
         return due;
     }
 
-    /** A slot with its current rights and its target. */
+    /** A slot with its current quota and its target. */
     private record SlotPlan(SlotName name, SlotState state, SlotAllocation slot, Target target, boolean canGrow) {
         double gap() {
             return target.share() - slot.amount();
@@ -82,7 +82,7 @@
     }
 
     /**
-     * The changes to propose. Requests to give up rights are left in the targets of the slots' states.
+     * The changes to propose. Requests to give up quota are left in the targets of the slots' states.
      *
      * @param canGrow whether the gateway of each slot has a lease nowUs, in the order of {@code slotDemands}
      */
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Requests the slots that exceed their targets the most to give up rights.
+     * Requests the slots that exceed their targets the most to give up quota.
      *
      * @param plans those that exceed their target the least come first
      * @param over whether the limit was reduced below what is allocated
@@ -167,7 +167,7 @@
                 mostOver = plan;
             }
         }
-        // a gateway with demand and no rights gets one unit, even if no slot exceeds its target by a whole unit
+        // a gateway with demand and no quota gets one unit, even if no slot exceeds its target by a whole unit
         boolean starving = plans.stream().anyMatch(p -> p.slot.amount() == 0 && p.target.share() >= 1);
         if (remaining > 0 && remaining >= missing && mostOver != null && starving) {
             mostOver.state.targetCeiling = mostOver.slot.amount() - 1;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
@@ -12,25 +12,25 @@
 import sandpaddle.fleet.limit.LimitUnit;
 import sandpaddle.fleet.limit.table.GatewayRow;
 import sandpaddle.fleet.limit.table.LimitRow;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.table.SlotAllocation;
 import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.table.SlotName;
 
 /**
- * Collects the demand for one limit, computes the targets of its slots, and lets the limit's allocator move rights
- * towards them. Owned by {@link RightsAllocator}.
+ * Collects the demand for one limit, computes the targets of its slots, and lets the limit's allocator move quotas
+ * towards them. Owned by {@link QuotaAllocator}.
  */
 final class LimitPlanner {
     private final LimitSettings settings;
-    private final RightsTable table;
+    private final QuotaTable table;
     private final TargetPolicy targets;
     /** Gateways with a floor of one unit, by limit with wildcard and by its instance. */
     private final Map<String, Map<String, Set<String>>> floorPlaces = new HashMap<>();
 
     private long floorPlacesRevision = -1; // revision of the fleet that floorPlaces was computed for
 
-    LimitPlanner(LimitSettings settings, RightsTable table, TargetPolicy targets) {
+    LimitPlanner(LimitSettings settings, QuotaTable table, TargetPolicy targets) {
         this.settings = settings;
         this.table = table;
         this.targets = targets;
@@ -41,8 +41,8 @@
         final List<String> members = new ArrayList<>(); // that the limit applies to
         final List<SlotDemand> demands = new ArrayList<>(); // of slots that get a target
         final List<Boolean> canGrow = new ArrayList<>(); // for each of the demands
-        final List<SlotDemand> toEmpty = new ArrayList<>(); // slots that must give up all rights
-        long amount; // of the limit, without the rights of gateways that are not alive
+        final List<SlotDemand> toEmpty = new ArrayList<>(); // slots that must give up their whole quota
+        long amount; // of the limit, without the quotas of gateways that are not alive
     }
 
     List<SlotChange> plan(long nowUs, LimitRow row, LimitAllocator allocator, Map<String, GatewayState> gateways) {
@@ -94,14 +94,14 @@
         }
     }
 
-    /** Whether a gateway may have rights under a limit. */
+    /** Whether a gateway may have a quota under a limit. */
     private static boolean appliesTo(LimitRow row, GatewayRow member) {
         String zone = row.spec().scope().zone();
         return !row.dropped() && !member.leaving() && (zone == null || zone.equals(member.zone()));
     }
 
     private static long allocated(LimitRow row, GatewayRow member) {
-        return RightsTable.slotsOf(row, member.name()).values().stream()
+        return QuotaTable.slotsOf(row, member.name()).values().stream()
                 .mapToLong(SlotAllocation::amount)
                 .sum();
     }
@@ -111,9 +111,9 @@
         return state == null ? 0 : state.demand.level();
     }
 
-    /** The slots of a gateway: those that it reported or has rights for, and with {@code own} the gateway's own one. */
+    /** The slots of a gateway: those reported or with a quota, and with {@code own} the gateway's own one. */
     private static Set<SlotName> slotNames(LimitRow row, LimitAllocator allocator, String member, boolean own) {
-        Set<SlotName> names = new TreeSet<>(RightsTable.slotsOf(row, member).keySet());
+        Set<SlotName> names = new TreeSet<>(QuotaTable.slotsOf(row, member).keySet());
         names.addAll(allocator
                 .slotStates
                 .subMap(new SlotName(member, ""), new SlotName(member + "\0", ""))
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/RightsAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/QuotaAllocator.java
@@ -12,17 +12,17 @@
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
 import sandpaddle.fleet.limit.table.LimitRow;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.table.SlotAllocation;
 import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.InstanceRequest;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * Allocates rights while this gateway is the leader: receives heartbeats, decides which gateway should have which
- * rights, proposes that to the voters, and grants what was committed. It only decides: that no limit is exceeded is
+ * Allocates quotas while this gateway is the leader: receives heartbeats, decides which gateway should have which
+ * quotas, proposes that to the voters, and grants what was committed. It only decides: that no limit is exceeded is
  * guaranteed by the table (the sum of allocations), by the gateways' acknowledgements, and by {@link
  * LimitSettings#reclaimDelayUs()} for silent gateways. Its state is soft: a new leader knows nothing, treats every
  * lease as renewed at its election, and learns the rest from the next heartbeats.
@@ -30,12 +30,12 @@
  * <p>Not thread-safe: owned by the fleet's thread. Cost: O(reported slots) a heartbeat; a limit is planned again only
  * if something about it changed. Bounds: those of the table.
  */
-public final class RightsAllocator {
+public final class QuotaAllocator {
     private static final long LONG_AGO = Long.MIN_VALUE / 2;
     private static final int MAX_COMMANDS_PER_TICK = 16; // commands of each kind in one tick
 
     private final LimitSettings settings;
-    private final RightsTable table;
+    private final QuotaTable table;
     private final LimitPlanner planner;
     private final Map<String, GatewayState> gateways = new TreeMap<>();
     private final Map<String, LimitAllocator> allocators = new TreeMap<>();
@@ -47,7 +47,7 @@
     private long membershipRevision = -1;
 
     /** @param targets decides how some limits are divided; the others are divided by demand */
-    public RightsAllocator(LimitSettings settings, RightsTable table, TargetPolicy targets) {
+    public QuotaAllocator(LimitSettings settings, QuotaTable table, TargetPolicy targets) {
         this.settings = settings;
         this.table = table;
         planner = new LimitPlanner(settings, table, targets);
@@ -89,7 +89,7 @@
             }
         }
         for (InstanceRequest request : heartbeat.instanceRequests()) {
-            if (requestedInstances.size() < RightsTable.MAX_LIMITS) {
+            if (requestedInstances.size() < QuotaTable.MAX_LIMITS) {
                 requestedInstances.putIfAbsent(request, LONG_AGO);
             }
         }
@@ -136,7 +136,7 @@
         table.members().values().forEach(row -> proposeMemberChange(nowUs, row, proposals));
         proposeInstances(nowUs, proposals);
         proposeMoves(nowUs, proposals);
-        List<RightsGrant> grants = new GrantBuilder(settings, table).build(nowUs, gateways, allocators);
+        List<QuotaGrant> grants = new GrantBuilder(settings, table).build(nowUs, gateways, allocators);
         return new AllocatorOutput(proposals, grants);
     }
 
@@ -181,8 +181,8 @@
             return;
         }
         boolean lost = nowUs - gateway.lastHeartbeatAtUs >= settings.reclaimDelayUs(row.validityUs());
-        boolean reclaimsLost = lost && (row.leaving() || hasRightsAboveFloors(row.name()));
-        boolean removesUnused = row.leaving() && !hasRights(row.name());
+        boolean reclaimsLost = lost && (row.leaving() || hasQuotaAboveFloors(row.name()));
+        boolean removesUnused = row.leaving() && !hasQuota(row.name());
         if (reclaimsLost || removesUnused) {
             gateway.lastProposalAtUs = nowUs;
             gateway.reclaimingSession = row.session();
@@ -190,17 +190,17 @@
         }
     }
 
-    private boolean hasRightsAboveFloors(String member) {
+    private boolean hasQuotaAboveFloors(String member) {
         return hasSlot(member, slot -> slot.amount() > slot.floor());
     }
 
-    private boolean hasRights(String member) {
+    private boolean hasQuota(String member) {
         return hasSlot(member, slot -> slot.amount() > 0);
     }
 
     private boolean hasSlot(String member, Predicate<SlotAllocation> condition) {
         return table.limits().values().stream()
-                .flatMap(row -> RightsTable.slotsOf(row, member).values().stream())
+                .flatMap(row -> QuotaTable.slotsOf(row, member).values().stream())
                 .anyMatch(condition);
     }
 
@@ -219,7 +219,7 @@
     /** Whether a requested instance exists already or cannot be created. */
     private boolean isObsolete(InstanceRequest request) {
         LimitSpec spec = table.specs().get(request.limit());
-        if (spec == null || table.limits().size() >= RightsTable.MAX_LIMITS) {
+        if (spec == null || table.limits().size() >= QuotaTable.MAX_LIMITS) {
             return true;
         }
         return spec.instanceFor(request.names())
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SlotState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SlotState.java
@@ -6,7 +6,7 @@
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
-/** The leader's state of one slot: the last report, grant and proposal. Owned by {@link RightsAllocator}. */
+/** The leader's state of one slot: the last report, grant and proposal. Owned by {@link QuotaAllocator}. */
 final class SlotState {
     private static final double MIN_DEMAND_CHANGE = 0.01; // fraction by which demand must change to trigger a new plan
     final SmoothedDemand demand = new SmoothedDemand();
@@ -57,7 +57,7 @@
         return grant;
     }
 
-    /** Whether the gateway has not acknowledged the slot's rights or targets yet. */
+    /** Whether the gateway has not acknowledged the slot's quota or targets yet. */
     boolean isUnacknowledged(SlotAllocation slot) {
         return slot.version() != 0
                 && (report == null
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.limit.allocator;
 
 /**
- * The demand of one slot, smoothed so that noise moves no rights: exponentially over {@link #SMOOTHING_US}, but a step
+ * The demand of one slot, smoothed so that noise moves no quota: exponentially over {@link #SMOOTHING_US}, but a step
  * of half or more is taken over once two reports in a row have it.
  */
 final class SmoothedDemand {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/TargetPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/TargetPolicy.java
@@ -15,7 +15,7 @@
      * The target of each slot, in the order of {@code slotDemands}. The shares sum to {@code amount} at most; a floor
      * is at most its share.
      *
-     * @param amount what is available for these slots: the limit without the rights of gateways that are not alive
+     * @param amount what is available for these slots: the limit without the quotas of gateways that are not alive
      */
     List<Target> targets(long nowUs, LimitSpec limit, long amount, List<SlotDemand> slotDemands);
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
@@ -55,12 +55,12 @@
         return (long) Math.ceil(timeUs / (1 - settings.clockDrift()));
     }
 
-    /** Until the rights above the floor of a silent gateway are granted to others. */
+    /** Until the quotas above the floor of a silent gateway are granted to others. */
     public long reclaimDelayUs() {
         return trueTimeUs(settings.reclaimDelayUs()) + 2 * settings.heartbeatUs() + 4 * linkUs;
     }
 
-    /** Until a gateway that starts may use any rights. */
+    /** Until a gateway that starts may use any quota. */
     public long startupDelayUs() {
         return trueTimeUs(settings.startupDelayUs());
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/FloorFile.java
@@ -40,7 +40,7 @@
                 in.text(LimitSpec.MAX_NAME_BYTES),
                 in.number(Long.MIN_VALUE, Long.MAX_VALUE),
                 in.number(0, Long.MAX_VALUE),
-                in.list(RightsHolder.MAX_SLOTS, FloorFile::readFloor));
+                in.list(QuotaHolder.MAX_SLOTS, FloorFile::readFloor));
         in.end();
         return file;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/Lease.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/Lease.java
@@ -7,7 +7,7 @@
 /**
  * The lease of one gateway's process. It counts from when the gateway sent the heartbeat that the leader confirmed, by
  * the gateway's own clock, since the leader cannot have received the heartbeat earlier. After Gray and Cheriton (1989).
- * Not thread-safe: owned by the thread of {@link RightsHolder}. Bound: {@link #MAX_HEARTBEATS} heartbeats are
+ * Not thread-safe: owned by the thread of {@link QuotaHolder}. Bound: {@link #MAX_HEARTBEATS} heartbeats are
  * remembered.
  */
 final class Lease {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/RightsHolder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/QuotaHolder.java
@@ -15,22 +15,22 @@
 import sandpaddle.fleet.limit.LimitUnit;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.InstanceRequest;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * The rights of one gateway's process: what it may use now, by its own clock and the grants that it received. With a
+ * The quotas of one gateway's process: what it may use now, by its own clock and the grants that it received. With a
  * lease that is the ceiling granted last, without one the floor reserved for the gateway, and nothing while engines may
  * still run attempts of a former process. What the process reported to the leader it never exceeds, so the leader may
  * allocate the rest to others. After leases (Gray and Cheriton 1989) and the demarcation protocol (Barbara and
  * Garcia-Molina 1994).
  *
- * <p>Not thread-safe: owned by the fleet's thread. The request path reads {@link #rights()}. Cost: O(slots) a
+ * <p>Not thread-safe: owned by the fleet's thread. The request path reads {@link #quotas()}. Cost: O(slots) a
  * heartbeat, O(1) a query. Bounds: {@link #MAX_SLOTS} slots; a heartbeat reports {@link Heartbeat#MAX_REPORTS} of them,
  * and {@link Heartbeat#MAX_IDLE_REPORTS} idle ones; the others follow in turn.
  */
-public final class RightsHolder {
+public final class QuotaHolder {
     /** Max number of slots of one gateway. */
     public static final int MAX_SLOTS = 65_536;
 
@@ -40,21 +40,21 @@
     private final LimitSettings settings;
     private final UsageSource usage;
     private final Lease lease;
-    private final TreeMap<Rights.Key, SlotRights> slots = new TreeMap<>();
+    private final TreeMap<Quotas.Key, SlotQuota> slots = new TreeMap<>();
     private Map<String, LimitSpec> limits = new HashMap<>();
     private final Set<InstanceRequest> missingInstances = new LinkedHashSet<>();
     private long session;
     private long epoch;
     private long sequence;
-    private Rights.Key lastReported; // the next heartbeat continues after it if not all slots fit into one
+    private Quotas.Key lastReported; // the next heartbeat continues after it if not all slots fit into one
 
     /**
-     * Creates the rights of a process that starts at {@code nowUs}.
+     * Creates the quotas of a process that starts at {@code nowUs}.
      *
      * @param incarnation drawn at the start, not 0, so that no two processes of one name have the same
      * @param floors floors from the disk; empty if there are none that are young enough
      */
-    public RightsHolder(
+    public QuotaHolder(
             String member,
             long incarnation,
             long nowUs,
@@ -68,12 +68,12 @@
         lease = new Lease(settings);
         usableFromUs = nowUs + settings.startupDelayUs();
         for (SavedFloor floor : floors) {
-            slots.put(new Rights.Key(floor.limit(), floor.tenant()), new SlotRights(floor.floor()));
+            slots.put(new Quotas.Key(floor.limit(), floor.tenant()), new SlotQuota(floor.floor()));
         }
     }
 
     /** Applies a grant of a leader; one that is old, repeated or meant for another process changes nothing. */
-    public void receiveGrant(long nowUs, RightsGrant grant) {
+    public void receiveGrant(long nowUs, QuotaGrant grant) {
         if (!isForThisProcess(grant)) {
             return;
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    private boolean isForThisProcess(RightsGrant grant) {
+    private boolean isForThisProcess(QuotaGrant grant) {
         return grant.member().equals(member)
                 && (grant.incarnation() == incarnation || !settings.enforces(Guard.INCARNATION))
                 && (grant.session() >= session || !settings.enforces(Guard.SESSION));
@@ -101,18 +101,18 @@
         session = nextSession;
         if (settings.enforces(Guard.SESSION)) {
             lease.end();
-            slots.values().forEach(SlotRights::reset);
+            slots.values().forEach(SlotQuota::reset);
         }
     }
 
     private void apply(SlotGrant slotGrant) {
-        Rights.Key key = new Rights.Key(slotGrant.limit(), slotGrant.tenant());
+        Quotas.Key key = new Quotas.Key(slotGrant.limit(), slotGrant.tenant());
         if (slots.containsKey(key) || slots.size() < MAX_SLOTS) {
-            slots.computeIfAbsent(key, missing -> new SlotRights(0)).apply(slotGrant, settings);
+            slots.computeIfAbsent(key, missing -> new SlotQuota(0)).apply(slotGrant, settings);
         }
     }
 
-    private void replaceLimits(RightsGrant grant) {
+    private void replaceLimits(QuotaGrant grant) {
         epoch = grant.epoch();
         Map<String, LimitSpec> next = new HashMap<>();
         grant.limits().forEach(spec -> next.put(spec.id(), spec));
@@ -135,14 +135,14 @@
     /** Reports of all slots that need one, and of some idle ones, as far as they fit into one heartbeat. */
     private List<SlotReport> nextReports(long nowUs, boolean leased) {
         List<SlotReport> reports = new ArrayList<>();
-        List<Rights.Key> idle = new ArrayList<>();
-        Map.Entry<Rights.Key, SlotRights> next =
+        List<Quotas.Key> idle = new ArrayList<>();
+        Map.Entry<Quotas.Key, SlotQuota> next =
                 lastReported == null ? slots.firstEntry() : slots.higherEntry(lastReported);
         for (int i = slots.size(); i > 0 && reports.size() < Heartbeat.MAX_REPORTS; i--) {
             if (next == null) {
                 next = slots.firstEntry();
             }
-            Rights.Key key = next.getKey();
+            Quotas.Key key = next.getKey();
             if (next.getValue().needsReport(used(key), demand(key))) {
                 reports.add(reportSlot(nowUs, leased, key, next.getValue()));
             } else if (idle.size() < Heartbeat.MAX_IDLE_REPORTS) {
@@ -160,25 +160,25 @@
         return reports;
     }
 
-    private long used(Rights.Key key) {
+    private long used(Quotas.Key key) {
         return isRate(key.limit()) ? 0 : usage.used(key.limit(), key.tenant());
     }
 
-    private long demand(Rights.Key key) {
+    private long demand(Quotas.Key key) {
         return Math.min(LimitSpec.MAX_AMOUNT, Math.max(used(key), usage.demand(key.limit(), key.tenant())));
     }
 
-    private SlotReport reportSlot(long nowUs, boolean leased, Rights.Key key, SlotRights slotRights) {
-        long used = used(key); // must be read after the rights that it may exceed were published
-        if (nowUs >= usableFromUs) { // until then a former process may use the rights, though this one does not
-            slotRights.reduce(nowUs, used, leased, settings.floorMaxAgeUs());
+    private SlotReport reportSlot(long nowUs, boolean leased, Quotas.Key key, SlotQuota slotQuota) {
+        long used = used(key); // must be read after the quotas that it may exceed were published
+        if (nowUs >= usableFromUs) { // until then a former process may use the quotas, though this one does not
+            slotQuota.reduce(nowUs, used, leased, settings.floorMaxAgeUs());
         }
-        return slotRights.recordReport(new SlotReport(
+        return slotQuota.recordReport(new SlotReport(
                 key.limit(),
                 key.tenant(),
-                slotRights.version,
-                slotRights.ceiling(),
-                slotRights.floor(),
+                slotQuota.version,
+                slotQuota.ceiling(),
+                slotQuota.floor(),
                 used,
                 Math.max(used, demand(key))));
     }
@@ -189,21 +189,21 @@
         return spec != null && spec.unit() == LimitUnit.RATE;
     }
 
-    /** What may be used now; 0 if no rights were granted yet. */
+    /** What may be used now; 0 if no quota was granted yet. */
     public long ceiling(long nowUs, String limit, String tenant) {
-        SlotRights slotRights = slots.get(new Rights.Key(limit, tenant));
-        if (slotRights == null || nowUs < usableFromUs) {
+        SlotQuota slotQuota = slots.get(new Quotas.Key(limit, tenant));
+        if (slotQuota == null || nowUs < usableFromUs) {
             return 0;
         }
-        return lease.isValid(nowUs) ? slotRights.leased() : slotRights.unleased();
+        return lease.isValid(nowUs) ? slotQuota.leased() : slotQuota.unleased();
     }
 
     /** A snapshot of all slots for the request path. Publish it after each grant, before the next heartbeat. */
-    public Rights rights() {
-        Map<Rights.Key, Rights.SlotCeilings> ceilings = new HashMap<>();
-        slots.forEach((key, slotRights) ->
-                ceilings.put(key, new Rights.SlotCeilings(slotRights.leased(), slotRights.unleased())));
-        return new Rights(usableFromUs, lease.expiresAtUs(), ceilings);
+    public Quotas quotas() {
+        Map<Quotas.Key, Quotas.SlotCeilings> ceilings = new HashMap<>();
+        slots.forEach((key, slotQuota) ->
+                ceilings.put(key, new Quotas.SlotCeilings(slotQuota.leased(), slotQuota.unleased())));
+        return new Quotas(usableFromUs, lease.expiresAtUs(), ceilings);
     }
 
     /** When the lease expires unless it is renewed (us). */
@@ -211,18 +211,18 @@
         return lease.expiresAtUs();
     }
 
-    /** From when on any rights may be used (us). */
+    /** From when on any quota may be used (us). */
     public long usableFromUs() {
         return usableFromUs;
     }
 
     /**
-     * How far the usage of each slot exceeds its rights. Idempotent attempts must be cancelled at once; the others end
+     * How far the usage of each slot exceeds its quota. Idempotent attempts must be cancelled at once; the others end
      * within the grace period.
      */
-    public Map<Rights.Key, Long> excess(long nowUs) {
-        Map<Rights.Key, Long> excess = new TreeMap<>();
-        for (Rights.Key key : slots.keySet()) {
+    public Map<Quotas.Key, Long> excess(long nowUs) {
+        Map<Quotas.Key, Long> excess = new TreeMap<>();
+        for (Quotas.Key key : slots.keySet()) {
             long max = ceiling(nowUs, key.limit(), key.tenant());
             long used = used(key);
             if (used > max) {
@@ -239,16 +239,16 @@
 
     /**
      * The limit that counts a query with these names under {@code spec}, a limit of the operator's file; empty if it
-     * does not cover the query. An instance that has no rights yet is requested from the leader with the next
+     * does not cover the query. An instance that has no quota yet is requested from the leader with the next
      * heartbeats.
      */
     public Optional<LimitSpec> limitFor(LimitSpec spec, LimitScope query) {
         Optional<LimitSpec> instance = spec.instanceFor(query);
         if (instance.isPresent() && spec.scope().hasWildcard()) {
-            SlotRights slotRights = slots.get(new Rights.Key(instance.get().id(), ""));
-            if ((slotRights == null || slotRights.version == 0)
+            SlotQuota slotQuota = slots.get(new Quotas.Key(instance.get().id(), ""));
+            if ((slotQuota == null || slotQuota.version == 0)
                     && missingInstances.size() < Heartbeat.MAX_INSTANCE_REQUESTS) {
-                // requested again with each query until rights are granted
+                // requested again with each query until a quota is granted
                 missingInstances.add(
                         new InstanceRequest(spec.id(), instance.get().scope()));
             }
@@ -257,27 +257,26 @@
         return instance;
     }
 
-    /** Opens a slot that is reported before any rights are granted, such as a tenant's part of a pool. */
+    /** Opens a slot that is reported before any quota is granted, such as a tenant's part of a pool. */
     public void openSlot(String limit, String tenant) {
         if (slots.size() < MAX_SLOTS) {
-            slots.computeIfAbsent(new Rights.Key(limit, tenant), k -> new SlotRights(0));
+            slots.computeIfAbsent(new Quotas.Key(limit, tenant), k -> new SlotQuota(0));
         }
     }
 
     /** The floors to store, for a restart during a network partition. */
     public List<SavedFloor> floors() {
         List<SavedFloor> floors = new ArrayList<>();
-        slots.forEach(
-                (key, slotRights) -> floors.add(new SavedFloor(key.limit(), key.tenant(), slotRights.unleased())));
+        slots.forEach((key, slotQuota) -> floors.add(new SavedFloor(key.limit(), key.tenant(), slotQuota.unleased())));
         return floors;
     }
 
     /** Records that these floors are on disk: a reduced floor counts once every older file is too old to be used. */
     public void onFloorsWritten(long nowUs, List<SavedFloor> floors) {
         for (SavedFloor floor : floors) {
-            SlotRights slotRights = slots.get(new Rights.Key(floor.limit(), floor.tenant()));
-            if (slotRights != null) {
-                slotRights.onFloorWritten(nowUs, floor.floor());
+            SlotQuota slotQuota = slots.get(new Quotas.Key(floor.limit(), floor.tenant()));
+            if (slotQuota != null) {
+                slotQuota.onFloorWritten(nowUs, floor.floor());
             }
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/Rights.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/Quotas.java
@@ -4,10 +4,10 @@
 
 /**
  * An immutable snapshot of what a gateway may use, for the request path: it detects the end of the lease by the
- * gateway's own clock, whatever was received. Any thread may read it. To use a slot, count first, then read the rights,
- * then send; whoever reduces rights publishes the new snapshot first and reads the counts after.
+ * gateway's own clock, whatever was received. Any thread may read it. To use a slot, count first, then read the quotas,
+ * then send; whoever reduces quotas publishes the new snapshot first and reads the counts after.
  */
-public final class Rights {
+public final class Quotas {
     /** Identifies a slot of this gateway: a limit's id, and a tenant or an empty string. */
     public record Key(String limit, String tenant) implements Comparable<Key> {
         @Override
@@ -20,13 +20,13 @@
     /** What a slot may use with a lease and without one, in the unit of its limit. */
     public record SlotCeilings(long leased, long unleased) {}
 
-    private static final SlotCeilings NO_RIGHTS = new SlotCeilings(0, 0);
+    private static final SlotCeilings NO_QUOTA = new SlotCeilings(0, 0);
 
     private final long usableFromUs;
     private final long leaseExpiresAtUs;
     private final Map<Key, SlotCeilings> slots;
 
-    Rights(long freshAt, long leaseUntil, Map<Key, SlotCeilings> slots) {
+    Quotas(long freshAt, long leaseUntil, Map<Key, SlotCeilings> slots) {
         this.usableFromUs = freshAt;
         this.leaseExpiresAtUs = leaseUntil;
         this.slots = slots;
@@ -34,7 +34,7 @@
 
     /** What may be used nowUs: a count, or thousandths per second for a rate. */
     public long ceiling(long nowUs, Key slot) {
-        return ceiling(nowUs, slots.getOrDefault(slot, NO_RIGHTS));
+        return ceiling(nowUs, slots.getOrDefault(slot, NO_QUOTA));
     }
 
     /** The same for the ceilings of a slot that were looked up before. */
@@ -44,7 +44,7 @@
 
     /** The ceilings of a slot, to be stored next to its counter. */
     public SlotCeilings slotCeilings(Key slot) {
-        return slots.getOrDefault(slot, NO_RIGHTS);
+        return slots.getOrDefault(slot, NO_QUOTA);
     }
 
     /** When the lease expires unless it is renewed (us); a time long past if there is none. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/SlotRights.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/SlotQuota.java
@@ -6,10 +6,10 @@
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * The rights of one slot of this gateway. Under one version they only shrink. Not thread-safe: owned by the thread of
- * {@link RightsHolder}.
+ * The quota of one slot of this gateway. Under one version it only shrinks. Not thread-safe: owned by the thread of
+ * {@link QuotaHolder}.
  */
-final class SlotRights {
+final class SlotQuota {
     private static final long NEVER = Long.MIN_VALUE;
 
     // heartbeats that report a change: one may be lost, and the leader takes over a step of demand with the second
@@ -24,14 +24,14 @@
     private long targetFloor;
     private long floorWrittenAtUs = NEVER; // when the reduced floor was on disk (us)
 
-    SlotRights(long floor) {
+    SlotQuota(long floor) {
         this.floor = floor;
         ceiling = floor;
         targetCeiling = floor;
         targetFloor = floor;
     }
 
-    /** Applies granted rights; rights of an older or the same version cannot raise anything. */
+    /** Applies a granted quota; one of an older or the same version cannot raise anything. */
     void apply(SlotGrant grant, LimitSettings settings) {
         remainingReports = REPORTS_PER_CHANGE;
         if (grant.version() < version && settings.enforces(Guard.VERSION)) {
@@ -49,7 +49,7 @@
         targetFloor = Math.min(grant.targetFloor(), grant.floor());
     }
 
-    /** Drops everything above the floor: rights of another session are void. */
+    /** Drops everything above the floor: a quota of another session is void. */
     void reset() {
         ceiling = Math.min(ceiling, floor);
         targetCeiling = ceiling;
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Reduces the rights towards their targets, but not below what is in use. The floor is reduced once every stored
+     * Reduces the quota towards its targets, but not below what is in use. The floor is reduced once every stored
      * file with the former floor is too old to be used, {@code floorMaxAgeUs} after the new one was written.
      */
     void reduce(long nowUs, long used, boolean leased, long floorMaxAgeUs) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
@@ -1,14 +1,14 @@
 package sandpaddle.fleet.limit.table;
 
 /**
- * A gateway that may have rights, as the voters agreed on it.
+ * A gateway that may have quotas, as the voters agreed on it.
  *
  * @param zone the zone that the gateway stands in
  * @param incarnation the gateway's current process; 0 before the first
  * @param formerIncarnation the process before it; 0 for none
- * @param session incremented by each reclaim and each new process: rights and renewals of an older one are void
+ * @param session incremented by each reclaim and each new process: quotas and renewals of an older one are void
  * @param leaving whether the gateway gives up its floors too and is then removed
- * @param validityUs how long the process uses its rights after a confirmed heartbeat, by its own settings (us)
+ * @param validityUs how long the process uses its quotas after a confirmed heartbeat, by its own settings (us)
  */
 public record GatewayRow(
         String name,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
@@ -4,7 +4,7 @@
 import sandpaddle.fleet.limit.LimitScope;
 import sandpaddle.fleet.limit.LimitSpec;
 
-/** A replicated command on the {@link RightsTable}. */
+/** A replicated command on the {@link QuotaTable}. */
 public sealed interface LimitCommand {
     /** A command that only the leader of {@code term} may have decided; refused once another term has begun. */
     sealed interface OfTerm extends LimitCommand {
@@ -17,7 +17,7 @@
     /** Adds a gateway of this zone to the fleet, or moves it there. */
     record Join(String member, String zone) implements LimitCommand {}
 
-    /** Marks a gateway as leaving: it is removed by a {@link Reclaim} once its rights are certainly unused. */
+    /** Marks a gateway as leaving: it is removed by a {@link Reclaim} once its quotas are certainly unused. */
     record Leave(String member) implements LimitCommand {}
 
     /** Replaces all limits; refused if the epoch is not newer. */
@@ -29,13 +29,13 @@
     /**
      * Registers a new process of a gateway, if {@code session} is still its session.
      *
-     * @param validityUs how long the process uses its rights after a confirmed heartbeat (us)
+     * @param validityUs how long the process uses its quotas after a confirmed heartbeat (us)
      */
     record BeginSession(long term, String member, long session, long incarnation, long validityUs) implements OfTerm {}
 
-    /** Takes back a gateway's rights above its floors, if {@code session} is still its session. */
+    /** Takes back a gateway's quotas above its floors, if {@code session} is still its session. */
     record Reclaim(long term, String member, long session) implements OfTerm {}
 
-    /** Changes the rights of slots; each change is applied or refused by itself. */
+    /** Changes the quotas of slots; each change is applied or refused by itself. */
     record ChangeSlots(long term, List<SlotChange> changes) implements OfTerm {}
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
@@ -9,7 +9,7 @@
 final class LimitEpochs {
     private LimitEpochs() {}
 
-    static LimitCommandOutcome replaceLimits(RightsTable table, LimitCommand.SetLimits command) {
+    static LimitCommandOutcome replaceLimits(QuotaTable table, LimitCommand.SetLimits command) {
         if (command.epoch() <= table.epoch) {
             return LimitCommandOutcome.refused("epoch " + command.epoch() + " is not newer than " + table.epoch);
         }
@@ -39,7 +39,7 @@
                 .toList()
                 .forEach(table::discard);
         for (LimitSpec spec : command.limits()) {
-            if (!spec.scope().hasWildcard() && table.limits.size() < RightsTable.MAX_LIMITS) {
+            if (!spec.scope().hasWildcard() && table.limits.size() < QuotaTable.MAX_LIMITS) {
                 table.limits.putIfAbsent(spec.id(), new LimitRow(spec, spec.id()));
             }
         }
@@ -59,7 +59,7 @@
     }
 
     /** Refuses an amount below the floors: gateways use their floors without a lease, so it could not be enforced. */
-    private static LimitCommandOutcome amountBelowFloors(RightsTable table, LimitCommand.SetLimits command) {
+    private static LimitCommandOutcome amountBelowFloors(QuotaTable table, LimitCommand.SetLimits command) {
         for (LimitSpec spec : command.limits()) {
             for (LimitRow row : table.limits.values()) {
                 if (row.parentId.equals(spec.id()) && row.floorSum > spec.amount()) {
@@ -73,7 +73,7 @@
         return null;
     }
 
-    static LimitCommandOutcome instantiate(RightsTable table, LimitCommand.Instantiate command) {
+    static LimitCommandOutcome instantiate(QuotaTable table, LimitCommand.Instantiate command) {
         LimitSpec spec = table.specs.get(command.limit());
         if (spec == null) {
             return LimitCommandOutcome.refused("no limit " + command.limit());
@@ -85,8 +85,8 @@
             return LimitCommandOutcome.refused("limit " + command.limit() + " does not cover these names");
         }
         if (!table.limits.containsKey(instance.get().id())) {
-            if (table.limits.size() >= RightsTable.MAX_LIMITS) {
-                return LimitCommandOutcome.refused("there are " + RightsTable.MAX_LIMITS + " limits, the most");
+            if (table.limits.size() >= QuotaTable.MAX_LIMITS) {
+                return LimitCommandOutcome.refused("there are " + QuotaTable.MAX_LIMITS + " limits, the most");
             }
             table.limits.put(instance.get().id(), new LimitRow(instance.get(), spec.id()));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitRow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitRow.java
@@ -6,8 +6,8 @@
 import sandpaddle.fleet.limit.LimitSpec;
 
 /**
- * One limit and the rights that gateways have under it. A limit that was dropped from the operator's file stays until
- * all its rights are returned. Owned by {@link RightsTable}.
+ * One limit and the quotas that gateways have under it. A limit that was dropped from the operator's file stays until
+ * all its quotas are returned. Owned by {@link QuotaTable}.
  */
 public final class LimitRow {
     LimitSpec spec;
@@ -53,7 +53,7 @@
         return floorSum;
     }
 
-    /** The rights of a slot; {@link SlotAllocation#NONE} if it never got any. */
+    /** The quota of a slot; {@link SlotAllocation#NONE} if it never got any. */
     public SlotAllocation slot(SlotName name) {
         return slots.getOrDefault(name, SlotAllocation.NONE);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/RightsTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/QuotaTable.java
@@ -14,7 +14,7 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * The rights of all gateways under all limits, as the voters agree on them. After O'Neil's escrow method (1986) and
+ * The quotas of all gateways under all limits, as the voters agree on them. After O'Neil's escrow method (1986) and
  * bounded counters (Balegas et al. 2015): for every limit the sum of the allocations is at most its amount, and a
  * command that would break this is refused, whoever decided it. A slot changes only if its version is still the one
  * that the decision was made on (compare and set), and commands of a former term are refused, so a decision that
@@ -24,7 +24,7 @@
  * the lock of {@code FleetStateMachine}. Bounds: {@link #MAX_LIMITS} limits with their instances, {@link #MAX_MEMBERS}
  * gateways, {@link #MAX_SLOTS} slots. Cost: O(log slots) a change.
  */
-public final class RightsTable implements ReplicatedState {
+public final class QuotaTable implements ReplicatedState {
     /** Max number of limits, including instances of limits with wildcards. */
     public static final int MAX_LIMITS = 4096;
 
@@ -43,7 +43,7 @@
     long membershipRevision; // counts joins, leaves and removals
     private final LimitSettings settings;
 
-    public RightsTable(LimitSettings settings) {
+    public QuotaTable(LimitSettings settings) {
         this.settings = settings;
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    /** Removes a limit that is no longer in the operator's file once nobody has rights under it. */
+    /** Removes a limit that is no longer in the operator's file once nobody has a quota under it. */
     private void discardIfUnused(LimitRow row) {
         if (row.dropped && row.allocated == 0) {
             discard(row);
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/SlotChange.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/SlotChange.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.limit.table;
 
 /**
- * New rights for a slot, applied only if the slot still has {@code version} (compare and set).
+ * A new quota for a slot, applied only if the slot still has {@code version} (compare and set).
  *
  * @param limit id of the limit
  * @param amount the new amount, in the limit's unit
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
@@ -19,7 +19,7 @@
 
     private TableCodec() {}
 
-    static byte[] write(RightsTable table) {
+    static byte[] write(QuotaTable table) {
         CborOut out = new CborOut()
                 .number(FORMAT)
                 .number(table.term)
@@ -56,15 +56,15 @@
     }
 
     /** Replaces the content of the table; if the bytes cannot be read, the table is unchanged. */
-    static void read(RightsTable table, byte[] bytes) throws FaultyMessageException {
+    static void read(QuotaTable table, byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
         long term = count(in);
         long epoch = count(in);
         long version = count(in);
         List<LimitSpec> specs = in.list(LimitCommandCodec.MAX_LIMITS, LimitCommandCodec::spec);
-        List<GatewayRow> members = in.list(RightsTable.MAX_MEMBERS, TableCodec::readGateway);
-        List<LimitRow> rows = in.list(RightsTable.MAX_LIMITS, TableCodec::readLimit);
+        List<GatewayRow> members = in.list(QuotaTable.MAX_MEMBERS, TableCodec::readGateway);
+        List<LimitRow> rows = in.list(QuotaTable.MAX_LIMITS, TableCodec::readLimit);
         in.end();
         table.term = term;
         table.epoch = epoch;
@@ -93,7 +93,7 @@
         LimitSpec spec = LimitCommandCodec.spec(in);
         LimitRow row = new LimitRow(spec, name(in));
         row.dropped = in.flag();
-        for (NamedSlot named : in.list(RightsTable.MAX_SLOTS, TableCodec::readSlot)) {
+        for (NamedSlot named : in.list(QuotaTable.MAX_SLOTS, TableCodec::readSlot)) {
             row.put(named.name, named.slot);
         }
         return row;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/Heartbeat.java
@@ -7,7 +7,7 @@
  *
  * @param incarnation drawn by the gateway's process at its start; never 0
  * @param sequence incremented with each heartbeat of the process
- * @param session the session that the gateway's rights belong to; 0 if it has none
+ * @param session the session that the gateway's quotas belong to; 0 if it has none
  * @param leased whether the gateway has a valid lease
  * @param validityUs the gateway's own lease and grace period, as its settings may differ from the leader's (us)
  * @param epoch epoch of the limits that the gateway knows
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
@@ -7,7 +7,7 @@
 import static sandpaddle.fleet.limit.table.LimitCommandCodec.name;
 
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
@@ -64,7 +64,7 @@
     }
 
     /** Appends a grant to a message. */
-    public static void write(CborOut out, RightsGrant grant) {
+    public static void write(CborOut out, QuotaGrant grant) {
         out.text(grant.member())
                 .number(grant.incarnation())
                 .number(grant.session())
@@ -86,16 +86,16 @@
     }
 
     /** Reads a grant. */
-    public static RightsGrant readGrant(CborIn in) throws FaultyMessageException {
-        return new RightsGrant(
+    public static QuotaGrant readGrant(CborIn in) throws FaultyMessageException {
+        return new QuotaGrant(
                 name(in),
                 incarnation(in),
                 count(in),
                 count(in),
                 count(in),
                 in.flag(),
-                in.list(RightsTable.MAX_LIMITS, LimitCommandCodec::spec),
-                in.list(RightsGrant.MAX_SLOTS, LimitCodec::readSlotGrant));
+                in.list(QuotaTable.MAX_LIMITS, LimitCommandCodec::spec),
+                in.list(QuotaGrant.MAX_SLOTS, LimitCodec::readSlotGrant));
     }
 
     private static SlotGrant readSlotGrant(CborIn in) throws FaultyMessageException {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/SlotGrant.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/SlotGrant.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.limit.wire;
 
 /**
- * Rights of one slot.
+ * Quota of one slot.
  *
  * @param limit id of the limit
  * @param tenant a tenant; empty for the gateway's own slot
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/SlotReport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/SlotReport.java
@@ -1,11 +1,11 @@
 package sandpaddle.fleet.limit.wire;
 
 /**
- * A gateway's report on one of its slots, which also acknowledges the rights of {@code version}.
+ * A gateway's report on one of its slots, which also acknowledges the quota of {@code version}.
  *
  * @param limit id of the limit
  * @param tenant a tenant; empty for the gateway's own slot
- * @param version version of the rights that the gateway applies
+ * @param version version of the quota that the gateway applies
  * @param ceiling under {@code version} the gateway will never again use more than this
  * @param floor under {@code version} the gateway will never again use more than this without a lease
  * @param used what is in use now; 0 for a rate
--- a/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
@@ -4,9 +4,9 @@
 public enum MessageKind {
     /** Consensus between voters. */
     RAFT,
-    /** A gateway's demand and usage of rights, to each voter. */
+    /** A gateway's demand and usage of quotas, to each voter. */
     HEARTBEAT,
-    /** Rights for one gateway, from the leader. */
+    /** Quotas for one gateway, from the leader. */
     GRANT,
     /** A batch of evidence, between gateways and hubs. */
     EVIDENCE,
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
@@ -31,7 +31,7 @@
         }
     }
 
-    /** 0 is the most urgent. Consensus and rights must not wait behind evidence or content. */
+    /** 0 is the most urgent. Consensus and quotas must not wait behind evidence or content. */
     private static int urgency(MessageKind kind) {
         return switch (kind) {
             case RAFT -> 1;
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -25,9 +25,9 @@
 import sandpaddle.fleet.node.loop.PoolBudget;
 import sandpaddle.fleet.node.outage.OutageThread;
 import sandpaddle.fleet.node.outage.QueryPathFetcher;
-import sandpaddle.fleet.node.rights.FloorStore;
-import sandpaddle.fleet.node.rights.PoolCoordinator;
-import sandpaddle.fleet.node.rights.RightsManager;
+import sandpaddle.fleet.node.quota.FloorStore;
+import sandpaddle.fleet.node.quota.PoolCoordinator;
+import sandpaddle.fleet.node.quota.QuotaManager;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.SharedState;
@@ -90,18 +90,18 @@
         FloorStore floors = settings.directory() == null
                 ? null
                 : new FloorStore(settings.directory(), settings.limits().floorMaxAgeUs());
-        RightsManager rights = new RightsManager(
+        QuotaManager quotas = new QuotaManager(
                 name,
                 incarnation,
                 self.zone(),
                 classes,
-                floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
+                floors == null ? QuotaManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(),
                 shared,
                 nowUs);
-        rights.localLimits(settings.agreed().limits());
+        quotas.localLimits(settings.agreed().limits());
         PoolCoordinator pools =
-                new PoolCoordinator(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
+                new PoolCoordinator(quotas, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
         CommittedConfig committedConfig = new CommittedConfig();
         committedConfig.offer(settings.agreed().encode());
         topology = new FleetTopology(settings.agreed());
@@ -167,7 +167,7 @@
                 self,
                 clock,
                 links,
-                rights,
+                quotas,
                 floors,
                 evidence,
                 committedConfig,
@@ -190,7 +190,7 @@
                 settings.agreed().members().size());
         dispatcher.start(components, periodicTasks);
         topology.start(components);
-        periodicTasks.publish(); // before the first query: without rights, limited resources may not be used
+        periodicTasks.publish(); // before the first query: without quotas, limited resources may not be used
         thread.start();
         thread.scheduleEvery(settings.limits().heartbeatUs(), periodicTasks::sendHeartbeats);
         thread.scheduleEvery(settings.verdicts().evidenceIntervalUs(), periodicTasks::exchangeEvidence);
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -58,7 +58,7 @@
     /** Takes over a changed operator's file. */
     void localConfigChanged(FleetConfig next) {
         localConfig = next;
-        components.rights().localLimits(next.limits());
+        components.quotas().localLimits(next.limits());
         components.committedConfig().offer(next.encode());
         updateLinks();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.member.Member;
@@ -70,9 +70,9 @@
         }
     }
 
-    /** Applies rights from the leader: publishes the view at once and wakes the event loop. */
-    void grantReceived(RightsGrant grant) {
-        components.rights().granted(components.clock().now(), grant);
+    /** Applies quotas from the leader: publishes the view at once and wakes the event loop. */
+    void grantReceived(QuotaGrant grant) {
+        components.quotas().granted(components.clock().now(), grant);
         periodicTasks.publish();
         components.wake().run();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -8,9 +8,9 @@
 import sandpaddle.fleet.node.lead.CommittedConfig;
 import sandpaddle.fleet.node.lead.FleetLeader;
 import sandpaddle.fleet.node.outage.OutageThread;
-import sandpaddle.fleet.node.rights.FloorStore;
-import sandpaddle.fleet.node.rights.PoolCoordinator;
-import sandpaddle.fleet.node.rights.RightsManager;
+import sandpaddle.fleet.node.quota.FloorStore;
+import sandpaddle.fleet.node.quota.PoolCoordinator;
+import sandpaddle.fleet.node.quota.QuotaManager;
 
 /**
  * The components of one gateway in a fleet; all are used on the fleet's thread.
@@ -19,7 +19,7 @@
  * @param self this gateway
  * @param clock monotonic clock
  * @param links links to the peers
- * @param rights rights of this gateway
+ * @param quotas quotas of this gateway
  * @param floors stored floors, null without a directory
  * @param evidence exchange of evidence
  * @param committedConfig committed configuration
@@ -34,7 +34,7 @@
         Member self,
         MonotonicClock clock,
         Links links,
-        RightsManager rights,
+        QuotaManager quotas,
         FloorStore floors,
         EvidenceExchange evidence,
         CommittedConfig committedConfig,
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -52,7 +52,7 @@
                 components.outage().heard(event);
             }
             if (event instanceof LoopEvent.TenantSeen tenantSeen) {
-                components.rights().met(tenantSeen.tenant());
+                components.quotas().met(tenantSeen.tenant());
             } else if (event instanceof LoopEvent.EngineListChanged change) {
                 engineListChanged(change.list());
             } else if (event instanceof LoopEvent.AttemptEnded attempt
@@ -77,7 +77,7 @@
                 engines.remove(entry.id());
             }
         }
-        components.rights().engines(engines);
+        components.quotas().engines(engines);
         components.pools().listed(components.clock().now(), list);
     }
 
@@ -86,7 +86,7 @@
         long nowUs = components.clock().now();
         components.pools().tick(nowUs);
         components
-                .rights()
+                .quotas()
                 .publish(
                         components.settings().verdictsOn()
                                 ? components.evidence().moduleVerdicts(nowUs)
@@ -105,7 +105,7 @@
         HeartbeatMessage message = new HeartbeatMessage(
                 topology.configVersion(),
                 topology.fileVersion(),
-                components.rights().beat(nowUs));
+                components.quotas().beat(nowUs));
         byte[] bytes = message.encode();
         for (String voter : topology.linkedVoters()) {
             if (components.isSelf(voter)) {
@@ -134,11 +134,11 @@
      * may wait for the disk.
      */
     void persistFloors() {
-        List<SavedFloor> floors = components.rights().holder().floors();
+        List<SavedFloor> floors = components.quotas().holder().floors();
         components.voter().execute(() -> {
             if (components.floors().write(floors)) {
                 thread.execute(() -> components
-                        .rights()
+                        .quotas()
                         .holder()
                         .onFloorsWritten(components.clock().now(), floors));
             }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Executor;
 import org.tinylog.Logger;
 import sandpaddle.fleet.FleetSettings;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.node.MonotonicClock;
@@ -18,7 +18,7 @@
 
 /** The consensus of one gateway wired up: its state machine parts, its store, its thread. */
 public record VoterSetup(VoterThread voter, FleetLeader.Components components) {
-    private static final byte RIGHTS = 3; // its tag in the log, for ever
+    private static final byte QUOTAS = 3; // its tag in the log, for ever
     private static final RaftSettings RAFT = RaftSettings.DEFAULTS;
 
     /** Starts it on the settings' directory. */
@@ -26,11 +26,11 @@
             FleetSettings settings, String name, Links links, MonotonicClock clock, Executor fleet, long seed) {
         FleetMembership membership = new FleetMembership();
         VersionedDocuments policy = new VersionedDocuments();
-        RightsTable table = new RightsTable(settings.limits());
+        QuotaTable table = new QuotaTable(settings.limits());
         StateMachinePart members = new StateMachinePart(FleetMembership.TAG, "members", membership);
         StateMachinePart policies = new StateMachinePart(VersionedDocuments.TAG, "policies", policy);
-        StateMachinePart rights = new StateMachinePart(RIGHTS, "rights", table);
-        FleetStateMachine machine = new FleetStateMachine(List.of(members, policies, rights), new Watching());
+        StateMachinePart quotas = new StateMachinePart(QUOTAS, "rights", table);
+        FleetStateMachine machine = new FleetStateMachine(List.of(members, policies, quotas), new Watching());
         Voter.VoterCallbacks around = new Voter.VoterCallbacks() {
             @Override
             public void send(String to, byte[] message) {
@@ -50,7 +50,7 @@
                 clock,
                 fleet,
                 seed);
-        return new VoterSetup(voter, new FleetLeader.Components(members, membership, policies, policy, rights, table));
+        return new VoterSetup(voter, new FleetLeader.Components(members, membership, policies, policy, quotas, table));
     }
 
     private static final class Watching implements FleetStateMachine.ApplyListener {
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
@@ -8,7 +8,7 @@
 
 /**
  * The configuration that the voters committed, and the newest one that any gateway offered. A text that this version
- * cannot read is logged once; the one before stays in force here, so rights are moved by what both know.
+ * cannot read is logged once; the one before stays in force here, so quotas are moved by what both know.
  */
 public final class CommittedConfig {
     private FleetConfig agreed = FleetConfig.NONE;
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -10,12 +10,12 @@
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.allocator.AllocatorOutput;
-import sandpaddle.fleet.limit.allocator.RightsAllocator;
+import sandpaddle.fleet.limit.allocator.QuotaAllocator;
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.member.Roster;
 import sandpaddle.fleet.member.VoterPlan;
@@ -31,7 +31,7 @@
 
 /**
  * The leader's tasks, on the fleet's thread: commits the newest configuration, brings members and limits in line with
- * it, receives heartbeats, moves rights, and keeps the voters spread over zones. Everything it does is a proposal;
+ * it, receives heartbeats, moves quotas, and keeps the voters spread over zones. Everything it does is a proposal;
  * those of a former leader are refused.
  */
 public final class FleetLeader {
@@ -41,15 +41,15 @@
             FleetMembership membership,
             StateMachinePart policies,
             VersionedDocuments policy,
-            StateMachinePart rights,
-            RightsTable table) {}
+            StateMachinePart quotas,
+            QuotaTable table) {}
 
     private static final long LINE_UP_US = 200_000; // between two looks at whether members and limits are in line
     private static final long ANSWER_US = 1_000_000; // a proposal that was not answered is made again
 
     private final VoterThread voters;
     private final Components parts;
-    private final RightsAllocator allocator;
+    private final QuotaAllocator allocator;
     private final CommittedConfig committedConfig;
     private final PoolAllocator pools;
     private final VoterPlan plan;
@@ -76,7 +76,7 @@
         this.parts = parts;
         this.committedConfig = committedConfig;
         this.plan = new VoterPlan(plan);
-        allocator = new RightsAllocator(limits, parts.table(), pools);
+        allocator = new QuotaAllocator(limits, parts.table(), pools);
         this.pools = pools;
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** To be called every few tens of milliseconds, with what conditions are judged by; grants go to {@code send}. */
-    public void tick(long nowUs, FleetState state, Consumer<RightsGrant> send) {
+    public void tick(long nowUs, FleetState state, Consumer<QuotaGrant> send) {
         VoterThread.Status status = voters.status();
         voters.read(() -> committedConfig.read(parts.policy().document(FleetConfig.NAME)));
         if (!status.leads()) {
@@ -142,7 +142,7 @@
             lineUp(nowUs, status);
         }
         AllocatorOutput turn = voters.read(() -> allocator.tick(nowUs));
-        turn.proposals().forEach(c -> voters.propose(parts.rights().command(LimitCommandCodec.write(c)), this::told));
+        turn.proposals().forEach(c -> voters.propose(parts.quotas().command(LimitCommandCodec.write(c)), this::told));
         turn.grants().forEach(send);
     }
 
@@ -206,12 +206,12 @@
             }
             var row = parts.table().members().get(member.name());
             if (row == null || row.leaving() || !row.zone().equals(member.zone())) {
-                commands.add(rights(new LimitCommand.Join(member.name(), member.zone())));
+                commands.add(quotas(new LimitCommand.Join(member.name(), member.zone())));
             }
         }
         parts.table().members().values().stream()
                 .filter(r -> !r.leaving() && agreed.member(r.name()).isEmpty())
-                .forEach(r -> commands.add(rights(new LimitCommand.Leave(r.name()))));
+                .forEach(r -> commands.add(quotas(new LimitCommand.Leave(r.name()))));
         parts.membership().members().stream()
                 .filter(member -> agreed.member(member.name()).isEmpty()
                         && !parts.table().members().containsKey(member.name()))
@@ -222,14 +222,14 @@
         if (parts.table().epoch() == 0
                 || limits.size() != stand.size()
                 || limits.stream().anyMatch(l -> !l.equals(stand.get(l.id())))) {
-            commands.add(rights(new LimitCommand.SetLimits(
+            commands.add(quotas(new LimitCommand.SetLimits(
                     Math.max(agreed.version(), parts.table().epoch() + 1), limits)));
         }
         return commands;
     }
 
-    private byte[] rights(LimitCommand command) {
-        return parts.rights().command(LimitCommandCodec.write(command));
+    private byte[] quotas(LimitCommand command) {
+        return parts.quotas().command(LimitCommandCodec.write(command));
     }
 
     private void replan(long nowUs, VoterThread.Status status) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.view.LimitSlot;
 
 /**
- * Computes the quotas for the decision module from the current rights, minus orphaned attempts, and the Retry-After
+ * Computes the quotas for the decision module from the granted ones, minus orphaned attempts, and the Retry-After
  * for clients. Used on the event loop.
  */
 final class AllowanceCalculator {
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
@@ -11,7 +11,7 @@
 
 /**
  * Selects the attempts to withdraw after a lease expired: the latest first, until the floors cover the rest. Attempts
- * that are not idempotent stay; their rights outlive the lease.
+ * that are not idempotent stay; their quotas outlive the lease.
  */
 final class ExcessAttempts {
     private ExcessAttempts() {}
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
@@ -26,7 +26,7 @@
 
 /**
  * The fleet as the event loop uses it: reads the view, counts attempts, and passes events to the fleet's thread by a
- * queue that neither blocks nor grows. Rights are checked three times: a change is reported to the decision module, a
+ * queue that neither blocks nor grows. Quotas are checked three times: a change is reported to the decision module, a
  * starting attempt is counted against them, and when they expire, idempotent attempts over quota are withdrawn. Owned
  * by the event loop, except {@link #isBusy}.
  */
@@ -134,11 +134,11 @@
         buckets.adoptView(view, nowUs);
         pools.less();
         List<Event> events = new ArrayList<>(2);
-        QuotasChanged rights = allowanceCalculator.of(view, counters, orphaned, listedEngines.up(), nowUs);
-        if (!rights.equals(lastQuotas)) {
-            lastQuotas = rights;
-            Logger.debug("fleet: rights by view {}, leased {}: {}", view.numbering(), wasLeased, rights);
-            events.add(rights);
+        QuotasChanged quotas = allowanceCalculator.of(view, counters, orphaned, listedEngines.up(), nowUs);
+        if (!quotas.equals(lastQuotas)) {
+            lastQuotas = quotas;
+            Logger.debug("fleet: rights by view {}, leased {}: {}", view.numbering(), wasLeased, quotas);
+            events.add(quotas);
         }
         if (view.verdicts() != lastViewVerdicts) {
             lastViewVerdicts = view.verdicts();
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
 import sandpaddle.fleet.limit.table.LimitRow;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.table.SlotName;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.Policy;
@@ -28,7 +28,7 @@
  * The leader's part in dividing pools: makes each budget of the active policy a limit of the fleet, and computes the
  * target of each slot. It solves every {@value #EVERY_US} us at most, and only where demand, engines, gateways, the
  * policy or the fleet's state changed. Targets are only wishes: that a budget is never exceeded is enforced by the
- * rights table.
+ * quota table.
  */
 public final class PoolAllocator implements TargetPolicy {
     static final long EVERY_US = 200_000;
@@ -122,7 +122,7 @@
         return new SolverInput(state, gateways, engines, all);
     }
 
-    /** So that the next query needs no new right: one more, or a quarter. */
+    /** So that the next query needs no new quota: one more, or a quarter. */
     private static int more(int demand) {
         return Math.max(1, demand / SPARE_PART);
     }
@@ -146,7 +146,7 @@
      * The limits of the policy as they should stand in the table. An amount is never below the floors that gateways
      * hold: these come down first, since whoever is cut off uses them.
      */
-    public List<LimitSpec> limits(RightsTable table, int others) {
+    public List<LimitSpec> limits(QuotaTable table, int others) {
         if (known.policy().isPresent() && (known.engines().isEmpty() || allotment == null)) {
             return table.specs().values().stream()
                     .filter(s -> PoolLimitIds.isPool(s.id()))
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/FloorStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/FloorStore.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/MeasuredUsage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/MeasuredUsage.java
@@ -1,9 +1,9 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.limit.lease.Rights;
+import sandpaddle.fleet.limit.lease.Quotas;
 import sandpaddle.fleet.limit.lease.UsageSource;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.LimitSlot;
@@ -27,7 +27,7 @@
     private final SlotNumbering numbering;
     private final Publication<sandpaddle.fleet.view.SlotUsage> usages;
     private final OpenConnections connections;
-    private final Map<Rights.Key, Rate> rates = new HashMap<>();
+    private final Map<Quotas.Key, Rate> rates = new HashMap<>();
     private long sampledAt;
     private long sampledNumber = -1;
     private int engines = 1;
@@ -81,7 +81,7 @@
         sandpaddle.fleet.view.SlotUsage usage = usages.current();
         Integer place = place(usage, limit, sub);
         long running = place == null ? 0 : usage.running(place);
-        Integer mine = numbering.latest().places().get(new Rights.Key(limit, sub));
+        Integer mine = numbering.latest().places().get(new Quotas.Key(limit, sub));
         LimitSlot slot = mine == null ? null : numbering.latest().slots().get(mine);
         if (slot == null
                 || slot.counts() != LimitSlot.Counts.CONNECTIONS
@@ -112,7 +112,7 @@
     private Integer place(sandpaddle.fleet.view.SlotUsage usage, String limit, String sub) {
         return numbering
                 .order(usage.numbering())
-                .map(o -> o.places().get(new Rights.Key(limit, sub)))
+                .map(o -> o.places().get(new Quotas.Key(limit, sub)))
                 .orElse(null);
     }
 
@@ -126,7 +126,7 @@
         LimitSlot slot =
                 numbering.order(usage.numbering()).orElseThrow().slots().get(place);
         if (slot.counts().isRate()) {
-            Rate r = rates.get(new Rights.Key(limit, sub));
+            Rate r = rates.get(new Quotas.Key(limit, sub));
             return r == null ? 0 : (long) Math.ceil(r.perSecond * THOUSANDTHS);
         }
         long waiting = slot.engine() == null ? usage.waiting(place) : (waitingInAll(usage) + engines - 1) / engines;
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import java.time.Instant;
 import java.time.ZoneId;
@@ -28,7 +28,7 @@
  * that need them.
  */
 public final class PoolCoordinator {
-    private final RightsManager rights;
+    private final QuotaManager quotas;
     private final PoolBudget budget;
     private final PoolEngines engines;
     private final ActivePoolPolicy ruling = new ActivePoolPolicy();
@@ -36,8 +36,8 @@
     private Map<String, String> zones = Map.of();
 
     /** {@code kinds}: of engines, their names by number. */
-    public PoolCoordinator(RightsManager rights, PoolBudget budget, List<String> kinds) {
-        this.rights = rights;
+    public PoolCoordinator(QuotaManager quotas, PoolBudget budget, List<String> kinds) {
+        this.quotas = quotas;
         this.budget = budget;
         engines = new PoolEngines(kinds);
     }
@@ -56,7 +56,7 @@
         agreed.members().forEach(member -> next.put(member.name(), member.zone()));
         zones = Map.copyOf(next);
         if (ruling.agreed(agreed)) {
-            rights.pool(ruling.policy(), ruling.isBehind());
+            quotas.pool(ruling.policy(), ruling.isBehind());
         }
     }
 
@@ -91,7 +91,7 @@
     /** With each heartbeat, before the view is published. */
     public void tick(long nowUs) {
         List<PoolEngine> all = engines.all(nowUs);
-        rights.poolEngines(all);
+        quotas.poolEngines(all);
         Map<String, Integer> control = new HashMap<>();
         ruling.policy().filter(p -> !ruling.isBehind() && !zones.isEmpty()).ifPresent(p -> control(p, all, control));
         budget.control(control);
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/RightsManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/QuotaManager.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,11 +11,11 @@
 import sandpaddle.fleet.limit.LimitScope;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
-import sandpaddle.fleet.limit.lease.Rights;
-import sandpaddle.fleet.limit.lease.RightsHolder;
+import sandpaddle.fleet.limit.lease.QuotaHolder;
+import sandpaddle.fleet.limit.lease.Quotas;
 import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.node.pool.PoolEngine;
 import sandpaddle.fleet.node.pool.PoolSlots;
 import sandpaddle.fleet.pool.model.Policy;
@@ -25,11 +25,11 @@
 import sandpaddle.fleet.view.SharedState;
 
 /**
- * This gateway's rights on the fleet's thread: grants go into the view, the event loop's counts go into the next
- * heartbeat. The view is published before the counts are read, so that nothing starts on rights being given back.
+ * This gateway's quotas on the fleet's thread: grants go into the view, the event loop's counts go into the next
+ * heartbeat. The view is published before the counts are read, so that nothing starts on quota being given back.
  */
-public final class RightsManager {
-    private final RightsHolder holder;
+public final class QuotaManager {
+    private final QuotaHolder holder;
     private final SlotNumbering numbering;
     private final MeasuredUsage demand;
     private final String zone;
@@ -42,7 +42,7 @@
     private boolean behind; // by what this gateway could read, not by what rules
 
     /** {@code classes}: their names, by number. */
-    public RightsManager(
+    public QuotaManager(
             String member,
             long incarnation,
             String zone,
@@ -56,7 +56,7 @@
         views = shared.views();
         numbering = new SlotNumbering(classes, zone);
         demand = new MeasuredUsage(numbering, shared.usages(), shared.connections());
-        holder = new RightsHolder(member, incarnation, nowUs, settings, demand, floors);
+        holder = new QuotaHolder(member, incarnation, nowUs, settings, demand, floors);
     }
 
     /** Where no file keeps floors over a restart, one that is lowered is low at once: no older copy could raise it. */
@@ -75,7 +75,7 @@
                 s.guards());
     }
 
-    public RightsHolder holder() {
+    public QuotaHolder holder() {
         return holder;
     }
 
@@ -113,8 +113,8 @@
         return limits.isEmpty() ? localLimits : limits.values();
     }
 
-    /** Rights from the leader. */
-    public void granted(long nowUs, RightsGrant grant) {
+    /** Quotas from the leader. */
+    public void granted(long nowUs, QuotaGrant grant) {
         holder.receiveGrant(nowUs, grant);
     }
 
@@ -140,7 +140,7 @@
         LimitScope s = spec.scope();
         for (String engine : LimitScope.EACH.equals(s.engine()) ? engines : Set.of("")) {
             if (!engine.isEmpty() && !LimitScope.isName(engine)) {
-                continue; // it cannot be told, and a heartbeat with it could not be read: it stays without rights
+                continue; // it cannot be told, and a heartbeat with it could not be read: it stays without a quota
             }
             for (String tenant : LimitScope.EACH.equals(s.tenant()) ? tenants : Set.of("")) {
                 for (String cls : LimitScope.EACH.equals(s.requestClass()) ? classes : List.of("")) {
@@ -165,10 +165,10 @@
         if (numbering.use(byId.values(), parts)) {
             parts.values().forEach(of -> of.forEach(slot -> holder.openSlot(slot.id(), slot.sub())));
         }
-        Rights rights = holder.rights();
+        Quotas quotas = holder.quotas();
         List<FleetView.SlotQuota> shares = new ArrayList<>();
         for (LimitSlot slot : numbering.latest().slots()) {
-            Rights.SlotCeilings pair = rights.slotCeilings(new Rights.Key(slot.id(), slot.sub()));
+            Quotas.SlotCeilings pair = quotas.slotCeilings(new Quotas.Key(slot.id(), slot.sub()));
             boolean pool = parts.containsKey(slot.id());
             shares.add(new FleetView.SlotQuota(
                     pool && behind ? Math.min(pair.leased(), pair.unleased()) : pair.leased(),
@@ -181,7 +181,7 @@
                 shares,
                 numbering.each(),
                 holder.usableFromUs(),
-                rights.leaseExpiresAtUs(),
+                quotas.leaseExpiresAtUs(),
                 verdicts,
                 outdated,
                 isolation);
--- a/gateway/src/main/java/sandpaddle/fleet/node/rights/SlotNumbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/SlotNumbering.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.limit.LimitScope;
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.LimitUnit;
-import sandpaddle.fleet.limit.lease.Rights;
+import sandpaddle.fleet.limit.lease.Quotas;
 import sandpaddle.fleet.node.pool.PoolSlots;
 import sandpaddle.fleet.view.LimitSlot;
 
@@ -23,7 +23,7 @@
     private static final int REMEMBERED = 8;
 
     /** One order of slots. */
-    record Order(long number, List<LimitSlot> slots, Map<Rights.Key, Integer> places) {}
+    record Order(long number, List<LimitSlot> slots, Map<Quotas.Key, Integer> places) {}
 
     private final List<String> classes;
     private final String zone;
@@ -58,9 +58,9 @@
         if (slots.equals(latest().slots)) {
             return false;
         }
-        Map<Rights.Key, Integer> places = new HashMap<>();
+        Map<Quotas.Key, Integer> places = new HashMap<>();
         for (int i = 0; i < slots.size(); i++) {
-            places.put(new Rights.Key(slots.get(i).id(), slots.get(i).sub()), i);
+            places.put(new Quotas.Key(slots.get(i).id(), slots.get(i).sub()), i);
         }
         orders.addFirst(new Order(latest().number + 1, List.copyOf(slots), places));
         if (orders.size() > REMEMBERED) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
@@ -2,7 +2,7 @@
 
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.LimitCodec;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
@@ -12,7 +12,7 @@
  *
  * @param configVersion version of the configuration in force at the gateway
  * @param fileVersion version of the configuration in the gateway's own file
- * @param heartbeat usage and demand of its rights
+ * @param heartbeat usage and demand of its quotas
  */
 public record HeartbeatMessage(long configVersion, long fileVersion, Heartbeat heartbeat) {
 
@@ -33,15 +33,15 @@
     }
 
     /** Encodes a grant. */
-    public static byte[] encode(RightsGrant grant) {
+    public static byte[] encode(QuotaGrant grant) {
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         return out.done();
     }
 
-    public static RightsGrant decodeGrant(byte[] bytes) throws FaultyMessageException {
+    public static QuotaGrant decodeGrant(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
-        RightsGrant grant = LimitCodec.readGrant(in);
+        QuotaGrant grant = LimitCodec.readGrant(in);
         in.end();
         return grant;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -12,7 +12,7 @@
             return s.lost() ? ISOLATED : s.due() ? EXPECTING : CONNECTED;
         }
     },
-    /** A window comes: rights are moved, the plan is made. */
+    /** A window comes: quotas are moved, the plan is made. */
     EXPECTING {
         @Override
         Phase next(PhaseInputs s) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShare.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/quota/FloorShare.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.rights;
+package sandpaddle.fleet.outage.quota;
 
 /**
  * A gateway's part in one limit: its zone, the floor that is reserved for it, and what it is expected to need at once
--- a/gateway/src/main/java/sandpaddle/fleet/outage/rights/FloorShift.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/quota/FloorShift.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.rights;
+package sandpaddle.fleet.outage.quota;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,20 +13,20 @@
  * Floors for the length of an expected outage: the gateways of the zone that leaves get what they are expected to
  * need, within a stated part of the limit, and the floors of all others shrink by as much in proportion, each to its
  * least at most. The sum of floors never grows, so that whatever bound on a limit held with the usual floors holds
- * with these. While the shift lasts is a matter of the wall clock; that a right is another's only once its holder
- * must have given it up is the lease's, as for every move of rights. O(n log n) for n gateways; whole units.
+ * with these. While the shift lasts is a matter of the wall clock; that a quota is another's only once its holder
+ * must have given it up is the lease's, as for every move of quotas. O(n log n) for n gateways; whole units.
  */
 public final class FloorShift {
     private FloorShift() {}
 
     /** Whether an outage's floors are in force at a time (wall, ms); what it is past, the usual floors return. */
-    public static boolean isInForce(PlannedOutage leave, long wall, RightsSettings settings) {
+    public static boolean isInForce(PlannedOutage leave, long wall, QuotaShiftSettings settings) {
         return wall >= leave.lossAt() - settings.leadMs() && wall < leave.returnAt();
     }
 
     /** The zones whose shift is in force: by schedule, or because they are still cut off. */
     public static Set<String> leaving(
-            List<PlannedOutage> leaves, Set<String> cutOff, long wall, RightsSettings settings) {
+            List<PlannedOutage> leaves, Set<String> cutOff, long wall, QuotaShiftSettings settings) {
         Set<String> zones = new TreeSet<>();
         leaves.stream().filter(l -> isInForce(l, wall, settings)).forEach(l -> zones.add(l.zone()));
         // unannounced outages move nothing: who is cut off hears of no new floor
@@ -37,7 +37,8 @@
     }
 
     /** The floors of all gateways of one limit while some zones leave; the usual ones where none does. */
-    public static Map<String, Long> floors(long limit, List<FloorShare> shares, Set<String> leaving, RightsSettings s) {
+    public static Map<String, Long> floors(
+            long limit, List<FloorShare> shares, Set<String> leaving, QuotaShiftSettings s) {
         Map<String, Long> floors = new LinkedHashMap<>();
         shares.forEach(x -> floors.put(x.gateway(), x.floor()));
         List<FloorShare> going =
@@ -63,7 +64,7 @@
     }
 
     /**
-     * What a gateway needs at once, by Little's law: asks expected in a time (ms), each holding a right for so long
+     * What a gateway needs at once, by Little's law: asks expected in a time (ms), each holding a quota for so long
      * (us). Rounded up; nothing for no asks.
      */
     public static long need(double asks, double heldUs, long lengthMs) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
@@ -16,7 +16,7 @@
  * @param floor of the target, the part that is the slot's due; the rest may be lent
  */
 public record Target(Slot slot, int target, int floor) {
-    /** A holder of rights in a limit; the tenant is empty in limits of single engines. */
+    /** A holder of a quota in a limit; the tenant is empty in limits of single engines. */
     public record Slot(Limit limit, String gateway, String tenant) implements Comparable<Slot> {
         @Override
         public int compareTo(Slot other) {
--- a/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
@@ -8,7 +8,7 @@
 /**
  * Counts the attempts of one gateway against the fleet's limits, on the event loop. A start is counted first and the
  * view is read after, with a full fence between. The fleet's thread publishes a lower quota first and reads the
- * counts after, so one of the two sees the other, and no attempt starts on rights that were returned. Nothing is
+ * counts after, so one of the two sees the other, and no attempt starts on quota that was returned. Nothing is
  * allocated once an engine, tenant and class have been seen together. Bounded by {@link #MAX_COUNTERS}; past it idle
  * counters are removed.
  */
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Counts an attempt that is about to start, if the current rights cover it.
+     * Counts an attempt that is about to start, if the current quotas cover it.
      *
      * @return whether they do; otherwise nothing is counted
      */
--- a/gateway/src/test/java/sandpaddle/fleet/limit/bound/BoundsProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/bound/BoundsProperties.java
@@ -34,7 +34,7 @@
         for (int step = 0; step < 2000; step++) {
             now += r.nextInt(20_000);
             int i = r.nextInt(gateways);
-            if (r.nextInt(20) == 0) { // rights move: down first
+            if (r.nextInt(20) == 0) { // quotas move: down first
                 long others = 0;
                 for (int k = 0; k < gateways; k++) {
                     others += k == i ? 0 : rates[k];
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/DemandTest.java
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 10, 40})
-    void rightsFollowDemandWithinTwoSeconds(int size) {
+    void quotasFollowDemandWithinTwoSeconds(int size) {
         Fleet fleet = fleet(size, 200, 400 / size);
         assertTrue(fleet.engines.running(Fleet.LIMIT) >= 190, "even: " + fleet.engines.running(Fleet.LIMIT));
         fleet.gateways.forEach(g -> g.demand = Math.max(1, 60 / (size - 1)));
@@ -51,8 +51,8 @@
         fleet.run(2 * S);
         int used = fleet.engines.running(Fleet.LIMIT);
         assertTrue(used >= 190, "used of 200 two seconds later: " + used);
-        long rights = ceiling(fleet, 0);
-        assertTrue(rights >= 0.75 * 200, "the gateway with four fifths of the demand may use " + rights);
+        long quota = ceiling(fleet, 0);
+        assertTrue(quota >= 0.75 * 200, "the gateway with four fifths of the demand may use " + quota);
     }
 
     @Test
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void noiseMovesFewRights() {
+    void noiseMovesLittleQuota() {
         Fleet fleet = fleet(10, 200, 40);
         Random noise = new Random(3);
         int[] mean = {120, 40, 40, 30, 20, 10, 5, 5, 3, 2};
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Fleet.java
@@ -16,14 +16,14 @@
 import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 
 /** A whole fleet in virtual time with links that lose, delay, repeat and reorder; everything drawn from one seed. */
 final class Fleet {
     static final String LIMIT = "whole";
     static final long STEP_US = 100_000;
 
-    private record Message(long at, long number, int voter, int gateway, Heartbeat beat, RightsGrant grant) {}
+    private record Message(long at, long number, int voter, int gateway, Heartbeat beat, QuotaGrant grant) {}
 
     final LimitSettings settings;
     final Random random;
@@ -61,7 +61,7 @@
                 .isAccepted();
     }
 
-    private void send(int voter, int gateway, Heartbeat heartbeat, RightsGrant grant) {
+    private void send(int voter, int gateway, Heartbeat heartbeat, QuotaGrant grant) {
         int copies = random.nextDouble() < repeat ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             boolean lost =
@@ -98,7 +98,7 @@
         }
         links.addAll(later);
         for (Map.Entry<Integer, AllocatorOutput> turn : voters.turn(now).entrySet()) {
-            for (RightsGrant grant : turn.getValue().grants()) {
+            for (QuotaGrant grant : turn.getValue().grants()) {
                 send(turn.getKey(), Integer.parseInt(grant.member().substring(1)), null, grant);
             }
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Gateway.java
@@ -6,11 +6,11 @@
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.lease.FloorFile;
-import sandpaddle.fleet.limit.lease.RightsHolder;
+import sandpaddle.fleet.limit.lease.QuotaHolder;
 import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.limit.lease.UsageSource;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 
 /** A gateway in virtual time: its clock, its disk, its process with a holder, and clients that always want more. */
 final class Gateway implements UsageSource {
@@ -25,7 +25,7 @@
     private final List<FloorFile> disk = new ArrayList<>(); // the last is the file; the others are old copies
     private long wroteAt = Long.MIN_VALUE / 2;
     private long beatAt = Long.MIN_VALUE / 2;
-    RightsHolder holder; // null: no process
+    QuotaHolder holder; // null: no process
     boolean stopped;
     int demand = 3;
     long longest = 4_000_000;
@@ -64,7 +64,7 @@
             int which = random.nextInt(3) == 0 ? random.nextInt(disk.size()) : disk.size() - 1;
             floors = disk.get(which).usable("boot", clock(now));
         }
-        holder = new RightsHolder(name, 1 + random.nextInt(Integer.MAX_VALUE), clock(now), settings, this, floors);
+        holder = new QuotaHolder(name, 1 + random.nextInt(Integer.MAX_VALUE), clock(now), settings, this, floors);
         beatAt = Long.MIN_VALUE / 2;
     }
 
@@ -78,7 +78,7 @@
         return demand;
     }
 
-    void receiveGrant(long now, RightsGrant grant) {
+    void receiveGrant(long now, QuotaGrant grant) {
         if (holder != null) {
             holder.receiveGrant(clock(now), grant);
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/Voters.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.allocator.AllocatorOutput;
-import sandpaddle.fleet.limit.allocator.RightsAllocator;
+import sandpaddle.fleet.limit.allocator.QuotaAllocator;
 import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.table.LimitCommandOutcome;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 
 /**
  * Voters in virtual time, with consensus as what it promises: one log; one true leader; a former one that does not know
@@ -20,16 +20,16 @@
 final class Voters {
     /** One that may lead. */
     static final class Voter {
-        final RightsTable table;
-        final RightsAllocator allocator;
+        final QuotaTable table;
+        final QuotaAllocator allocator;
         final double rate;
         final List<long[]> asked = new ArrayList<>(); // confirmations: its clock then, whether it led, when it hears
         int applied;
         long term; // that it believes to lead, 0 for none
 
         Voter(LimitSettings settings, TargetPolicy targets, double rate) {
-            table = new RightsTable(settings);
-            allocator = new RightsAllocator(settings, table, targets);
+            table = new QuotaTable(settings);
+            allocator = new QuotaAllocator(settings, table, targets);
             this.rate = rate;
         }
 
@@ -41,7 +41,7 @@
     private record Proposal(long at, LimitCommand command) {}
 
     final List<Voter> voters = new ArrayList<>();
-    final RightsTable truth; // what is agreed on
+    final QuotaTable truth; // what is agreed on
     private final List<LimitCommand> log = new ArrayList<>();
     private final List<Proposal> proposals = new ArrayList<>();
     private final Random random;
@@ -51,7 +51,7 @@
 
     Voters(LimitSettings settings, TargetPolicy targets, Random random, double drift) {
         this.random = random;
-        truth = new RightsTable(settings);
+        truth = new QuotaTable(settings);
         for (int i = 0; i < 3; i++) {
             voters.add(new Voter(settings, targets, 1 + drift * (2 * random.nextDouble() - 1)));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/lease/RightsHolderTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/lease/QuotaHolderTest.java
@@ -9,16 +9,16 @@
 import sandpaddle.fleet.limit.Guard;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 
-class RightsHolderTest {
+class QuotaHolderTest {
     private static final LimitSettings SETTINGS = LimitSettings.DEFAULTS;
     private static final long FRESH = SETTINGS.startupDelayUs();
     private long used;
 
-    private RightsHolder holder(LimitSettings settings, List<SavedFloor> floors) {
-        return new RightsHolder(
+    private QuotaHolder holder(LimitSettings settings, List<SavedFloor> floors) {
+        return new QuotaHolder(
                 "g",
                 5,
                 0,
@@ -37,17 +37,17 @@
                 floors);
     }
 
-    private static RightsGrant grant(long incarnation, long session, long confirmed, SlotGrant... given) {
-        return new RightsGrant("g", incarnation, session, confirmed, 1, false, List.of(), List.of(given));
+    private static QuotaGrant grant(long incarnation, long session, long confirmed, SlotGrant... given) {
+        return new QuotaGrant("g", incarnation, session, confirmed, 1, false, List.of(), List.of(given));
     }
 
     private static SlotGrant given(String limit, long version, long ceiling, long floor, long targetCeiling) {
         return new SlotGrant(limit, "", version, ceiling, floor, targetCeiling, Math.min(floor, targetCeiling));
     }
 
-    /** One with rights of eight, two of them its floor, leased from just before it is fresh. */
-    private RightsHolder leased(LimitSettings settings) {
-        RightsHolder holder = holder(settings, List.of());
+    /** One with a quota of eight, two of them its floor, leased from just before it is fresh. */
+    private QuotaHolder leased(LimitSettings settings) {
+        QuotaHolder holder = holder(settings, List.of());
         holder.receiveGrant(0, grant(5, 1, 0, given("l", 1, 8, 2, 8)));
         long sequence = holder.nextHeartbeat(FRESH - 1).sequence();
         holder.receiveGrant(FRESH + 900, grant(5, 1, sequence));
@@ -56,20 +56,20 @@
 
     @Test
     void leaseCountsFromTheHeartbeatAndExpiresByTheClockAlone() {
-        RightsHolder holder = leased(SETTINGS);
+        QuotaHolder holder = leased(SETTINGS);
         assertEquals(FRESH - 1 + SETTINGS.leaseUs(), holder.leaseExpiresAtUs());
         assertEquals(8, holder.ceiling(holder.leaseExpiresAtUs() - 1, "l", ""));
-        Rights rights = holder.rights();
+        Quotas quotas = holder.quotas();
         assertEquals(2, holder.ceiling(holder.leaseExpiresAtUs(), "l", ""));
-        assertEquals(8, rights.ceiling(holder.leaseExpiresAtUs() - 1, new Rights.Key("l", "")));
-        assertEquals(2, rights.ceiling(holder.leaseExpiresAtUs(), new Rights.Key("l", "")));
+        assertEquals(8, quotas.ceiling(holder.leaseExpiresAtUs() - 1, new Quotas.Key("l", "")));
+        assertEquals(2, quotas.ceiling(holder.leaseExpiresAtUs(), new Quotas.Key("l", "")));
         used = 7;
-        assertEquals(5, holder.excess(holder.leaseExpiresAtUs()).get(new Rights.Key("l", "")));
+        assertEquals(5, holder.excess(holder.leaseExpiresAtUs()).get(new Quotas.Key("l", "")));
     }
 
     @Test
     void newProcessUsesAndReportsNothing() {
-        RightsHolder holder = holder(SETTINGS, List.of(new SavedFloor("l", "", 2)));
+        QuotaHolder holder = holder(SETTINGS, List.of(new SavedFloor("l", "", 2)));
         holder.receiveGrant(10, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(0, holder.ceiling(FRESH - 1, "l", ""));
         assertEquals(
@@ -80,7 +80,7 @@
 
     @Test
     void ceilingShrinksAsAttemptsEndAndNeverGrowsUnderOneVersion() {
-        RightsHolder holder = leased(SETTINGS);
+        QuotaHolder holder = leased(SETTINGS);
         used = 7;
         holder.receiveGrant(FRESH + 1000, grant(5, 1, 0, given("l", 1, 8, 2, 3)));
         assertEquals(3, holder.ceiling(FRESH + 1000, "l", ""), "nothing starts above what is asked");
@@ -96,7 +96,7 @@
     @Test
     void grantForAFormerProcessIsIgnored() {
         for (boolean guarded : new boolean[] {true, false}) {
-            RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.INCARNATION), List.of());
+            QuotaHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.INCARNATION), List.of());
             holder.receiveGrant(1, grant(4, 1, 0, given("l", 1, 8, 2, 8)));
             holder.nextHeartbeat(FRESH - 1);
             holder.receiveGrant(FRESH + 1, grant(4, 1, 1));
@@ -105,9 +105,9 @@
     }
 
     @Test
-    void renewalInANewSessionLeavesOldRightsVoid() {
+    void renewalInANewSessionLeavesOldQuotasVoid() {
         for (boolean guarded : new boolean[] {true, false}) {
-            RightsHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
+            QuotaHolder holder = holder(guarded ? SETTINGS : SETTINGS.without(Guard.SESSION), List.of());
             List<SlotGrant> many = new ArrayList<>();
             // one more than a heartbeat tells, so one has promised nothing
             for (int i = 0; i <= Heartbeat.MAX_REPORTS; i++) {
@@ -123,7 +123,7 @@
 
     @Test
     void reducedFloorIsReportedOnceNoOldFileCanBeUsed() {
-        RightsHolder holder = leased(SETTINGS);
+        QuotaHolder holder = leased(SETTINGS);
         holder.receiveGrant(FRESH + 1, grant(5, 1, 0, given("l", 1, 8, 2, 1)));
         long wrote = FRESH + 2;
         FloorFile old = new FloorFile("b", wrote - 1, SETTINGS.floorMaxAgeUs(), List.of(new SavedFloor("l", "", 2)));
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import sandpaddle.fleet.limit.LimitSettings;
-import sandpaddle.fleet.limit.lease.RightsHolder;
+import sandpaddle.fleet.limit.lease.QuotaHolder;
 import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.limit.lease.UsageSource;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 
 /** One gateway of the searched world: its clock, process, links and what it runs. It always uses all that it may. */
 final class SimulatedGateway implements UsageSource {
@@ -15,13 +15,13 @@
     private final LimitSettings settings;
     private final long rate; // of its clock, units a step
     final Engine engine = new Engine();
-    final List<RightsGrant> grants = new ArrayList<>(); // sent to it last, to come again
-    final List<RightsGrant> late = new ArrayList<>();
+    final List<QuotaGrant> grants = new ArrayList<>(); // sent to it last, to come again
+    final List<QuotaGrant> late = new ArrayList<>();
     final List<Long> lateAt = new ArrayList<>();
     final List<Heartbeat> beats = new ArrayList<>();
     private final List<Long> lingering = new ArrayList<>(); // given up: when each is certainly gone, by its clock
     private List<SavedFloor> disk = List.of();
-    RightsHolder holder;
+    QuotaHolder holder;
     boolean stopped;
     boolean hungry;
     Event.What links = Event.What.WELL;
@@ -35,7 +35,7 @@
     }
 
     void start() {
-        holder = new RightsHolder(name, ++processes, clock, settings, this, disk);
+        holder = new QuotaHolder(name, ++processes, clock, settings, this, disk);
         stopped = false;
     }
 
@@ -64,7 +64,7 @@
         return holder != null && !stopped;
     }
 
-    void receiveGrant(RightsGrant grant) {
+    void receiveGrant(QuotaGrant grant) {
         if (runs()) {
             holder.receiveGrant(clock, grant);
         }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SmallCaseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SmallCaseTest.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.limit.search.Event.What;
 
 class SmallCaseTest {
-    private static final int CALM = 12; // steps until all rights are given
+    private static final int CALM = 12; // steps until all quotas are given
     private static final Event NONE = new Event(What.NONE, 0, 0);
     /** What happens first, so that the search behind it is short. */
     private static final Map<Guard, List<Event>> FIRST = Map.of(
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/World.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.limit.allocator.AllocatorOutput;
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 
 /**
  * Three gateways, a limit of four, two voters that may lead. A step of time is three units of true time; the slow
@@ -212,12 +212,12 @@
         if (leads) {
             catchUp(voter);
         }
-        for (RightsGrant grant : turn.grants()) {
+        for (QuotaGrant grant : turn.grants()) {
             grant(v, sites.get(grant.member().charAt(1) - '0'), grant);
         }
     }
 
-    private void grant(int v, SimulatedGateway site, RightsGrant grant) {
+    private void grant(int v, SimulatedGateway site, QuotaGrant grant) {
         if (!grant.slotGrants().isEmpty()) {
             site.grants.add(grant);
             if (site.grants.size() > 3) {
--- a/gateway/src/test/java/sandpaddle/fleet/limit/table/RightsTableTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/table/QuotaTableTest.java
@@ -13,10 +13,10 @@
 import sandpaddle.fleet.limit.LimitUnit;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-class RightsTableTest {
+class QuotaTableTest {
     private static final SlotName A = new SlotName("a", "");
     private static final SlotName B = new SlotName("b", "");
-    private final RightsTable table = new RightsTable(LimitSettings.DEFAULTS);
+    private final QuotaTable table = new QuotaTable(LimitSettings.DEFAULTS);
 
     private static LimitCommand limits(long epoch, long amount) {
         return new LimitCommand.SetLimits(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void droppedLimitStaysUntilAllItsRightsReturned() {
+    void droppedLimitStaysUntilAllItsQuotasReturned() {
         ready();
         assertTrue(table.apply(new LimitCommand.SetLimits(2, List.of())).isAccepted());
         assertTrue(table.limits().get("l").dropped());
@@ -113,7 +113,7 @@
     @Test
     void snapshotRestoresTheStateAndFaultyCommandsAreRefused() throws FaultyMessageException {
         ready();
-        RightsTable other = new RightsTable(LimitSettings.DEFAULTS);
+        QuotaTable other = new QuotaTable(LimitSettings.DEFAULTS);
         other.install(table.snapshot());
         assertArrayEquals(table.snapshot(), other.snapshot());
         byte[] move =
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
@@ -46,7 +46,7 @@
                 List.of(new InstanceRequest("l", new LimitScope(null, "", "t", null))));
     }
 
-    static RightsGrant grant(Random r) {
+    static QuotaGrant grant(Random r) {
         List<SlotGrant> given = new ArrayList<>();
         for (int i = r.nextInt(20); i > 0; i--) {
             given.add(
@@ -54,7 +54,7 @@
         }
         LimitSpec spec =
                 new LimitSpec("l", new LimitScope("*", null, "x", null), LimitUnit.RATE, r.nextInt(99), r.nextInt(9));
-        return new RightsGrant("g", r.nextLong(), r.nextInt(9), r.nextInt(9), r.nextInt(9), true, List.of(spec), given);
+        return new QuotaGrant("g", r.nextLong(), r.nextInt(9), r.nextInt(9), r.nextInt(9), true, List.of(spec), given);
     }
 
     static byte[] bytes(Heartbeat heartbeat) {
@@ -68,7 +68,7 @@
         Random r = new Random(seed);
         Heartbeat heartbeat = heartbeat(r);
         assertEquals(heartbeat, LimitCodec.readHeartbeat(new CborIn(bytes(heartbeat))));
-        RightsGrant grant = grant(r);
+        QuotaGrant grant = grant(r);
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         assertEquals(grant, LimitCodec.readGrant(new CborIn(out.done())));
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/RecordedLimitBytesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/RecordedLimitBytesTest.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.limit.lease.SavedFloor;
 import sandpaddle.fleet.limit.table.LimitCommand;
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.table.SlotChange;
 import sandpaddle.fleet.limit.table.SlotName;
 import sandpaddle.fleet.wire.CborIn;
@@ -31,7 +31,7 @@
     private static final RecordedFile FLOORS = new RecordedFile("limit-floors.txt");
     private static final int DRAWN = 10;
 
-    private static byte[] bytes(RightsGrant grant) {
+    private static byte[] bytes(QuotaGrant grant) {
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         return out.done();
@@ -94,7 +94,7 @@
 
     @Test
     void outcomesAndTheSnapshotAreWrittenAndReadAsRecorded() throws Exception {
-        RightsTable table = new RightsTable(LimitSettings.DEFAULTS);
+        QuotaTable table = new QuotaTable(LimitSettings.DEFAULTS);
         Map<String, byte[]> outcomes = new LinkedHashMap<>();
         for (byte[] command : COMMANDS.bytes().values()) {
             outcomes.put("outcome " + outcomes.size(), table.apply(outcomes.size() + 1, command));
@@ -104,7 +104,7 @@
             assertArrayEquals(recorded, LimitCommandCodec.write(LimitCommandCodec.readOutcome(recorded)));
         }
         SNAPSHOT.checkBytes(Map.of("snapshot", table.snapshot()));
-        RightsTable restored = new RightsTable(LimitSettings.DEFAULTS);
+        QuotaTable restored = new QuotaTable(LimitSettings.DEFAULTS);
         byte[] recorded = SNAPSHOT.bytes().get("snapshot");
         restored.install(recorded);
         assertArrayEquals(recorded, restored.snapshot());
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopCoordinatorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopCoordinatorTest.java
@@ -77,7 +77,7 @@
         assertFalse(rig.side.hasAttemptsOverQuota(), "under a lease what runs ends by itself");
     }
 
-    /** Guards what must not run twice, and what the rights still cover: neither is withdrawn. */
+    /** Guards what must not run twice, and what the quotas still cover: neither is withdrawn. */
     @Test
     void atALapseJustTheLatestThatMayBeRepeatedAreWithdrawn() {
         SplittableRandom r = new SplittableRandom(7);
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopRig.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopRig.java
@@ -33,7 +33,7 @@
 import sandpaddle.query.FleetCoordination;
 import sandpaddle.query.Query;
 
-/** The fleet's side of a loop that stands still; rights hold for good or have lapsed, so no real time matters. */
+/** The fleet's side of a loop that stands still; quotas hold for good or have lapsed, so no real time matters. */
 final class LoopRig implements Scheduler {
     static final long FOR_GOOD = Long.MAX_VALUE / 2;
     static final int SAFE = 0;
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -16,9 +16,9 @@
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.allocator.AllocatorOutput;
-import sandpaddle.fleet.limit.allocator.RightsAllocator;
+import sandpaddle.fleet.limit.allocator.QuotaAllocator;
 import sandpaddle.fleet.limit.table.LimitCommand;
-import sandpaddle.fleet.limit.table.RightsTable;
+import sandpaddle.fleet.limit.table.QuotaTable;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.FleetState;
@@ -34,9 +34,9 @@
             new FleetState(Instant.EPOCH, ZoneOffset.UTC, Phase.CALM, 0, Set.of(), List.of());
 
     private final LimitSettings settings = LimitSettings.DEFAULTS;
-    private final RightsTable table = new RightsTable(settings);
+    private final QuotaTable table = new QuotaTable(settings);
     private final PoolAllocator poolAllocator = new PoolAllocator();
-    private final RightsAllocator allocator = new RightsAllocator(settings, table, poolAllocator);
+    private final QuotaAllocator allocator = new QuotaAllocator(settings, table, poolAllocator);
     private final List<StandInGateway> gateways = List.of(
             new StandInGateway("g0", List.of("acme", "borea"), settings, 1),
             new StandInGateway("g1", List.of("acme", "borea"), settings, 2));
@@ -149,7 +149,7 @@
         assertEquals(BUDGET, max);
     }
 
-    /** Guards against rights that are given back while idle connections are still open by them. */
+    /** Guards against quotas that are given back while idle connections are still open by them. */
     @Test
     void anIdleConnectionIsNotGivenAway() {
         table.apply(new LimitCommand.Join("g0", "hall"));
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 import sandpaddle.fleet.limit.LimitSettings;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.node.loop.PoolBudget;
-import sandpaddle.fleet.node.rights.RightsManager;
+import sandpaddle.fleet.node.quota.QuotaManager;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.view.AttemptCounters;
 import sandpaddle.fleet.view.FleetView;
@@ -17,7 +17,7 @@
 import sandpaddle.fleet.view.SharedState;
 import sandpaddle.fleet.view.SlotUsage;
 
-/** A gateway's rights, counting and budget as the program has them, with queries that always wait and one engine. */
+/** A gateway's quotas, counting and budget as the program has them, with queries that always wait and one engine. */
 final class StandInGateway {
     static final String ENGINE = "s-1";
     private static final int WAITING = 10;
@@ -32,7 +32,7 @@
     private final OpenConnections connections = new OpenConnections();
     private final AttemptCounters cells = new AttemptCounters(views, usages, 1);
     private final PoolBudget budget;
-    private final RightsManager rights;
+    private final QuotaManager quotas;
     private final List<Attempt> running = new ArrayList<>();
     private int idle;
     private boolean wants = true;
@@ -43,23 +43,23 @@
         this.tenants = tenants;
         random = new Random(seed);
         budget = new PoolBudget(views, connections, () -> now);
-        rights = new RightsManager(
+        quotas = new QuotaManager(
                 name,
                 1 + seed,
                 "hall",
                 List.of("read"),
-                RightsManager.unwritten(settings),
+                QuotaManager.unwritten(settings),
                 List.of(),
                 new SharedState(views, usages, connections),
                 0);
-        rights.poolEngines(List.of(new PoolEngine(ENGINE, "std", true)));
-        rights.engines(List.of(ENGINE));
-        tenants.forEach(rights::met);
+        quotas.poolEngines(List.of(new PoolEngine(ENGINE, "std", true)));
+        quotas.engines(List.of(ENGINE));
+        tenants.forEach(quotas::met);
         tenants.forEach(t -> cells.addWaiting(0, t, WAITING));
     }
 
     void policy(Policy policy, boolean behind) {
-        rights.pool(Optional.of(policy), behind);
+        quotas.pool(Optional.of(policy), behind);
         publish();
     }
 
@@ -69,18 +69,18 @@
         tenants.forEach(t -> cells.addWaiting(0, t, next ? WAITING : -WAITING));
     }
 
-    void granted(RightsGrant grant) {
-        rights.granted(now, grant);
+    void granted(QuotaGrant grant) {
+        quotas.granted(now, grant);
         publish();
     }
 
     private void publish() {
-        rights.publish(List.of(), java.util.Map.of(), FleetView.Isolation.NONE);
+        quotas.publish(List.of(), java.util.Map.of(), FleetView.Isolation.NONE);
     }
 
     Heartbeat beat() {
         publish();
-        return rights.beat(now);
+        return quotas.beat(now);
     }
 
     /** What the engine has open of this gateway. */
--- a/gateway/src/test/java/sandpaddle/fleet/node/rights/RightsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/quota/QuotaManagerTest.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.node.rights;
+package sandpaddle.fleet.node.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
 import sandpaddle.fleet.limit.LimitSpec;
 import sandpaddle.fleet.limit.LimitUnit;
 import sandpaddle.fleet.limit.wire.Heartbeat;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 import sandpaddle.fleet.node.wire.HeartbeatMessage;
@@ -25,7 +25,7 @@
 import sandpaddle.fleet.view.SharedState;
 import sandpaddle.fleet.view.SlotUsage;
 
-class RightsTest {
+class QuotaManagerTest {
     private static final LimitSettings SETTINGS = LimitSettings.DEFAULTS;
     private static final long FRESH = SETTINGS.startupDelayUs();
     private static final List<String> CLASSES = List.of("lookup", "load");
@@ -33,15 +33,15 @@
     private final Publication<FleetView> views = new Publication<>(FleetView.EMPTY);
     private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
     private final AttemptCounters cells = new AttemptCounters(views, usages, CLASSES.size());
-    private final RightsManager manager = new RightsManager(
+    private final QuotaManager manager = new QuotaManager(
             "g", 5, "east", CLASSES, SETTINGS, List.of(), new SharedState(views, usages, new OpenConnections()), 0);
 
     private static LimitSpec limit(String id, String zone, String cls, String tenant, String engine) {
         return new LimitSpec(id, new LimitScope(zone, cls, tenant, engine), LimitUnit.RUNNING, 10, 0);
     }
 
-    private static RightsGrant grant(long confirmed, List<LimitSpec> limits, SlotGrant... given) {
-        return new RightsGrant("g", 5, 1, confirmed, 1, true, limits, List.of(given));
+    private static QuotaGrant grant(long confirmed, List<LimitSpec> limits, SlotGrant... given) {
+        return new QuotaGrant("g", 5, 1, confirmed, 1, true, limits, List.of(given));
     }
 
     private FleetView publish() {
@@ -133,7 +133,7 @@
      * Guards the fleet's messages against ids that no message carries: the heartbeat stays readable, the engine barred.
      */
     @Test
-    void anEngineWhoseIdCannotBeToldHasNoRightsAndSpoilsNoBeat() throws Exception {
+    void anEngineWhoseIdCannotBeToldHasNoQuotaAndSpoilsNoBeat() throws Exception {
         LimitSpec each = limit("each", null, null, null, "*");
         String tooLong = "e".repeat(LimitSpec.MAX_NAME_BYTES + 1);
         manager.engines(List.of("e", tooLong));
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
@@ -19,14 +19,14 @@
 import sandpaddle.fleet.limit.LimitUnit;
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.InstanceRequest;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** What gateways send each other of rights and of what was agreed on. */
+/** What gateways send each other of quotas and of what was agreed on. */
 class NodeMessageProperties {
     private interface Reading {
         Object of(byte[] bytes) throws FaultyMessageException;
@@ -62,8 +62,8 @@
                         List.of(new InstanceRequest("l", new LimitScope(null, "", "t", null)))));
     }
 
-    static RightsGrant grant(SplittableRandom r) {
-        return new RightsGrant(
+    static QuotaGrant grant(SplittableRandom r) {
+        return new QuotaGrant(
                 "g",
                 r.nextLong(),
                 1,
@@ -85,7 +85,7 @@
         assertEquals(agreed, status.config());
         HeartbeatMessage beat = beat(r);
         assertEquals(beat, HeartbeatMessage.decode(beat.encode()));
-        RightsGrant grant = grant(r);
+        QuotaGrant grant = grant(r);
         assertEquals(grant, HeartbeatMessage.decodeGrant(HeartbeatMessage.encode(grant)));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/outage/rights/FloorShiftProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/quota/FloorShiftProperties.java
@@ -1,4 +1,4 @@
-package sandpaddle.fleet.outage.rights;
+package sandpaddle.fleet.outage.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 
 class FloorShiftProperties {
-    private static final RightsSettings S = RightsSettings.DEFAULT;
+    private static final QuotaShiftSettings S = QuotaShiftSettings.DEFAULT;
 
     @Property(tries = 500, seed = "31")
     void floorsNeverGrowInSum(@ForAll long seed) {
--- a/gateway/src/test/java/sandpaddle/story/FleetOffStories.java
+++ b/gateway/src/test/java/sandpaddle/story/FleetOffStories.java
@@ -135,7 +135,7 @@
                             classes,
                             Stream.of(
                                             "node.loop.",
-                                            "node.rights.",
+                                            "node.quota.",
                                             "node.lead.",
                                             "node.outage.",
                                             "node.spread.",
--- a/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -78,12 +78,12 @@
             members("fleet.node.agree.FleetConfig", "the same for the agreed text"),
             members("fleet.state.machine.FleetMembership", "the same for the replicated membership"),
             members("config.FleetConfigReader", "the same for the operator's file"),
-            members("fleet.limit.table.RightsTable", "rows of the rights table"),
+            members("fleet.limit.table.QuotaTable", "rows of the rights table"),
             limits("config.FleetConfigReader", "the operator's file"),
             limits("fleet.limit.table.LimitCommandCodec", "one command that sets all limits"),
-            limits("fleet.limit.table.RightsTable", "limits with those made for each engine, tenant or hall"),
+            limits("fleet.limit.table.QuotaTable", "limits with those made for each engine, tenant or hall"),
             new Entry(
-                    "fleet.limit.table.RightsTable",
+                    "fleet.limit.table.QuotaTable",
                     "MAX_SLOTS",
                     "slots",
                     SLOTS,
@@ -91,7 +91,7 @@
                     Beyond.REFUSED,
                     "a right of each gateway in each limit"),
             new Entry(
-                    "fleet.limit.lease.RightsHolder",
+                    "fleet.limit.lease.QuotaHolder",
                     "MAX_SLOTS",
                     "slots",
                     LIMITS,
@@ -107,7 +107,7 @@
                     Beyond.LATER,
                     "the rest is told with the next beats"),
             new Entry(
-                    "fleet.limit.wire.RightsGrant",
+                    "fleet.limit.wire.QuotaGrant",
                     "MAX_SLOTS",
                     "slots a grant",
                     LIMITS,
--- a/lab/src/test/java/sandpaddle/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/CapacityPageTest.java
@@ -119,7 +119,7 @@
                 values.get("sandpaddle.fleet.state.machine.FleetStateMachine FleetStateMachine.MAX_SNAPSHOT_BYTES"));
         assertEquals(5, values.get("sandpaddle.config.FleetSettingsReader FleetSettingsReader.MAX_FOUNDERS"));
         assertEquals(
-                sandpaddle.fleet.limit.table.RightsTable.MAX_SLOTS,
-                values.get("sandpaddle.fleet.limit.table.RightsTable RightsTable.MAX_SLOTS"));
+                sandpaddle.fleet.limit.table.QuotaTable.MAX_SLOTS,
+                values.get("sandpaddle.fleet.limit.table.QuotaTable QuotaTable.MAX_SLOTS"));
     }
 }
