--- a/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
@@ -4,15 +4,15 @@
 public enum MessageKind {
     /** Consensus between voters. */
     RAFT,
-    /** A gateway's demand and usage of rights, to each voter. */
+    /** A gateway's demand and usage of quotas, to each voter. */
     HEARTBEAT,
-    /** Rights for one gateway, from the leader. */
+    /** Quotas for one gateway, from the leader. */
     GRANT,
     /** A batch of evidence, between gateways and hubs. */
     EVIDENCE,
     /** A configuration that a gateway asks the leader to commit. */
     PROPOSAL,
-    /** Stored answers and their requests, between gateways of a hall. */
+    /** Stored answers and their requests, between gateways of a zone. */
     CONTENT,
     /** Voters, leader and configuration in force, from a voter to followers. */
     STATUS
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -25,9 +25,9 @@
 import sandpaddle.fleet.node.loop.PoolBudget;
 import sandpaddle.fleet.node.outage.OutageThread;
 import sandpaddle.fleet.node.outage.QueryPathFetcher;
-import sandpaddle.fleet.node.rights.FloorStore;
-import sandpaddle.fleet.node.rights.PoolCoordinator;
-import sandpaddle.fleet.node.rights.RightsManager;
+import sandpaddle.fleet.node.quota.FloorStore;
+import sandpaddle.fleet.node.quota.PoolCoordinator;
+import sandpaddle.fleet.node.quota.QuotaManager;
 import sandpaddle.fleet.view.FleetView;
 import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.SharedState;
@@ -61,7 +61,7 @@
      * @param name name of this gateway
      * @param site settings of the decision module
      * @param classes query classes by index
-     * @param halls zone names by number
+     * @param zones zone names by number
      * @param kinds kinds of engines by number
      * @param loop the event loop
      * @param wake makes the event loop take a turn, from any thread
@@ -73,7 +73,7 @@
             String name,
             DecisionSettings site,
             List<String> classes,
-            List<String> halls,
+            List<String> zones,
             List<String> kinds,
             Scheduler loop,
             Runnable wake,
@@ -90,18 +90,18 @@
         FloorStore floors = settings.directory() == null
                 ? null
                 : new FloorStore(settings.directory(), settings.limits().floorMaxAgeUs());
-        RightsManager rights = new RightsManager(
+        QuotaManager quotas = new QuotaManager(
                 name,
                 incarnation,
-                self.hall(),
+                self.zone(),
                 classes,
-                floors == null ? RightsManager.unwritten(settings.limits()) : settings.limits(),
+                floors == null ? QuotaManager.unwritten(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(),
                 shared,
                 nowUs);
-        rights.localLimits(settings.agreed().limits());
+        quotas.localLimits(settings.agreed().limits());
         PoolCoordinator pools =
-                new PoolCoordinator(rights, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
+                new PoolCoordinator(quotas, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
         CommittedConfig committedConfig = new CommittedConfig();
         committedConfig.offer(settings.agreed().encode());
         topology = new FleetTopology(settings.agreed());
@@ -125,7 +125,7 @@
                 settings.verdicts(),
                 settings.limits().clockDrift(),
                 links,
-                halls,
+                zones,
                 classes.size(),
                 nowUs);
         VoterSetup agreement =
@@ -146,7 +146,7 @@
                 ? null
                 : new OutageThread(
                         settings.outages(),
-                        new LocalNode(name, self.hall(), incarnation, clock, site, classes),
+                        new LocalNode(name, self.zone(), incarnation, clock, site, classes),
                         settings.directory(),
                         links,
                         fetcher,
@@ -167,7 +167,7 @@
                 self,
                 clock,
                 links,
-                rights,
+                quotas,
                 floors,
                 evidence,
                 committedConfig,
@@ -185,12 +185,12 @@
                 "fleet {}: {} of hall {} listens on {} for {} gateways",
                 settings.cluster(),
                 name,
-                self.hall(),
+                self.zone(),
                 settings.listen(),
                 settings.agreed().members().size());
         dispatcher.start(components, periodicTasks);
         topology.start(components);
-        periodicTasks.publish(); // before the first query: without rights, limited resources may not be used
+        periodicTasks.publish(); // before the first query: without quotas, limited resources may not be used
         thread.start();
         thread.scheduleEvery(settings.limits().heartbeatUs(), periodicTasks::sendHeartbeats);
         thread.scheduleEvery(settings.verdicts().evidenceIntervalUs(), periodicTasks::exchangeEvidence);
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
-import sandpaddle.fleet.limit.wire.RightsGrant;
+import sandpaddle.fleet.limit.wire.QuotaGrant;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.member.Member;
@@ -39,7 +39,7 @@
 
     private void dispatch(String from, MessageKind kind, byte[] payload) throws FaultyMessageException {
         long nowUs = components.clock().now();
-        if (components.outage() != null && !components.self().hall().equals(topology.hallOf(from))) {
+        if (components.outage() != null && !components.self().zone().equals(topology.zoneOf(from))) {
             components.outage().heardOutside(nowUs);
         }
         switch (kind) {
@@ -54,7 +54,7 @@
             case PROPOSAL -> components.committedConfig().offer(new String(payload, StandardCharsets.US_ASCII));
             case STATUS -> topology.statusReceived(StatusMessage.decode(payload));
             case CONTENT -> {
-                if (components.outage() != null && components.self().hall().equals(topology.hallOf(from))) {
+                if (components.outage() != null && components.self().zone().equals(topology.zoneOf(from))) {
                     components.outage().received(from, payload);
                 }
             }
@@ -70,9 +70,9 @@
         }
     }
 
-    /** Applies rights from the leader: publishes the view at once and wakes the event loop. */
-    void grantReceived(RightsGrant grant) {
-        components.rights().granted(components.clock().now(), grant);
+    /** Applies quotas from the leader: publishes the view at once and wakes the event loop. */
+    void grantReceived(QuotaGrant grant) {
+        components.quotas().granted(components.clock().now(), grant);
         periodicTasks.publish();
         components.wake().run();
     }
@@ -93,7 +93,7 @@
         if (components.leader() != null) {
             components.leader().met(peer.name(), nowUs);
         }
-        Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.hall());
+        Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.zone());
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -1,18 +1,18 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * Where a hall stands. The schedule moves it between the first three only; into and out of {@link #ISOLATED} leads
- * evidence alone, so that a clock that was set, or a schedule that is wrong, never makes a hall serve stored answers.
+ * Where a zone stands. The schedule moves it between the first three only; into and out of {@link #ISOLATED} leads
+ * evidence alone, so that a clock that was set, or a schedule that is wrong, never makes a zone serve stored answers.
  */
 public enum Phase {
-    /** The hall reaches the engines, and nothing else is expected soon. */
+    /** The zone reaches the engines, and nothing else is expected soon. */
     CONNECTED {
         @Override
         Phase next(PhaseInputs s) {
             return s.lost() ? ISOLATED : s.due() ? EXPECTING : CONNECTED;
         }
     },
-    /** A window comes: rights are moved, the plan is made. */
+    /** A window comes: quotas are moved, the plan is made. */
     EXPECTING {
         @Override
         Phase next(PhaseInputs s) {
