--- a/gateway/src/main/java/sandpaddle/mysql/ArrivalTimes.java
+++ b/gateway/src/main/java/sandpaddle/mysql/ArrivalTimes.java
@@ -4,35 +4,35 @@
 import java.util.ArrayDeque;
 
 /**
- * When each packet came whole that is not yet taken, so that the time of a request that waits behind another one is
- * counted from its own last byte. Bounded: past some turns in which packets came, later ones count as if they had come
- * with those before, which is never too late.
+ * Arrival times of the buffered packets, so that the timeout of a pipelined request counts from its own last byte.
+ * Packets that were completed by the same read share a batch. Bounded: once there are {@value #MAX_BATCHES} batches,
+ * later packets join the last one and get its time, which is earlier than their own and never later.
  */
 final class ArrivalTimes {
-    private static final int MOST_RUNS = 64;
+    private static final int MAX_BATCHES = 64;
 
-    /** So many packets that came whole at one time. */
-    private record Run(int packets, Instant at) {}
+    /** Consecutive packets that were completed at the same time. */
+    private record Batch(int packets, Instant completedAt) {}
 
-    private final ArrayDeque<Run> runs = new ArrayDeque<>(2);
+    private final ArrayDeque<Batch> batches = new ArrayDeque<>(2);
 
-    /** A packet has come whole. */
-    void add(Instant at) {
-        Run last = runs.peekLast();
-        if (last != null && (last.at.equals(at) || runs.size() == MOST_RUNS)) {
-            runs.removeLast();
-            runs.addLast(new Run(last.packets + 1, last.at));
+    /** Appends a packet whose last byte arrived at the given time. */
+    void add(Instant completedAt) {
+        Batch last = batches.peekLast();
+        if (last != null && (last.completedAt.equals(completedAt) || batches.size() == MAX_BATCHES)) {
+            batches.removeLast();
+            batches.addLast(new Batch(last.packets + 1, last.completedAt));
         } else {
-            runs.addLast(new Run(1, at));
+            batches.addLast(new Batch(1, completedAt));
         }
     }
 
-    /** Takes the first packet, and returns when it came whole. */
-    Instant take() {
-        Run first = runs.removeFirst();
+    /** Removes the first packet and returns its arrival time. */
+    Instant removeFirst() {
+        Batch first = batches.removeFirst();
         if (first.packets > 1) {
-            runs.addFirst(new Run(first.packets - 1, first.at));
+            batches.addFirst(new Batch(first.packets - 1, first.completedAt));
         }
-        return first.at;
+        return first.completedAt;
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/CommandFlow.java
+++ b/gateway/src/main/java/sandpaddle/mysql/CommandFlow.java
@@ -5,29 +5,30 @@
 import sandpaddle.eventloop.EventLoop;
 
 /**
- * Flow control of what a client sends: its packets are handed to the session one by one, as long as that takes them.
- * While a query is open all is read, so that the end of the connection is seen behind what was sent ahead; else a
- * client that does not read its answers, or has had its share of the turn, is not read either.
+ * Flow control of a client's input: passes packets to the session one by one while the session accepts them. While a
+ * query is open the connection is always read, so that a disconnect is detected behind pipelined input. Otherwise
+ * reading stops for a client that does not read its answers or has used up its packets of this turn.
  */
 final class CommandFlow {
-    /** Who handles the packets. */
+    /** Handles the packets of one client. */
     interface Handler {
-        /** Whether it takes a packet now; not while a query is open. */
-        boolean takesPackets();
+        /** Whether it accepts a packet now; false while a query is open. */
+        boolean acceptsPackets();
 
-        /** Whether it takes none any more. */
+        /** Whether the session has ended, so that no packet is accepted any more. */
         boolean hasEnded();
 
+        /** Handles one complete packet. */
         void handle(PacketReader.Packet packet) throws ProtocolException;
 
-        /** What came can't be read as packets of the protocol. */
-        void malformed(ProtocolException fault);
+        /** The input violates the protocol; no further packet can be read. */
+        void onProtocolError(ProtocolException exception);
     }
 
-    /** Answers that a client has not read, before its next command comes to wait. */
-    private static final int MOST_UNREAD_BYTES = 128 * 1024;
-    /** Packets of one session in a turn: one that sends many at once does not keep the others waiting. */
-    private static final int MOST_PACKETS = 64;
+    /** Unsent answer bytes above which the next command of the client is deferred. */
+    private static final int MAX_UNSENT_BYTES = 128 * 1024;
+    /** Packets of one session in a turn, so that a client that sends many at once does not delay the others. */
+    private static final int MAX_PACKETS_PER_TURN = 64;
 
     private final EventLoop loop;
     private final Connection connection;
@@ -35,7 +36,7 @@
     private final Handler handler;
     private final SessionInput input = new SessionInput();
     private boolean handling;
-    private boolean yielded; // to the other sessions, until the next turn
+    private boolean yielded; // no further packets in this turn
 
     CommandFlow(EventLoop loop, Connection connection, SessionTimeouts timeouts, Handler handler) {
         this.loop = loop;
@@ -44,72 +45,73 @@
         this.handler = handler;
     }
 
-    /** A client that has logged in may send longer packets. */
-    void loggedIn() {
-        input.loggedIn();
+    /** Raises the limit on the packet size after the login. */
+    void onLoggedIn() {
+        input.onLoggedIn();
     }
 
-    /** Whether nothing has come that is not handled. */
+    /** Whether all input was handled. */
     boolean isEmpty() {
         return input.isEmpty();
     }
 
-    /** Whether something was discarded: no packet follows. */
-    boolean isIncomplete() {
-        return input.isIncomplete();
+    /** Whether input was discarded, so that no further packet can be read. */
+    boolean hasDiscarded() {
+        return input.hasDiscarded();
     }
 
-    void received(ByteBuffer bytes) {
-        if (handler.takesPackets()) {
-            input.take(bytes, loop.readableSince());
+    /** Buffers input and handles the packets that it completes. */
+    void onReceived(ByteBuffer bytes) {
+        if (handler.acceptsPackets()) {
+            input.append(bytes, loop.readableSince());
             handlePackets();
-        } else if (!input.takeAhead(bytes, loop.readableSince())) {
+        } else if (!input.appendPipelined(bytes, loop.readableSince())) {
             connection.onFailure(null);
         }
     }
 
-    /** Has what came handled, up to a query; to be called again once it is answered. */
+    /** Handles buffered packets up to the next query. Must be called again once that query is answered. */
     void handlePackets() {
         if (handling) {
-            return; // an answer given while its command is handled: the loop below goes on
+            return; // reentrant call, by an answer given within handle(): the loop below continues
         }
         handling = true;
         try {
             PacketReader.Packet packet = next();
             for (int handled = 1; packet != null; handled++) {
-                timeouts.packetEnded();
+                timeouts.packetCompleted();
                 handler.handle(packet);
-                if (handled == MOST_PACKETS && !input.isEmpty()) {
+                if (handled == MAX_PACKETS_PER_TURN && !input.isEmpty()) {
                     yieldTurn();
                 }
                 packet = next();
             }
         } catch (ProtocolException e) {
-            handler.malformed(e);
+            handler.onProtocolError(e);
         } finally {
             handling = false;
         }
         if (!handler.hasEnded()) {
-            awaitInput();
+            updateReading();
         }
     }
 
     private PacketReader.Packet next() throws ProtocolException {
-        return handler.takesPackets() && !isPaused() ? input.next() : null;
+        return handler.acceptsPackets() && !isPaused() ? input.next() : null;
     }
 
-    /** Guards the other clients, and memory against a client that asks on and on and reads nothing. */
+    /** Keeps turns short for the other clients, and bounds the memory for answers that the client does not read. */
     private boolean isPaused() {
-        return yielded || connection.unsentBytes() > MOST_UNREAD_BYTES;
+        return yielded || connection.unsentBytes() > MAX_UNSENT_BYTES;
     }
 
-    private void awaitInput() {
-        boolean takes = handler.takesPackets();
-        connection.setReading(!takes || !isPaused() || input.isEmpty());
-        if (takes && !isPaused() && !input.isEmpty()) {
-            timeouts.packetBegun();
+    private void updateReading() {
+        boolean accepts = handler.acceptsPackets();
+        connection.setReading(!accepts || !isPaused() || input.isEmpty());
+        if (accepts && !isPaused() && !input.isEmpty()) {
+            timeouts.packetStarted();
         } else {
-            timeouts.packetEnded();
+            timeouts.packetCompleted();
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/mysql/CommandHandler.java
+++ b/gateway/src/main/java/sandpaddle/mysql/CommandHandler.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import java.util.Arrays;
 
-/** Handles what a client may say: its login, then commands. Each is answered at once, but a query. */
+/** Executes the commands of one session: the login, then COM_* commands. All but queries are answered at once. */
 final class CommandHandler {
     private static final int COM_QUIT = 1;
     private static final int COM_INIT_DB = 2;
@@ -23,17 +23,18 @@
         this.session = session;
     }
 
-    void logIn(PacketReader.Packet packet) throws ProtocolException {
+    void handleLogin(PacketReader.Packet packet) throws ProtocolException {
         Login login = Login.parse(packet.payload());
-        int seq = packet.seq() + 1;
+        int sequenceId = packet.sequenceId() + 1;
         if (!login.user().equals(MysqlFrontend.USER) || !login.passwordEmpty()) {
-            session.end(Messages.error(
-                    seq, SqlError.ER_ACCESS_DENIED_ERROR, "Access denied for user '" + login.user() + "'"));
+            session.end(ServerPackets.error(
+                    sequenceId, SqlError.ER_ACCESS_DENIED_ERROR, "Access denied for user '" + login.user() + "'"));
         } else if (!login.database().isEmpty() && !login.database().equals(MysqlFrontend.DATABASE)) {
-            session.end(Messages.error(seq, SqlError.ER_BAD_DB_ERROR, "Unknown database '" + login.database() + "'"));
+            session.end(ServerPackets.error(
+                    sequenceId, SqlError.ER_BAD_DB_ERROR, "Unknown database '" + login.database() + "'"));
         } else {
-            session.loggedIn(login.user());
-            session.send(Messages.ok(seq));
+            session.onLoggedIn(login.user());
+            session.send(ServerPackets.ok(sequenceId));
         }
     }
 
@@ -45,57 +46,58 @@
             case COM_PING ->
                 session.send(
                         frontend.service().isReady()
-                                ? Messages.ok(1)
-                                : Messages.error(1, SqlError.ER_UNKNOWN_ERROR, "not ready: no engine list yet"));
-            case COM_RESET_CONNECTION -> session.send(Messages.ok(1));
-            case COM_INIT_DB -> use(new String(argument, StandardCharsets.UTF_8));
-            case COM_QUERY -> query(argument, packet.arrivedAt());
-            case COM_PROCESS_KILL -> kill(new Statement.Kill(false, connectionId(argument)));
-            default -> session.send(Messages.error(1, SqlError.ER_UNKNOWN_COM_ERROR, "Unknown command"));
+                                ? ServerPackets.ok(1)
+                                : ServerPackets.error(1, SqlError.ER_UNKNOWN_ERROR, "not ready: no engine list yet"));
+            case COM_RESET_CONNECTION -> session.send(ServerPackets.ok(1));
+            case COM_INIT_DB -> initDatabase(new String(argument, StandardCharsets.UTF_8));
+            case COM_QUERY -> handleQuery(argument, packet.arrivedAt());
+            case COM_PROCESS_KILL -> kill(new Statement.Kill(false, parseConnectionId(argument)));
+            default -> session.send(ServerPackets.error(1, SqlError.ER_UNKNOWN_COM_ERROR, "Unknown command"));
         }
     }
 
-    private void use(String database) {
+    private void initDatabase(String database) {
         session.send(
                 database.equals(MysqlFrontend.DATABASE)
-                        ? Messages.ok(1)
-                        : Messages.error(1, SqlError.ER_BAD_DB_ERROR, "Unknown database '" + database + "'"));
+                        ? ServerPackets.ok(1)
+                        : ServerPackets.error(1, SqlError.ER_BAD_DB_ERROR, "Unknown database '" + database + "'"));
     }
 
-    /** Of a command that names one in binary; missing bytes are zero. */
-    private static int connectionId(byte[] argument) {
+    /** The connection id in the argument of COM_PROCESS_KILL, little-endian; missing bytes count as zero. */
+    private static int parseConnectionId(byte[] argument) {
         return ByteBuffer.wrap(Arrays.copyOf(argument, Integer.BYTES))
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .getInt();
     }
 
-    private void query(byte[] text, Instant arrivedAt) {
+    private void handleQuery(byte[] text, Instant arrivedAt) {
         Statement statement = Statement.parse(text);
-        if (statement instanceof Statement.Kill k) {
-            kill(k);
+        if (statement instanceof Statement.Kill kill) {
+            kill(kill);
         } else if (statement instanceof Statement.SetOption) {
-            session.send(Messages.ok(1));
+            session.send(ServerPackets.ok(1));
         } else if (statement instanceof Statement.ShowWarnings) {
-            session.send(Messages.warnings(session.note()));
+            session.send(ServerPackets.warnings(session.note()));
         } else if (statement instanceof Statement.Malformed malformed) {
-            session.send(Messages.error(1, SqlError.ER_PARSE_ERROR, malformed.why()));
-        } else if (statement instanceof Statement.Run run) {
-            session.submit(run.query(), arrivedAt);
+            session.send(ServerPackets.error(1, SqlError.ER_PARSE_ERROR, malformed.reason()));
+        } else if (statement instanceof Statement.RunQuery runQuery) {
+            session.submit(runQuery.query(), arrivedAt);
         }
     }
 
     private void kill(Statement.Kill kill) {
         Session other = frontend.sessions().get(kill.connectionId());
         if (other == null) {
-            session.send(Messages.error(1, SqlError.ER_NO_SUCH_THREAD, "Unknown thread id: " + kill.connectionId()));
+            session.send(
+                    ServerPackets.error(1, SqlError.ER_NO_SUCH_THREAD, "Unknown thread id: " + kill.connectionId()));
             return;
         }
-        other.hear(); // the query that is to be killed may have come before, and not have been read
+        other.readInput(); // the query to kill may have arrived already without having been read
         if (kill.queryOnly()) {
-            other.interrupt();
-            session.send(Messages.ok(1));
+            other.interruptQuery();
+            session.send(ServerPackets.ok(1));
         } else {
-            session.send(Messages.ok(1));
+            session.send(ServerPackets.ok(1));
             other.cancelQuery();
             other.end();
         }
--- a/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
+++ b/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
@@ -15,34 +15,47 @@
 import sandpaddle.query.Frontend;
 import sandpaddle.query.QueryService;
 
-/** Listens for clients of the MySQL protocol, and opens and closes their sessions. */
+/** Accepts clients of the MySQL protocol and owns their sessions. Confined to the event loop's thread. */
 public final class MysqlFrontend implements Frontend {
     static final String USER = "app";
     static final String DATABASE = "core";
-    /** Connections that linger before they close, beside the sessions. */
+    /** Maximum number of connections in a lingering close beyond the limit on sessions. */
     public static final int MAX_LINGERING = 24;
 
-    private static final int SCRAMBLE = 20;
-    /** Of the 100 ms after which no attempt may begin for a client that has cancelled. */
+    private static final int SCRAMBLE_BYTES = 20;
+    /**
+     * Time within a turn after which cancellations are read again before an attempt is written. Far below 100 ms: that
+     * long after a cancellation no attempt may start for the client.
+     */
     private static final Duration LONG_TURN = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final QueryService service;
     private final SplittableRandom random;
     private final SessionRegistry sessions = new SessionRegistry();
-    private final Set<LingeringClose> closing = new LinkedHashSet<>();
+    private final Set<LingeringClose> lingeringCloses = new LinkedHashSet<>();
     private final Acceptor acceptor;
-    private final int mostSessions;
-    private int lastId;
-    private Instant lastHeardAt = Instant.MIN; // between two turns
+    private final int maxSessions;
+    private int lastConnectionId;
+    private Instant cancellationsReadAt = Instant.MIN; // time at which cancellations were last read within a turn
 
-    public MysqlFrontend(EventLoop loop, InetSocketAddress address, QueryService service, int mostSessions, long seed)
+    /**
+     * Starts to listen.
+     *
+     * @param loop the event loop that all calls are made on
+     * @param address the address to listen on; port 0 selects a free port
+     * @param service receives the queries
+     * @param maxSessions limit on open sessions
+     * @param seed of the random scrambles
+     * @throws IOException if the address cannot be bound
+     */
+    public MysqlFrontend(EventLoop loop, InetSocketAddress address, QueryService service, int maxSessions, long seed)
             throws IOException {
         this.loop = loop;
         this.service = service;
-        this.mostSessions = mostSessions;
+        this.maxSessions = maxSessions;
         random = new SplittableRandom(seed);
-        acceptor = new Acceptor(loop, address, this::accepted);
+        acceptor = new Acceptor(loop, address, this::onAccepted);
     }
 
     @Override
@@ -58,66 +71,69 @@
         return sessions;
     }
 
-    /** Guards the limit on descriptors, which engines need too: at the limit one is taken and told to go. */
-    private void accepted(Connection c) {
-        Optional<Duration> away = service.connectionOpened();
-        if (away.isPresent()) {
-            close(c, tooMany(away.get()));
+    /**
+     * Opens a session. At the limit on sessions, which keeps file descriptors for engine connections, an idle session
+     * is closed in its place; if there is none, the connection is rejected with an error.
+     */
+    private void onAccepted(Connection connection) {
+        Optional<Duration> retryAfter = service.connectionOpened();
+        if (retryAfter.isPresent()) {
+            close(connection, tooManyConnections(retryAfter.get()));
             return;
         }
-        if (sessions.size() >= mostSessions && !sessions.makeRoom(loop.now())) {
-            close(c, tooMany(service.retryAfterWhenFull()));
+        if (sessions.size() >= maxSessions && !sessions.evictIdleSession(loop.now())) {
+            close(connection, tooManyConnections(service.retryAfterWhenFull()));
             return;
         }
-        Session session = new Session(this, loop, c, ++lastId);
-        c.setListener(session);
+        Session session = new Session(this, loop, connection, ++lastConnectionId);
+        connection.setListener(session);
         sessions.add(session);
-        c.write(Messages.greeting(session.id, scramble()));
-        c.readAvailable(); // a login, a KILL, even a query may have come with it
+        connection.write(ServerPackets.handshake(session.id, scramble()));
+        connection.readAvailable(); // a login, a KILL or even a query may have arrived already
     }
 
-    /** Random bytes that are no zero, which would end them. */
+    /** Random bytes without zeros, since the field is terminated by a zero. */
     private byte[] scramble() {
-        byte[] scramble = new byte[SCRAMBLE];
-        for (int i = 0; i < SCRAMBLE; i++) {
+        byte[] scramble = new byte[SCRAMBLE_BYTES];
+        for (int i = 0; i < SCRAMBLE_BYTES; i++) {
             scramble[i] = (byte) random.nextInt(1, Byte.MAX_VALUE + 1);
         }
         return scramble;
     }
 
-    private static byte[] tooMany(Duration pause) {
-        return Messages.error(
+    private static byte[] tooManyConnections(Duration retryAfter) {
+        return ServerPackets.error(
                 0,
                 SqlError.ER_CON_COUNT_ERROR,
-                "Too many connections" + (pause.isZero() ? "" : ", pause=" + pause.toMillis()));
+                "Too many connections" + (retryAfter.isZero() ? "" : ", pause=" + retryAfter.toMillis()));
     }
 
     /**
-     * Hears KILL, which comes on a connection of its own, before an attempt is written late in a long turn: one that
-     * came since the turn began would be heard after it.
+     * Reads pending KILL commands before an attempt is written late in a long turn. KILL arrives on a connection of its
+     * own; one that arrived since the turn began would otherwise be read only after the attempt.
      */
-    void hearCancellations() {
-        Instant current = loop.currentTime();
-        Instant heardAt = lastHeardAt.isAfter(loop.now()) ? lastHeardAt : loop.now();
-        if (Duration.between(heardAt, current).compareTo(LONG_TURN) >= 0) {
-            lastHeardAt = current;
+    void readCancellations() {
+        Instant now = loop.currentTime();
+        Instant lastReadAt = cancellationsReadAt.isAfter(loop.now()) ? cancellationsReadAt : loop.now();
+        if (Duration.between(lastReadAt, now).compareTo(LONG_TURN) >= 0) {
+            cancellationsReadAt = now;
             acceptor.acceptWaiting();
-            sessions.silent().forEach(Session::hear);
+            sessions.sessionsWithoutCommand().forEach(Session::readInput);
         }
     }
 
     /**
-     * Closes a connection once its last bytes have been read. Guards the descriptors against many that linger: then the
-     * oldest of them is closed at once.
+     * Closes a connection once the client has read its last bytes. If too many connections linger, the oldest of them
+     * is closed at once, which bounds the file descriptors in use.
      */
-    void close(Connection c, byte[] lastBytes) {
-        if (!closing.isEmpty() && sessions.size() + closing.size() >= mostSessions + MAX_LINGERING) {
-            closing.iterator().next().close();
+    void close(Connection connection, byte[] lastBytes) {
+        if (!lingeringCloses.isEmpty() && sessions.size() + lingeringCloses.size() >= maxSessions + MAX_LINGERING) {
+            lingeringCloses.iterator().next().close();
         }
-        LingeringClose[] lingering = new LingeringClose[1];
-        lingering[0] = LingeringClose.start(loop, c, lastBytes, () -> closing.remove(lingering[0]));
-        if (c.isConnected()) {
-            closing.add(lingering[0]);
+        LingeringClose[] started = new LingeringClose[1];
+        started[0] = LingeringClose.start(loop, connection, lastBytes, () -> lingeringCloses.remove(started[0]));
+        if (connection.isConnected()) {
+            lingeringCloses.add(started[0]);
         }
     }
 
@@ -132,9 +148,9 @@
         sessions.all().stream().filter(Session::isIdle).forEach(Session::closeIdle);
     }
 
-    /** Those that linger count too: the end of the process would reset them over what they have not read. */
+    /** Includes lingering connections: the exit of the process would reset them before their last bytes are read. */
     @Override
     public boolean isIdle() {
-        return closing.isEmpty() && sessions.all().stream().allMatch(Session::isIdle);
+        return lingeringCloses.isEmpty() && sessions.all().stream().allMatch(Session::isIdle);
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/OpenQuery.java
+++ b/gateway/src/main/java/sandpaddle/mysql/OpenQuery.java
@@ -6,12 +6,12 @@
 import sandpaddle.query.Query;
 import sandpaddle.query.QueryService;
 
-/** The one query that a session may have open. Its first answer closes it: a second or late one goes nowhere. */
+/** The query that a session has open; at most one. The first answer closes it, and later answers are ignored. */
 final class OpenQuery {
     private final QueryService service;
-    private int number; // of the latest query
+    private int latestId; // identifies the latest query
     private boolean open;
-    private QueryService.PendingQuery ticket;
+    private QueryService.PendingQuery pendingQuery;
 
     OpenQuery(QueryService service) {
         this.service = service;
@@ -20,47 +20,48 @@
     /**
      * Submits a query.
      *
-     * @param waited how much of its patience is over
-     * @param listen hears what its client has sent by now; it may cancel the query
-     * @param answered is told its one answer, in this call or later
+     * @param query the query
+     * @param waited the part of its timeout that has passed since it arrived
+     * @param readInput reads what the client has sent by now, which may cancel the query
+     * @param callback receives the answer once, within this call or later
      */
-    void submit(Query query, Duration waited, Runnable listen, Consumer<Answer> answered) {
-        int mine = ++number;
+    void submit(Query query, Duration waited, Runnable readInput, Consumer<Answer> callback) {
+        int id = ++latestId;
         open = true;
-        QueryService.PendingQuery given = service.submit(
+        QueryService.PendingQuery submitted = service.submit(
                 query,
                 waited,
                 () -> {
-                    listen.run();
-                    return isOpen(mine);
+                    readInput.run();
+                    return isOpen(id);
                 },
                 answer -> {
-                    if (isOpen(mine)) {
+                    if (isOpen(id)) {
                         close();
-                        answered.accept(answer);
+                        callback.accept(answer);
                     }
                 });
-        if (isOpen(mine)) {
-            ticket = given;
+        if (isOpen(id)) {
+            pendingQuery = submitted;
         }
     }
 
-    private boolean isOpen(int which) {
-        return open && number == which;
+    private boolean isOpen(int id) {
+        return open && latestId == id;
     }
 
-    /** Its client no longer waits for it; nothing happens where none is open. */
+    /** Cancels the open query because the client no longer waits; no effect if none is open. */
     void cancel() {
-        QueryService.PendingQuery given = close();
-        if (given != null) {
-            given.clientDisconnected();
+        QueryService.PendingQuery submitted = close();
+        if (submitted != null) {
+            submitted.clientDisconnected();
         }
     }
 
     private QueryService.PendingQuery close() {
-        QueryService.PendingQuery given = ticket;
+        QueryService.PendingQuery submitted = pendingQuery;
         open = false;
-        ticket = null;
-        return given;
+        pendingQuery = null;
+        return submitted;
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/PacketReader.java
+++ b/gateway/src/main/java/sandpaddle/mysql/PacketReader.java
@@ -4,90 +4,99 @@
 import java.time.Instant;
 import java.util.Arrays;
 
-/** Cuts a stream of bytes into packets, however they were split or joined on the way. */
+/** Splits a client's byte stream into packets, independent of the boundaries of the reads. */
 final class PacketReader {
-    /** The largest payload that is taken: a login at first, then statements, which are some hundred bytes. */
-    static final int MOST_LOGIN_BYTES = 4 * 1024;
+    /** Largest payload before the login. */
+    static final int MAX_LOGIN_PAYLOAD_BYTES = 4 * 1024;
 
-    static final int MOST_BYTES = 64 * 1024;
-    static final int HEADER = 4;
-    private static final int SMALL = 1024;
+    /** Largest payload after the login; statements usually have some hundred bytes. */
+    static final int MAX_PAYLOAD_BYTES = 64 * 1024;
 
-    /** {@code arrivedAt}: when its last byte came. */
-    record Packet(int seq, byte[] payload, Instant arrivedAt) {}
+    static final int HEADER_BYTES = 4;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
-    private byte[] buffer = new byte[SMALL];
-    private int from, to;
-    private int wholeTo; // the end of the last packet that is whole
+    /**
+     * A complete packet.
+     *
+     * @param sequenceId the sequence id
+     * @param payload the bytes after the header
+     * @param arrivedAt when its last byte arrived
+     */
+    record Packet(int sequenceId, byte[] payload, Instant arrivedAt) {}
+
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int start, end;
+    private int completeEnd; // end of the last complete packet
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    private int most = MOST_LOGIN_BYTES;
+    private int maxPayloadBytes = MAX_LOGIN_PAYLOAD_BYTES;
 
-    /** A client that has logged in may send more. */
-    void loggedIn() {
-        most = MOST_BYTES;
+    /** Raises the limit on the payload after the login. */
+    void onLoggedIn() {
+        maxPayloadBytes = MAX_PAYLOAD_BYTES;
     }
 
-    /** Takes all bytes that are left in a buffer, which came at a time. */
-    void feed(ByteBuffer bytes, Instant arrivedAt) {
-        if (buffer.length - to < bytes.remaining()) {
-            int held = to - from;
-            byte[] room = held + bytes.remaining() > buffer.length
-                    ? new byte[Math.max(2 * buffer.length, held + bytes.remaining())]
+    /** Appends the remaining bytes of a buffer, which arrived at the given time. */
+    void append(ByteBuffer bytes, Instant arrivedAt) {
+        if (buffer.length - end < bytes.remaining()) {
+            int kept = end - start;
+            byte[] target = kept + bytes.remaining() > buffer.length
+                    ? new byte[Math.max(2 * buffer.length, kept + bytes.remaining())]
                     : buffer;
-            System.arraycopy(buffer, from, room, 0, held);
-            buffer = room;
-            wholeTo -= from;
-            from = 0;
-            to = held;
+            System.arraycopy(buffer, start, target, 0, kept);
+            buffer = target;
+            completeEnd -= start;
+            start = 0;
+            end = kept;
         }
-        int n = bytes.remaining();
-        bytes.get(buffer, to, n);
-        to += n;
-        while (isWholeAt(wholeTo)) {
-            wholeTo += HEADER + lengthAt(wholeTo);
+        int count = bytes.remaining();
+        bytes.get(buffer, end, count);
+        end += count;
+        while (isCompleteAt(completeEnd)) {
+            completeEnd += HEADER_BYTES + payloadLengthAt(completeEnd);
             arrivals.add(arrivedAt);
         }
     }
 
-    private boolean isWholeAt(int at) {
-        return to - at >= HEADER && to - at - HEADER >= lengthAt(at);
+    private boolean isCompleteAt(int offset) {
+        return end - offset >= HEADER_BYTES && end - offset - HEADER_BYTES >= payloadLengthAt(offset);
     }
 
-    /** The payload's length, as the header at a place tells it. */
-    private int lengthAt(int at) {
-        return buffer[at] & 0xFF | (buffer[at + 1] & 0xFF) << 8 | (buffer[at + 2] & 0xFF) << 16;
+    /** The payload length in the packet header at an offset: 24 bits, little-endian. */
+    private int payloadLengthAt(int offset) {
+        return buffer[offset] & 0xFF | (buffer[offset + 1] & 0xFF) << 8 | (buffer[offset + 2] & 0xFF) << 16;
     }
 
-    /** The next whole packet; null until it is in. */
+    /** Removes and returns the next packet; null until it is complete. */
     Packet next() throws ProtocolException {
-        if (to - from < HEADER) {
+        if (end - start < HEADER_BYTES) {
             return null;
         }
-        int length = lengthAt(from);
-        if (length > most) { // judged at the header: what is too large is never buffered
+        int length = payloadLengthAt(start);
+        if (length > maxPayloadBytes) { // checked by the header, so that an oversized packet is never buffered
             throw new ProtocolException(
-                    SqlError.ER_NET_PACKET_TOO_LARGE, "packet of " + length + " bytes, more than " + most);
+                    SqlError.ER_NET_PACKET_TOO_LARGE, "packet of " + length + " bytes, more than " + maxPayloadBytes);
         }
-        if (!isWholeAt(from)) {
+        if (!isCompleteAt(start)) {
             return null;
         }
-        Packet p = new Packet(
-                buffer[from + 3] & 0xFF,
-                Arrays.copyOfRange(buffer, from + HEADER, from + HEADER + length),
-                arrivals.take());
-        from += HEADER + length;
-        if (from == to) {
-            from = 0;
-            to = 0;
-            wholeTo = 0;
-            if (buffer.length > SMALL) {
-                buffer = new byte[SMALL]; // an idle session keeps little
+        Packet packet = new Packet(
+                buffer[start + 3] & 0xFF,
+                Arrays.copyOfRange(buffer, start + HEADER_BYTES, start + HEADER_BYTES + length),
+                arrivals.removeFirst());
+        start += HEADER_BYTES + length;
+        if (start == end) {
+            start = 0;
+            end = 0;
+            completeEnd = 0;
+            if (buffer.length > INITIAL_BUFFER_BYTES) {
+                buffer = new byte[INITIAL_BUFFER_BYTES]; // keeps the memory of idle sessions low
             }
         }
-        return p;
+        return packet;
     }
 
-    int buffered() {
-        return to - from;
+    /** Bytes that are buffered, of complete and incomplete packets. */
+    int bufferedBytes() {
+        return end - start;
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/ProtocolException.java
+++ b/gateway/src/main/java/sandpaddle/mysql/ProtocolException.java
@@ -1,9 +1,10 @@
 package sandpaddle.mysql;
 
-/** Broken framing: it ends the connection that sent it, and no other. */
+/** Input that violates the client protocol. It ends the connection that it arrived on, and no other. */
 final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** The error that is sent to the client. */
     final transient SqlError error;
 
     ProtocolException(SqlError error, String message) {
--- a/gateway/src/main/java/sandpaddle/mysql/Session.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Session.java
@@ -10,19 +10,23 @@
 import sandpaddle.query.Query;
 
 /**
- * One client's connection: login, then one command at a time. Its states mirror the tables of docs/design/crossings.md.
+ * The session of one client connection: login, then one command at a time. Its states are those of the tables in
+ * docs/design/crossings.md. Confined to the event loop's thread.
  */
 final class Session implements Connection.Listener, CommandFlow.Handler {
-    /** LOGIN: nobody is known yet. RESTING: no query is open. BUSY: one is. ENDED: its last bytes are written. */
     private enum State {
+        /** The client has not logged in. */
         LOGIN,
-        RESTING,
+        /** Logged in without an open query. */
+        IDLE,
+        /** A query is open. */
         BUSY,
+        /** The last bytes are written or the connection is closed. */
         ENDED
     }
 
-    private static final int FIRST_REPLY = 1; // the number of the packet that answers a command
-    private static final int LOGIN_REPLY = 2; // after the greeting and the login
+    private static final int FIRST_REPLY_SEQUENCE_ID = 1; // of the first packet that answers a command
+    private static final int LOGIN_REPLY_SEQUENCE_ID = 2; // follows the handshake (0) and the login (1)
 
     final int id;
     private final MysqlFrontend frontend;
@@ -33,9 +37,9 @@
     private final CommandFlow flow;
     private final OpenQuery openQuery;
     private final Instant openedAt;
-    private Instant restingSince; // null: it has not asked yet
+    private Instant idleSince; // null before the first command
     private String user = "";
-    private String note = ""; // on the last result
+    private String note = ""; // on the last result, for SHOW WARNINGS
     private State state = State.LOGIN;
 
     Session(MysqlFrontend frontend, EventLoop loop, Connection connection, int id) {
@@ -44,7 +48,7 @@
         this.connection = connection;
         this.id = id;
         commands = new CommandHandler(frontend, this);
-        timeouts = new SessionTimeouts(loop, connection, this::late);
+        timeouts = new SessionTimeouts(loop, connection, this::onTimeout);
         flow = new CommandFlow(loop, connection, timeouts, this);
         openQuery = new OpenQuery(frontend.service());
         openedAt = loop.now();
@@ -54,35 +58,35 @@
         return openedAt;
     }
 
-    /** Since when it has no open query. */
-    Instant restingSince() {
-        return restingSince;
+    /** Since when no query is open; null before the first command. */
+    Instant idleSince() {
+        return idleSince;
     }
 
     String note() {
         return note;
     }
 
-    /** Whether nothing is open, half said or unsent. */
+    /** Whether no query is open, no input waits to be handled and all answers are sent. */
     boolean isIdle() {
         return state != State.BUSY && connection.unsentBytes() == 0 && flow.isEmpty();
     }
 
-    // ---- What the client sends.
+    // ---- Input
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        flow.received(bytes);
+        flow.onReceived(bytes);
     }
 
-    /** Hears what has come from the client by now. */
-    void hear() {
+    /** Reads and handles what has arrived from the client by now. */
+    void readInput() {
         connection.readAvailable();
     }
 
     @Override
-    public boolean takesPackets() {
-        return state == State.LOGIN || state == State.RESTING;
+    public boolean acceptsPackets() {
+        return state == State.LOGIN || state == State.IDLE;
     }
 
     @Override
@@ -93,95 +97,97 @@
     @Override
     public void handle(PacketReader.Packet packet) throws ProtocolException {
         if (state == State.LOGIN) {
-            commands.logIn(packet);
+            commands.handleLogin(packet);
             return;
         }
-        if (packet.seq() != 0 || packet.payload().length == 0) {
+        if (packet.sequenceId() != 0 || packet.payload().length == 0) {
             throw new ProtocolException(SqlError.ER_NET_PACKETS_OUT_OF_ORDER, "expected a command");
         }
-        timeouts.asked();
+        timeouts.commandReceived();
         commands.handle(packet);
-        if (state == State.RESTING) {
-            rest();
+        if (state == State.IDLE) {
+            becomeIdle();
         }
     }
 
     @Override
-    public void malformed(ProtocolException fault) {
-        Logger.debug("session {} ends: {}", id, fault.getMessage());
+    public void onProtocolError(ProtocolException exception) {
+        Logger.debug("session {} ends: {}", id, exception.getMessage());
         cancelQuery();
-        end(Messages.error(replyNumber(), fault.error, fault.getMessage()));
+        end(ServerPackets.error(replySequenceId(), exception.error, exception.getMessage()));
     }
 
-    void loggedIn(String who) {
-        state = State.RESTING;
-        user = who;
-        flow.loggedIn();
+    void onLoggedIn(String userName) {
+        state = State.IDLE;
+        user = userName;
+        flow.onLoggedIn();
     }
 
-    private void rest() {
-        restingSince = loop.now();
-        frontend.sessions().rests(this);
+    private void becomeIdle() {
+        idleSince = loop.now();
+        frontend.sessions().markIdle(this);
     }
 
-    // ---- Its query.
+    // ---- Query
 
-    /** Submits its query, whose last byte came at a time; the answer comes in this call or later. */
+    /** Submits a query whose last byte arrived at the given time; the answer follows within this call or later. */
     void submit(Query query, Instant arrivedAt) {
         state = State.BUSY;
         note = "";
-        frontend.sessions().busy(this);
+        frontend.sessions().markBusy(this);
         openQuery.submit(
-                query.withUser(user), Duration.between(arrivedAt, loop.now()), this::hearBeforeAttempt, this::answered);
+                query.withUser(user), Duration.between(arrivedAt, loop.now()), this::readBeforeAttempt, this::onAnswer);
     }
 
-    private void hearBeforeAttempt() {
-        frontend.hearCancellations();
-        hear();
+    private void readBeforeAttempt() {
+        frontend.readCancellations();
+        readInput();
     }
 
-    private void answered(Answer answer) {
-        state = State.RESTING;
-        note = answer instanceof Answer.Served s ? s.note() : note;
-        send(Messages.answer(answer));
-        goOn();
+    private void onAnswer(Answer answer) {
+        state = State.IDLE;
+        note = answer instanceof Answer.Served served ? served.note() : note;
+        send(ServerPackets.answer(answer));
+        resume();
     }
 
-    /** After an answer: the next command, unless what was sent ahead of the answer was too much to keep. */
-    private void goOn() {
+    /** After an answer: continues with the next command, or ends the session if pipelined input was discarded. */
+    private void resume() {
         if (state == State.ENDED) {
             return;
         }
-        if (flow.isIncomplete()) {
-            end(Messages.error(
-                    FIRST_REPLY,
+        if (flow.hasDiscarded()) {
+            end(ServerPackets.error(
+                    FIRST_REPLY_SEQUENCE_ID,
                     SqlError.ER_NET_PACKET_TOO_LARGE,
-                    "more than " + SessionInput.MOST_AHEAD_BYTES + " bytes were sent ahead of an answer"));
+                    "more than " + SessionInput.MAX_PIPELINED_BYTES + " bytes were sent ahead of an answer"));
             return;
         }
-        rest();
+        becomeIdle();
         flow.handlePackets();
     }
 
-    /** The client no longer waits for its query, but its session lives. */
-    void interrupt() {
+    /** KILL QUERY: cancels the open query with an error to its client; the session continues. */
+    void interruptQuery() {
         if (state == State.BUSY) {
             cancelQuery();
-            send(Messages.error(FIRST_REPLY, SqlError.ER_QUERY_INTERRUPTED, "Query execution was interrupted"));
-            goOn();
+            send(ServerPackets.error(
+                    FIRST_REPLY_SEQUENCE_ID, SqlError.ER_QUERY_INTERRUPTED, "Query execution was interrupted"));
+            resume();
         }
     }
 
-    /** Nobody waits for the open query any more. */
+    /** Cancels the open query without an answer, since its client no longer waits. */
     void cancelQuery() {
         if (state == State.BUSY) {
-            state = State.RESTING;
+            state = State.IDLE;
             openQuery.cancel();
         }
     }
 
-    // ---- What the client is sent.
+    // ---- Output
 
+    /** Sends bytes, and watches the progress of those that the socket does not take at once. */
     void send(byte[] bytes) {
         connection.write(bytes);
         if (connection.unsentBytes() > 0) {
@@ -191,55 +197,58 @@
 
     @Override
     public void onFlushed() {
-        timeouts.outputRead();
+        timeouts.outputFlushed();
         if (state != State.ENDED) {
-            flow.handlePackets(); // what came to wait for it
+            flow.handlePackets(); // packets that were deferred until the output was sent
         }
     }
 
-    /** The number of the packet that a client expects next, where none of an answer was sent: others are unreadable. */
-    private int replyNumber() {
-        return state == State.LOGIN ? LOGIN_REPLY : FIRST_REPLY;
+    /** The sequence id that the client expects in the first packet of an answer; it rejects any other. */
+    private int replySequenceId() {
+        return state == State.LOGIN ? LOGIN_REPLY_SEQUENCE_ID : FIRST_REPLY_SEQUENCE_ID;
     }
 
-    // ---- Its end.
+    // ---- End
 
-    private void late(String why) {
-        Logger.debug("session {} ends: {}", id, why);
-        end(Messages.error(replyNumber(), SqlError.ER_NET_READ_INTERRUPTED, why));
+    private void onTimeout(String reason) {
+        Logger.debug("session {} ends: {}", id, reason);
+        end(ServerPackets.error(replySequenceId(), SqlError.ER_NET_READ_INTERRUPTED, reason));
     }
 
-    /** Ends with nothing more to say. */
+    /** Ends the session without last bytes. */
     void end() {
         end(new byte[0]);
     }
 
-    /** Ends with last bytes; what else its client sent is not looked at. */
+    /** Ends the session with last bytes; further input is ignored. */
     void end(byte[] lastBytes) {
         if (state != State.ENDED) {
-            ended();
+            markEnded();
             frontend.close(connection, lastBytes);
         }
     }
 
-    private void ended() {
+    private void markEnded() {
         state = State.ENDED;
         timeouts.cancel();
         frontend.sessions().remove(this);
     }
 
     /**
-     * Its descriptor is needed for another client; whether it gave it. Not one that has asked for something by now: a
-     * close over a request that waits to be read would lose it. One that never asked is told, for its first request may
-     * be on its way; one that has asked before sends a request that crosses the close again.
+     * Closes the session, if it is idle, to free its file descriptor for another client. Pending input is read first,
+     * since a close would lose a request that waits to be read. A client that has not sent a command yet gets an error,
+     * since its first request may be on its way; one that has sent commands before resends a request that crosses the
+     * close.
+     *
+     * @return whether the session has ended
      */
-    boolean makesRoom() {
-        hear();
+    boolean tryEvict() {
+        readInput();
         if (state != State.ENDED && isIdle()) {
-            if (restingSince == null) {
-                end(Messages.error(replyNumber(), SqlError.ER_CON_COUNT_ERROR, "Too many connections"));
+            if (idleSince == null) {
+                end(ServerPackets.error(replySequenceId(), SqlError.ER_CON_COUNT_ERROR, "Too many connections"));
             } else {
-                ended();
+                markEnded();
                 connection.close();
             }
         }
@@ -247,11 +256,11 @@
     }
 
     /**
-     * Closes a session with nothing open. What has come by now is heard first: only a request that crosses the close
-     * itself is sent again by its client.
+     * Closes the session if it is idle. Pending input is read first, so that only a request that crosses the close
+     * itself has to be resent by the client.
      */
     void closeIdle() {
-        hear();
+        readInput();
         if (isIdle()) {
             end();
         }
@@ -261,7 +270,7 @@
     public void onClosed(Exception cause) {
         cancelQuery();
         if (state != State.ENDED) {
-            ended();
+            markEnded();
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/SessionInput.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SessionInput.java
@@ -3,52 +3,53 @@
 import java.nio.ByteBuffer;
 import java.time.Instant;
 
-/** What a client has sent and its session has not handled yet: packets, whole or in part, within bounds. */
+/** The bounded buffer of input that a session has not handled yet: complete and incomplete packets. */
 final class SessionInput {
-    /** What a client may send ahead while its query is open: one statement of the largest size. */
-    static final int MOST_AHEAD_BYTES = PacketReader.MOST_BYTES + PacketReader.HEADER;
-    /** What is discarded of a client that sent more ahead than that, before it counts as gone. */
-    private static final long MOST_DISCARDED_BYTES = 8L * 1024 * 1024;
+    /** Bytes that a client may pipeline while its query is open: one packet of the largest size. */
+    static final int MAX_PIPELINED_BYTES = PacketReader.MAX_PAYLOAD_BYTES + PacketReader.HEADER_BYTES;
+    /** Bytes beyond that limit that are read and discarded before the connection is closed. */
+    private static final long MAX_DISCARDED_BYTES = 8L * 1024 * 1024;
 
     private final PacketReader packets = new PacketReader();
     private long discardedBytes;
 
-    /** A client that has logged in may send longer packets. */
-    void loggedIn() {
-        packets.loggedIn();
+    /** Raises the limit on the packet size after the login. */
+    void onLoggedIn() {
+        packets.onLoggedIn();
     }
 
-    /** Takes bytes that came at a time while no query is open. */
-    void take(ByteBuffer bytes, Instant arrivedAt) {
-        packets.feed(bytes, arrivedAt);
+    /** Appends bytes that arrived at the given time while no query is open. */
+    void append(ByteBuffer bytes, Instant arrivedAt) {
+        packets.append(bytes, arrivedAt);
     }
 
     /**
-     * Takes bytes that came while a query is open, so that the end of the connection behind them is seen. Once they
-     * are more than a client may send ahead, they are discarded.
+     * Appends bytes that arrived while a query is open; they are read so that a disconnect behind them is detected.
+     * Once they exceed {@link #MAX_PIPELINED_BYTES}, they are discarded.
      *
-     * @return false where more was discarded than is put up with
+     * @return false if more was discarded than is permitted
      */
-    boolean takeAhead(ByteBuffer bytes, Instant arrivedAt) {
-        if (!isIncomplete() && packets.buffered() + bytes.remaining() <= MOST_AHEAD_BYTES) {
-            packets.feed(bytes, arrivedAt);
+    boolean appendPipelined(ByteBuffer bytes, Instant arrivedAt) {
+        if (!hasDiscarded() && packets.bufferedBytes() + bytes.remaining() <= MAX_PIPELINED_BYTES) {
+            packets.append(bytes, arrivedAt);
             return true;
         }
         discardedBytes += bytes.remaining();
-        return discardedBytes <= MOST_DISCARDED_BYTES;
+        return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
-    /** Whether something was discarded: the session can't go on behind what is left. */
-    boolean isIncomplete() {
+    /** Whether input was discarded, so that the session cannot continue after the buffered packets. */
+    boolean hasDiscarded() {
         return discardedBytes > 0;
     }
 
+    /** Whether no byte is buffered. */
     boolean isEmpty() {
-        return packets.buffered() == 0;
+        return packets.bufferedBytes() == 0;
     }
 
-    /** The next whole packet; null until it is in, and where what follows was discarded. */
+    /** Removes and returns the next packet; null until it is complete, and after input was discarded. */
     PacketReader.Packet next() throws ProtocolException {
-        return isIncomplete() ? null : packets.next();
+        return hasDiscarded() ? null : packets.next();
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/SessionRegistry.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SessionRegistry.java
@@ -8,24 +8,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The sessions by connection id; those with no open query also in the order in which they make room for new ones. */
+/** The sessions by connection id; those without an open query also in the order in which they are evicted. */
 final class SessionRegistry {
-    /** A client that has not asked yet keeps its connection for so long at least. */
-    private static final Duration SILENT_LEAST = Duration.ofMillis(100);
-    /** The same after its last answer; a request that crosses the close is sent again. */
-    private static final Duration RESTING_LEAST = Duration.ofMillis(10);
+    /** Minimum age at which a session that has not received a command may be evicted. */
+    private static final Duration MIN_AGE_WITHOUT_COMMAND = Duration.ofMillis(100);
+    /** Minimum time since the last answer after which a session may be evicted; clients resend a crossing request. */
+    private static final Duration MIN_IDLE_TIME = Duration.ofMillis(10);
 
     private final Map<Integer, Session> byId = new HashMap<>();
-    private final Set<Session> silent = new LinkedHashSet<>(); // that never asked, by age
-    private final Set<Session> resting = new LinkedHashSet<>(); // by when their last query ended
+    private final Set<Session> sessionsWithoutCommand = new LinkedHashSet<>(); // oldest first
+    private final Set<Session> idle = new LinkedHashSet<>(); // longest idle first
 
     /** Adds a session that was just opened. */
     void add(Session session) {
         byId.put(session.id, session);
-        silent.add(session);
+        sessionsWithoutCommand.add(session);
     }
 
-    /** Null where there is none of this id. */
+    /** The session with this connection id; null if there is none. */
     Session get(int id) {
         return byId.get(id);
     }
@@ -38,42 +38,42 @@
         return List.copyOf(byId.values());
     }
 
-    /** Those that have not asked yet. */
-    List<Session> silent() {
-        return List.copyOf(silent);
+    /** The sessions that have not received a command yet, oldest first. */
+    List<Session> sessionsWithoutCommand() {
+        return List.copyOf(sessionsWithoutCommand);
     }
 
-    /** A session has an open query. */
-    void busy(Session session) {
-        silent.remove(session);
-        resting.remove(session);
+    /** Removes a session from the candidates for eviction, since it has an open query. */
+    void markBusy(Session session) {
+        sessionsWithoutCommand.remove(session);
+        idle.remove(session);
     }
 
-    /** A session has asked, and has no open query. */
-    void rests(Session session) {
-        busy(session);
-        resting.add(session);
+    /** Makes a session that has received a command and has no open query the last candidate for eviction. */
+    void markIdle(Session session) {
+        markBusy(session);
+        idle.add(session);
     }
 
     void remove(Session session) {
-        busy(session);
+        markBusy(session);
         byId.remove(session.id);
     }
 
     /**
-     * Guards clients that ask against those that only hold their connection: the one that has been silent longest since
-     * it was opened goes first, then the one that has rested longest. Never one with a request.
+     * Evicts one session, so that clients that only hold connections do not lock out active ones: first the oldest one
+     * without a command, then the one that has been idle longest. Sessions with a request are never evicted.
      *
-     * @return whether one went
+     * @return whether a session was evicted
      */
-    boolean makeRoom(Instant now) {
-        Instant silentSince = now.minus(SILENT_LEAST);
-        Instant restingSince = now.minus(RESTING_LEAST);
-        return silent().stream()
-                        .takeWhile(s -> s.openedAt().isBefore(silentSince))
-                        .anyMatch(Session::makesRoom)
-                || List.copyOf(resting).stream()
-                        .takeWhile(s -> s.restingSince().isBefore(restingSince))
-                        .anyMatch(Session::makesRoom);
+    boolean evictIdleSession(Instant now) {
+        Instant openedBefore = now.minus(MIN_AGE_WITHOUT_COMMAND);
+        Instant idleBefore = now.minus(MIN_IDLE_TIME);
+        return sessionsWithoutCommand().stream()
+                        .takeWhile(session -> session.openedAt().isBefore(openedBefore))
+                        .anyMatch(Session::tryEvict)
+                || List.copyOf(idle).stream()
+                        .takeWhile(session -> session.idleSince().isBefore(idleBefore))
+                        .anyMatch(Session::tryEvict);
     }
 }
--- a/gateway/src/main/java/sandpaddle/mysql/SessionTimeouts.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SessionTimeouts.java
@@ -7,91 +7,91 @@
 import sandpaddle.eventloop.TimerQueue;
 
 /**
- * The times within which a client must go on, so that descriptors and memory are not held for nothing. What came while
- * the turn of a timer went on is heard before its client is told that it is late.
+ * The timeouts of one session, which release the descriptor and memory of a client that makes no progress. Before a
+ * timeout takes effect, input that arrived by then is read, since it may have arrived in time.
  */
 final class SessionTimeouts {
-    /** From its opening, a client has so long to log in and ask; who has asked once may then rest for good. */
-    private static final Duration FIRST_COMMAND = Duration.ofMillis(2000);
-    /** From its first byte, a packet has so long to come whole. */
-    private static final Duration WHOLE_PACKET = Duration.ofMillis(1500);
-    /** A client that does not read its answer for so long is cut off; a slow one is waited for as long as it reads. */
-    private static final Duration STALLED = Duration.ofSeconds(30);
+    /** From the accepted connection to the first command; afterwards a session may stay idle without limit. */
+    private static final Duration FIRST_COMMAND_TIMEOUT = Duration.ofMillis(2000);
+    /** From the first byte of a packet to its last. */
+    private static final Duration PACKET_TIMEOUT = Duration.ofMillis(1500);
+    /** Closes the connection if its queued output has not shrunk for this long; a slow reader is not closed. */
+    private static final Duration SEND_STALL_TIMEOUT = Duration.ofSeconds(30);
 
     private final EventLoop loop;
     private final Connection connection;
-    private final Consumer<String> late;
-    private TimerQueue.Timer first, packet, stall; // null: none of it is waited for
+    private final Consumer<String> onTimeout;
+    private TimerQueue.Timer firstCommandTimer, packetTimer, sendStallTimer; // null while not running
 
-    /** {@code late} is told why the client's time is over. */
-    SessionTimeouts(EventLoop loop, Connection connection, Consumer<String> late) {
+    /** Starts the timeout of the first command; {@code onTimeout} receives the reason of an expired timeout. */
+    SessionTimeouts(EventLoop loop, Connection connection, Consumer<String> onTimeout) {
         this.loop = loop;
         this.connection = connection;
-        this.late = late;
-        first = loop.scheduleAfter(FIRST_COMMAND, () -> {
+        this.onTimeout = onTimeout;
+        firstCommandTimer = loop.scheduleAfter(FIRST_COMMAND_TIMEOUT, () -> {
             connection.readAvailable();
-            if (first != null) {
-                late.accept("no command came");
+            if (firstCommandTimer != null) {
+                onTimeout.accept("no command came");
             }
         });
     }
 
-    /** A command has come. */
-    void asked() {
-        first = cancelled(first);
+    /** Stops the timeout of the first command. */
+    void commandReceived() {
+        firstCommandTimer = cancelTimer(firstCommandTimer);
     }
 
-    /** A packet is whole: the next one has a time of its own. */
-    void packetEnded() {
-        packet = cancelled(packet);
+    /** Stops the timeout of the current packet; the next one gets its own. */
+    void packetCompleted() {
+        packetTimer = cancelTimer(packetTimer);
     }
 
-    /** A packet has begun that is not whole. */
-    void packetBegun() {
-        if (packet == null) {
-            packet = loop.scheduleAfter(WHOLE_PACKET, this::unfinished);
+    /** Starts the timeout of an incomplete packet, unless it is running. */
+    void packetStarted() {
+        if (packetTimer == null) {
+            packetTimer = loop.scheduleAfter(PACKET_TIMEOUT, this::onPacketTimeout);
         }
     }
 
-    private void unfinished() {
-        TimerQueue.Timer mine = packet;
+    private void onPacketTimeout() {
+        TimerQueue.Timer expired = packetTimer;
         connection.readAvailable();
-        if (packet == mine && mine != null) {
-            late.accept("the packet was never finished");
+        if (packetTimer == expired && expired != null) {
+            onTimeout.accept("the packet was never finished");
         }
     }
 
-    /** Something waits to be read by the client. */
+    /** Starts to watch the progress of queued output. */
     void outputPending() {
-        if (stall == null) {
-            watch();
+        if (sendStallTimer == null) {
+            watchOutput();
         }
     }
 
-    private void watch() {
+    private void watchOutput() {
         long before = connection.unsentBytes();
-        stall = loop.scheduleAfter(STALLED, () -> {
+        sendStallTimer = loop.scheduleAfter(SEND_STALL_TIMEOUT, () -> {
             if (connection.unsentBytes() >= before) {
                 connection.onFailure(null);
             } else {
-                watch();
+                watchOutput();
             }
         });
     }
 
-    /** All has been read. */
-    void outputRead() {
-        stall = cancelled(stall);
+    /** All output was sent: stops watching it. */
+    void outputFlushed() {
+        sendStallTimer = cancelTimer(sendStallTimer);
     }
 
-    /** Nothing is waited for any more. */
+    /** Stops all timeouts. */
     void cancel() {
-        asked();
-        packetEnded();
-        outputRead();
+        commandReceived();
+        packetCompleted();
+        outputFlushed();
     }
 
-    private static TimerQueue.Timer cancelled(TimerQueue.Timer timer) {
+    private static TimerQueue.Timer cancelTimer(TimerQueue.Timer timer) {
         if (timer != null) {
             timer.cancel();
         }
--- a/gateway/src/main/java/sandpaddle/mysql/SqlError.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SqlError.java
@@ -20,7 +20,7 @@
     ER_UNKNOWN_ERROR(1105, "HY000"),
     /** A packet, or input sent ahead of an answer, over its limit. */
     ER_NET_PACKET_TOO_LARGE(1153, "08S01"),
-    /** The client exceeded a timeout, see {@link SessionTimeouts}. */
+    /** A timeout of the session expired, see {@link SessionTimeouts}. */
     ER_NET_READ_INTERRUPTED(1159, "08S01"),
     /** A packet that does not start a command. */
     ER_NET_PACKETS_OUT_OF_ORDER(1156, "08S01"),
--- a/gateway/src/main/java/sandpaddle/mysql/SqlScanner.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SqlScanner.java
@@ -5,177 +5,179 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Reads SQL as far as names go: it knows strings, comments and quoted names, and no grammar. */
+/** Scans SQL for names. It recognizes strings, comments and quoted identifiers, but does not parse the grammar. */
 final class SqlScanner {
-    /** From the first character to the one after the last. */
-    record Span(int from, int to) {
-        /** What a comment says, without the marks that make it one. */
+    /** The range of a comment: {@code start} inclusive, {@code end} exclusive. */
+    record Span(int start, int end) {
+        /** The text of the comment without its delimiters. */
         String text(String sql) {
-            String comment = sql.substring(from, to);
-            if (comment.startsWith(BLOCK_OPENS)) {
-                return comment.substring(BLOCK_OPENS.length(), comment.length() - BLOCK_ENDS.length());
+            String comment = sql.substring(start, end);
+            if (comment.startsWith(BLOCK_COMMENT_START)) {
+                return comment.substring(BLOCK_COMMENT_START.length(), comment.length() - BLOCK_COMMENT_END.length());
             }
-            return comment.substring(comment.startsWith(HASH) ? HASH.length() : DASHES.length());
+            return comment.substring(
+                    comment.startsWith(LINE_COMMENT_HASH) ? LINE_COMMENT_HASH.length() : LINE_COMMENT_DASHES.length());
         }
     }
 
-    private static final String BLOCK_OPENS = "/*";
-    private static final String BLOCK_ENDS = "*/";
-    private static final String DASHES = "--";
-    private static final String HASH = "#";
+    private static final String BLOCK_COMMENT_START = "/*";
+    private static final String BLOCK_COMMENT_END = "*/";
+    private static final String LINE_COMMENT_DASHES = "--";
+    private static final String LINE_COMMENT_HASH = "#";
 
-    private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table");
-    private static final String STAGING = "staging";
-    private static final long NO_GROUP = -1;
-    private static final int MOST_DIGITS = 9;
+    private static final Set<String> KEYWORDS_BEFORE_TABLES = Set.of("from", "join", "into", "update", "table");
+    private static final String STAGING_SCHEMA = "staging";
+    private static final long NO_TABLE_GROUP = -1;
+    private static final int MAX_DIGITS = 9;
 
-    private final String s;
-    private int at;
+    private final String sql;
+    private int position;
 
-    SqlScanner(String s) {
-        this.s = s;
+    SqlScanner(String sql) {
+        this.sql = sql;
     }
 
-    /** The comments that stand whole before the statement, in their order. */
+    /** The comments before the statement in order, without an unterminated one. */
     List<Span> leadingComments() {
         List<Span> comments = new ArrayList<>();
-        at = 0;
-        while (at < s.length()) {
-            int from = at;
-            if (Character.isWhitespace(s.charAt(at))) {
-                at++;
+        position = 0;
+        while (position < sql.length()) {
+            int start = position;
+            if (Character.isWhitespace(sql.charAt(position))) {
+                position++;
             } else if (!skipComment()) {
                 break;
-            } else if (!s.startsWith(BLOCK_OPENS, from)
-                    || s.startsWith(BLOCK_ENDS, at - BLOCK_ENDS.length())
-                            && at - from >= BLOCK_OPENS.length() + BLOCK_ENDS.length()) {
-                comments.add(new Span(from, at));
+            } else if (!sql.startsWith(BLOCK_COMMENT_START, start)
+                    || sql.startsWith(BLOCK_COMMENT_END, position - BLOCK_COMMENT_END.length())
+                            && position - start >= BLOCK_COMMENT_START.length() + BLOCK_COMMENT_END.length()) {
+                comments.add(new Span(start, position));
             }
         }
         return comments;
     }
 
-    /** What follows the blanks and comments before the statement. */
+    /** The text without leading whitespace and comments. */
     String withoutLeadingComments() {
-        at = 0;
-        skipGap();
-        return s.substring(at);
+        position = 0;
+        skipWhitespaceAndComments();
+        return sql.substring(position);
     }
 
     /**
-     * The number at the end of the name of the first schema that stands where tables do; -1 where there is none.
-     * Names inside strings and comments do not count, nor does the schema of what is yet to be loaded.
+     * The table group of a statement: the number at the end of the first schema name in a table position, such as 17 in
+     * {@code FROM sales_17.orders}; -1 if there is none. Names in strings and comments and staging schemas are ignored.
      */
     static long tableGroup(String sql) {
-        return new SqlScanner(sql).firstGroup();
+        return new SqlScanner(sql).firstTableGroup();
     }
 
-    private long firstGroup() {
-        boolean tables = false;
-        while (at < s.length()) {
-            char c = s.charAt(at);
-            if (c == '\'' || c == '"') {
-                skipQuoted(c);
-            } else if (c == '`' || isNamePart(c)) {
-                String name = name();
-                if (c != '`' && BEFORE_TABLES.contains(name.toLowerCase(Locale.ROOT))) {
-                    tables = true;
+    private long firstTableGroup() {
+        boolean inTablePosition = false;
+        while (position < sql.length()) {
+            char character = sql.charAt(position);
+            if (character == '\'' || character == '"') {
+                skipQuoted(character);
+            } else if (character == '`' || isNameCharacter(character)) {
+                String name = readName();
+                if (character != '`' && KEYWORDS_BEFORE_TABLES.contains(name.toLowerCase(Locale.ROOT))) {
+                    inTablePosition = true;
                 } else {
-                    skipGap();
-                    boolean schema = at < s.length() && s.charAt(at) == '.';
-                    long group = schema && tables ? groupOf(name) : NO_GROUP;
-                    if (group != NO_GROUP) {
+                    skipWhitespaceAndComments();
+                    boolean isSchema = position < sql.length() && sql.charAt(position) == '.';
+                    long group = isSchema && inTablePosition ? groupOfSchema(name) : NO_TABLE_GROUP;
+                    if (group != NO_TABLE_GROUP) {
                         return group;
                     }
-                    if (schema) {
+                    if (isSchema) {
                         skipRestOfName();
                     }
-                    skipGap();
-                    tables &= at < s.length() && s.charAt(at) == ',';
+                    skipWhitespaceAndComments();
+                    inTablePosition &= position < sql.length() && sql.charAt(position) == ',';
                 }
             } else if (!skipComment()) {
-                tables &= c == ',' || c == '(' || Character.isWhitespace(c);
-                at++;
+                inTablePosition &= character == ',' || character == '(' || Character.isWhitespace(character);
+                position++;
             }
         }
-        return NO_GROUP;
+        return NO_TABLE_GROUP;
     }
 
-    private static long groupOf(String schema) {
+    private static long groupOfSchema(String schema) {
         int underscore = schema.lastIndexOf('_');
         String digits = schema.substring(underscore + 1);
         boolean number = underscore > 0
                 && !digits.isEmpty()
-                && digits.length() <= MOST_DIGITS
-                && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        boolean staging = schema.toLowerCase(Locale.ROOT).startsWith(STAGING)
-                && (schema.length() == STAGING.length() || schema.charAt(STAGING.length()) == '_');
-        return number && !staging ? Long.parseLong(digits) : NO_GROUP;
+                && digits.length() <= MAX_DIGITS
+                && digits.chars().allMatch(character -> character >= '0' && character <= '9');
+        boolean staging = schema.toLowerCase(Locale.ROOT).startsWith(STAGING_SCHEMA)
+                && (schema.length() == STAGING_SCHEMA.length() || schema.charAt(STAGING_SCHEMA.length()) == '_');
+        return number && !staging ? Long.parseLong(digits) : NO_TABLE_GROUP;
     }
 
-    /** What follows a schema: dots and further names. */
+    /** Skips the rest of a qualified name: dots and further names. */
     private void skipRestOfName() {
-        skipGap();
-        while (at < s.length() && s.charAt(at) == '.') {
-            at++;
-            skipGap();
-            if (at < s.length() && (s.charAt(at) == '`' || isNamePart(s.charAt(at)))) {
-                name();
+        skipWhitespaceAndComments();
+        while (position < sql.length() && sql.charAt(position) == '.') {
+            position++;
+            skipWhitespaceAndComments();
+            if (position < sql.length() && (sql.charAt(position) == '`' || isNameCharacter(sql.charAt(position)))) {
+                readName();
             }
-            skipGap();
+            skipWhitespaceAndComments();
         }
     }
 
-    private String name() {
-        int from = at;
-        if (s.charAt(at) == '`') {
-            at = s.indexOf('`', at + 1);
-            at = at < 0 ? s.length() : at + 1;
-            return s.substring(from + 1, Math.max(from + 1, at - 1));
+    private String readName() {
+        int start = position;
+        if (sql.charAt(position) == '`') {
+            position = sql.indexOf('`', position + 1);
+            position = position < 0 ? sql.length() : position + 1;
+            return sql.substring(start + 1, Math.max(start + 1, position - 1));
         }
-        while (at < s.length() && isNamePart(s.charAt(at))) {
-            at++;
+        while (position < sql.length() && isNameCharacter(sql.charAt(position))) {
+            position++;
         }
-        return s.substring(from, at);
+        return sql.substring(start, position);
     }
 
-    private static boolean isNamePart(char c) {
-        return Character.isLetterOrDigit(c) || c == '_' || c == '$' || c >= 0x80;
+    private static boolean isNameCharacter(char character) {
+        return Character.isLetterOrDigit(character) || character == '_' || character == '$' || character >= 0x80;
     }
 
-    private void skipGap() {
-        while (at < s.length() && (Character.isWhitespace(s.charAt(at)) || skipComment())) {
-            at += at < s.length() && Character.isWhitespace(s.charAt(at)) ? 1 : 0;
+    private void skipWhitespaceAndComments() {
+        while (position < sql.length() && (Character.isWhitespace(sql.charAt(position)) || skipComment())) {
+            position += position < sql.length() && Character.isWhitespace(sql.charAt(position)) ? 1 : 0;
         }
     }
 
-    /** A backslash or a doubled quote does not end a string. */
+    /** Skips a string; a quote after a backslash and a doubled quote do not end it. */
     private void skipQuoted(char quote) {
-        at++;
-        while (at < s.length()) {
-            char c = s.charAt(at++);
-            if (c == '\\') {
-                at++;
-            } else if (c == quote) {
-                if (at >= s.length() || s.charAt(at) != quote) {
+        position++;
+        while (position < sql.length()) {
+            char character = sql.charAt(position++);
+            if (character == '\\') {
+                position++;
+            } else if (character == quote) {
+                if (position >= sql.length() || sql.charAt(position) != quote) {
                     return;
                 }
-                at++;
+                position++;
             }
         }
     }
 
-    /** Skips one comment, if one begins here. */
+    /** Skips the comment that begins at the current position; returns whether there is one. */
     private boolean skipComment() {
-        if (s.startsWith(BLOCK_OPENS, at)) {
-            int end = s.indexOf(BLOCK_ENDS, at + 2);
-            at = end < 0 ? s.length() : end + 2;
+        if (sql.startsWith(BLOCK_COMMENT_START, position)) {
+            int end = sql.indexOf(BLOCK_COMMENT_END, position + 2);
+            position = end < 0 ? sql.length() : end + 2;
             return true;
         }
-        boolean dashes = s.startsWith(DASHES, at) && (at + 2 == s.length() || Character.isWhitespace(s.charAt(at + 2)));
-        if (dashes || s.startsWith(HASH, at)) {
-            int end = s.indexOf('\n', at);
-            at = end < 0 ? s.length() : end + 1;
+        boolean isDashes = sql.startsWith(LINE_COMMENT_DASHES, position)
+                && (position + 2 == sql.length() || Character.isWhitespace(sql.charAt(position + 2)));
+        if (isDashes || sql.startsWith(LINE_COMMENT_HASH, position)) {
+            int end = sql.indexOf('\n', position);
+            position = end < 0 ? sql.length() : end + 1;
             return true;
         }
         return false;
--- a/gateway/src/main/java/sandpaddle/mysql/Statement.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Statement.java
@@ -7,72 +7,83 @@
 import java.util.regex.Pattern;
 import sandpaddle.query.Query;
 
-/** The text of a COM_QUERY: a KILL, or a statement with its fields in a comment before it. */
+/** The parsed text of a COM_QUERY: a statement for the gateway itself, or a query with its fields in a comment. */
 sealed interface Statement {
+    /**
+     * KILL [QUERY | CONNECTION] id.
+     *
+     * @param queryOnly whether the connection stays open
+     * @param connectionId the connection to kill
+     */
     record Kill(boolean queryOnly, int connectionId) implements Statement {}
 
-    record Run(Query query) implements Statement {}
+    /** A query to run on an engine. */
+    record RunQuery(Query query) implements Statement {}
 
-    /** What was unusual about the last result. */
+    /** SHOW WARNINGS: asks for the note on the last result. */
     record ShowWarnings() implements Statement {}
 
-    /** Session settings that drivers send by themselves: there is nothing to set. */
+    /** SET, which drivers send on their own; accepted without effect. */
     record SetOption() implements Statement {}
 
-    record Malformed(String why) implements Statement {}
+    /** A text that is rejected, with the reason that the client receives. */
+    record Malformed(String reason) implements Statement {}
 
     Pattern KILL =
             Pattern.compile("\\s*KILL\\s+(?:(QUERY|CONNECTION)\\s+)?(\\d{1,9})\\s*;?\\s*", Pattern.CASE_INSENSITIVE);
-    Pattern WARNINGS = Pattern.compile("\\s*SHOW\\s+WARNINGS\\s*;?\\s*", Pattern.CASE_INSENSITIVE);
+    Pattern SHOW_WARNINGS = Pattern.compile("\\s*SHOW\\s+WARNINGS\\s*;?\\s*", Pattern.CASE_INSENSITIVE);
     Pattern SET = Pattern.compile("\\s*SET\\s.*", Pattern.CASE_INSENSITIVE | Pattern.DOTALL);
-    Pattern TRACE = Pattern.compile("[0-9a-fA-F]{16}");
+    Pattern TRACE_ID = Pattern.compile("[0-9a-fA-F]{16}");
     Pattern TENANT = Pattern.compile("[^\\p{Cntrl}]{1,64}");
-    Pattern ONCE = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    Pattern KEY = Pattern.compile("[\\x21-\\x7E]{1,128}"); // it becomes a header's value
+    Pattern RUN_NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+    Pattern HEADER_VALUE = Pattern.compile("[\\x21-\\x7E]{1,128}"); // sent to engines as the value of an HTTP header
     Pattern DECIMAL = Pattern.compile("[+-]?(?:\\d+\\.?\\d*|\\.\\d+)(?:[eE][+-]?\\d{1,3})?");
-    long MOST_MS = Duration.ofDays(1).toMillis();
+    long MAX_MS = Duration.ofDays(1).toMillis();
 
+    /** Parses the text of a COM_QUERY; one that cannot be used yields {@link Malformed}. */
     static Statement parse(byte[] text) {
-        String s = new String(text, StandardCharsets.ISO_8859_1); // a char a byte: positions stay true
-        SqlScanner scanner = new SqlScanner(s);
-        String bare = scanner.withoutLeadingComments();
-        Matcher kill = KILL.matcher(bare);
+        String sql = new String(text, StandardCharsets.ISO_8859_1); // one char for each byte, so that offsets match
+        SqlScanner scanner = new SqlScanner(sql);
+        String withoutComments = scanner.withoutLeadingComments();
+        Matcher kill = KILL.matcher(withoutComments);
         if (kill.matches()) {
             return new Kill("QUERY".equalsIgnoreCase(kill.group(1)), Integer.parseInt(kill.group(2)));
         }
-        if (WARNINGS.matcher(bare).matches()) {
+        if (SHOW_WARNINGS.matcher(withoutComments).matches()) {
             return new ShowWarnings();
         }
-        FieldComment comment = FieldComment.find(s, scanner);
+        FieldComment comment = FieldComment.find(sql, scanner);
         if (comment == null) {
-            return SET.matcher(bare).matches() ? new SetOption() : new Malformed("no comment with the field 'route'");
+            return SET.matcher(withoutComments).matches()
+                    ? new SetOption()
+                    : new Malformed("no comment with the field 'route'");
         }
-        return run(comment.fields(), comment.statement());
+        return parseQuery(comment.fields(), comment.statement());
     }
 
-    private static Statement run(Map<String, String> fields, String statement) {
-        String trace = fields.getOrDefault("trace", "");
-        if (!TRACE.matcher(trace).matches()) {
+    private static Statement parseQuery(Map<String, String> fields, String statement) {
+        String traceId = fields.getOrDefault("trace", "");
+        if (!TRACE_ID.matcher(traceId).matches()) {
             return new Malformed("field 'trace' is not 16 hex digits");
         }
-        double patience = number(fields, "patience", -1);
-        if (!(patience > 0 && patience <= MOST_MS)) {
+        double timeoutMs = numberField(fields, "patience", -1);
+        if (!(timeoutMs > 0 && timeoutMs <= MAX_MS)) {
             return new Malformed("field 'patience' is not a number of milliseconds");
         }
-        double weight = number(fields, "weight", 0);
-        if (!(weight >= 0 && weight <= MOST_MS)) {
+        double estimatedWorkMs = numberField(fields, "weight", 0);
+        if (!(estimatedWorkMs >= 0 && estimatedWorkMs <= MAX_MS)) {
             return new Malformed("field 'weight' is not a number of milliseconds");
         }
-        double memory = number(fields, "est_mb", 0);
-        if (!(memory >= 0 && memory < Integer.MAX_VALUE)) {
+        double memoryMb = numberField(fields, "est_mb", 0);
+        if (!(memoryMb >= 0 && memoryMb < Integer.MAX_VALUE)) {
             return new Malformed("field 'est_mb' is not a number of MB");
         }
-        String once = fields.getOrDefault("once", "");
-        if (!once.isEmpty() && !ONCE.matcher(once).matches()) {
+        String runName = fields.getOrDefault("once", "");
+        if (!runName.isEmpty() && !RUN_NAME.matcher(runName).matches()) {
             return new Malformed("field 'once' is not 1 to 64 letters, digits, dots, dashes or underscores");
         }
         String again = fields.getOrDefault("again", "0");
-        if (!again.equals("0") && !again.equals("1") || again.equals("1") && once.isEmpty()) {
+        if (!again.equals("0") && !again.equals("1") || again.equals("1") && runName.isEmpty()) {
             return new Malformed("field 'again' is not 0 or 1 beside 'once'");
         }
         String tenant = new String(
@@ -80,23 +91,24 @@
         if (!tenant.isEmpty() && !TENANT.matcher(tenant).matches()) {
             return new Malformed("field 'customer' is not 1 to 64 printable characters");
         }
-        for (String key : new String[] {"nonce", "entity"}) {
-            if (fields.containsKey(key) && !KEY.matcher(fields.get(key)).matches()) {
-                return new Malformed("field '" + key + "' is not 1 to 128 printable characters");
+        for (String field : new String[] {"nonce", "entity"}) {
+            if (fields.containsKey(field)
+                    && !HEADER_VALUE.matcher(fields.get(field)).matches()) {
+                return new Malformed("field '" + field + "' is not 1 to 128 printable characters");
             }
         }
         if (statement.isBlank()) {
             return new Malformed("no statement after the fields");
         }
-        return new Run(new Query(
+        return new RunQuery(new Query(
                 fields.get("route"),
-                trace,
-                millis(patience),
-                millis(weight),
-                memory,
+                traceId,
+                duration(timeoutMs),
+                duration(estimatedWorkMs),
+                memoryMb,
                 SqlScanner.tableGroup(statement),
                 statement.getBytes(StandardCharsets.ISO_8859_1),
-                once,
+                runName,
                 again.equals("1"),
                 tenant,
                 "",
@@ -104,15 +116,15 @@
                 fields.getOrDefault("entity", "")));
     }
 
-    private static Duration millis(double ms) {
+    private static Duration duration(double ms) {
         return Duration.ofNanos(Math.round(ms * 1e6));
     }
 
-    /** NaN where the field is there and is no number. */
-    private static double number(Map<String, String> fields, String name, double otherwise) {
+    /** A numeric field: the default if absent, NaN if it is not a number. */
+    private static double numberField(Map<String, String> fields, String name, double defaultValue) {
         String text = fields.get(name);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         return DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
--- a/gateway/src/test/java/sandpaddle/mysql/PacketReaderTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/PacketReaderTest.java
@@ -11,34 +11,36 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
+/** {@link PacketReader}: fragmented input and arrival times. */
 public class PacketReaderTest {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-    private static final int MOST_WAITING = 60; // turns, of which each packet's own time is kept
+    private static final int MAX_WAITING_PACKETS = 60; // fewer than the batches whose times ArrivalTimes keeps apart
 
-    /** Random packets in random pieces: each comes out unchanged, with the time of the piece that made it whole. */
+    /** Random packets fed in random fragments: each is returned with the time of the fragment that completed it. */
     @Test
-    public void eachPacketHasTheTimeOfItsLastByte() throws Exception {
+    public void eachPacketHasTheArrivalTimeOfItsLastByte() throws Exception {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             List<Integer> ends = new ArrayList<>();
-            byte[] bytes = packets(random, ends);
+            byte[] bytes = randomPackets(random, ends);
             PacketReader reader = new PacketReader();
-            List<Instant> whole = new ArrayList<>();
+            List<Instant> arrivals = new ArrayList<>();
             int next = 0;
-            for (int at = 0; at < bytes.length; ) {
-                int piece = Math.min(bytes.length - at, 1 + random.nextInt(400));
-                Instant now = START.plusSeconds(at);
-                reader.feed(ByteBuffer.wrap(bytes, at, piece), now);
-                at += piece;
-                while (whole.size() < ends.size() && ends.get(whole.size()) <= at) {
-                    whole.add(now);
+            for (int offset = 0; offset < bytes.length; ) {
+                int length = Math.min(bytes.length - offset, 1 + random.nextInt(400));
+                Instant now = START.plusSeconds(offset);
+                reader.append(ByteBuffer.wrap(bytes, offset, length), now);
+                offset += length;
+                while (arrivals.size() < ends.size() && ends.get(arrivals.size()) <= offset) {
+                    arrivals.add(now);
                 }
-                boolean waits = whole.size() - next < MOST_WAITING && random.nextBoolean() && at < bytes.length;
-                for (; !waits && next < whole.size(); next++) {
-                    PacketReader.Packet p = reader.next();
-                    assertEquals(p.seq(), next);
-                    assertEquals(p.payload().length, ends.get(next) - (next == 0 ? 0 : ends.get(next - 1)) - 4);
-                    assertEquals(p.arrivedAt(), whole.get(next), "packet " + next + " of seed " + seed);
+                boolean isDeferred =
+                        arrivals.size() - next < MAX_WAITING_PACKETS && random.nextBoolean() && offset < bytes.length;
+                for (; !isDeferred && next < arrivals.size(); next++) {
+                    PacketReader.Packet packet = reader.next();
+                    assertEquals(packet.sequenceId(), next);
+                    assertEquals(packet.payload().length, ends.get(next) - (next == 0 ? 0 : ends.get(next - 1)) - 4);
+                    assertEquals(packet.arrivedAt(), arrivals.get(next), "packet " + next + " of seed " + seed);
                 }
             }
             assertEquals(next, ends.size());
@@ -46,14 +48,14 @@
         }
     }
 
-    private static byte[] packets(Random random, List<Integer> ends) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+    private static byte[] randomPackets(Random random, List<Integer> ends) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int i = random.nextInt(40); i >= 0; i--) {
             int length = random.nextInt(random.nextInt(4) == 0 ? 3000 : 30);
-            all.writeBytes(new byte[] {(byte) length, (byte) (length >> 8), 0, (byte) ends.size()});
-            all.writeBytes(new byte[length]);
-            ends.add(all.size());
+            out.writeBytes(new byte[] {(byte) length, (byte) (length >> 8), 0, (byte) ends.size()});
+            out.writeBytes(new byte[length]);
+            ends.add(out.size());
         }
-        return all.toByteArray();
+        return out.toByteArray();
     }
 }
--- a/gateway/src/test/java/sandpaddle/mysql/RecordedPacketsTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/RecordedPacketsTest.java
@@ -10,7 +10,7 @@
 import sandpaddle.query.ResultSet;
 import sandpaddle.recorded.RecordedFile;
 
-/** Packets to a client have the bytes that an earlier version wrote. */
+/** The bytes of packets to clients equal those recorded from an earlier version. */
 class RecordedPacketsTest {
     private static ResultSet rows(String... pages) {
         return new ResultSet(java.util.Arrays.stream(pages)
@@ -19,25 +19,26 @@
     }
 
     @Test
-    void packetsAreWrittenAsRecorded() {
+    void packetsEqualTheRecordedBytes() {
         byte[] scramble = new byte[20];
         java.util.Arrays.fill(scramble, (byte) 7);
         Map<String, byte[]> packets = new LinkedHashMap<>();
-        packets.put("greeting", Messages.greeting(123_456, scramble));
-        packets.put("ok", Messages.ok(2));
+        packets.put("greeting", ServerPackets.handshake(123_456, scramble));
+        packets.put("ok", ServerPackets.ok(2));
         for (SqlError error : SqlError.values()) {
-            packets.put("error " + error.code, Messages.error(1, error, "text \u00e9"));
+            packets.put("error " + error.code, ServerPackets.error(1, error, "text \u00e9"));
         }
         packets.put(
-                "served", Messages.answer(new Answer.Served(rows("a\tb\tc\n", "", "d\t\t" + "e".repeat(300) + "\n"))));
-        packets.put("served with a note", Messages.answer(new Answer.Served(rows(""), "cached")));
-        packets.put("rejected", Messages.answer(new Answer.Rejected(Duration.ZERO)));
-        packets.put("rejected with advice", Messages.answer(new Answer.Rejected(Duration.ofMillis(250))));
-        packets.put("failed", Messages.answer(new Answer.Failed("why")));
-        packets.put("invalid", Messages.answer(new Answer.Invalid("why")));
-        packets.put("warnings", Messages.warnings("a\tnote\nof two lines"));
-        packets.put("no warnings", Messages.warnings(""));
-        packets.put("result set", Messages.resultSet(4, new ResultSet(List.of()), 3, "x", "y"));
+                "served",
+                ServerPackets.answer(new Answer.Served(rows("a\tb\tc\n", "", "d\t\t" + "e".repeat(300) + "\n"))));
+        packets.put("served with a note", ServerPackets.answer(new Answer.Served(rows(""), "cached")));
+        packets.put("rejected", ServerPackets.answer(new Answer.Rejected(Duration.ZERO)));
+        packets.put("rejected with advice", ServerPackets.answer(new Answer.Rejected(Duration.ofMillis(250))));
+        packets.put("failed", ServerPackets.answer(new Answer.Failed("why")));
+        packets.put("invalid", ServerPackets.answer(new Answer.Invalid("why")));
+        packets.put("warnings", ServerPackets.warnings("a\tnote\nof two lines"));
+        packets.put("no warnings", ServerPackets.warnings(""));
+        packets.put("result set", ServerPackets.resultSet(4, new ResultSet(List.of()), 3, "x", "y"));
         new RecordedFile("client-packets.txt").checkBytes(packets);
     }
 }
--- a/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
+++ b/gateway/src/test/java/sandpaddle/mysql/StatementTest.java
@@ -7,9 +7,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** {@link Statement} and {@link SqlScanner}: statements, their fields and their table groups. */
 public class StatementTest {
     @DataProvider
-    public Object[][] groups() {
+    public Object[][] tableGroups() {
         return new Object[][] {
             {"SELECT day FROM sales_17.orders WHERE tag = '3f9c'", 17},
             {"SELECT 'FROM x_4.y', \"a\\\" FROM x_5.y\" FROM sales_17.orders", 17},
@@ -26,17 +27,17 @@
         };
     }
 
-    /** Guards the choice by tables against names that are none. */
-    @Test(dataProvider = "groups")
-    public void groupIsThatOfTheFirstSchemaWhereTablesStand(String sql, long group) {
+    /** The table group steers the choice of an engine; names outside table positions must not affect it. */
+    @Test(dataProvider = "tableGroups")
+    public void tableGroupIsThatOfTheFirstSchemaInTablePosition(String sql, long group) {
         assertEquals(SqlScanner.tableGroup(sql), group);
     }
 
     @Test
-    public void onlyTheCommentOfTheFieldsIsTakenOut() {
+    public void removesOnlyTheFieldComment() {
         String sql = "/* app 7 */ SELECT /* keep */ 'caf\u00e9'  FROM sales_17.orders -- end";
         String fields = "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,weight=820.5,est_mb=96 */ ";
-        var run = (Statement.Run) Statement.parse(
+        var run = (Statement.RunQuery) Statement.parse(
                 sql.replace("/* app 7 */ ", "/* app 7 */ " + fields).getBytes(StandardCharsets.UTF_8));
         assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), sql);
         assertEquals(run.query().estimatedWork(), Duration.ofNanos(820_500_000));
@@ -45,7 +46,7 @@
     }
 
     @DataProvider
-    public Object[][] spellings() {
+    public Object[][] fieldCommentFormats() {
         return new Object[][] {
             {"/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1"},
             {"/*route=report,trace=9b1f03aa5c7e2d41,patience=1500*/SELECT 1"},
@@ -56,72 +57,76 @@
         };
     }
 
-    @Test(dataProvider = "spellings")
-    public void theCommentOfTheFieldsIsFoundInAnySpelling(String sql) {
-        var run = (Statement.Run) parsed(sql);
+    @Test(dataProvider = "fieldCommentFormats")
+    public void findsTheFieldCommentInEveryFormat(String sql) {
+        var run = (Statement.RunQuery) parse(sql);
         assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), "SELECT 1");
         assertEquals(run.query().route(), "report");
         assertEquals(run.query().traceId(), "9b1f03aa5c7e2d41");
         assertEquals(run.query().timeout(), Duration.ofMillis(1500));
     }
 
-    /** Guards against a comment that merely looks like that of the fields. */
+    /** A comment whose text only resembles the required field must not be taken for the field comment. */
     @Test
-    public void aCommentWithoutTheRequiredFieldIsPartOfTheStatement() {
+    public void keepsCommentWithoutTheRequiredFieldInTheStatement() {
         String other = "/* detour=2,enroute=x */ ";
-        var run = (Statement.Run) parsed(other + "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1");
+        var run =
+                (Statement.RunQuery) parse(other + "/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1");
         assertEquals(new String(run.query().statement(), StandardCharsets.UTF_8), other + "SELECT 1");
-        assertEquals(parsed(other + "SELECT 1"), new Statement.Malformed("no comment with the field 'route'"));
+        assertEquals(parse(other + "SELECT 1"), new Statement.Malformed("no comment with the field 'route'"));
         assertEquals(
-                parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 SELECT 1")
+                parse("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500 SELECT 1")
                         .getClass(),
                 Statement.Malformed.class);
     }
 
     @Test
-    public void aFigureIsADecimalNumber() {
-        for (String bad : new String[] {"", "x", "1500d", "0x1p4", "NaN", "Infinity", "-1", "1 500", "1e999"}) {
+    public void rejectsNumberThatIsNotDecimal() {
+        for (String invalid : new String[] {"", "x", "1500d", "0x1p4", "NaN", "Infinity", "-1", "1 500", "1e999"}) {
             assertEquals(
-                    parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=" + bad + " */ SELECT 1")
+                    parse("/* route=report,trace=9b1f03aa5c7e2d41,patience=" + invalid + " */ SELECT 1")
                             .getClass(),
                     Statement.Malformed.class,
-                    bad);
+                    invalid);
         }
     }
 
-    private static Statement parsed(String text) {
+    private static Statement parse(String text) {
         return Statement.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    public void killNamesItsConnection() {
-        assertEquals(parsed(" kill query 12 ;"), new Statement.Kill(true, 12));
-        assertEquals(parsed("KILL 3"), new Statement.Kill(false, 3));
-        assertEquals(parsed("/* by hand */ -- and why\n KILL QUERY 12"), new Statement.Kill(true, 12));
+    public void parsesKillWithItsConnectionId() {
+        assertEquals(parse(" kill query 12 ;"), new Statement.Kill(true, 12));
+        assertEquals(parse("KILL 3"), new Statement.Kill(false, 3));
+        assertEquals(parse("/* by hand */ -- and why\n KILL QUERY 12"), new Statement.Kill(true, 12));
         assertEquals(
-                parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=15 */ KILL QUERY 3"),
+                parse("/* route=report,trace=9b1f03aa5c7e2d41,patience=15 */ KILL QUERY 3"),
                 new Statement.Kill(true, 3));
     }
 
     @Test
-    public void showWarningsIsTheGatewaysOwnOnlyByItself() {
-        assertEquals(parsed(" show  Warnings ; "), new Statement.ShowWarnings());
-        assertEquals(parsed("SHOW WARNINGS LIMIT 1").getClass(), Statement.Malformed.class);
-        assertEquals(parsed("SHOW WARNINGSX").getClass(), Statement.Malformed.class);
+    public void parsesShowWarningsOnlyWithoutFurtherClauses() {
+        assertEquals(parse(" show  Warnings ; "), new Statement.ShowWarnings());
+        assertEquals(parse("SHOW WARNINGS LIMIT 1").getClass(), Statement.Malformed.class);
+        assertEquals(parse("SHOW WARNINGSX").getClass(), Statement.Malformed.class);
     }
 
-    private static Statement by(String customer) {
-        return parsed("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,customer=" + customer + " */ SELECT 1");
+    private static Statement parsedWithCustomer(String customer) {
+        return parse("/* route=report,trace=9b1f03aa5c7e2d41,patience=1500,customer=" + customer + " */ SELECT 1");
     }
 
-    /** Guards logs, counters and messages between gateways against what a client may call itself. */
+    /** The customer name enters logs, counters and messages between gateways, so it must be bounded and printable. */
     @Test
-    public void aCustomersNameIsTextWithinBounds() {
-        for (String name : new String[] {"", "acme", "acme west=1", "x".repeat(64), "caf\u00e9 \u6771\u4eac"}) {
-            assertEquals(((Statement.Run) by(name)).query().tenant(), name);
+    public void acceptsCustomerOfPrintableCharactersUpToTheLimit() {
+        for (String customer : new String[] {"", "acme", "acme west=1", "x".repeat(64), "caf\u00e9 \u6771\u4eac"}) {
+            assertEquals(
+                    ((Statement.RunQuery) parsedWithCustomer(customer)).query().tenant(), customer);
         }
-        for (String name : new String[] {"x".repeat(65), "a\u0001b", "a\nb", "a\u007fb"}) {
-            assertEquals(by(name), new Statement.Malformed("field 'customer' is not 1 to 64 printable characters"));
+        for (String customer : new String[] {"x".repeat(65), "a\u0001b", "a\nb", "a\u007fb"}) {
+            assertEquals(
+                    parsedWithCustomer(customer),
+                    new Statement.Malformed("field 'customer' is not 1 to 64 printable characters"));
         }
     }
 }
