--- a/gateway/src/main/java/sandpaddle/config/DecisionSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/DecisionSettingsReader.java
@@ -12,9 +12,9 @@
  * Maps the settings object of the platform, as both the simulator's first message and the real configuration contain
  * it. {@link RequestClassReader} and {@link PlatformRulesReader} map parts of it.
  *
- * <p>A value that cannot be used at all is an error that names its key. A value that only looks wrong is read in the
- * strictest way that still serves, with a warning that names the key and that reading: a gateway that does not start
- * serves nobody.
+ * <p>A value that cannot be used at all is an error that names its key. A value that is merely implausible is replaced
+ * by the strictest one with which requests can be served, with a warning that names the key and the replacement, so
+ * that the gateway starts nevertheless.
  */
 public final class DecisionSettingsReader {
     private static final Map<String, LoadField> LOAD_FIELDS = Map.of(
@@ -52,7 +52,11 @@
         this.warnings = warnings;
     }
 
-    /** Reads the settings; {@code warnings} receives a line for each odd value, with how it is read. */
+    /**
+     * Reads the settings.
+     *
+     * @param warnings receives a message for each implausible value, with the value that is used instead
+     */
     public static DecisionSettings read(JsonObject settings, List<String> warnings) throws InvalidFieldException {
         return new DecisionSettingsReader(warnings).read(new LenientReader(settings, warnings));
     }
@@ -91,7 +95,7 @@
                 PlatformRulesReader.costs(lenient(object.objectOrEmpty("charges"))));
     }
 
-    /** The gateway's own zone; it only decides which engines other gateways are told to be near. */
+    /** The gateway's own zone; it only affects which engines are reported to other gateways as local. */
     private int ownZone(LenientReader settings, PlatformNames names) {
         Object value = settings.object().valueOrNull("zone");
         int zone = RequestClassReader.indexOf(value, names.zones());
--- a/gateway/src/main/java/sandpaddle/config/FleetConfigReader.java
+++ b/gateway/src/main/java/sandpaddle/config/FleetConfigReader.java
@@ -36,7 +36,7 @@
         Set<String> names = new HashSet<>();
         for (SectionReader member : section.sections("members", MAX_MEMBERS)) {
             String name = member.string("name", "", MemberName::isValid, FleetSettingsReader.ALLOWED_NAME);
-            String hall = member.string("hall", "", MemberName::isValid, FleetSettingsReader.ALLOWED_NAME);
+            String zone = member.string("hall", "", MemberName::isValid, FleetSettingsReader.ALLOWED_NAME);
             String address =
                     member.string("address", "", FleetSettingsReader::isAddress, FleetSettingsReader.ALLOWED_ADDRESS);
             for (String requiredKey : List.of("name", "hall", "address")) {
@@ -46,10 +46,10 @@
             }
             if (!name.isEmpty() && !names.add(name)) {
                 member.addError("name", "each gateway once");
-            } else if (!name.isEmpty() && !hall.isEmpty() && !address.isEmpty()) {
+            } else if (!name.isEmpty() && !zone.isEmpty() && !address.isEmpty()) {
                 int colon = address.indexOf(':');
                 members.add(new Member(
-                        name, hall, address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
+                        name, zone, address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
             }
         }
         return members;
--- a/gateway/src/main/java/sandpaddle/config/FleetSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/FleetSettingsReader.java
@@ -44,8 +44,8 @@
         } else if (Set.copyOf(founders).size() < founders.size()) {
             section.addError("founders", "each name once");
         }
-        SectionReader verdicts =
-                section.section("verdicts"); // one reader for both, as it rejects keys that it has not read
+        // One reader for both parts, since each reader rejects the keys that were not requested from it.
+        SectionReader verdicts = section.section("verdicts");
         FleetSettings settings = new FleetSettings(
                 section.flag("enabled", false),
                 cluster,
--- a/gateway/src/main/java/sandpaddle/config/GatewayConfig.java
+++ b/gateway/src/main/java/sandpaddle/config/GatewayConfig.java
@@ -24,12 +24,12 @@
  * @param discoveryAddress of the service that sends endpoint list events
  * @param initialListVersion version of the endpoint list that {@code initialListEvents} add up to
  * @param initialListEvents the endpoint list at the start
- * @param names what the settings call request classes, zones and the like
+ * @param names the names of request classes, zones, engine kinds and load report fields in the settings
  * @param decisionSettings the settings of the decision module
  * @param engineIdleTimeout after which an unused connection to an engine is closed
  * @param connectTimeout for a connection to an engine
  * @param peersAllowed whether gateways may talk to each other
- * @param warnings odd values of the settings, each with how it is read
+ * @param warnings a message for each setting that is missing or out of bounds, with the value that is used instead
  */
 public record GatewayConfig(
         String name,
@@ -155,7 +155,7 @@
 
     private static long seed(JsonObject config) throws InvalidFieldException {
         if (!config.has("seed")) {
-            return System.nanoTime(); // any value will do: it only spreads random choices
+            return System.nanoTime(); // any value works: it only spreads random choices
         }
         try {
             return Long.parseUnsignedLong(config.string("seed"), SEED_RADIX);
--- a/gateway/src/main/java/sandpaddle/config/InvalidFieldException.java
+++ b/gateway/src/main/java/sandpaddle/config/InvalidFieldException.java
@@ -4,7 +4,11 @@
 public final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** {@code message}: a sentence that begins with the field's path. */
+    /**
+     * Creates the exception.
+     *
+     * @param message a sentence that begins with the field's path
+     */
     public InvalidFieldException(String message) {
         super(message);
     }
--- a/gateway/src/main/java/sandpaddle/config/LenientReader.java
+++ b/gateway/src/main/java/sandpaddle/config/LenientReader.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Reads an object of the platform's settings that may hold odd numbers. A number out of bounds is clamped to them, and
- * a warning names the key, its value and how it is read: a gateway that refuses to start serves nobody. A value of
- * another type than the protocol's remains an error.
+ * Reads an object of the platform's settings whose numbers may be out of bounds. Such a number is clamped, and a
+ * warning names the key, its value and the value that is used instead, so that the gateway starts nevertheless. A value
+ * of the wrong type remains an error.
  */
 final class LenientReader {
-    /** Longest duration (us): sums of durations stay far from overflow. */
+    /** Longest duration (us), so that sums of durations do not overflow. */
     static final double MAX_DURATION_US = 365 * 86_400e6;
-    /** Largest multiple, share or number of things: products stay finite. */
+    /** Largest multiple, share or count, so that products remain finite. */
     static final double MAX_FACTOR = 1e6;
 
     private static final double MAX_PRINTED_AS_INTEGER = 1e15;
@@ -19,7 +19,12 @@
     private final JsonObject object;
     private final List<String> warnings;
 
-    /** {@code warnings} receives a line for each odd value. */
+    /**
+     * Wraps an object.
+     *
+     * @param object the object to read
+     * @param warnings receives a message for each value that is missing or out of bounds
+     */
     LenientReader(JsonObject object, List<String> warnings) {
         this.object = object;
         this.warnings = warnings;
@@ -38,7 +43,11 @@
         warnings.add(object.invalidField(field, problem).getMessage());
     }
 
-    /** A required number; {@code consequence} completes the warning about one that is out of bounds. */
+    /**
+     * A required number, clamped to its bounds.
+     *
+     * @param consequence appended to the warning about a value out of bounds; may be empty
+     */
     double number(String field, double min, double max, String consequence) throws InvalidFieldException {
         return clamp(field, object.number(field), min, max, consequence);
     }
--- a/gateway/src/main/java/sandpaddle/config/LogSettings.java
+++ b/gateway/src/main/java/sandpaddle/config/LogSettings.java
@@ -7,17 +7,23 @@
  * @param level the lowest level that is written
  */
 public record LogSettings(Format format, Level level) {
-    /** Format of a line: for people, or one JSON object. */
+    /** Format of a line. */
     public enum Format {
+        /** Text for people. */
         HUMAN,
+        /** One JSON object. */
         JSON
     }
 
-    /** Level of an entry; {@code DEBUG} has the steps of each query. */
+    /** Severity of an entry, in ascending order. */
     public enum Level {
+        /** The steps of each query. */
         DEBUG,
+        /** Normal events such as start, reload and shutdown. */
         INFO,
+        /** Conditions that the gateway tolerates but an operator should check. */
         WARN,
+        /** Failures. */
         ERROR
     }
 
--- a/gateway/src/main/java/sandpaddle/config/OperatorFile.java
+++ b/gateway/src/main/java/sandpaddle/config/OperatorFile.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Reads a text. Adds its errors to {@code errors}, and throws if there are any: a file is used whole or not at
-     * section.
+     * Reads a text. Adds its errors to {@code errors}, and throws if there are any: a file is applied completely or not
+     * at all.
      */
     public static OperatorFile parse(byte[] text, ValidationErrors errors) throws InvalidFileException {
         LocatedJson json = LocatedJson.parse(text, errors);
--- a/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
@@ -7,17 +7,18 @@
 
 /**
  * Maps the objects {@code bounds}, {@code rules}, {@code specifics} and {@code charges} of the platform's settings:
- * what the deployment permits, its rules, what engines do with grants and priorities, and what the platform charges.
+ * the limits of the deployment, its rules, how engines treat memory grants and priorities, and the costs of services.
  */
 final class PlatformRulesReader {
-    private static final double MAX_RETRY_AFTER_US = 60e6; // the Retry-After scheduler has a slot for each moment of it
+    private static final double MAX_RETRY_AFTER_US =
+            60e6; // the Retry-After scheduler allocates its slots up to this time
     private static final double MAX_BUDGET_WINDOW_US = 600e6; // a timestamp is stored for each request of the window
     private static final double MAX_FREE_RETRIES = 1e9;
     private static final String READ_AS_NOT_PERMITTED = "read as not permitted";
 
     private PlatformRulesReader() {}
 
-    /** What the deployment permits, and how much of it. */
+    /** The features that the deployment permits, and their limits. */
     static PlatformLimits limits(LenientReader bounds) throws InvalidFieldException {
         int maxAttempts = bounds.count("max_attempts", 0, "");
         if (maxAttempts == 0) {
@@ -84,7 +85,7 @@
         return windowUs;
     }
 
-    /** What memory grants and priorities do at an engine. */
+    /** How engines treat memory grants and priorities. */
     static EngineFeatures engineFeatures(LenientReader specifics) throws InvalidFieldException {
         JsonObject object = specifics.object();
         return new EngineFeatures(
@@ -96,7 +97,7 @@
                 specifics.microsOr("progress_us", 0));
     }
 
-    /** What the platform charges for health checks and new connections. */
+    /** The costs that the platform charges for health checks and new connections. */
     static ServiceCosts costs(LenientReader charges) throws InvalidFieldException {
         return new ServiceCosts(
                 charges.numberOr("probe", 0, 0, LenientReader.MAX_FACTOR, ""),
--- a/gateway/src/main/java/sandpaddle/config/PoolPolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PoolPolicyReader.java
@@ -61,11 +61,11 @@
             return KnownNames.NONE;
         }
         Set<String> gateways = members.stream().map(Member::name).collect(Collectors.toSet());
-        Set<String> halls = members.stream().map(Member::hall).collect(Collectors.toSet());
+        Set<String> zones = members.stream().map(Member::hall).collect(Collectors.toSet());
         return new KnownNames(
                 Optional.empty(),
                 Optional.empty(),
-                Optional.of(halls),
+                Optional.of(zones),
                 Optional.of(gateways),
                 Optional.empty(),
                 members.size());
--- a/gateway/src/main/java/sandpaddle/config/RequestClassReader.java
+++ b/gateway/src/main/java/sandpaddle/config/RequestClassReader.java
@@ -15,14 +15,20 @@
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
     private static final Map<String, Idempotency> IDEMPOTENCY_BY_EFFECT =
             Map.of("safe", Idempotency.IDEMPOTENT, "keyed", Idempotency.WITH_KEY, "unsafe", Idempotency.NOT_IDEMPOTENT);
-    private static final int DEADLINE_PER_OBJECTIVE = 10; // where a class has a stretch but no latency objective
+    private static final int DEADLINE_PER_OBJECTIVE = 10; // for a class with a stretch but without a latency objective
     private static final int NO_INDEX = -1;
 
     private final List<String> warnings;
     private final JsonObject specifics;
     private final PlatformNames names;
 
-    /** {@code specifics}: the settings' object of deployment details, with arrays by index of the class. */
+    /**
+     * Creates a reader.
+     *
+     * @param warnings receives a message for each implausible value
+     * @param specifics the settings' object of deployment details, whose arrays are indexed by class
+     * @param names names of zones and engine kinds, which placements refer to
+     */
     RequestClassReader(List<String> warnings, JsonObject specifics, PlatformNames names) {
         this.warnings = warnings;
         this.specifics = specifics;
--- a/gateway/src/main/java/sandpaddle/config/ValidationErrors.java
+++ b/gateway/src/main/java/sandpaddle/config/ValidationErrors.java
@@ -13,7 +13,7 @@
     /**
      * One error.
      *
-     * @param file the file it stands in, if the validated file names another one; empty for the validated file itself
+     * @param file the file with the error, if the validated file refers to another one; empty for the validated file
      * @param line from 1
      * @param column from 1
      * @param path keys that lead to the value, such as {@code fleet.agreed.members[2].name}; empty for the whole file
@@ -31,7 +31,11 @@
     private final String file;
     private final List<ValidationError> errors = new ArrayList<>();
 
-    /** {@code file}: the name of the validated file, as messages show it. */
+    /**
+     * Creates an empty collection.
+     *
+     * @param file the name of the validated file, as messages show it
+     */
     public ValidationErrors(String file) {
         this.file = file;
     }
--- a/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
@@ -29,7 +29,7 @@
 
 /** The section {@code fleet} of the operator's file. */
 class FleetFileTest {
-    private static final String GOOD = """
+    private static final String VALID_FILE = """
             {"fleet": {"enabled": true, "cluster": "north", "listen": "10.0.0.4:7400", "directory": "/var/lib/sp",
             "founders": ["a", "b", "c"], "routes": {"b": "10.9.0.2:7401"},
             "links": {"silent_ms": 900, "clogged_ms": 1900, "connect_ms": 1100, "greet_ms": 1200,
@@ -57,86 +57,87 @@
     }
 
     @Test
-    void everyKeyIsTakenOver() throws Exception {
-        FleetSettings s = read(GOOD);
+    void readsEveryKey() throws Exception {
+        FleetSettings settings = read(VALID_FILE);
         assertEquals(
                 List.of(),
                 new SchemaValidator()
-                        .validate("f", GOOD.getBytes(StandardCharsets.UTF_8))
+                        .validate("f", VALID_FILE.getBytes(StandardCharsets.UTF_8))
                         .messages());
-        assertTrue(s.enabled());
-        assertEquals("north", s.cluster());
-        assertEquals(new InetSocketAddress("10.0.0.4", 7400), s.listen());
-        assertEquals(Path.of("/var/lib/sp"), s.directory());
-        assertEquals(List.of("a", "b", "c"), s.founders());
-        assertEquals(Map.of("b", new LinkSettings.Address("10.9.0.2", 7401)), s.routes());
-        assertEquals(new LinkSettings.Times(900_000, 1_900_000, 1_100_000, 1_200_000, 50_000, 700_000), s.links());
+        assertTrue(settings.enabled());
+        assertEquals("north", settings.cluster());
+        assertEquals(new InetSocketAddress("10.0.0.4", 7400), settings.listen());
+        assertEquals(Path.of("/var/lib/sp"), settings.directory());
+        assertEquals(List.of("a", "b", "c"), settings.founders());
+        assertEquals(Map.of("b", new LinkSettings.Address("10.9.0.2", 7401)), settings.routes());
+        assertEquals(
+                new LinkSettings.Times(900_000, 1_900_000, 1_100_000, 1_200_000, 50_000, 700_000), settings.links());
         assertEquals(
                 List.of(150_000L, 4_000_000L, 2_000_000L, 10_000L, 20_000L),
                 List.of(
-                        s.limits().heartbeatUs(),
-                        s.limits().leaseUs(),
-                        s.limits().engineForgetUs(),
-                        s.limits().nonIdempotentGraceUs(),
-                        s.limits().schedulingSlackUs()));
+                        settings.limits().heartbeatUs(),
+                        settings.limits().leaseUs(),
+                        settings.limits().engineForgetUs(),
+                        settings.limits().nonIdempotentGraceUs(),
+                        settings.limits().schedulingSlackUs()));
         assertEquals(
                 List.of(0.01, 0.1, 0.2),
                 List.of(
-                        s.limits().clockDrift(),
-                        s.limits().floorShare(),
-                        s.limits().rebalanceBand()));
+                        settings.limits().clockDrift(),
+                        settings.limits().floorShare(),
+                        settings.limits().rebalanceBand()));
         assertEquals(
                 List.of(5L, 30_000_000L, 3_000_000L, 2_000_000L),
                 List.of(
-                        (long) s.voters().voterCount(),
-                        s.voters().replaceAfterUs(),
-                        s.voters().minUptimeUs(),
-                        s.voters().minChangeIntervalUs()));
+                        (long) settings.voters().voterCount(),
+                        settings.voters().replaceAfterUs(),
+                        settings.voters().minUptimeUs(),
+                        settings.voters().minChangeIntervalUs()));
         assertEquals(
                 List.of(2_097_152L, 4_194_304L, 40_000L, 200_000L),
                 List.of(
-                        s.store().maxBytes(),
-                        s.store().minFreeBytes(),
-                        s.store().slowFsyncUs(),
-                        s.store().probeIntervalUs()));
-        assertFalse(s.verdictsOn());
+                        settings.store().maxBytes(),
+                        settings.store().minFreeBytes(),
+                        settings.store().slowFsyncUs(),
+                        settings.store().probeIntervalUs()));
+        assertFalse(settings.verdictsOn());
         assertEquals(
                 List.of(60_000L, 2_000_000L, 0.2, 3),
                 List.<Object>of(
-                        s.verdicts().evidenceIntervalUs(),
-                        s.verdicts().evidenceLeaseUs(),
-                        s.verdicts().maxCondemnedFraction(),
-                        s.verdicts().maxProbers()));
+                        settings.verdicts().evidenceIntervalUs(),
+                        settings.verdicts().evidenceLeaseUs(),
+                        settings.verdicts().maxCondemnedFraction(),
+                        settings.verdicts().maxProbers()));
     }
 
     @Test
-    void whatHoldsForAllAndOutagesAreTakenOver() throws Exception {
-        FleetSettings s = read(GOOD);
-        assertEquals(3, s.agreed().version());
-        assertEquals(new Member("a", "east", "10.0.0.4", 7400), s.self("a"));
-        assertThrows(IllegalArgumentException.class, () -> s.self("z"));
+    void readsFleetConfigAndOutages() throws Exception {
+        FleetSettings settings = read(VALID_FILE);
+        assertEquals(3, settings.agreed().version());
+        assertEquals(new Member("a", "east", "10.0.0.4", 7400), settings.self("a"));
+        assertThrows(IllegalArgumentException.class, () -> settings.self("z"));
         assertEquals(
                 List.of(
                         new LimitSpec("all", LimitScope.WHOLE_FLEET, LimitUnit.RUNNING, 40, 0),
                         new LimitSpec("each", new LimitScope(null, null, null, "*"), LimitUnit.CONNECTIONS, 4, 0),
                         new LimitSpec("rate", new LimitScope("east", "lookup", "t", null), LimitUnit.RATE, 2500, 5000)),
-                s.agreed().limits());
-        OutageSettings o = s.outages();
-        Rule rule = o.schedule().rules().get(0);
+                settings.agreed().limits());
+        OutageSettings outages = settings.outages();
+        Rule rule = outages.schedule().rules().get(0);
         assertEquals(Duration.ofMinutes(90), rule.length());
         assertEquals(Set.of(LocalDateTime.parse("2026-11-08T02:30")), rule.except());
         assertEquals(
                 new PhaseSettings(100_000, 200_000, 300_000, 400_000, 5000, 4000, PhaseSettings.DEFAULT.settleMs()),
-                o.phase());
-        assertEquals(new MarginSettings(1000, 2000, 0.5), o.margins());
-        assertEquals(new OutageSettings.Content(65_536, 1, 4096, 9, 8000, 7, 6), o.content());
-        assertEquals(7000, o.fillWorkUs());
-        assertEquals(Map.of("lookup", 60_000L), o.maxAgeMs());
-        assertTrue(o.isOn());
+                outages.phase());
+        assertEquals(new MarginSettings(1000, 2000, 0.5), outages.margins());
+        assertEquals(new OutageSettings.Content(65_536, 1, 4096, 9, 8000, 7, 6), outages.content());
+        assertEquals(7000, outages.fillWorkUs());
+        assertEquals(Map.of("lookup", 60_000L), outages.maxAgeMs());
+        assertTrue(outages.isOn());
         assertFalse(read("{\"fleet\": {}}").enabled());
     }
 
-    /** Each place with a fault: part of the good file, what stands in its place, the key, and what is allowed. */
+    /** Each row: a part of the valid file, its invalid replacement, the path of the key, and the allowed values. */
     @ParameterizedTest
     @CsvSource(delimiter = '#', quoteCharacter = '~', textBlock = """
             "enabled": true # "enabled": 1 # enabled # true or false
@@ -177,19 +178,19 @@
             "name": "all" # "name": "a|l" # agreed.limits[0].name # a name of 128 bytes at most, without '|'
             "name": "a", "hall" # "name": "a b", "hall" # agreed.members[0].name # 1 to 64 letters, digits
             "agreed": { # "agreed": 7, "x": { # agreed # an object""")
-    void aFaultNamesItsKeyAndWhatIsAllowed(String part, String instead, String path, String allowed) {
-        assertTrue(GOOD.contains(part), part);
-        String text = GOOD.replaceFirst(
-                java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead));
-        ValidationErrors faults = new ValidationErrors("f");
+    void errorNamesItsKeyAndTheAllowedValues(String part, String replacement, String path, String allowed) {
+        assertTrue(VALID_FILE.contains(part), part);
+        String text = VALID_FILE.replaceFirst(
+                java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(replacement));
+        ValidationErrors errors = new ValidationErrors("f");
         assertThrows(
                 OperatorFile.InvalidFileException.class,
-                () -> OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), faults));
+                () -> OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), errors));
         assertTrue(
-                faults.sorted().stream()
-                        .anyMatch(f ->
-                                f.path().equals("fleet." + path) && f.allowed().startsWith(allowed)),
-                faults.messages().toString());
-        assertTrue(faults.sorted().size() <= 2, faults.messages().toString());
+                errors.sorted().stream()
+                        .anyMatch(error -> error.path().equals("fleet." + path)
+                                && error.allowed().startsWith(allowed)),
+                errors.messages().toString());
+        assertTrue(errors.sorted().size() <= 2, errors.messages().toString());
     }
 }
--- a/gateway/src/test/java/sandpaddle/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/sandpaddle/config/GatewayConfigTest.java
@@ -13,33 +13,34 @@
 import org.testng.annotations.Test;
 import sandpaddle.decision.event.EngineStatus;
 
+/** {@link GatewayConfig}: the platform's file, the environment and invalid settings. */
 public class GatewayConfigTest {
     private static final Path EXAMPLE = Path.of("examples/config.json");
 
     @Test
-    public void theExampleIsRead() throws Exception {
-        GatewayConfig c = GatewayConfig.load(Map.of("BALANCER_CONFIG", EXAMPLE.toString()));
-        assertEquals(c.names().requestClasses().get(0), "lookup");
-        assertEquals(c.initialListEvents().get(0).engines().get(0).entry().status(), EngineStatus.UP);
-        assertEquals(c.engineIdleTimeout(), Duration.ofSeconds(15));
-        assertEquals(c.decisionSettings().limits().maxAttempts(), 5);
+    public void readsTheExample() throws Exception {
+        GatewayConfig config = GatewayConfig.load(Map.of("BALANCER_CONFIG", EXAMPLE.toString()));
+        assertEquals(config.names().requestClasses().get(0), "lookup");
+        assertEquals(config.initialListEvents().get(0).engines().get(0).entry().status(), EngineStatus.UP);
+        assertEquals(config.engineIdleTimeout(), Duration.ofSeconds(15));
+        assertEquals(config.decisionSettings().limits().maxAttempts(), 5);
     }
 
     @Test
-    public void whatTheFileLacksComesFromTheEnvironment() throws Exception {
+    public void readsMissingFieldsFromTheEnvironment() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, Files.readString(EXAMPLE).replace("\"listen\"", "\"heard\""));
-            GatewayConfig c =
+            GatewayConfig config =
                     GatewayConfig.load(Map.of("BALANCER_CONFIG", file.toString(), "BALANCER_LISTEN", "127.0.0.1:4406"));
-            assertEquals(c.listenAddress().getPort(), 4406);
+            assertEquals(config.listenAddress().getPort(), 4406);
         } finally {
             Files.delete(file);
         }
     }
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidSettings() {
         return new Object[][] {
             {
                 "\"listen\": \"127.0.0.1:3307\"",
@@ -72,75 +73,75 @@
         };
     }
 
-    /** Guards operators against a start with settings that mean nothing. */
-    @Test(dataProvider = "faults")
-    public void messagesNameTheFaultyKey(String good, String bad, String message) throws Exception {
+    /** Settings that cannot be used prevent the start, with a message that names the field. */
+    @Test(dataProvider = "invalidSettings")
+    public void errorNamesTheInvalidField(String original, String replacement, String message) throws Exception {
         String text = Files.readString(EXAMPLE);
-        assertEquals(text.contains(good), true, good);
-        byte[] faulty = text.replace(good, bad).getBytes(StandardCharsets.UTF_8);
+        assertEquals(text.contains(original), true, original);
+        byte[] invalid = text.replace(original, replacement).getBytes(StandardCharsets.UTF_8);
         assertEquals(
-                expectThrows(InvalidFieldException.class, () -> GatewayConfig.parse(JsonObject.parse(faulty, "")))
+                expectThrows(InvalidFieldException.class, () -> GatewayConfig.parse(JsonObject.parse(invalid, "")))
                         .getMessage(),
                 message);
     }
 
-    private static GatewayConfig changed(String... goodAndBad) throws Exception {
+    private static GatewayConfig configWith(String... replacements) throws Exception {
         String text = Files.readString(EXAMPLE);
-        for (int i = 0; i < goodAndBad.length; i += 2) {
-            assertEquals(text.contains(goodAndBad[i]), true, goodAndBad[i]);
-            text = text.replace(goodAndBad[i], goodAndBad[i + 1]);
+        for (int i = 0; i < replacements.length; i += 2) {
+            assertEquals(text.contains(replacements[i]), true, replacements[i]);
+            text = text.replace(replacements[i], replacements[i + 1]);
         }
         return GatewayConfig.parse(JsonObject.parse(text.getBytes(StandardCharsets.UTF_8), ""));
     }
 
-    /** Guards the start, and the list in use, against one engine's line: it gets nothing new, and is named. */
+    /** An invalid entry affects only its own engine, which gets no new requests; the error names the engine. */
     @Test
-    public void anEngineWhoseLineCannotBeUsedCountsAsDraining() throws Exception {
-        EndpointListEvent e = changed("\"health\": \"Ready\"", "\"health\": \"Well\"")
+    public void engineWithInvalidEntryIsDraining() throws Exception {
+        EndpointListEvent event = configWith("\"health\": \"Ready\"", "\"health\": \"Well\"")
                 .initialListEvents()
                 .get(0);
-        assertEquals(e.engines().get(0).entry().status(), EngineStatus.DRAINING);
+        assertEquals(event.engines().get(0).entry().status(), EngineStatus.DRAINING);
         assertEquals(
-                e.errors().get(0),
+                event.errors().get(0),
                 "field 'known.events.members.hosts.health' has the unknown value 'Well' " + "(engine "
-                        + e.engines().get(0).entry().id() + ")");
+                        + event.engines().get(0).entry().id() + ")");
     }
 
     @Test
-    public void aNumberMayGoOverTheGatewaysTold() throws Exception {
-        assertEquals(changed("\"me\": 0", "\"me\": 130.0").decisionSettings().gatewayIndex(), 130);
+    public void acceptsIndexBeyondTheNumberOfGateways() throws Exception {
+        assertEquals(configWith("\"me\": 0", "\"me\": 130.0").decisionSettings().gatewayIndex(), 130);
     }
 
-    /** Other deployments have no zones: neither the settings nor the list name any. */
+    /** In a deployment without zones neither the settings nor the endpoint list contain any. */
     @Test
-    public void aDeploymentWithoutZonesIsRead() throws Exception {
+    public void readsDeploymentWithoutZones() throws Exception {
         PlatformNames none = new PlatformNames(List.of("lookup"), List.of(), List.of("std-8"), List.of());
-        EndpointListEvent e = EndpointListEvent.parse(
+        EndpointListEvent event = EndpointListEvent.parse(
                 JsonObject.parse(
                         ("{\"n\":1,\"members\":{\"whole\":true,\"hosts\":["
                                         + "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:80\",\"health\":\"Ready\"}]}}")
                                 .getBytes(StandardCharsets.UTF_8),
                         ""),
                 none);
-        assertEquals(e.errors(), List.of());
-        assertEquals(e.engines().get(0).entry().status(), EngineStatus.UP);
-        assertEquals(e.engines().get(0).entry().zone(), -1);
+        assertEquals(event.errors(), List.of());
+        assertEquals(event.engines().get(0).entry().status(), EngineStatus.UP);
+        assertEquals(event.engines().get(0).entry().zone(), -1);
     }
 
-    /** Guards the list in use: a whole list of which nothing can be read would empty it. */
+    /** A full list without a valid entry must not empty the endpoint list in use. */
     @Test
-    public void aWholeListOfUnusableLinesIsNoWholeList() throws Exception {
+    public void ignoresFullListWithoutValidEntry() throws Exception {
         PlatformNames names = new PlatformNames(List.of("lookup"), List.of("a"), List.of("std-8"), List.of());
-        EndpointListEvent e = EndpointListEvent.parse(
+        EndpointListEvent event = EndpointListEvent.parse(
                 JsonObject.parse(
                         "{\"n\":1,\"members\":{\"whole\":true,\"hosts\":[{},{\"host\":7}]}}"
                                 .getBytes(StandardCharsets.UTF_8),
                         ""),
                 names);
-        assertEquals(e.fullList(), false);
-        assertEquals(e.engines(), List.of());
+        assertEquals(event.fullList(), false);
+        assertEquals(event.engines(), List.of());
         assertEquals(
-                e.errors(),
+                event.errors(),
                 List.of("field 'members.hosts.host' is missing", "field 'members.hosts.host' has the wrong type"));
     }
 }
--- a/gateway/src/test/java/sandpaddle/config/OperatorFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/OperatorFileTest.java
@@ -13,13 +13,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandpaddle.overload.OverloadSettings;
 
+/** {@link OperatorFile}: valid files, errors with their positions, and the pool policy. */
 class OperatorFileTest {
-    private static List<String> faults(String text) {
-        ValidationErrors faults = new ValidationErrors("f.json");
+    private static List<String> errorsOf(String text) {
+        ValidationErrors errors = new ValidationErrors("f.json");
         assertThrows(
                 OperatorFile.InvalidFileException.class,
-                () -> OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), faults));
-        return faults.messages();
+                () -> OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), errors));
+        return errors.messages();
     }
 
     private static OperatorFile read(String text) throws OperatorFile.InvalidFileException {
@@ -27,7 +28,7 @@
     }
 
     @Test
-    void theShippedFileIsGoodForBothReaders() throws Exception {
+    void acceptsTheShippedFile() throws Exception {
         Path file = Path.of("deploy/sandpaddle.json");
         OperatorFile.load(file);
         assertEquals(
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void anEmptyFileSwitchesNothingOn() throws Exception {
+    void emptyFileLeavesEveryFeatureOff() throws Exception {
         assertEquals(OperatorFile.NONE, read("{}"));
         assertFalse(OperatorFile.NONE.overload().enabled());
         assertEquals(
@@ -45,18 +46,18 @@
     }
 
     @Test
-    void valuesAreTakenOver() throws Exception {
-        OverloadSettings s = read("""
+    void readsValues() throws Exception {
+        OverloadSettings settings = read("""
                 {"storm": {"detection": {"enter_ms": 750, "return_share": 0.5}, "loads": {"entries": 17}}}
                 """).overload();
-        assertEquals(750_000, s.detection().enterUs());
-        assertEquals(0.5, s.detection().returnShare());
-        assertEquals(17, s.loadDeduplication().maxEntries());
+        assertEquals(750_000, settings.detection().enterUs());
+        assertEquals(0.5, settings.detection().returnShare());
+        assertEquals(17, settings.loadDeduplication().maxEntries());
     }
 
-    /** Each fault names its place, its key, what was found and what is allowed; all are told at once, in order. */
+    /** Each error states its position, its key, the value found and the allowed values. */
     @Test
-    void everyFaultIsToldAtOnce() {
+    void reportsAllErrorsAtOnceInOrder() {
         assertEquals(
                 List.of(
                         "f.json:1:20: log.format: found \"xml\"; allowed: one of \"human\", \"json\"",
@@ -65,43 +66,43 @@
                                 + "allowed: 'return_share', if that was meant",
                         "f.json:3:12: storm.calendar: found 7; allowed: an object",
                         "f.json:3:29: storm.enabled: found \"yes\"; allowed: true or false"),
-                faults("""
+                errorsOf("""
                 {"log": {"format": "xml"},
                 "storm":{"detection":{"enter_ms":5,"retrun_share": 0.3},
                 "calendar":7, "enabled":    "yes"}}"""));
     }
 
-    /** Values that are right by themselves and wrong together. */
+    /** Each value is valid on its own, but not together with the others. */
     @Test
-    void sharesThatContradictEachOtherAreRefused() {
+    void rejectsValuesThatContradictEachOther() {
         assertEquals(
                 List.of("f.json:1:40: storm.detection.calm_share: found 0.4; allowed: less than 'return_share' "
                         + "and 'bad_share', or a storm would end as it begins"),
-                faults("{\"storm\": {\"detection\": {\"calm_share\": 0.4}}}"));
+                errorsOf("{\"storm\": {\"detection\": {\"calm_share\": 0.4}}}"));
         assertEquals(
                 List.of("f.json:1:38: storm.calendar.most_ms: found 120; allowed: 0 for the platform's most, or "
                         + "at least 'least_ms' and 'slot_ms' together"),
-                faults("{\"storm\": {\"calendar\": {\"most_ms\":   120}}}"));
+                errorsOf("{\"storm\": {\"calendar\": {\"most_ms\":   120}}}"));
     }
 
     @Test
-    void whatIsNoJsonIsNamedWithItsPlace() {
-        assertTrue(faults("{\"log\": {\"format\": ").get(0).startsWith("f.json:1:"));
-        assertEquals(List.of("f.json:1:1: found no object; allowed: one JSON object"), faults("[1]"));
-        assertEquals(List.of("f.json:1:4: found more after the object; allowed: one JSON object"), faults("{} {}"));
+    void reportsPositionOfInvalidJson() {
+        assertTrue(errorsOf("{\"log\": {\"format\": ").get(0).startsWith("f.json:1:"));
+        assertEquals(List.of("f.json:1:1: found no object; allowed: one JSON object"), errorsOf("[1]"));
+        assertEquals(List.of("f.json:1:4: found more after the object; allowed: one JSON object"), errorsOf("{} {}"));
         assertEquals(
                 List.of("f.json:1:20: log: found a second time; allowed: each key once"),
-                faults("{\"log\": {        }, \"log\": {}}".replace("        ", "       ")));
+                errorsOf("{\"log\": {        }, \"log\": {}}".replace("        ", "       ")));
         assertEquals(
-                List.of("f.json:1:9: log: found null; allowed: a value, or no such key"), faults("{\"log\": null}"));
+                List.of("f.json:1:9: log: found null; allowed: a value, or no such key"), errorsOf("{\"log\": null}"));
     }
 
-    /** Guards memory and stack against a file that is none. */
+    /** Bounds memory and stack for arbitrary input. */
     @Test
-    void depthAndLengthAreBounded() {
-        assertFalse(faults("{\"a\":".repeat(100)).isEmpty());
-        assertFalse(
-                faults("{\"a\": \"" + "x".repeat(LocatedJson.MAX_BYTES) + "\"}").isEmpty());
+    void rejectsFilesThatAreTooDeepOrTooLong() {
+        assertFalse(errorsOf("{\"a\":".repeat(100)).isEmpty());
+        assertFalse(errorsOf("{\"a\": \"" + "x".repeat(LocatedJson.MAX_BYTES) + "\"}")
+                .isEmpty());
     }
 
     private static String withPool(String path) {
@@ -111,7 +112,7 @@
     }
 
     @Test
-    void thePoolPolicyLiesBesideTheFile(@TempDir Path dir) throws Exception {
+    void readsPoolPolicyRelativeToTheFile(@TempDir Path dir) throws Exception {
         String text = "policy \"p\" version 1\nbudget engine kind \"std\" 8 connections each\n";
         Files.writeString(dir.resolve("eight.pool"), text);
         Files.writeString(dir.resolve("f.json"), withPool("eight.pool"));
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void theShippedPolicyIsGood() throws Exception {
+    void acceptsTheExamplePoolPolicy() throws Exception {
         assertFalse(read(withPool("examples/eight.pool"))
                 .fleet()
                 .orElseThrow()
@@ -134,9 +135,9 @@
                 .isEmpty());
     }
 
-    /** A fault of the policy is one of the operator's file, told with the place in the policy. */
+    /** An error in the policy is an error of the operator's file, with the position in the policy file. */
     @Test
-    void aFaultyPoolPolicyIsAFaultOfTheFile(@TempDir Path dir) throws Exception {
+    void reportsErrorsOfThePoolPolicy(@TempDir Path dir) throws Exception {
         Path policy = dir.resolve("bad.pool");
         Files.writeString(policy, "policy \"p\" version 1\nbudget flet 8 connections\ngateway \"g7\" floor 1\n");
         Path file = dir.resolve("f.json");
--- a/gateway/src/test/java/sandpaddle/config/SchemaProperties.java
+++ b/gateway/src/test/java/sandpaddle/config/SchemaProperties.java
@@ -16,15 +16,18 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** The schema and the reader of {@code serve} say the same of any file, but for relations that no schema tells. */
+/**
+ * The JSON Schema and {@link OperatorFile} accept the same files, except for relations between keys, which a schema
+ * cannot express.
+ */
 class SchemaProperties {
     /** A key of the schema: its path, and the schema of its value. */
     record Key(String path, Map<String, LocatedJson> schema) {}
 
     private static final SchemaValidator SCHEMA = new SchemaValidator();
-    private static final Pattern RELATION = Pattern.compile("'[a-z_]+'"); // a fault that names another key
-    /** Texts that are right, by key. */
-    private static final Map<String, String> GOOD = Map.of(
+    private static final Pattern RELATION = Pattern.compile("'[a-z_]+'"); // an error that names another key
+    /** Valid strings by key. */
+    private static final Map<String, String> VALID_TEXTS = Map.of(
             "listen",
             "10.0.0.4:7400",
             "address",
@@ -45,8 +48,8 @@
             "2026-11-08T02:30",
             "any",
             "10.0.0.5:7400");
-    /** What an entry of a list must have. */
-    private static final Map<String, List<String>> NEEDED = Map.of(
+    /** The required keys of list elements. */
+    private static final Map<String, List<String>> REQUIRED_KEYS = Map.of(
             "members[]",
             List.of("name", "hall", "address"),
             "limits[]",
@@ -59,10 +62,10 @@
     @SuppressWarnings("unchecked")
     private static List<Key> keys() {
         try {
-            LocatedJson t = LocatedJson.parse(
+            LocatedJson document = LocatedJson.parse(
                     Files.readAllBytes(Path.of("deploy/sandpaddle.schema.json")), new ValidationErrors("schema"));
             List<Key> keys = new ArrayList<>();
-            walk("", (Map<String, LocatedJson>) t.value(), keys);
+            walk("", (Map<String, LocatedJson>) document.value(), keys);
             return keys;
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
@@ -73,8 +76,8 @@
     private static void walk(String path, Map<String, LocatedJson> schema, List<Key> keys) {
         if (schema.containsKey("properties")) {
             ((Map<String, LocatedJson>) schema.get("properties").value())
-                    .forEach((k, v) ->
-                            walk(ValidationErrors.joinPath(path, k), (Map<String, LocatedJson>) v.value(), keys));
+                    .forEach((key, value) ->
+                            walk(ValidationErrors.joinPath(path, key), (Map<String, LocatedJson>) value.value(), keys));
         } else if (schema.containsKey("items")) {
             walk(path + "[]", (Map<String, LocatedJson>) schema.get("items").value(), keys);
         } else if (schema.containsKey("additionalProperties")) { // names as keys
@@ -88,60 +91,61 @@
         }
     }
 
-    private static String last(String path) {
+    private static String lastKey(String path) {
         return path.substring(path.lastIndexOf('.') + 1);
     }
 
-    static double number(Key k, String bound) {
-        return ((Number) k.schema.get(bound).value()).doubleValue();
+    static double number(Key key, String bound) {
+        return ((Number) key.schema.get(bound).value()).doubleValue();
     }
 
-    /** A value for a key: its default, a bound, one beyond a bound, or one of another type. */
-    private static String draw(Key k, SplittableRandom r) {
-        boolean free = !k.schema.containsKey("pattern"); // where it is a text, only the reader knows its form
-        if (r.nextInt(6) == 0) {
-            boolean text = free
-                    && k.schema.containsKey("type")
-                    && "string".equals(k.schema.get("type").value());
+    /** A random value for a key: its default, a bound, a value just out of bounds, or one of another type. */
+    private static String randomValue(Key key, SplittableRandom random) {
+        // Without a pattern in the schema only the reader checks the form of a string, so valid strings are drawn.
+        boolean isFreeText = !key.schema.containsKey("pattern");
+        if (random.nextInt(6) == 0) {
+            boolean text = isFreeText
+                    && key.schema.containsKey("type")
+                    && "string".equals(key.schema.get("type").value());
             return List.of("null", "[]", "{}", "true", "1.5", "-1", "1e300", "\"x\"")
-                    .get(r.nextInt(text ? 7 : 8));
+                    .get(random.nextInt(text ? 7 : 8));
         }
-        if (k.schema.containsKey("enum")) {
-            List<?> all = (List<?>) k.schema.get("enum").value();
-            return shown(((LocatedJson) all.get(r.nextInt(all.size()))).value());
+        if (key.schema.containsKey("enum")) {
+            List<?> constants = (List<?>) key.schema.get("enum").value();
+            return toJson(((LocatedJson) constants.get(random.nextInt(constants.size()))).value());
         }
-        if (!k.schema.containsKey("maximum")) {
-            LocatedJson d = k.schema.get("default");
-            return d != null
-                    ? shown(d.value())
-                    : shown(
-                            free || r.nextBoolean()
-                                    ? GOOD.getOrDefault(last(k.path), "s")
-                                    : List.of("s", "|", "", "x".repeat(600)).get(r.nextInt(4)));
+        if (!key.schema.containsKey("maximum")) {
+            LocatedJson defaultValue = key.schema.get("default");
+            return defaultValue != null
+                    ? toJson(defaultValue.value())
+                    : toJson(
+                            isFreeText || random.nextBoolean()
+                                    ? VALID_TEXTS.getOrDefault(lastKey(key.path), "s")
+                                    : List.of("s", "|", "", "x".repeat(600)).get(random.nextInt(4)));
         }
-        boolean whole = "integer".equals(k.schema.get("type").value());
-        double step = whole ? 1 : 0.001;
-        double v = switch (r.nextInt(5)) {
-            case 0 -> number(k, "minimum");
-            case 1 -> number(k, "maximum");
-            case 2 -> number(k, "minimum") - step;
-            case 3 -> number(k, "maximum") + step;
-            default -> number(k, k.schema.containsKey("default") ? "default" : "minimum");
+        boolean isInteger = "integer".equals(key.schema.get("type").value());
+        double step = isInteger ? 1 : 0.001;
+        double value = switch (random.nextInt(5)) {
+            case 0 -> number(key, "minimum");
+            case 1 -> number(key, "maximum");
+            case 2 -> number(key, "minimum") - step;
+            case 3 -> number(key, "maximum") + step;
+            default -> number(key, key.schema.containsKey("default") ? "default" : "minimum");
         };
-        return whole ? Long.toString((long) v) : String.format(Locale.ROOT, "%.4f", v);
+        return isInteger ? Long.toString((long) value) : String.format(Locale.ROOT, "%.4f", value);
     }
 
-    static String shown(Object value) {
+    static String toJson(Object value) {
         return value instanceof String s ? "\"" + s + "\"" : String.valueOf(value);
     }
 
-    /** Guards against a key, a type or a bound that one of the two knows and the other does not. */
+    /** Finds a key, a type or a bound that only one of the two knows. */
     @Property(seed = "21", tries = 3000)
-    void bothAcceptTheSameFiles(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        Key key = KEYS.get(r.nextInt(KEYS.size()));
-        String name = r.nextInt(12) == 0 ? key.path + "x" : key.path;
-        String text = nest(name.split("\\."), draw(key, r));
+    void schemaAndReaderAcceptTheSameFiles(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Key key = KEYS.get(random.nextInt(KEYS.size()));
+        String name = random.nextInt(12) == 0 ? key.path + "x" : key.path;
+        String text = nest(name.split("\\."), randomValue(key, random));
         assertEquals(schemaAccepts(text), readerAccepts(text), text);
     }
 
@@ -150,31 +154,30 @@
         for (int i = path.length - 1; i >= 0; i--) {
             boolean list = path[i].endsWith("[]");
             String key = list ? path[i].substring(0, path[i].length() - 2) : path[i];
-            text = "{\"" + key + "\": " + (list ? "[" + text + "]" : text) + beside(key, i > 0 ? path[i - 1] : "")
-                    + "}";
+            text = "{\"" + key + "\": " + (list ? "[" + text + "]" : text)
+                    + requiredSiblings(key, i > 0 ? path[i - 1] : "") + "}";
         }
         return text;
     }
 
-    private static String beside(String key, String list) {
-        return NEEDED.getOrDefault(list, List.of()).stream()
-                .filter(k -> !k.equals(key))
-                .map(k -> ", \"" + k + "\": \"" + GOOD.get(k) + "\"")
+    private static String requiredSiblings(String key, String list) {
+        return REQUIRED_KEYS.getOrDefault(list, List.of()).stream()
+                .filter(sibling -> !sibling.equals(key))
+                .map(sibling -> ", \"" + sibling + "\": \"" + VALID_TEXTS.get(sibling) + "\"")
                 .collect(Collectors.joining());
     }
 
     private static boolean readerAccepts(String text) {
-        ValidationErrors faults = new ValidationErrors("f");
+        ValidationErrors errors = new ValidationErrors("f");
         try {
-            OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), faults);
+            OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), errors);
             return true;
-        } catch (
-                OperatorFile.InvalidFileException
-                        e) { // relations between keys, or to other files: no matter of the schema
-            return faults.sorted().stream()
-                    .allMatch(f ->
-                            RELATION.matcher(f.allowed()).find() && !f.found().startsWith("an unk")
-                                    || f.allowed().equals("a file that can be read"));
+        } catch (OperatorFile.InvalidFileException e) {
+            // Errors about relations between keys or other files are outside the schema.
+            return errors.sorted().stream()
+                    .allMatch(error -> RELATION.matcher(error.allowed()).find()
+                                    && !error.found().startsWith("an unk")
+                            || error.allowed().equals("a file that can be read"));
         }
     }
 
