--- a/gateway/src/main/java/sandpaddle/log/LineWriter.java
+++ b/gateway/src/main/java/sandpaddle/log/LineWriter.java
@@ -14,25 +14,32 @@
 import org.tinylog.writers.Writer;
 
 /**
- * tinylog's writer of this program: one entry a line on standard error, for people or as one JSON object. What
- * {@link LogEvent} adds follows the message as {@code key=value}, or as members of the object. A line is written in
- * one go, so lines of two threads never mix. Line breaks within a message become spaces: one entry stays one line.
+ * A tinylog writer with one line for each entry on standard error, as text for people or as one JSON object. The fields
+ * of a {@link LogEvent} follow the message as {@code key=value} or are members of the object. A line is written with
+ * one call, so that lines of different threads do not mix. Line breaks in a message become spaces, so that an entry
+ * stays on one line.
  */
 public final class LineWriter implements Writer {
-    /** The forms of a line. */
+    /** Format of a line. */
     public enum Format {
+        /** Text for people. */
         HUMAN,
+        /** One JSON object. */
         JSON
     }
 
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
-    private static final int MOST_CHARS = 8192; // what peers send may stand in a message
+    private static final DateTimeFormatter TIME_FORMAT = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
+    private static final int MAX_CHARS = 8192; // limit on one text, since messages may contain input from peers
 
     private final PrintStream out;
     private final Format format;
     private final ZoneId zone = ZoneId.systemDefault();
 
-    /** Called by tinylog with the writer's properties; {@code format} is {@code human} or {@code json}. */
+    /**
+     * Creates a writer to standard error; called by tinylog.
+     *
+     * @param properties the writer's properties, of which {@code format} is {@code human} or {@code json}
+     */
     public LineWriter(Map<String, String> properties) {
         this(System.err, "json".equalsIgnoreCase(properties.get("format")) ? Format.JSON : Format.HUMAN);
     }
@@ -56,83 +63,84 @@
     @Override
     public void write(LogEntry entry) {
         StringBuilder line = new StringBuilder(160);
-        Instant at = entry.getTimestamp().toInstant();
-        String name = entry.getClassName();
-        String from = name.substring(name.lastIndexOf('.') + 1);
+        Instant timestamp = entry.getTimestamp().toInstant();
+        String className = entry.getClassName();
+        String simpleName = className.substring(className.lastIndexOf('.') + 1);
         if (format == Format.JSON) {
-            json(line, entry, at, from);
+            appendJson(line, entry, timestamp, simpleName);
         } else {
-            human(line, entry, at, from);
+            appendText(line, entry, timestamp, simpleName);
         }
         out.print(line.append('\n'));
         out.flush();
     }
 
-    private void human(StringBuilder line, LogEntry entry, Instant at, String from) {
-        TIME.formatTo(at.atZone(zone), line);
+    private void appendText(StringBuilder line, LogEntry entry, Instant timestamp, String simpleName) {
+        TIME_FORMAT.formatTo(timestamp.atZone(zone), line);
         line.append(' ')
                 .append(entry.getLevel())
                 .append(' ')
-                .append(from)
+                .append(simpleName)
                 .append(": ")
-                .append(oneLine(message(entry)));
+                .append(withoutLineBreaks(message(entry)));
         new TreeMap<>(entry.getContext())
-                .forEach((k, v) -> line.append(' ').append(k).append('=').append(oneLine(plain(v))));
+                .forEach((key, value) ->
+                        line.append(' ').append(key).append('=').append(withoutLineBreaks(withoutPrefix(value))));
         if (entry.getException() != null) {
-            line.append('\n').append(trace(entry.getException()));
+            line.append('\n').append(stackTrace(entry.getException()));
         }
     }
 
-    private static void json(StringBuilder line, LogEntry entry, Instant at, String from) {
+    private static void appendJson(StringBuilder line, LogEntry entry, Instant timestamp, String simpleName) {
         line.append('{');
-        member(line, "time", at.toString());
-        member(line.append(','), "level", entry.getLevel().toString().toLowerCase(java.util.Locale.ROOT));
-        member(line.append(','), "from", from);
-        member(line.append(','), "message", message(entry));
-        new TreeMap<>(entry.getContext()).forEach((k, v) -> member(line.append(','), k, v));
+        appendMember(line, "time", timestamp.toString());
+        appendMember(line.append(','), "level", entry.getLevel().toString().toLowerCase(java.util.Locale.ROOT));
+        appendMember(line.append(','), "from", simpleName);
+        appendMember(line.append(','), "message", message(entry));
+        new TreeMap<>(entry.getContext()).forEach((key, value) -> appendMember(line.append(','), key, value));
         if (entry.getException() != null) {
-            member(line.append(','), "exception", trace(entry.getException()));
+            appendMember(line.append(','), "exception", stackTrace(entry.getException()));
         }
         line.append('}');
     }
 
-    private static String plain(String value) {
-        return isFigure(value) ? value.substring(1) : value;
+    private static String withoutPrefix(String value) {
+        return isNumber(value) ? value.substring(1) : value;
     }
 
-    private static boolean isFigure(String value) {
-        return !value.isEmpty() && value.charAt(0) == LogEvent.FIGURE;
+    private static boolean isNumber(String value) {
+        return !value.isEmpty() && value.charAt(0) == LogEvent.NUMBER_PREFIX;
     }
 
-    private static void member(StringBuilder line, String key, String value) {
+    private static void appendMember(StringBuilder line, String key, String value) {
         line.append('"').append(key).append("\":");
-        if (isFigure(value)) {
-            line.append(plain(value));
+        if (isNumber(value)) {
+            line.append(withoutPrefix(value));
         } else {
             line.append('"');
-            JsonStringEncoder.getInstance().quoteAsString(cut(value), line);
+            JsonStringEncoder.getInstance().quoteAsString(truncate(value), line);
             line.append('"');
         }
     }
 
     private static String message(LogEntry entry) {
-        return entry.getMessage() == null ? "" : cut(entry.getMessage());
+        return entry.getMessage() == null ? "" : truncate(entry.getMessage());
     }
 
-    private static String cut(String text) {
-        return text.length() > MOST_CHARS ? text.substring(0, MOST_CHARS) + " (cut)" : text;
+    private static String truncate(String text) {
+        return text.length() > MAX_CHARS ? text.substring(0, MAX_CHARS) + " (truncated)" : text;
     }
 
-    private static String oneLine(String text) {
+    private static String withoutLineBreaks(String text) {
         return text.indexOf('\n') < 0 && text.indexOf('\r') < 0
                 ? text
                 : text.replace('\r', ' ').replace('\n', ' ');
     }
 
-    private static String trace(Throwable fault) {
+    private static String stackTrace(Throwable exception) {
         java.io.StringWriter text = new java.io.StringWriter();
-        fault.printStackTrace(new java.io.PrintWriter(text));
-        return cut(text.toString().stripTrailing());
+        exception.printStackTrace(new java.io.PrintWriter(text));
+        return truncate(text.toString().stripTrailing());
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/log/LogEvent.java
+++ b/gateway/src/main/java/sandpaddle/log/LogEvent.java
@@ -10,16 +10,17 @@
 import org.tinylog.provider.ProviderRegistry;
 
 /**
- * A log entry with figures beside its message. {@link LineWriter} writes them after the message or as members of a
- * JSON object. The line of a query names its trace by {@link #trace}. One entry is built and written by one thread.
+ * A structured log entry: a message with named fields, which {@link LineWriter} writes after the message or as members
+ * of a JSON object. Entries about a query carry its trace id, see {@link #trace}. Not thread-safe: one thread builds
+ * and writes an entry.
  */
 public final class LogEvent {
-    /** Marks a figure among the context's texts, so that {@link LineWriter} writes it without quotes. */
-    static final char FIGURE = '\u0001';
+    /** Prefix of numbers in the context, whose values are strings; {@link LineWriter} writes them without quotes. */
+    static final char NUMBER_PREFIX = '\u0001';
 
-    private static final String TRACE = "trace";
+    private static final String TRACE_KEY = "trace";
     private static final LoggingProvider LOG = ProviderRegistry.getLoggingProvider();
-    private static final int CALLER = 3; // frames up to who asked for the entry
+    private static final int CALLER_DEPTH = 3; // stack frames from the logging provider to the caller of this class
 
     private final String message;
     private final Map<String, String> fields = new LinkedHashMap<>();
@@ -28,45 +29,51 @@
         this.message = message;
     }
 
+    /** Starts an entry with a message. */
     public static LogEvent of(String message) {
         return new LogEvent(message);
     }
 
-    /** The id of the query that the entry is about. */
-    public LogEvent trace(String trace) {
-        fields.put(TRACE, trace);
+    /** Adds the trace id of the query that the entry is about. */
+    public LogEvent trace(String traceId) {
+        fields.put(TRACE_KEY, traceId);
         return this;
     }
 
+    /** Adds a string. */
     public LogEvent with(String key, String value) {
         fields.put(key, String.valueOf(value));
         return this;
     }
 
+    /** Adds an integer. */
     public LogEvent with(String key, long value) {
-        fields.put(key, FIGURE + Long.toString(value));
+        fields.put(key, NUMBER_PREFIX + Long.toString(value));
         return this;
     }
 
-    /** A figure, to three places: more says nothing in a log. */
+    /** Adds a number with three decimal places; {@code none} if it is infinite or NaN. */
     public LogEvent with(String key, double value) {
-        fields.put(key, Double.isFinite(value) ? FIGURE + String.format(Locale.ROOT, "%.3f", value) : "none");
+        fields.put(key, Double.isFinite(value) ? NUMBER_PREFIX + String.format(Locale.ROOT, "%.3f", value) : "none");
         return this;
     }
 
+    /** Writes the entry with level INFO. */
     public void info() {
         write(Level.INFO);
     }
 
+    /** Writes the entry with level WARN. */
     public void warn() {
         write(Level.WARN);
     }
 
+    /** Writes the entry with level DEBUG. */
     public void debug() {
         write(Level.DEBUG);
     }
 
-    /** Whether entries of the least grave level are written: what builds them should ask first. */
+    /** Whether entries with level DEBUG are written; check it first if an entry is expensive to build. */
     public static boolean isDebugOn() {
         return Logger.isDebugEnabled();
     }
@@ -74,7 +81,7 @@
     private void write(Level level) {
         fields.forEach(ThreadContext::put);
         try {
-            LOG.log(CALLER, null, level, null, null, message, (Object[]) null);
+            LOG.log(CALLER_DEPTH, null, level, null, null, message, (Object[]) null);
         } finally {
             fields.keySet().forEach(ThreadContext::remove);
         }
