--- a/gateway/src/main/java/sandpaddle/app/CheckCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/CheckCommand.java
@@ -17,21 +17,21 @@
 import sandpaddle.config.InvalidFieldException;
 import sandpaddle.config.SchemaValidator;
 
-/** {@code check}: tells every fault of the operator's files, and the first of a platform's configuration. */
+/** {@code check}: reports every error in operator's files, and the first error in a platform's configuration. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks files without serving. Each fault is a line: FILE:LINE:COLUMN: key: what was found; "
-                + "what is allowed.",
+        description = "Validates files without serving. Prints a line for each error: FILE:LINE:COLUMN: key: the value "
+                + "found; the allowed values.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:every file is good", "2:a file has a fault, or cannot be read"},
+        exitCodeList = {"0:every file is valid", "2:a file is invalid or cannot be read"},
         footerHeading = "%nExamples:%n",
         footer = {"  check deploy/sandpaddle.json", "  check --config /run/balancer/config.json"})
 final class CheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", arity = "0..*", description = "Operator's files.")
+    @Parameters(paramLabel = "FILE", arity = "0..*", description = "Operator's files to check.")
     private List<Path> files = new ArrayList<>();
 
-    @Option(names = "--config", paramLabel = "FILE", description = "A platform's configuration.")
+    @Option(names = "--config", paramLabel = "FILE", description = "A platform's configuration to check.")
     private List<Path> configs = new ArrayList<>();
 
     @Spec
@@ -42,24 +42,24 @@
         if (files.isEmpty() && configs.isEmpty()) {
             throw new ParameterException(spec.commandLine(), "Name a file to check.");
         }
-        boolean good = true;
+        boolean allValid = true;
         SchemaValidator schema = files.isEmpty() ? null : new SchemaValidator();
         for (Path file : files) {
-            good &= told(file, faults(schema, file));
+            allValid &= report(file, errors(schema, file));
         }
         for (Path config : configs) {
-            good &= told(config, faults(config));
+            allValid &= report(config, errors(config));
         }
-        return good ? 0 : Main.UNUSABLE;
+        return allValid ? 0 : Main.EXIT_INVALID;
     }
 
-    private static boolean told(Path file, List<String> faults) {
-        faults.forEach(System.out::println);
-        System.out.println(file + (faults.isEmpty() ? ": good" : ": faults: " + faults.size()));
-        return faults.isEmpty();
+    private static boolean report(Path file, List<String> errors) {
+        errors.forEach(System.out::println);
+        System.out.println(file + (errors.isEmpty() ? ": valid" : ": errors: " + errors.size()));
+        return errors.isEmpty();
     }
 
-    private static List<String> faults(SchemaValidator schema, Path file) {
+    private static List<String> errors(SchemaValidator schema, Path file) {
         try {
             return schema.validate(file.toString(), Files.readAllBytes(file)).messages();
         } catch (IOException e) {
@@ -67,7 +67,7 @@
         }
     }
 
-    private static List<String> faults(Path config) {
+    private static List<String> errors(Path config) {
         try {
             GatewayConfig.load(Map.of("BALANCER_CONFIG", config.toString(), "BALANCER_LISTEN", "127.0.0.1:1"));
             return List.of();
--- a/gateway/src/main/java/sandpaddle/app/FleetStart.java
+++ b/gateway/src/main/java/sandpaddle/app/FleetStart.java
@@ -7,11 +7,16 @@
 import sandpaddle.eventloop.EventLoop;
 import sandpaddle.fleet.node.FleetNode;
 
-/** Whether a gateway takes part in a fleet, and what of it changes while it serves. */
+/** Starts the fleet node of a gateway if it is enabled, and applies changed settings while the gateway serves. */
 final class FleetStart {
     private FleetStart() {}
 
-    /** Null where the operator's file does not switch it on, or the platform's settings forbid talk. */
+    /**
+     * Starts the fleet node.
+     *
+     * @return null if the operator's file does not enable it, or the platform does not permit gateways to communicate
+     * @throws IOException if the fleet's settings cannot be used or its node cannot be started
+     */
     static FleetNode start(OperatorFile operator, GatewayConfig config, EventLoop loop) throws IOException {
         if (operator.fleet().isEmpty() || !operator.fleet().get().enabled()) {
             return null;
@@ -36,19 +41,24 @@
         }
     }
 
-    /** {@code fleet}: null where it is off. */
-    static void reload(FleetNode fleet, OperatorFile before, OperatorFile next) {
+    /**
+     * Applies the section {@code fleet.agreed} of a changed operator's file; other changes take effect at the next
+     * start.
+     *
+     * @param fleet null if the fleet is off
+     */
+    static void reload(FleetNode fleet, OperatorFile current, OperatorFile next) {
         if (fleet != null && next.fleet().isPresent()) {
             fleet.reload(next.fleet().get());
         }
-        boolean same = fleet == null
-                ? next.fleet().equals(before.fleet())
+        boolean isUnchanged = fleet == null
+                ? next.fleet().equals(current.fleet())
                 : next.fleet().isPresent()
                         && next.fleet()
                                 .get()
-                                .onlyAgreedDiffersFrom(before.fleet().orElseThrow());
-        if (!same) {
-            Logger.warn("operator's file: of 'fleet' only 'agreed' is taken over, the rest at the next start");
+                                .onlyAgreedDiffersFrom(current.fleet().orElseThrow());
+        if (!isUnchanged) {
+            Logger.warn("operator's file: changes of 'fleet' outside 'agreed' take effect at the next start");
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/app/GracefulShutdown.java
+++ b/gateway/src/main/java/sandpaddle/app/GracefulShutdown.java
@@ -9,82 +9,103 @@
 import sandpaddle.query.Frontend;
 
 /**
- * The planned end of the process. Requests are taken through a grace; then every connection ends as soon as nothing is
- * open on it, and the process with the last one. What is still open shortly before the kill gets its final answer.
- * The crossings are in docs/design/crossings.md.
+ * Graceful shutdown of the process. New requests are accepted during a grace period. Afterwards each connection is
+ * closed once it has no open query, and the process ends with the last one. Queries that are still open shortly before
+ * the platform kills the process get a final answer. Races with requests are described in docs/design/crossings.md.
+ * Confined to the event loop's thread.
  */
 public final class GracefulShutdown {
-    /** How far the end has come. Only forwards; asking again changes nothing. */
+    /** Phase of the shutdown; it only advances, in this order. */
     public enum ShutdownPhase {
+        /** No shutdown was requested. */
         SERVING,
+        /** A shutdown was requested; connections and requests are still accepted. */
         GRACE,
+        /** New connections are not accepted, and idle ones are closed. */
         CLOSING,
-        OVER
+        /** The event loop was stopped. */
+        TERMINATED
     }
 
-    /** After the request to end, connections still arrive for 0.4 s and requests for 0.2 s more. */
-    private static final Duration GRACE = Duration.ofMillis(700);
-    /** The kill comes no earlier than the longest deadline after the grace, of which so much counts. */
-    private static final Duration LONGEST_COUNTED = Duration.ofSeconds(3);
+    /** After the shutdown request, connections still arrive for 0.4 s and requests for another 0.2 s. */
+    private static final Duration GRACE_PERIOD = Duration.ofMillis(700);
+    /**
+     * The platform kills the process after the grace period and the longest deadline at the earliest; of that deadline
+     * at most this much counts.
+     */
+    private static final Duration MAX_COUNTED_DEADLINE = Duration.ofSeconds(3);
 
-    private static final Duration LAST_ANSWERS = Duration.ofMillis(300); // before the kill
-    private static final Duration EXIT = Duration.ofMillis(150); // before the kill
+    /** Time before the kill at which open queries get their final answer. */
+    private static final Duration FINAL_ANSWERS_BEFORE_KILL = Duration.ofMillis(300);
+    /** Time before the kill at which the process ends, whatever is open. */
+    private static final Duration EXIT_BEFORE_KILL = Duration.ofMillis(150);
 
     private final Scheduler loop;
     private final Dispatcher dispatcher;
     private final EngineClient engines;
     private final List<Frontend> frontends;
-    private final Duration kill; // after it was asked for
+    private final Duration killAfter; // from the shutdown request
     private final Runnable stop;
     private ShutdownPhase phase = ShutdownPhase.SERVING;
 
-    /** {@code longest}: the longest deadline of a class. {@code stop} ends the loop, and runs once. */
+    /**
+     * Creates a shutdown that has not begun.
+     *
+     * @param loop schedules the phases
+     * @param dispatcher the queries to finish
+     * @param engines the calls to engines; pending cancels are sent before the end
+     * @param frontends the client connections to close
+     * @param maxDeadline the longest deadline of a request class
+     * @param stop stops the event loop; called once
+     */
     public GracefulShutdown(
             Scheduler loop,
             Dispatcher dispatcher,
             EngineClient engines,
             List<Frontend> frontends,
-            Duration longest,
+            Duration maxDeadline,
             Runnable stop) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.engines = engines;
         this.frontends = frontends;
         this.stop = stop;
-        kill = GRACE.plus(longest.compareTo(LONGEST_COUNTED) < 0 ? longest : LONGEST_COUNTED);
+        killAfter =
+                GRACE_PERIOD.plus(maxDeadline.compareTo(MAX_COUNTED_DEADLINE) < 0 ? maxDeadline : MAX_COUNTED_DEADLINE);
     }
 
+    /** The current phase. */
     public ShutdownPhase phase() {
         return phase;
     }
 
-    /** Begins it, once. */
+    /** Begins the shutdown; no effect if it has begun already. */
     public void begin() {
         if (phase == ShutdownPhase.SERVING) {
             phase = ShutdownPhase.GRACE;
-            Logger.info("asked to end");
-            loop.scheduleAfter(GRACE, () -> {
+            Logger.info("shutdown requested");
+            loop.scheduleAfter(GRACE_PERIOD, () -> {
                 phase = ShutdownPhase.CLOSING;
                 frontends.forEach(Frontend::stopListening);
             });
-            loop.scheduleAfter(kill.minus(LAST_ANSWERS), dispatcher::answerAllAndStop);
-            loop.scheduleAfter(kill.minus(EXIT), this::over);
+            loop.scheduleAfter(killAfter.minus(FINAL_ANSWERS_BEFORE_KILL), dispatcher::answerAllAndStop);
+            loop.scheduleAfter(killAfter.minus(EXIT_BEFORE_KILL), this::terminate);
         }
     }
 
-    private void over() {
-        if (phase != ShutdownPhase.OVER) {
-            phase = ShutdownPhase.OVER;
+    private void terminate() {
+        if (phase != ShutdownPhase.TERMINATED) {
+            phase = ShutdownPhase.TERMINATED;
             stop.run();
         }
     }
 
-    /** At the end of each turn, after all that the turn brought was handed on. */
+    /** Closes idle connections and ends the process if none is left; called at the end of each event-loop turn. */
     public void endOfTurn() {
         if (phase == ShutdownPhase.CLOSING) {
             frontends.forEach(Frontend::closeIdle);
             if (dispatcher.isIdle() && frontends.stream().allMatch(Frontend::isIdle) && engines.hasNoPendingCancels()) {
-                over();
+                terminate();
             }
         }
     }
--- a/gateway/src/main/java/sandpaddle/app/ServeCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/ServeCommand.java
@@ -17,39 +17,39 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** {@code serve}: one real gateway, until SIGTERM. SIGHUP has it read its files again. */
+/** {@code serve}: runs one gateway until SIGTERM. SIGHUP makes it reread its files. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
-        description = "Serves as one gateway. The environment variable BALANCER_CONFIG names the platform's "
-                + "configuration. SIGHUP: read both files again. SIGTERM: answer what is open, then end.",
+        description = "Runs one gateway. The environment variable BALANCER_CONFIG names the platform's "
+                + "configuration. On SIGHUP it rereads both files; on SIGTERM it answers open queries and exits.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  BALANCER_CONFIG=examples/config.json java -jar sandpaddle.jar serve",
             "  ... serve --operator deploy/sandpaddle.json --log json"
         })
 final class ServeCommand implements Callable<Integer> {
-    private static final long END_MOST_MS = 10_000;
+    private static final long MAX_SHUTDOWN_MS = 10_000;
     private static final Map<String, LogSettings.Format> LOG_FORMATS =
             Map.of("human", LogSettings.Format.HUMAN, "json", LogSettings.Format.JSON);
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
-            description = "The operator's file (JSON). Without it every feature that it names is off.")
+            description = "The operator's file (JSON). Without it every feature that it configures is off.")
     private Path operator;
 
     @Option(
             names = "--log",
             paramLabel = "FORMAT",
-            description = "human or json: the form of the log on standard error. Goes before the operator's file.")
+            description = "Format of the log on standard error: human or json. Overrides the operator's file.")
     private LogSettings.Format log;
 
     /**
-     * The command of a line without help, slips or abbreviations, as picocli would read it; null for all others,
-     * which picocli words the answers to.
+     * Parses a simple command line with the same result as picocli; null for any other one, such as a request for help,
+     * an abbreviation or an invalid option, which is left to picocli and its messages.
      */
-    static ServeCommand plain(String... args) {
+    static ServeCommand parseSimple(String... args) {
         if (args.length % 2 == 0 || !args[0].equals("serve")) {
             return null;
         }
@@ -77,23 +77,24 @@
 
     @Override
     public Integer call() {
-        HangUp hangUp = new HangUp();
-        boolean heard = onHangUp(hangUp); // first of all: until then the signal ends the process
+        ReloadOnHangUp hangUp = new ReloadOnHangUp();
+        boolean isHandled = handleHangUp(hangUp); // first, since the signal ends the process until then
         try {
             Server.OperatorSource source = () -> operator == null ? OperatorFile.NONE : OperatorFile.load(operator);
             OperatorFile file = source.load();
-            setUpLog(file.log());
+            configureLog(file.log());
             Server server = new Server(new Environment(), source, file, Clock.systemUTC());
-            hangUp.serves(server::reloadConfig);
-            if (!heard) {
-                Logger.warn("SIGHUP is ignored here, as after nohup: the configuration is looked at every second");
+            hangUp.setReload(server::reloadConfig);
+            if (!isHandled) {
+                Logger.warn("SIGHUP is ignored by this process, as under nohup: "
+                        + "the configuration is checked for changes every second");
                 server.watchConfig();
             }
             Thread main = Thread.currentThread();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                server.end();
+                server.shutDown();
                 try {
-                    main.join(END_MOST_MS); // the process lives until this hook ends
+                    main.join(MAX_SHUTDOWN_MS); // the JVM exits once this hook has returned
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -101,19 +102,19 @@
             server.run();
             return 0;
         } catch (OperatorFile.InvalidFileException e) {
-            e.errors().messages().forEach(l -> System.err.println("sandpaddle: " + l));
-            return Main.UNUSABLE;
+            e.errors().messages().forEach(message -> System.err.println("sandpaddle: " + message));
+            return Main.EXIT_INVALID;
         } catch (InvalidFieldException e) {
             System.err.println("sandpaddle: configuration: " + e.getMessage());
-            return Main.UNUSABLE;
+            return Main.EXIT_INVALID;
         } catch (IOException e) {
             System.err.println("sandpaddle: cannot serve: " + e);
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 
-    /** Must come before the first entry: tinylog reads its configuration then. */
-    private void setUpLog(LogSettings settings) {
+    /** Configures the log. Must be called before the first entry, at which tinylog reads its configuration. */
+    private void configureLog(LogSettings settings) {
         LogSettings.Format format = log == null ? settings.format() : log;
         Configuration.set("writer.format", format.name().toLowerCase(Locale.ROOT));
         Configuration.set("level", settings.level().name().toLowerCase(Locale.ROOT));
@@ -132,33 +133,33 @@
         }
     }
 
-    /** What SIGHUP does; one that comes before there is a server is not forgotten. */
-    private static final class HangUp implements Runnable {
+    /** Handles SIGHUP; a signal that arrives before the server is created is handled afterwards. */
+    private static final class ReloadOnHangUp implements Runnable {
         private Runnable reload;
-        private boolean came;
+        private boolean isSignaled;
 
         @Override
         public synchronized void run() {
-            came = true;
+            isSignaled = true;
             if (reload != null) {
                 reload.run();
             }
         }
 
-        synchronized void serves(Runnable by) {
-            reload = by;
-            if (came) {
+        synchronized void setReload(Runnable task) {
+            reload = task;
+            if (isSignaled) {
                 reload.run();
             }
         }
     }
 
     /**
-     * Guards against the JVM's own answer to SIGHUP, which is to end. The task runs in a thread of the JVM's.
+     * Replaces the JVM's handler of SIGHUP, which ends the process. The task runs in a thread of the JVM.
      *
-     * @return whether it will: a JVM that was started with the signal ignored leaves it so
+     * @return whether the signal is handled; a JVM that was started with the signal ignored keeps ignoring it
      */
-    static boolean onHangUp(Runnable task) {
+    static boolean handleHangUp(Runnable task) {
         return Signal.handle(new Signal("HUP"), signal -> task.run()) != SignalHandler.SIG_IGN;
     }
 }
--- a/gateway/src/main/java/sandpaddle/app/Server.java
+++ b/gateway/src/main/java/sandpaddle/app/Server.java
@@ -21,18 +21,19 @@
 import sandpaddle.query.FleetCoordination;
 import sandpaddle.query.Frontend;
 
-/** One gateway: all parts put together, its start and its planned end. */
+/** One gateway: creates and connects its parts, runs the event loop, reloads its files and shuts down. */
 public final class Server {
-    private static final Duration WATCH = Duration.ofSeconds(1);
-    /** A turn that has taken so long looks at the engine list once more before anything is sent. */
+    /** Interval of the checks for a replaced configuration, where SIGHUP is ignored. */
+    private static final Duration CONFIG_CHECK_INTERVAL = Duration.ofSeconds(1);
+    /** In a turn that has taken this long, the endpoint list is read again before requests are sent. */
     private static final Duration LONG_TURN = Duration.ofMillis(20);
 
-    private static final int MB_BITS = 20;
-    private static final int CLIENTS_PART = 3; // clients hold at most this part of the descriptors
-    private static final int MORE_CLIENTS = 24; // for those beside the usual ones, and those just going
-    private static final int LEAST_FOR_ENGINES = 16; // half of them are kept back for calls that end others
-    private static final int BESIDE_HEAP_MB = 48; // code, classes, stacks, direct buffers: 30 to 35 seen under load
-    private static final int OTHER_DESCRIPTORS = 28; // 13 of the JVM's, the listener, the feeds, a file read anew
+    private static final int MB_SHIFT = 20;
+    private static final int CLIENT_SHARE_DIVISOR = 3; // clients get one in this many of the descriptors
+    private static final int EXTRA_SESSIONS = 24; // for clients beyond that share and for those that are leaving
+    private static final int MIN_ENGINE_SOCKETS = 16; // half of them are reserved for calls that cancel others
+    private static final int NON_HEAP_MB = 48; // code, classes, stacks and direct buffers take 30 to 35 MB under load
+    private static final int OTHER_DESCRIPTORS = 28; // 13 of the JVM, listener, discovery, a file being reread
 
     private final Clock clock;
     private final EventLoop loop;
@@ -40,50 +41,61 @@
     private final Dispatcher dispatcher;
     private final List<Frontend> frontends;
     private final GatewayConfig config;
-    private final ConfigSource source;
+    private final ConfigSource configSource;
     private final OperatorSource operatorSource;
-    private OperatorFile operator;
-    private final EndpointWatcher feed;
-    private final FleetNode fleet; // null: gateways share nothing
-    private volatile boolean endAsked, reloadAsked, aborted;
-    private final GracefulShutdown end;
+    private OperatorFile operatorFile;
+    private final EndpointWatcher endpointWatcher;
+    private final FleetNode fleet; // null if the fleet is off
+    private volatile boolean shutdownRequested, reloadRequested, aborted;
+    private final GracefulShutdown shutdown;
 
-    /** Where the configuration is read, now and again. */
+    /** Source of the configuration, which is read at the start and at each reload. */
     public interface ConfigSource {
+        /** Reads the configuration. */
         GatewayConfig load() throws InvalidFieldException;
 
-        /** What differs once the configuration was replaced; empty where that cannot be seen. */
+        /** A string that changes when the configuration is replaced; empty if that cannot be detected. */
         default String version() {
             return "";
         }
     }
 
-    /** Where the operator's file is read, now and again. */
+    /** Source of the operator's file, which is read at the start and at each reload. */
     public interface OperatorSource {
+        /** Reads the operator's file. */
         OperatorFile load() throws OperatorFile.InvalidFileException;
     }
 
-    /** Without an operator's file. */
-    public Server(ConfigSource source, Clock clock) throws IOException, InvalidFieldException {
-        this(source, () -> OperatorFile.NONE, OperatorFile.NONE, clock);
+    /** Creates a gateway without an operator's file. */
+    public Server(ConfigSource configSource, Clock clock) throws IOException, InvalidFieldException {
+        this(configSource, () -> OperatorFile.NONE, OperatorFile.NONE, clock);
     }
 
-    /** {@code operator}: the operator's file as it was read for the start. */
-    public Server(ConfigSource source, OperatorSource operatorSource, OperatorFile operator, Clock clock)
+    /**
+     * Creates a gateway that listens; {@link #run} serves.
+     *
+     * @param configSource the platform's configuration
+     * @param operatorSource the operator's file for reloads
+     * @param operatorFile the operator's file as read for the start
+     * @param clock the system's clock
+     * @throws IOException if the address cannot be bound or the fleet node cannot be started
+     * @throws InvalidFieldException if the configuration is invalid
+     */
+    public Server(ConfigSource configSource, OperatorSource operatorSource, OperatorFile operatorFile, Clock clock)
             throws IOException, InvalidFieldException {
         this.clock = clock;
-        this.source = source;
+        this.configSource = configSource;
         this.operatorSource = operatorSource;
-        this.operator = operator;
-        config = source.load();
+        this.operatorFile = operatorFile;
+        config = configSource.load();
         loop = new EventLoop(clock);
-        int forClients = config.maxSockets() / CLIENTS_PART + MORE_CLIENTS;
-        int forEngines = config.maxSockets() - forClients - MysqlFrontend.MAX_LINGERING - OTHER_DESCRIPTORS;
-        config.warnings().forEach(w -> Logger.warn("configuration: {}", w));
-        tellWhatIsShort(forEngines);
+        int maxSessions = config.maxSockets() / CLIENT_SHARE_DIVISOR + EXTRA_SESSIONS;
+        int engineSockets = config.maxSockets() - maxSessions - MysqlFrontend.MAX_LINGERING - OTHER_DESCRIPTORS;
+        config.warnings().forEach(warning -> Logger.warn("configuration: {}", warning));
+        warnAboutLowLimits(engineSockets);
         engines = new HttpEngineClient(
-                loop, config.connectTimeout(), config.engineIdleTimeout(), Math.max(LEAST_FOR_ENGINES, forEngines));
-        fleet = FleetStart.start(operator, config, loop);
+                loop, config.connectTimeout(), config.engineIdleTimeout(), Math.max(MIN_ENGINE_SOCKETS, engineSockets));
+        fleet = FleetStart.start(operatorFile, config, loop);
         if (fleet != null) {
             engines.setConnectionBudget(fleet.connections());
         }
@@ -98,17 +110,17 @@
         if (fleet != null) {
             fleet.setQueryService(dispatcher);
         }
-        dispatcher.applySettings(operator.overload());
+        dispatcher.applySettings(operatorFile.overload());
         config.initialListEvents().forEach(dispatcher::endpointListReceived);
-        feed = new EndpointWatcher(
+        endpointWatcher = new EndpointWatcher(
                 loop,
                 config.discoveryAddress(),
                 config.names(),
                 config.initialListVersion(),
                 dispatcher::endpointListReceived);
-        feed.start();
-        frontends = List.of(new MysqlFrontend(loop, config.listenAddress(), dispatcher, forClients, config.seed()));
-        end = new GracefulShutdown(
+        endpointWatcher.start();
+        frontends = List.of(new MysqlFrontend(loop, config.listenAddress(), dispatcher, maxSessions, config.seed()));
+        shutdown = new GracefulShutdown(
                 loop,
                 dispatcher,
                 engines,
@@ -121,24 +133,24 @@
         Logger.info("{} listens on {}", config.name(), address());
     }
 
-    /** It serves nevertheless: what it may need at most is seldom what it needs. */
-    private void tellWhatIsShort(int forEngines) {
-        if (forEngines < LEAST_FOR_ENGINES) {
+    /** Warns about limits below the worst case. The gateway serves nevertheless, since it rarely needs that much. */
+    private void warnAboutLowLimits(int engineSockets) {
+        if (engineSockets < MIN_ENGINE_SOCKETS) {
             Logger.warn(
-                    "field 'limits.sockets' is {}: fewer than {} of them are left for engines",
+                    "field 'limits.sockets' is {}: fewer than {} sockets remain for engines",
                     config.maxSockets(),
-                    LEAST_FOR_ENGINES);
+                    MIN_ENGINE_SOCKETS);
         }
-        long mostMb = (Runtime.getRuntime().maxMemory() >> MB_BITS) + BESIDE_HEAP_MB;
-        if (config.memoryLimitMb() > 0 && config.memoryLimitMb() < mostMb) {
+        long requiredMb = (Runtime.getRuntime().maxMemory() >> MB_SHIFT) + NON_HEAP_MB;
+        if (config.memoryLimitMb() > 0 && config.memoryLimitMb() < requiredMb) {
             Logger.warn(
                     "field 'limits.memory_mb' is {}: with a full heap this process needs {} MB",
                     config.memoryLimitMb(),
-                    mostMb);
+                    requiredMb);
         }
     }
 
-    /** Runs until the end that was asked for. */
+    /** Serves until {@link #shutDown} or {@link #abort} takes effect. */
     public void run() throws IOException {
         try {
             loop.run(this::endOfTurn);
@@ -149,6 +161,7 @@
         }
     }
 
+    /** The address on which clients connect. */
     public InetSocketAddress address() throws IOException {
         return frontends.get(0).address();
     }
@@ -158,89 +171,89 @@
             frontends.forEach(Frontend::stopListening);
             loop.stop();
         }
-        if (reloadAsked) {
-            reloadAsked = false;
-            loop.releaseClosedChannels(); // files need descriptors
+        if (reloadRequested) {
+            reloadRequested = false;
+            loop.releaseClosedChannels(); // frees descriptors for the files
             reloadOperator();
             reload();
         }
         if (Duration.between(loop.now(), clock.instant()).compareTo(LONG_TURN) >= 0) {
-            feed.readAvailable();
+            endpointWatcher.readAvailable();
         }
         dispatcher.processEvents();
-        if (endAsked) {
-            end.begin();
+        if (shutdownRequested) {
+            shutdown.begin();
         }
-        end.endOfTurn();
+        shutdown.endOfTurn();
     }
 
     /**
-     * Takes over what may change under load: the feed's address, and the events that the new file knows. Guards
-     * what is in service against a file that cannot be used: it is named in the log, and the old one goes on.
+     * Applies the parts of the configuration that may change while serving: the address of the discovery service and
+     * the initial endpoint list. An invalid file is logged and changes nothing.
      */
     private void reload() {
         GatewayConfig next;
         try {
-            next = source.load();
+            next = configSource.load();
         } catch (InvalidFieldException e) {
-            Logger.error("configuration not taken over: {}", e.getMessage());
+            Logger.error("configuration not applied: {}", e.getMessage());
             return;
         }
         if (!next.differsOnlyInDiscoveryFrom(config)) {
-            Logger.warn("configuration: only 'feed' and 'known' are taken over, the rest at the next start");
+            Logger.warn("configuration: only 'feed' and 'known' are applied now, other changes at the next start");
         }
-        if (next.names().equals(config.names())) { // events name things by their position there
-            next.initialListEvents().forEach(feed::apply);
+        if (next.names().equals(config.names())) { // events refer to these names by index
+            next.initialListEvents().forEach(endpointWatcher::apply);
         }
-        feed.setAddress(next.discoveryAddress());
+        endpointWatcher.setAddress(next.discoveryAddress());
     }
 
-    /** Takes the operator's file over whole, or, where anything in it is at fault, nothing of it. */
+    /** Applies the operator's file as a whole; one with an error changes nothing. */
     private void reloadOperator() {
         try {
             OperatorFile next = operatorSource.load();
-            if (!next.equals(operator)) {
-                if (!next.log().equals(operator.log())) {
-                    Logger.warn("operator's file: 'log' is taken over at the next start");
+            if (!next.equals(operatorFile)) {
+                if (!next.log().equals(operatorFile.log())) {
+                    Logger.warn("operator's file: 'log' takes effect at the next start");
                 }
                 dispatcher.applySettings(next.overload());
-                FleetStart.reload(fleet, operator, next);
-                operator = next;
-                Logger.info("operator's file taken over");
+                FleetStart.reload(fleet, operatorFile, next);
+                operatorFile = next;
+                Logger.info("operator's file applied");
             }
         } catch (OperatorFile.InvalidFileException e) {
-            e.errors().messages().forEach(l -> Logger.error("operator's file not taken over: {}", l));
+            e.errors().messages().forEach(message -> Logger.error("operator's file not applied: {}", message));
         }
     }
 
-    /** Before {@link #run}: looks every second whether the configuration was replaced, where no signal can tell. */
+    /** Starts checking every second whether the configuration was replaced. To be called before {@link #run}. */
     public void watchConfig() {
-        watch(source.version());
+        checkConfigLater(configSource.version());
     }
 
-    private void watch(String seen) {
-        loop.scheduleAfter(WATCH, () -> {
-            String next = source.version();
-            reloadAsked |= !next.isEmpty() && !next.equals(seen);
-            watch(next.isEmpty() ? seen : next);
+    private void checkConfigLater(String knownVersion) {
+        loop.scheduleAfter(CONFIG_CHECK_INTERVAL, () -> {
+            String next = configSource.version();
+            reloadRequested |= !next.isEmpty() && !next.equals(knownVersion);
+            checkConfigLater(next.isEmpty() ? knownVersion : next);
         });
     }
 
-    /** From any thread: read the configuration and the operator's file again. */
+    /** Requests a reload of the configuration and the operator's file. May be called from any thread. */
     public void reloadConfig() {
-        reloadAsked = true;
+        reloadRequested = true;
         loop.wakeup();
     }
 
-    /** From any thread: end at once, whatever is open. */
+    /** Stops at once without answering open queries. May be called from any thread. */
     public void abort() {
         aborted = true;
         loop.wakeup();
     }
 
-    /** From any thread: take requests for the grace, answer all, then end. */
-    public void end() {
-        endAsked = true;
+    /** Requests a graceful shutdown, see {@link GracefulShutdown}. May be called from any thread. */
+    public void shutDown() {
+        shutdownRequested = true;
         loop.wakeup();
     }
 }
--- a/gateway/src/main/java/sandpaddle/app/SimulatorCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/SimulatorCommand.java
@@ -9,11 +9,11 @@
 import sandpaddle.simulator.SimulatorAdapter;
 import sandpaddle.simulator.SimulatorProtocolException;
 
-/** {@code adapter}: many instances of the decision module on the simulator's wire. */
+/** {@code adapter}: runs instances of the decision module under the simulator's protocol. */
 @Command(
         name = "adapter",
         mixinStandardHelpOptions = true,
-        description = "Speaks the simulator's wire on standard input and output, until the input ends.")
+        description = "Serves the simulator's protocol on standard input and output until the input ends.")
 final class SimulatorCommand implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -25,6 +25,6 @@
         } catch (IOException e) {
             System.err.println("sandpaddle: input or output failed: " + e.getMessage());
         }
-        return Main.FAILED;
+        return Main.EXIT_FAILURE;
     }
 }
--- a/gateway/src/main/java/sandpaddle/app/VersionCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/VersionCommand.java
@@ -4,8 +4,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 
-/** {@code version}: of the program and of the Java that runs it. */
-@Command(name = "version", mixinStandardHelpOptions = true, description = "Prints the version.")
+/** {@code version}: prints the versions of the program and of the Java runtime. */
+@Command(
+        name = "version",
+        mixinStandardHelpOptions = true,
+        description = "Prints the versions of the program and of the Java runtime.")
 final class VersionCommand implements Callable<Integer>, IVersionProvider {
     @Override
     public Integer call() {
--- a/gateway/src/test/java/sandpaddle/app/CommandLineTest.java
+++ b/gateway/src/test/java/sandpaddle/app/CommandLineTest.java
@@ -15,29 +15,30 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** The command line: commands, options, output and exit codes. */
 class CommandLineTest {
     @TempDir
     private Path folder;
 
-    /** Guards the short way past picocli: what it reads, picocli reads alike; all else it leaves to picocli. */
+    /** The parser of simple command lines gives the same result as picocli, and leaves all others to picocli. */
     @Test
-    void thePlainFormsAreReadAsPicocliReadsThem() {
-        List<String[]> plain = List.of(
+    void simpleCommandLinesAreParsedAsByPicocli() {
+        List<String[]> simpleLines = List.of(
                 new String[] {"serve"},
                 new String[] {"serve", "--operator", "f.json"},
                 new String[] {"serve", "--log", "json"},
                 new String[] {"serve", "--log", "human", "--operator", "a b"});
-        for (String[] args : plain) {
-            ServeCommand quick = ServeCommand.plain(args);
-            assertNotNull(quick, String.join(" ", args));
-            ServeCommand full = new ServeCommand();
-            new CommandLine(full)
+        for (String[] args : simpleLines) {
+            ServeCommand simple = ServeCommand.parseSimple(args);
+            assertNotNull(simple, String.join(" ", args));
+            ServeCommand complete = new ServeCommand();
+            new CommandLine(complete)
                     .setCaseInsensitiveEnumValuesAllowed(true)
                     .parseArgs(java.util.Arrays.copyOfRange(args, 1, args.length));
-            assertEquals(full.operator(), quick.operator());
-            assertEquals(full.log(), quick.log());
+            assertEquals(complete.operator(), simple.operator());
+            assertEquals(complete.log(), simple.log());
         }
-        List<String[]> others = List.of(
+        List<String[]> otherLines = List.of(
                 new String[] {},
                 new String[] {"serv"},
                 new String[] {"serve", "--help"},
@@ -46,36 +47,39 @@
                 new String[] {"serve", "--operator", "--log"},
                 new String[] {"serve", "--log", "json", "--log", "json"},
                 new String[] {"serve", "--operator=f.json"});
-        for (String[] args : others) {
-            assertNull(ServeCommand.plain(args), String.join(" ", args));
+        for (String[] args : otherLines) {
+            assertNull(ServeCommand.parseSimple(args), String.join(" ", args));
         }
     }
 
-    private static String printed(int code, String... args) {
-        PrintStream before = System.out;
+    private static String outputOf(int exitCode, String... args) {
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(code, Main.run(args), String.join(" ", args));
+            assertEquals(exitCode, Main.run(args), String.join(" ", args));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void checkTellsEveryFaultAndEndsWithTwo() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"log\": {\"level\": 1}, \"strom\": {}}");
-        String out = printed(2, "check", "deploy/sandpaddle.json", bad.toString(), "--config", "examples/config.json");
-        assertTrue(out.contains("deploy/sandpaddle.json: good\n"), out);
-        assertTrue(out.contains(bad + ":1:19: log.level: found 1; allowed: one of \"debug\""), out);
-        assertTrue(out.contains(bad + ":1:32: strom: found an unknown key; allowed: 'storm', if that was meant"), out);
-        assertTrue(out.contains(bad + ": faults: 2\n"), out);
-        assertTrue(out.contains("examples/config.json: good\n"), out);
+    void checkReportsEveryErrorAndExitsWithTwo() throws Exception {
+        Path invalid = Files.writeString(folder.resolve("bad.json"), "{\"log\": {\"level\": 1}, \"strom\": {}}");
+        String output =
+                outputOf(2, "check", "deploy/sandpaddle.json", invalid.toString(), "--config", "examples/config.json");
+        assertTrue(output.contains("deploy/sandpaddle.json: valid\n"), output);
+        assertTrue(output.contains(invalid + ":1:19: log.level: found 1; allowed: one of \"debug\""), output);
+        assertTrue(
+                output.contains(invalid + ":1:32: strom: found an unknown key; allowed: 'storm', if that was meant"),
+                output);
+        assertTrue(output.contains(invalid + ": errors: 2\n"), output);
+        assertTrue(output.contains("examples/config.json: valid\n"), output);
     }
 
     @Test
-    void checkWithoutAFileIsAFaultOfTheCommandLine() {
+    void checkWithoutReadableFileExitsWithTwo() {
         assertEquals(2, Main.run("check"));
         assertEquals(2, Main.run("check", folder.resolve("missing.json").toString()));
         assertEquals(2, Main.run("no-such-command"));
@@ -83,9 +87,9 @@
 
     @Test
     void helpShowsExamplesAndExitCodes() {
-        String out = printed(0, "--help");
-        assertTrue(out.contains("Examples:") && out.contains("Exit codes:"), out);
-        assertTrue(printed(0, "help", "serve").contains("--operator"), out);
-        assertTrue(printed(0, "version").startsWith("sandpaddle "));
+        String output = outputOf(0, "--help");
+        assertTrue(output.contains("Examples:") && output.contains("Exit codes:"), output);
+        assertTrue(outputOf(0, "help", "serve").contains("--operator"), output);
+        assertTrue(outputOf(0, "version").startsWith("sandpaddle "));
     }
 }
--- a/gateway/src/test/java/sandpaddle/app/HangUpTest.java
+++ b/gateway/src/test/java/sandpaddle/app/HangUpTest.java
@@ -11,18 +11,19 @@
 import org.testng.annotations.Test;
 import sun.misc.Signal;
 
+/** Handling of SIGHUP. */
 public class HangUpTest {
-    /** Guards against the end of the JVM on SIGHUP. */
+    /** Without a handler, the JVM exits on SIGHUP. */
     @Test
-    public void theSignalRunsTheTaskEachTimeAndTheProcessLives() throws Exception {
+    public void runsTheTaskOnEachSignal() throws Exception {
         CountDownLatch twice = new CountDownLatch(2);
-        if (isIgnored()) { // as nohup asks: the JVM leaves it so
-            assertFalse(ServeCommand.onHangUp(twice::countDown));
+        if (isIgnored()) { // as under nohup; the JVM keeps ignoring the signal
+            assertFalse(ServeCommand.handleHangUp(twice::countDown));
             return;
         }
-        assertTrue(ServeCommand.onHangUp(twice::countDown));
+        assertTrue(ServeCommand.handleHangUp(twice::countDown));
         Signal.raise(new Signal("HUP"));
-        for (int i = 0; i < 500 && twice.getCount() > 1; i++) { // two at once may count as one
+        for (int i = 0; i < 500 && twice.getCount() > 1; i++) { // signals at the same time may be merged into one
             twice.await(10, TimeUnit.MILLISECONDS);
         }
         Signal.raise(new Signal("HUP"));
@@ -32,7 +33,7 @@
     /** Whether this process was started with SIGHUP ignored (proc(5), {@code SigIgn}: the lowest bit is signal 1). */
     private static boolean isIgnored() throws IOException {
         String mask = Files.readAllLines(Path.of("/proc/self/status")).stream()
-                .filter(l -> l.startsWith("SigIgn:"))
+                .filter(line -> line.startsWith("SigIgn:"))
                 .findFirst()
                 .orElseThrow()
                 .substring("SigIgn:".length())
--- a/gateway/src/test/java/sandpaddle/app/LayersTest.java
+++ b/gateway/src/test/java/sandpaddle/app/LayersTest.java
@@ -9,14 +9,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Guards the direction of imports that README's table tells. */
+/** The permitted dependencies between packages, as in the table of the README. */
 class LayersTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("sandpaddle");
 
     @Test
-    void nothingKnowsTheCompositionRoot() {
+    void noPackageDependsOnTheCompositionRoot() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("sandpaddle.app..")
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theCoreKnowsNoProtocol() {
+    void coreDependsOnNoProtocol() {
         noClasses()
                 .that()
                 .resideInAnyPackage("sandpaddle.query..", "sandpaddle.dispatch..", "sandpaddle.decision..")
@@ -44,9 +44,9 @@
                 .check(ALL);
     }
 
-    /** Decisions have no sockets, files, threads or clock, and write no log. */
+    /** The decision module uses no sockets, files, threads or clock, and writes no log. */
     @Test
-    void decisionsAreFreeOfInputOutputAndClock() {
+    void decisionModuleUsesNoInputOutputOrClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage("sandpaddle.decision..")
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void theAdapterStandsOnTheModuleAlone() {
+    void simulatorDependsOnlyOnTheDecisionModule() {
         classes()
                 .that()
                 .resideInAPackage("sandpaddle.simulator..")
--- a/gateway/src/test/java/sandpaddle/app/OperatorWordsTest.java
+++ b/gateway/src/test/java/sandpaddle/app/OperatorWordsTest.java
@@ -17,31 +17,31 @@
 import sandpaddle.recorded.RecordedFile;
 
 /**
- * Keys of log lines, settings and figures that the operators' pages name are still in the program: dashboards and
- * alerts look for them. A word leaves the record only together with its page.
+ * Keys of log lines, settings and metrics that the operators' pages name exist in the program, since dashboards and
+ * alerts depend on them. A word is removed from the recorded list only together with its page.
  */
 class OperatorWordsTest {
     private static final Path PAGES = Path.of("docs/operators");
     private static final Path SOURCES = Path.of("gateway/src/main/java");
     private static final Path SCHEMA = Path.of("deploy/sandpaddle.schema.json");
     private static final Pattern QUOTED = Pattern.compile("`([a-z][a-z0-9_.]*)`");
-    private static final RecordedFile RECORD = new RecordedFile("operator-words.txt");
+    private static final RecordedFile RECORDED = new RecordedFile("operator-words.txt");
 
     private static List<Path> files(Path root, String ending) throws IOException {
         try (Stream<Path> all = Files.walk(root)) {
-            return all.filter(p -> p.toString().endsWith(ending)).sorted().toList();
+            return all.filter(path -> path.toString().endsWith(ending)).sorted().toList();
         }
     }
 
-    private static Set<String> namedByPages() throws IOException {
+    private static Set<String> wordsOfPages() throws IOException {
         Set<String> words = new TreeSet<>();
         for (Path page : files(PAGES, ".md")) {
-            QUOTED.matcher(Files.readString(page)).results().forEach(r -> words.add(r.group(1)));
+            QUOTED.matcher(Files.readString(page)).results().forEach(match -> words.add(match.group(1)));
         }
         return words;
     }
 
-    private static Set<String> inTheProgram() throws IOException {
+    private static Set<String> wordsOfProgram() throws IOException {
         Set<String> words = new TreeSet<>();
         for (Path source : files(SOURCES, ".java")) {
             for (String literal : SiteNamesTest.literals(Files.readString(source))) {
@@ -53,22 +53,22 @@
     }
 
     @Test
-    void wordsOnRecordAreInTheProgram() throws IOException {
-        Set<String> program = inTheProgram();
-        if (RECORD.isRecording()) {
-            RECORD.check(namedByPages().stream().filter(program::contains).toList());
+    void recordedWordsAreInTheProgram() throws IOException {
+        Set<String> program = wordsOfProgram();
+        if (RECORDED.isRecording()) {
+            RECORDED.check(wordsOfPages().stream().filter(program::contains).toList());
         }
-        List<String> missing = new ArrayList<>(RECORD.lines());
+        List<String> missing = new ArrayList<>(RECORDED.lines());
         assertTrue(missing.size() > 50, "words " + missing.size());
         missing.removeAll(program);
         assertEquals(List.of(), missing);
     }
 
     @Test
-    void wordsOnRecordAreNamedByAPage() throws IOException {
-        Set<String> named = namedByPages();
+    void recordedWordsAreOnAPage() throws IOException {
+        Set<String> named = wordsOfPages();
         assertEquals(
                 List.of(),
-                RECORD.lines().stream().filter(w -> !named.contains(w)).collect(Collectors.toList()));
+                RECORDED.lines().stream().filter(word -> !named.contains(word)).collect(Collectors.toList()));
     }
 }
--- a/gateway/src/test/java/sandpaddle/app/OuterNamesTest.java
+++ b/gateway/src/test/java/sandpaddle/app/OuterNamesTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Names that leave the process are still in the sources: fields and values of messages, keys of settings and files, file
- * names, commands, options, environment variables, keys of log lines, and texts that clients receive.
+ * Names that leave the process are still in the sources: fields and values of messages, keys of settings and files,
+ * file names, commands, options, environment variables, keys of log lines, and texts that clients receive.
  *
  * <p>{@code outer-names.txt} has one name a line, below a heading {@code == title: paths} with the files or directories
  * that must contain it. A name is removed only together with the protocol, file format or page that defines it.
@@ -125,13 +125,14 @@
         assertTrue(counts.values().stream().mapToInt(Integer::intValue).sum() > 900, "names " + counts);
     }
 
-    /** The check itself: what counts as containing a name, and what does not. */
+    /** Tests the check itself: what counts as containing a name and what does not. */
     @Test
-    void missingNamesAreFound() {
+    void findsMissingNames() {
         Sources sources = new Sources();
         sources.addFile(
                 true,
-                "// \"comment\"\nenum E {\n    ONE,\n    TWO\n}\nrecord Served() {}\nfinal String X = \"\\r\\nX-Trace: \" + key(\"route\");");
+                "// \"comment\"\nenum E {\n    ONE,\n    TWO\n}\nrecord Served() {}\n"
+                        + "final String X = \"\\r\\nX-Trace: \" + key(\"route\");");
         sources.addFile(false, "build = \"x\"\nAND : 'and' ;\n{\"fleet\": 1}");
         for (String name : List.of("ONE", "TWO", "Served", "X-Trace: ", "route", "build", "and", "fleet")) {
             assertTrue(sources.contain(name), name);
--- a/gateway/src/test/java/sandpaddle/app/SiteNamesTest.java
+++ b/gateway/src/test/java/sandpaddle/app/SiteNamesTest.java
@@ -17,11 +17,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No site's names stand in the program or in what it is started with: a gateway that knows one by its name would decide
- * otherwise at the next. The names are those of the sites under {@code deploy/sites}, and of the known ones.
+ * The program and the files that it is started with contain no name of a particular deployment, since decisions that
+ * depend on such a name would differ between deployments. The names are those of the deployments under {@code
+ * deploy/sites} and a fixed list.
  */
 class SiteNamesTest {
-    private static final Set<String> KNOWN = Set.of(
+    private static final Set<String> KNOWN_NAMES = Set.of(
             "catania",
             "catania-campus",
             "wifaq",
@@ -36,8 +37,8 @@
             "toy",
             "toy-a",
             "toy-b");
-    /** Words of a protocol that happen to be a site's name, as file and literal. */
-    private static final Set<String> WORDS = Set.of(
+    /** Protocol words that are also names of deployments, as file name and literal. */
+    private static final Set<String> PROTOCOL_WORDS = Set.of(
             "DecisionSettingsReader.java report", // a key of the settings
             "PlatformNames.java report",
             "JsonObject.java load", // the key of a load report
@@ -45,39 +46,39 @@
             "SimulatorEventReader.java left", // an event
             "DecisionSettingsReader.java tenants"); // a key of the settings
 
-    private static final Pattern JAVA = Pattern.compile(
+    private static final Pattern COMMENT_OR_LITERAL = Pattern.compile(
             "//[^\\n]*|/\\*.*?\\*/|'(?:\\\\.|[^'\\\\])*'"
                     + "|\"\"\"(?<block>.*?)\"\"\"|\"(?<text>(?:\\\\.|[^\"\\\\\\n])*)\"",
             Pattern.DOTALL);
-    private static final Pattern TABLE = Pattern.compile("^\\[+([a-z._]+)]+\\s*$");
-    private static final Pattern NAME = Pattern.compile("^name\\s*=\\s*\"([^\"]+)\"");
-    private static final Pattern ZONES = Pattern.compile("^zones\\s*=\\s*\\[(.*)]");
-    private static final Set<String> NAMED = Set.of("", "tier", "tier.kind", "class", "tenant");
+    private static final Pattern TABLE_HEADING = Pattern.compile("^\\[+([a-z._]+)]+\\s*$");
+    private static final Pattern NAME_ENTRY = Pattern.compile("^name\\s*=\\s*\"([^\"]+)\"");
+    private static final Pattern ZONES_ENTRY = Pattern.compile("^zones\\s*=\\s*\\[(.*)]");
+    private static final Set<String> TABLES_WITH_NAMES = Set.of("", "tier", "tier.kind", "class", "tenant");
 
-    /** What a site's file names: itself, tiers, kinds of machines, classes, tenants and zones. */
+    /** The names in a deployment's file: itself, tiers, engine kinds, request classes, tenants and zones. */
     static Set<String> names(List<String> site) {
         Set<String> names = new TreeSet<>();
         String table = "";
         for (String line : site) {
-            Matcher head = TABLE.matcher(line);
-            table = head.matches() ? head.group(1) : table;
-            Matcher name = NAME.matcher(line);
-            if (name.find() && NAMED.contains(table)) {
+            Matcher heading = TABLE_HEADING.matcher(line);
+            table = heading.matches() ? heading.group(1) : table;
+            Matcher name = NAME_ENTRY.matcher(line);
+            if (name.find() && TABLES_WITH_NAMES.contains(table)) {
                 names.add(name.group(1));
             }
-            Matcher zones = ZONES.matcher(line);
+            Matcher zones = ZONES_ENTRY.matcher(line);
             if (zones.find()) {
                 Pattern.compile("\"([^\"]+)\"")
                         .matcher(zones.group(1))
                         .results()
-                        .forEach(z -> names.add(z.group(1)));
+                        .forEach(zone -> names.add(zone.group(1)));
             }
         }
         return names;
     }
 
     private static Set<String> names() throws IOException {
-        Set<String> names = new TreeSet<>(KNOWN);
+        Set<String> names = new TreeSet<>(KNOWN_NAMES);
         for (Path site : files(Path.of("deploy"), ".toml")) {
             if (site.startsWith("deploy/sites")) {
                 names.addAll(names(Files.readAllLines(site)));
@@ -88,44 +89,48 @@
 
     private static List<Path> files(Path root, String ending) throws IOException {
         try (Stream<Path> all = Files.walk(root)) {
-            return all.filter(p -> p.toString().endsWith(ending)).sorted().toList();
+            return all.filter(path -> path.toString().endsWith(ending)).sorted().toList();
         }
     }
 
-    /** The texts of a Java source, without its comments. */
+    /** The string literals of a Java source, without its comments. */
     static List<String> literals(String source) {
         List<String> found = new ArrayList<>();
-        Matcher m = JAVA.matcher(source);
-        while (m.find()) {
-            if (m.group("text") != null) {
-                found.add(m.group("text"));
-            } else if (m.group("block") != null) {
-                found.addAll(m.group("block").strip().lines().map(String::strip).toList());
+        Matcher matcher = COMMENT_OR_LITERAL.matcher(source);
+        while (matcher.find()) {
+            if (matcher.group("text") != null) {
+                found.add(matcher.group("text"));
+            } else if (matcher.group("block") != null) {
+                found.addAll(matcher.group("block")
+                        .strip()
+                        .lines()
+                        .map(String::strip)
+                        .toList());
             }
         }
         return found;
     }
 
     @Test
-    void noLiteralOfTheProgramIsASitesName() throws IOException {
+    void programContainsNoDeploymentName() throws IOException {
         Set<String> names = names();
         Set<String> found = new TreeSet<>();
-        int seen = 0;
+        int literalCount = 0;
         for (Path file : files(Path.of("gateway/src/main/java"), ".java")) {
             for (String literal : literals(Files.readString(file))) {
-                seen++;
+                literalCount++;
                 if (names.contains(literal)) {
                     found.add(file.getFileName() + " " + literal);
                 }
             }
         }
-        found.removeAll(WORDS);
+        found.removeAll(PROTOCOL_WORDS);
         assertEquals(Set.of(), found);
-        assertTrue(seen > 1000, "literals " + seen);
+        assertTrue(literalCount > 1000, "literals " + literalCount);
     }
 
     @Test
-    void nothingThatTheProgramIsStartedWithNamesASite() throws IOException {
+    void deployedFilesContainNoDeploymentName() throws IOException {
         Set<String> words = new HashSet<>();
         for (String file : List.of("deploy/balancer.toml", "deploy/sandpaddle.json")) {
             words.addAll(List.of(Files.readString(Path.of(file)).split("[^A-Za-z0-9_-]+")));
@@ -135,9 +140,9 @@
         assertEquals(Set.of(), words);
     }
 
-    /** The check itself: comments, letters and escapes are no literals, and a name among them is found. */
+    /** Tests the check itself: comments and characters are not literals, escapes are handled, and names are found. */
     @Test
-    void literalsAndNamesAreFound() {
+    void findsLiteralsAndNames() {
         String source = "// 'load\"\n/* \"lookup\" */ if (s.equals(\"hall-a\") || c == '\"') { t = \"a\\\"b\"; }\n"
                 + "u = \"\"\"\n    x\n    y\n    \"\"\";\nv = \"z\";\n";
         assertEquals(List.of("hall-a", "a\\\"b", "x", "y", "z"), literals(source));
--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is static never changes: nothing of one gateway can reach another one in its process that way. The values are
- * looked into, down to texts, numbers and the like.
+ * Static fields are final and deeply immutable, so that gateways in one process share no state through them. Values are
+ * inspected recursively down to strings, numbers and the like.
  */
 class StaticStateTest {
-    /** What may be of a type that can change, and why nothing of a gateway is in it. */
-    private static final Map<String, String> EXCEPT = Map.ofEntries(
-            Map.entry("decision.loadview.LoadView.RESOURCE_SHARES", "private, asked only whether it holds a value"),
+    /** Fields of a mutable type, with the reason why they hold no state of a gateway. */
+    private static final Map<String, String> EXCEPTIONS = Map.ofEntries(
+            Map.entry("decision.loadview.LoadView.RESOURCE_SHARES", "private, only checked for containing a value"),
             Map.entry("codec.HttpWriter.LAST_CHUNK", "private, only copied from"),
             Map.entry("codec.ContentEncoder.GZIP_HEAD", "private, only copied from"),
             Map.entry("fleet.link.queue.SendQueue.MAX_PERCENT_BY_URGENCY", "private, only read by place"),
@@ -34,16 +34,16 @@
             Map.entry("config.JsonObject.FACTORY", "the library's table of keys it has read"),
             Map.entry("config.LocatedJson.FACTORY", "the library's table of keys it has read"),
             Map.entry("fleet.wire.CborIn.FACTORY", "the library's table of keys it has read"),
-            Map.entry("fleet.wire.CborOut.FACTORY", "the library's, without state for writing"),
+            Map.entry("fleet.wire.CborOut.FACTORY", "the library's, stateless for writing"),
             Map.entry("log.LogEvent.LOG", "the process has one log"),
             Map.entry("fleet.member.Roster.EMPTY", "an empty tree that is only copied"),
-            Map.entry("fleet.store.mv.DiskPath.OFFERED", "files on their way to the store's library, by number"),
-            Map.entry("fleet.store.mv.DiskPath.NUMBER", "the numbers of those"),
-            Map.entry("fleet.node.pool.PoolTargets.NONE", "maps that only its constructor fills: empty"),
-            Map.entry("fleet.outage.schedule.Schedule.NONE", "remembers halls that a rule names: none"),
-            Map.entry("fleet.state.raft.RaftCodec.MODEL", "the library's, without state"));
+            Map.entry("fleet.store.mv.DiskPath.OFFERED", "files being handed to the store's library, by number"),
+            Map.entry("fleet.store.mv.DiskPath.NUMBER", "the counter of those numbers"),
+            Map.entry("fleet.node.pool.PoolTargets.NONE", "maps that only its constructor fills; empty"),
+            Map.entry("fleet.outage.schedule.Schedule.NONE", "caches the zones that rules name; none"),
+            Map.entry("fleet.state.raft.RaftCodec.MODEL", "the library's, stateless"));
 
-    private static final Set<String> PLAIN = Set.of(
+    private static final Set<String> IMMUTABLE_TYPES = Set.of(
             "java.lang.String",
             "java.lang.Class",
             "java.lang.Object",
@@ -51,14 +51,14 @@
             "java.math.BigDecimal",
             "java.math.BigInteger",
             "java.time.format.DateTimeFormatter");
-    private static final List<String> PLAIN_WITHIN = List.of(
+    private static final List<String> IMMUTABLE_PREFIXES = List.of(
             "java.time.",
             "java.lang.invoke.",
             "sun.nio.fs.Unix",
             "sun.nio.cs.",
             "java.util.Comparators$",
             "java.util.Comparator$$Lambda");
-    private static final List<String> SEALED = List.of(
+    private static final List<String> UNMODIFIABLE_COLLECTIONS = List.of(
             "java.util.ImmutableCollections$",
             "java.util.Collections$Unmodifiable",
             "java.util.Collections$Empty",
@@ -67,11 +67,11 @@
 
     private final Map<Object, Boolean> seen = new IdentityHashMap<>();
 
-    /** Null where a value can never change, else what in it can. */
-    private String changes(Object value) throws ReflectiveOperationException {
+    /** Null if a value is deeply immutable; otherwise the mutable part. */
+    private String mutablePart(Object value) throws ReflectiveOperationException {
         if (value == null
                 || seen.put(value, true) != null
-                || value instanceof Number n && isBoxed(n)
+                || value instanceof Number number && isBoxed(number)
                 || value instanceof Boolean
                 || value instanceof Character
                 || value instanceof Enum) {
@@ -79,52 +79,52 @@
         }
         Class<?> type = value.getClass();
         String name = type.getName();
-        if (SEALED.stream().anyMatch(name::startsWith)) {
+        if (UNMODIFIABLE_COLLECTIONS.stream().anyMatch(name::startsWith)) {
             List<Object> parts = new ArrayList<>();
-            if (value instanceof Map<?, ?> m) {
-                parts.addAll(m.keySet());
-                parts.addAll(m.values());
+            if (value instanceof Map<?, ?> map) {
+                parts.addAll(map.keySet());
+                parts.addAll(map.values());
             } else if (value instanceof Collection<?> c) {
                 parts.addAll(c);
             }
-            return changesOfAny(parts);
-        } else if (value instanceof Optional<?> o) {
-            return changes(o.orElse(null));
-        } else if (PLAIN.contains(name) || PLAIN_WITHIN.stream().anyMatch(name::startsWith)) {
+            return mutablePartOfAny(parts);
+        } else if (value instanceof Optional<?> optional) {
+            return mutablePart(optional.orElse(null));
+        } else if (IMMUTABLE_TYPES.contains(name) || IMMUTABLE_PREFIXES.stream().anyMatch(name::startsWith)) {
             return null;
         } else if (name.startsWith("sandpaddle.")) {
-            return changesOfFields(value, type);
+            return mutablePartOfFields(value, type);
         }
         return name;
     }
 
-    private static boolean isBoxed(Number n) {
-        return n.getClass().getPackageName().equals("java.lang");
+    private static boolean isBoxed(Number number) {
+        return number.getClass().getPackageName().equals("java.lang");
     }
 
-    private String changesOfAny(List<Object> parts) throws ReflectiveOperationException {
+    private String mutablePartOfAny(List<Object> parts) throws ReflectiveOperationException {
         for (Object part : parts) {
-            String within = changes(part);
-            if (within != null) {
-                return within;
+            String mutable = mutablePart(part);
+            if (mutable != null) {
+                return mutable;
             }
         }
         return null;
     }
 
-    private String changesOfFields(Object value, Class<?> type) throws ReflectiveOperationException {
+    private String mutablePartOfFields(Object value, Class<?> type) throws ReflectiveOperationException {
         for (Class<?> c = type; c != Object.class; c = c.getSuperclass()) {
-            for (Field f : c.getDeclaredFields()) {
-                if (Modifier.isStatic(f.getModifiers())) {
+            for (Field field : c.getDeclaredFields()) {
+                if (Modifier.isStatic(field.getModifiers())) {
                     continue;
                 }
-                if (!Modifier.isFinal(f.getModifiers())) {
-                    return c.getName() + "." + f.getName();
+                if (!Modifier.isFinal(field.getModifiers())) {
+                    return c.getName() + "." + field.getName();
                 }
-                f.setAccessible(true);
-                String within = changes(f.get(value));
-                if (within != null) {
-                    return f.getName() + ": " + within;
+                field.setAccessible(true);
+                String mutable = mutablePart(field.get(value));
+                if (mutable != null) {
+                    return field.getName() + ": " + mutable;
                 }
             }
         }
@@ -132,37 +132,39 @@
     }
 
     @Test
-    void nothingStaticEverChanges() throws ReflectiveOperationException {
-        Set<String> faults = new TreeSet<>();
-        Set<String> excepted = new TreeSet<>();
+    void staticFieldsAreDeeplyImmutable() throws ReflectiveOperationException {
+        Set<String> violations = new TreeSet<>();
+        Set<String> usedExceptions = new TreeSet<>();
         int fields = 0;
         for (JavaClass c : new ClassFileImporter()
                 .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                 .importPackages("sandpaddle")) {
             if (c.getAllRawSuperclasses().stream()
-                    .anyMatch(s -> s.getPackageName().startsWith("org.antlr"))) {
-                continue; // generated: tables of the grammar, the same for all
+                    .anyMatch(superclass -> superclass.getPackageName().startsWith("org.antlr"))) {
+                continue; // generated: tables of the grammar, shared by all gateways
             }
-            for (Field f : c.reflect().getDeclaredFields()) {
-                if (!Modifier.isStatic(f.getModifiers()) || f.isSynthetic()) {
+            for (Field field : c.reflect().getDeclaredFields()) {
+                if (!Modifier.isStatic(field.getModifiers()) || field.isSynthetic()) {
                     continue;
                 }
                 fields++;
-                String name = (c.getName() + "." + f.getName()).substring("sandpaddle.".length());
-                String fault = !Modifier.isFinal(f.getModifiers()) ? "not final" : null;
-                if (fault == null && !f.getType().isPrimitive()) {
-                    f.setAccessible(true);
-                    fault = changes(f.get(null));
+                String name = (c.getName() + "." + field.getName()).substring("sandpaddle.".length());
+                String violation = !Modifier.isFinal(field.getModifiers()) ? "not final" : null;
+                if (violation == null && !field.getType().isPrimitive()) {
+                    field.setAccessible(true);
+                    violation = mutablePart(field.get(null));
                 }
-                if (fault != null && EXCEPT.containsKey(name)) {
-                    excepted.add(name);
-                } else if (fault != null) {
-                    faults.add(name + ": " + fault);
+                if (violation != null && EXCEPTIONS.containsKey(name)) {
+                    usedExceptions.add(name);
+                } else if (violation != null) {
+                    violations.add(name + ": " + violation);
                 }
             }
         }
-        assertEquals(Set.of(), faults);
-        assertEquals(new TreeSet<>(EXCEPT.keySet()), excepted); // one that is no longer needed goes
+        assertEquals(Set.of(), violations);
+        assertEquals(
+                new TreeSet<>(EXCEPTIONS.keySet()),
+                usedExceptions); // an exception that is no longer needed must be removed
         assertTrue(fields > 300, "fields " + fields);
     }
 }
--- a/gateway/src/test/java/sandpaddle/crossing/PipelinedCommandsTest.java
+++ b/gateway/src/test/java/sandpaddle/crossing/PipelinedCommandsTest.java
@@ -79,7 +79,7 @@
             x.pass(Duration.ofMillis(3600));
             assertEquals(c.answers(), List.of("1105", "1203", "1203"));
             assertEquals(x.worker.calls("POST"), 1);
-            assertEquals(x.end.phase(), GracefulShutdown.ShutdownPhase.OVER);
+            assertEquals(x.end.phase(), GracefulShutdown.ShutdownPhase.TERMINATED);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/story/GatewayStories.java
+++ b/gateway/src/test/java/sandpaddle/story/GatewayStories.java
@@ -533,7 +533,7 @@
             var early = stage.client();
             early.write(Client.query(Stage.fields("lookup", 1, 7000) + SQL));
             engine.next("POST");
-            stage.server.end();
+            stage.server.shutDown();
             var late = stage.client();
             late.write(Client.query(Stage.fields("load", 2, 7000) + SQL));
             engine.next("POST");
--- a/gateway/src/test/java/sandpaddle/story/ListStories.java
+++ b/gateway/src/test/java/sandpaddle/story/ListStories.java
@@ -161,7 +161,7 @@
             link = heard(feed, link, 2);
             Client client = stage.client();
             client.write(Client.query(Stage.fields("load", 1, 8000) + SQL));
-            stage.server.end();
+            stage.server.shutDown();
             link.line(Stage.event(3, true, Stage.host("e1", second, "Ready")));
             assertEquals(client.answer(), "2nd||");
             assertEquals(first.count("POST"), 0);
