--- a/gateway/src/main/java/sandpaddle/simulator/SimulatorActionWriter.java
+++ b/gateway/src/main/java/sandpaddle/simulator/SimulatorActionWriter.java
@@ -14,8 +14,8 @@
 import sandpaddle.decision.action.SubscribeToEngineList;
 
 /**
- * Maps the actions of the decision module to the simulator's: one line each, an object whose only key is the action's
- * name on the wire. {@link SimulatorEventReader} maps the other direction.
+ * Writes the actions of the decision module in the simulator's protocol: one line per action, an object whose only key
+ * is the action's name on the wire. {@link SimulatorEventReader} reads the events.
  */
 final class SimulatorActionWriter {
     private final JsonGenerator json;
@@ -24,7 +24,7 @@
         this.json = json;
     }
 
-    /** Acknowledges a batch of events after its actions, and flushes. */
+    /** Acknowledges a batch of events after its actions have been written, and flushes the output. */
     void endBatch(long batch) throws IOException {
         json.writeStartObject();
         json.writeObjectFieldStart("ok");
@@ -35,7 +35,7 @@
         json.flush();
     }
 
-    /** Writes an action of a gateway. */
+    /** Writes an action that a gateway's module has emitted. */
     void write(String gateway, Action action) throws IOException {
         json.writeStartObject();
         writeBody(gateway, action);
--- a/gateway/src/main/java/sandpaddle/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/sandpaddle/simulator/SimulatorAdapter.java
@@ -26,23 +26,25 @@
 import sandpaddle.decision.event.Event;
 
 /**
- * Connects instances of {@link DecisionModule}, one for each simulated gateway, to the simulator's protocol: a line of
- * JSON for each event on the input and each action on the output, in batches at one virtual time each. It translates
- * and decides nothing. Single-threaded; bounded by the gateways and endpoint lists that the simulator declares.
+ * Connects instances of {@link DecisionModule}, one per simulated gateway, to the simulator's protocol: one line of
+ * JSON per event on the input and per action on the output, in batches with one virtual time each. The adapter only
+ * translates; the module makes all decisions. Single-threaded; its memory is bounded by the number of gateways and
+ * endpoint lists that the simulator declares.
  */
 public final class SimulatorAdapter {
+    /** Event name in error messages about a line whose event is unknown. */
     private static final String NO_EVENT = "-";
 
     private final JsonParser input;
     private final SimulatorActionWriter output;
-    private final Map<String, DecisionModule> modules = new HashMap<>(); // by gateway
-    private final Map<Long, List<EngineEntry>> declaredLists = new HashMap<>();
+    private final Map<String, DecisionModule> modules = new HashMap<>(); // by name of the gateway
+    private final Map<Long, List<EngineEntry>> declaredLists = new HashMap<>(); // by id of the list
     private final Set<String> printedWarnings = new HashSet<>();
     private long nowUs;
     private long batch;
     private String eventName = NO_EVENT;
 
-    /** Reads events from {@code input} and writes actions to {@code output}; closes neither. */
+    /** Creates an adapter that reads events from {@code input} and writes actions to {@code output}; closes neither. */
     public SimulatorAdapter(InputStream input, OutputStream output) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.input = factory.createParser(input);
@@ -51,7 +53,11 @@
         this.output = new SimulatorActionWriter(generator);
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Handles events until the end of the input.
+     *
+     * @throws SimulatorProtocolException if a line cannot be handled
+     */
     public void run() throws IOException, SimulatorProtocolException {
         try {
             JsonToken token = input.nextToken();
@@ -95,7 +101,7 @@
             case "end" -> output.endBatch(batch);
             case "pool" -> declaredLists.put(fields.integer("set_id"), SimulatorEventReader.readEngineEntries(fields));
             case "configure" -> startGateway(fields);
-            case "memo" -> module(fields); // a message of a peer: ignored, since gateways share nothing here
+            case "memo" -> module(fields); // message from another gateway: ignored, as none are needed
             case "teardown" -> stopGateway(fields);
             case "endpoints" -> handle(SimulatorEventReader.readEngineList(fields, declaredLists), fields);
             default -> {
@@ -123,7 +129,7 @@
         } catch (IllegalArgumentException e) {
             throw error(e.getMessage());
         }
-        warnings.stream() // all gateways have the same settings: print each warning once
+        warnings.stream() // all gateways have the same settings, so each warning is printed once
                 .filter(printedWarnings::add)
                 .forEach(warning -> System.err.println("sandpaddle: " + warning));
     }
--- a/gateway/src/main/java/sandpaddle/simulator/SimulatorEventReader.java
+++ b/gateway/src/main/java/sandpaddle/simulator/SimulatorEventReader.java
@@ -21,7 +21,8 @@
 import sandpaddle.decision.event.TimerFired;
 
 /**
- * Maps the simulator's events to those of the decision module; {@link SimulatorActionWriter} maps the other direction.
+ * Reads the events of the simulator's protocol as events of the decision module. {@link SimulatorActionWriter} writes
+ * the actions.
  */
 final class SimulatorEventReader {
     private static final Map<String, AttemptResult> RESULTS = Map.of(
@@ -54,7 +55,9 @@
             EngineListKind.FAILED);
     private static final int NO_DATA_GROUP = -1;
     private static final double DEFAULT_RATING = 1;
-    private static final long MEMORY_UNITS = 4096; // used_up is work times this plus memory in units
+    /** The field {@code used_up} is the work in milliseconds times this factor, plus the memory in units. */
+    private static final long USED_WORK_FACTOR = 4096;
+    /** Memory unit of the field {@code used_up}, in MB. */
     private static final long MEMORY_UNIT_MB = 4;
 
     private SimulatorEventReader() {}
@@ -62,7 +65,9 @@
     /**
      * Reads an event other than an endpoint list.
      *
-     * @return null if the name is unknown
+     * @param name name of the event on the wire
+     * @param fields fields of the event
+     * @return the event, or null if the name is unknown
      */
     static Event read(String name, JsonObject fields) throws InvalidFieldException {
         return switch (name) {
@@ -98,8 +103,8 @@
                 fields.oneOf("outcome", RESULTS),
                 fields.flag("settled"),
                 fields.integer("rtt_us"),
-                used / MEMORY_UNITS,
-                used % MEMORY_UNITS * MEMORY_UNIT_MB,
+                used / USED_WORK_FACTOR,
+                used % USED_WORK_FACTOR * MEMORY_UNIT_MB,
                 fields.loadReportOrNull());
     }
 
@@ -124,7 +129,8 @@
     /**
      * Reads an endpoint list.
      *
-     * @param declaredLists entries by the id under which the simulator has declared them
+     * @param fields fields of the event
+     * @param declaredLists entries of the lists that the simulator has declared, by list id
      */
     static EngineListReceived readEngineList(JsonObject fields, Map<Long, List<EngineEntry>> declaredLists)
             throws InvalidFieldException {
--- a/gateway/src/main/java/sandpaddle/simulator/SimulatorProtocolException.java
+++ b/gateway/src/main/java/sandpaddle/simulator/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package sandpaddle.simulator;
 
-/** A line of the simulator that cannot be handled. The message names the line's number, its event and the problem. */
+/** Thrown for a line of the simulator that cannot be handled; the message states line number, event and problem. */
 public final class SimulatorProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
