--- a/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
@@ -45,9 +45,9 @@
         if (slowStartFrom == 0) {
             rules.warn("cold_from", "is 0: an engine gets nothing as it starts, and more as it warms up");
         }
-        long overloadSpanUs = rules.micros("fall_us");
+        long overloadWindowUs = rules.micros("fall_us");
         double overloadMultiple = rules.number("tip_multiple", 0, LenientReader.MAX_FACTOR, "");
-        if (overloadMultiple == 0 || overloadSpanUs == 0) {
+        if (overloadMultiple == 0 || overloadWindowUs == 0) {
             String field = overloadMultiple == 0 ? "tip_multiple" : "fall_us";
             rules.warn(field, "is 0: cold engines get next to nothing until they are warm");
         }
@@ -62,7 +62,7 @@
                 slowStartFrom,
                 rules.micros("cold_us"),
                 overloadMultiple,
-                overloadSpanUs,
+                overloadWindowUs,
                 rules.microsOr("key_rest_us", 0),
                 (long) cappedWindowUs,
                 cappedWindowUs < windowUs ? freeRetries * cappedWindowUs / windowUs : freeRetries,
--- a/gateway/src/main/java/sandpaddle/decision/DecisionModule.java
+++ b/gateway/src/main/java/sandpaddle/decision/DecisionModule.java
@@ -9,9 +9,9 @@
  * requests are rejected.
  *
  * <p>One instance serves one gateway and is called by one thread at a time. The module performs no I/O and has no
- * clock: each event carries its time in microseconds from an arbitrary origin, and times never go back. Request ids are
- * unique for the life of an instance; engine ids are opaque. Actions take effect in the order in which they are given,
- * at the time of the event. A request on which no action is taken stays queued.
+ * clock: each event carries its time in microseconds from an arbitrary origin, and times never decrease. Request ids
+ * are unique for the lifetime of an instance; engine ids are opaque. Actions take effect in the order in which they are
+ * emitted, at the time of the event. A request for which no action is emitted stays queued.
  */
 public interface DecisionModule {
 
@@ -20,7 +20,7 @@
      *
      * @param nowUs time of the event, in microseconds
      * @param event the event
-     * @param actions receives the actions that the module decides on, in order, before the call returns
+     * @param actions receives the resulting actions in order, before the call returns
      */
     void handle(long nowUs, Event event, Consumer<Action> actions);
 }
--- a/gateway/src/main/java/sandpaddle/decision/DecisionParts.java
+++ b/gateway/src/main/java/sandpaddle/decision/DecisionParts.java
@@ -35,7 +35,7 @@
 import sandpaddle.decision.slowstart.SlowStart;
 import sandpaddle.decision.verdict.FleetVerdicts;
 
-/** The parts of a {@link DefaultDecisionModule}, each created with just the parts that it reads. */
+/** Composition root of a {@link DefaultDecisionModule}: creates its parts and passes each one only its dependencies. */
 final class DecisionParts {
     final EventContext context;
     final PendingRequests requests;
@@ -57,7 +57,7 @@
     final AdmissionQueue admissionQueue;
     final EngineListTracker engineLists;
 
-    /** Creates the parts for a gateway without engines; {@code seed} starts the random generator. */
+    /** Creates the parts of a gateway that knows no engines yet; {@code seed} seeds the random generator. */
     DecisionParts(DecisionSettings settings, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         boolean canCancel = settings.limits().cancel();
--- a/gateway/src/main/java/sandpaddle/decision/DefaultDecisionModule.java
+++ b/gateway/src/main/java/sandpaddle/decision/DefaultDecisionModule.java
@@ -21,34 +21,34 @@
 import sandpaddle.decision.settings.DecisionSettings;
 
 /**
- * The decisions of one gateway. Each package below this one decides one concern and owns its state; this class hands
- * the events to them and runs the sweeps. A package depends only on those before it in this list:
+ * The decision module of one gateway. Each subpackage is responsible for one concern and owns its state; this class
+ * dispatches events to them and runs the periodic sweep. A package depends only on those before it in this list:
  *
  * <ul>
  *   <li>{@code model}: state of engines and requests, and the event being handled
- *   <li>{@code load}: load of engines, estimates by class, arrival rate and traffic share
+ *   <li>{@code loadview}: load of engines, estimates by class, arrival rate and traffic share
  *   <li>{@code verdict}: the fleet's verdicts on engines
- *   <li>{@code slowstart}: rate of work for engines that warm up
+ *   <li>{@code slowstart}: rate limit of engines that are warming up
  *   <li>{@code concurrency}: concurrency limits and detection of overload
- *   <li>{@code retry}: retries, their budget, and the order by key
+ *   <li>{@code retry}: retries, their budget, and ordering by key
  *   <li>{@code outlier}, {@code healthcheck}, {@code enginelist}: ejection, health checks, endpoint lists
  *   <li>{@code quota}: quotas of fleet-wide limits
- *   <li>{@code candidates}, {@code balancing}: engines that a request may be sent to, and the choice among them
- *   <li>{@code completion}: ends of attempts and requests
- *   <li>{@code admission}: the queue, and the sending of attempts
+ *   <li>{@code candidates}, {@code balancing}: the engines eligible for a request, and the choice among them
+ *   <li>{@code completion}: completion of attempts and requests
+ *   <li>{@code admission}: the request queue, and sending attempts
  * </ul>
  */
 public final class DefaultDecisionModule implements DecisionModule {
-    /** Token of the timer of the next sweep. */
+    /** Token of the timer that triggers the next sweep. */
     private static final String SWEEP_TOKEN = "sweep";
-    /** Time without events after which this gateway has stood still (us): the sweep is that late. */
+    /** Time without events (us) after which this gateway counts as stalled: its sweep is several intervals late. */
     private static final long MIN_STALL_US = 4 * Sweep.INTERVAL_US;
 
     final DecisionParts parts;
     private final EventContext context;
     private boolean sweeping;
 
-    /** Creates a module without engines; {@code seed} starts its random generator. */
+    /** Creates a module that knows no engines yet; {@code seed} seeds its random generator. */
     public DefaultDecisionModule(DecisionSettings settings, long seed) {
         parts = new DecisionParts(settings, seed);
         context = parts.context;
@@ -62,7 +62,7 @@
             context.recordStall();
         }
         dispatch(event);
-        // the next sweep acts on what these two tell
+        // health checks and progress reports start no admission pass of their own; the next sweep runs one
         if (!(event instanceof HealthCheckEnded || event instanceof ProgressReported)) {
             parts.admissionQueue.admit();
             parts.completion.giveUpLate();
@@ -130,7 +130,7 @@
         parts.arrivals.update();
         parts.traffic.update();
         parts.inFlightLoad.releaseExpired();
-        // after a stall the answers that waited are read first
+        // after a stall, answers that arrived during it must be handled before an attempt is judged as late
         if (context.nowUs() - context.lastStallAtUs() >= Sweep.INTERVAL_US) {
             parts.silence.checkAll();
             parts.overload.checkLateness();
--- a/gateway/src/main/java/sandpaddle/decision/Micros.java
+++ b/gateway/src/main/java/sandpaddle/decision/Micros.java
@@ -18,12 +18,12 @@
         return duration.toNanos() / 1000;
     }
 
-    /** Returns the instant so many microseconds after the epoch. */
+    /** Returns the instant at a number of microseconds after the epoch. */
     public static Instant instant(long timeUs) {
         return Instant.EPOCH.plus(timeUs, ChronoUnit.MICROS);
     }
 
-    /** Returns the duration of so many microseconds. */
+    /** Returns the duration of a number of microseconds. */
     public static Duration span(long durationUs) {
         return Duration.of(durationUs, ChronoUnit.MICROS);
     }
--- a/gateway/src/main/java/sandpaddle/decision/action/Action.java
+++ b/gateway/src/main/java/sandpaddle/decision/action/Action.java
@@ -1,6 +1,6 @@
 package sandpaddle.decision.action;
 
-/** Output of the decision module, carried out by the dispatcher. */
+/** Output of the decision module, executed by the dispatcher. */
 public sealed interface Action
         permits SendAttempt,
                 SetAttemptOptions,
--- a/gateway/src/main/java/sandpaddle/decision/action/FailRequest.java
+++ b/gateway/src/main/java/sandpaddle/decision/action/FailRequest.java
@@ -1,7 +1,7 @@
 package sandpaddle.decision.action;
 
 /**
- * Fails a request: it may have run.
+ * Fails a request that may have run, so that a retry by the client could have a second effect.
  *
  * @param id the request
  */
--- a/gateway/src/main/java/sandpaddle/decision/action/RejectRequest.java
+++ b/gateway/src/main/java/sandpaddle/decision/action/RejectRequest.java
@@ -1,9 +1,9 @@
 package sandpaddle.decision.action;
 
 /**
- * Rejects a request: it has had no effect, and the client may retry it.
+ * Rejects a request. It has had no effect, or a repeat has none, so the client may retry it.
  *
  * @param id the request
- * @param retryAfterUs Retry-After in microseconds, 0 for no advice
+ * @param retryAfterUs Retry-After in microseconds, 0 for none
  */
 public record RejectRequest(String id, long retryAfterUs) implements Action {}
--- a/gateway/src/main/java/sandpaddle/decision/action/StartHealthCheck.java
+++ b/gateway/src/main/java/sandpaddle/decision/action/StartHealthCheck.java
@@ -1,7 +1,7 @@
 package sandpaddle.decision.action;
 
 /**
- * Asks an engine for its load report.
+ * Sends an engine a health check, which also returns its load report.
  *
  * @param engine id of the engine
  */
--- a/gateway/src/main/java/sandpaddle/decision/admission/AdmissionQueue.java
+++ b/gateway/src/main/java/sandpaddle/decision/admission/AdmissionQueue.java
@@ -9,9 +9,9 @@
 import sandpaddle.decision.retry.RetryBudget;
 import sandpaddle.decision.settings.Idempotency;
 
-/** Admits queued requests, earliest due first, while an engine has capacity for them. */
+/** Sends queued requests, earliest due first, while an engine has capacity for them. */
 public final class AdmissionQueue {
-    /** Tenant by which all requests count while there are no quotas. */
+    /** Tenant under which all requests count while there are no quotas. */
     private static final int ANY_TENANT = -1;
 
     private final PendingRequests requests;
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Sends each request that has an engine with capacity. One without stops its class, and its tenant's only while
-     * there are quotas, so that a long queue costs little.
+     * Sends each queued request for which an engine has capacity. If there is none, the rest of the request's class is
+     * skipped in this pass (while there are quotas: of its class and tenant), so that a long queue costs little.
      */
     public void admit() {
         fullClasses.clear();
@@ -61,7 +61,7 @@
     private void admit(PendingRequest request) {
         EngineState engine = selector.select(request);
         if (engine == null) {
-            if (standsForItsClass(request)) {
+            if (representsClass(request)) {
                 fullClasses.setFull(tenant(request), request.classIndex(), request.isRetry());
             }
             return;
@@ -77,8 +77,8 @@
         return fullClasses.isFull(tenant(request), request.classIndex(), request.isRetry());
     }
 
-    /** Whether the others of the class find no engine either: some retries and heavy queries have fewer to go to. */
-    private boolean standsForItsClass(PendingRequest request) {
+    /** Whether the rest of the class finds no engine either; some retries and heavy queries have fewer candidates. */
+    private boolean representsClass(PendingRequest request) {
         boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         return (idempotent || !request.isRetry()) && !selector.waitsForTurn(request);
     }
--- a/gateway/src/main/java/sandpaddle/decision/admission/AttemptSender.java
+++ b/gateway/src/main/java/sandpaddle/decision/admission/AttemptSender.java
@@ -17,14 +17,14 @@
 import sandpaddle.decision.settings.EngineFeatures;
 import sandpaddle.decision.slowstart.SlowStart;
 
-/** Sends an attempt to the chosen engine, with its timeout, priority and memory grant, and counts it everywhere. */
+/** Sends an attempt to the selected engine with its timeout, priority and memory grant, and updates all counters. */
 public final class AttemptSender {
-    /** Expected latencies before an attempt may be ended early: about one in a hundred queries is as heavy. */
+    /** Multiple of the expected latency before an attempt may be abandoned; about 1 % of queries take as long. */
     private static final double MIN_LATENCIES_BEFORE_ABANDONING = 6;
-    /** Memory grant as a multiple of the expected memory, for its scatter. */
+    /** Memory grant as a multiple of the expected memory, to allow for its variance. */
     private static final double GRANT_MULTIPLE = 1.15;
 
-    /** Priority of the class with the most priority weight for its work; priorities are from 0 to 3. */
+    /** Priority of the class with the highest priority weight per work; priorities are from 0 to 3. */
     private static final int HIGH_PRIORITY = 3;
     /** Priority of the other classes. */
     private static final int NORMAL_PRIORITY = 1;
@@ -39,7 +39,7 @@
     private final RetryPolicy retryPolicy;
     private final QuotaCheck quotaCheck;
 
-    /** Creates a sender. */
+    /** Creates a sender from the parts that it updates. */
     public AttemptSender(
             EventContext context,
             EngineFeatures features,
@@ -87,11 +87,11 @@
     }
 
     private int priority(int classIndex) {
-        boolean high = features.priorities() && estimators.hasHighestValueForWork(classIndex);
+        boolean high = features.priorities() && estimators.hasHighestWeightPerWork(classIndex);
         return high ? HIGH_PRIORITY : NORMAL_PRIORITY;
     }
 
-    /** Errors are answers: an engine that is on trial for them is reachable. */
+    /** An engine that is on trial because of errors is reachable, so only unresponsive scopes count. */
     private static boolean isAnyUnresponsive(EngineState engine, int classIndex) {
         return engine.health().isUnresponsive()
                 || engine.zoneHealth().isUnresponsive()
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Returns the timeout (us). An attempt that would be overdue by then ends early enough for a retry to be answered
-     * when due, which protects against lost answers and silent engines. A heavy query then takes as long again, so
-     * this requires that answers are fast.
+     * Returns the timeout (us). Where an attempt may be abandoned, it ends early enough for a retry to be answered when
+     * due, which protects against lost answers and unresponsive engines. A heavy query that is abandoned has to run
+     * again from the start, so this is done only while answers are fast.
      */
     private long timeoutUs(PendingRequest request, long expectedUs) {
         long untilExpiryUs = request.expiresAtUs() - context.nowUs();
--- a/gateway/src/main/java/sandpaddle/decision/admission/EngineSelector.java
+++ b/gateway/src/main/java/sandpaddle/decision/admission/EngineSelector.java
@@ -9,7 +9,7 @@
 import sandpaddle.decision.model.PendingRequest;
 import sandpaddle.decision.slowstart.SlowStart;
 
-/** Selects an engine for a request: filters the candidates, applies the concurrency limits, and balances the load. */
+/** Selects the engine for a request: filters candidates, applies concurrency limits, and balances the load. */
 public final class EngineSelector {
     private final EngineRegistry engines;
     private final SlowStart slowStart;
@@ -38,7 +38,7 @@
         return candidates.isEmpty() ? null : balancer.choose(request, candidates);
     }
 
-    /** Whether a warm engine that is not overloaded has capacity for a request. */
+    /** Whether a request has a warm candidate that is not overloaded and has capacity. */
     boolean hasUnloadedEngine(PendingRequest request) {
         for (EngineState engine : candidateFilter.candidates(request)) {
             if (overload.hasCapacity(request, engine) && !overload.isOverloaded(engine) && slowStart.isWarm(engine)) {
@@ -48,7 +48,7 @@
         return false;
     }
 
-    /** Whether a request waits for its turn at an engine that warms up, which lighter ones of its class need not. */
+    /** Whether a request must wait for a turn at an engine that is warming up; lighter ones of its class need not. */
     boolean waitsForTurn(PendingRequest request) {
         for (EngineState engine : engines.up()) {
             if (slowStart.mustWaitForTurn(request, engine)) {
--- a/gateway/src/main/java/sandpaddle/decision/admission/FullClasses.java
+++ b/gateway/src/main/java/sandpaddle/decision/admission/FullClasses.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Classes that found no engine with capacity during one pass over the queue: by tenant, and first attempts apart. */
+/** Classes without an engine with capacity in one pass over the queue, by tenant, for first attempts and retries. */
 final class FullClasses {
     /** Index of first attempts. */
     private static final int FIRST_ATTEMPT = 0;
@@ -22,13 +22,13 @@
         byTenant.clear();
     }
 
-    /** Whether requests of a class need not be tried; retries have one engine less than first attempts. */
+    /** Whether requests of a class can be skipped; retries have one candidate less than first attempts. */
     boolean isFull(int tenant, int classIndex, boolean retry) {
         boolean[][] full = byTenant.get(tenant);
         return full != null && (full[FIRST_ATTEMPT][classIndex] || retry && full[RETRY][classIndex]);
     }
 
-    /** Records that a request of a class found no engine. */
+    /** Records that no engine has capacity for a request of a class. */
     void setFull(int tenant, int classIndex, boolean retry) {
         boolean[][] full = byTenant.computeIfAbsent(tenant, unused -> new boolean[2][classes]);
         full[retry ? RETRY : FIRST_ATTEMPT][classIndex] = true;
--- a/gateway/src/main/java/sandpaddle/decision/admission/RequestIntake.java
+++ b/gateway/src/main/java/sandpaddle/decision/admission/RequestIntake.java
@@ -14,7 +14,7 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.RequestClass;
 
-/** Queues the requests received, and rejects at once those that overload control advises to shed. */
+/** Queues received requests, and rejects sheddable ones that cannot be sent immediately. */
 public final class RequestIntake {
     private final DecisionSettings settings;
     private final EventContext context;
@@ -28,7 +28,7 @@
     private final RequestCompletion completion;
     private long nextSequence;
 
-    /** Creates an intake that draws the admission numbers from a random generator. */
+    /** Creates an intake; {@code random} provides the random number of each request. */
     public RequestIntake(
             DecisionSettings settings,
             EventContext context,
@@ -51,7 +51,7 @@
         estimators = load.estimators();
     }
 
-    /** Queues a request; one whose id is pending is ignored. */
+    /** Queues a request; a request whose id is already pending is ignored. */
     public void receive(RequestReceived event) {
         if (requests.contains(event.id())) {
             return;
@@ -69,16 +69,16 @@
     private PendingRequest create(RequestReceived event) {
         RequestClass requestClass = settings.classes().get(event.classIndex());
         long expiresAtUs = context.nowUs() + event.expiresInUs();
-        double soleLatencyUs = estimators.expectedWorkUs(event) / requestClass.threads();
+        double unloadedLatencyUs = estimators.expectedWorkUs(event) / requestClass.threads();
         long objectiveAtUs = context.nowUs()
                 + requestClass.latencyObjectiveUs()
-                + (long) (requestClass.objectiveStretch() * soleLatencyUs);
+                + (long) (requestClass.objectiveStretch() * unloadedLatencyUs);
         long dueAtUs = Math.min(expiresAtUs, objectiveAtUs);
         long sequence = nextSequence++;
         return new PendingRequest(event, requestClass, sequence, expiresAtUs, dueAtUs, random.nextDouble());
     }
 
-    /** Whether a request delays no other: it is the first of the queue, and an engine has capacity to spare. */
+    /** Whether a request delays no other: it is at the head of the queue, and an engine has spare capacity for it. */
     private boolean canRunAtOnce(PendingRequest request) {
         return requests.isFirst(request) && selector.hasUnloadedEngine(request);
     }
--- a/gateway/src/main/java/sandpaddle/decision/balancing/LeastLoadBalancer.java
+++ b/gateway/src/main/java/sandpaddle/decision/balancing/LeastLoadBalancer.java
@@ -14,20 +14,21 @@
 import sandpaddle.decision.verdict.FleetVerdicts;
 
 /**
- * Chooses the engine for a request: the dynamic allocation step of the paper's LBQP, with a load by class as in BNQRD.
- * Engines whose load of the request's class is above the average expected after the allocation are eliminated, and the
- * least loaded of the others is chosen. Loads that nearly tie are settled so that gateways do not all choose alike.
+ * Chooses the engine for a request by the dynamic allocation step of LBQP (load-balanced query processing), with the
+ * load counted per class as in BNQRD (balance the number of queries by resource demands). Engines whose load of the
+ * request's class exceeds the average expected after the allocation are eliminated, and the least loaded of the others
+ * is chosen. Ties are broken in a way that keeps gateways from all choosing the same engine.
  */
 public final class LeastLoadBalancer {
-    /** Weight of the data group's preferred engine, in threads per core: what a warm cache outweighs. */
-    private static final double AFFINITY_THREADS_PER_CORE = 0.6;
-    /** Part of the request's threads by which loads may differ and still tie. */
-    private static final double TIE_PART = 0.5;
-    /** Tied engines that compete where handshakes are charged. */
-    private static final int MAX_CONNECTED = 6;
-    /** Tied engines drawn where there are other gateways, whose sends show late. */
+    /** Weight of data affinity, in threads per core: the additional load at which a warm cache still pays off. */
+    private static final double AFFINITY_WEIGHT_THREADS_PER_CORE = 0.6;
+    /** Fraction of the request's threads by which loads may differ and still count as tied. */
+    private static final double TIE_FRACTION = 0.5;
+    /** Number of tied engines considered where handshakes have a cost. */
+    private static final int MAX_CONNECTED_ENGINES = 6;
+    /** Random choices among tied engines where other gateways exist, since their sends become visible with a delay. */
     private static final int RANDOM_CHOICES = 2;
-    /** Position of engines that warm up, before all others: each gateway needs a connection to them. */
+    /** Position of engines that are warming up, before all others: each gateway must open a connection to them. */
     private static final double FIRST_POSITION = -1;
 
     private final SplittableRandom random;
@@ -37,7 +38,7 @@
     private final boolean soleGateway;
     private final boolean handshakesCharged;
 
-    /** Creates a balancer that settles ties by a random generator. */
+    /** Creates a balancer that breaks ties with a random generator. */
     public LeastLoadBalancer(
             DecisionSettings settings,
             SplittableRandom random,
@@ -52,7 +53,7 @@
         handshakesCharged = settings.costs().handshake() != 0;
     }
 
-    /** Chooses one of the candidates, of which there is at least one. */
+    /** Chooses one of the candidates, a list that is not empty. */
     public EngineState choose(PendingRequest request, List<EngineState> candidates) {
         double averageReported = loadView.averageReportedQueries();
         double minLoad = Double.POSITIVE_INFINITY;
@@ -67,7 +68,7 @@
         double maxLoad = Math.max(minLoad, loadAfter / cores);
         List<EngineState> tied = new ArrayList<>();
         for (EngineState engine : candidates) {
-            double tieLoad = minLoad + TIE_PART * request.threads() / slowStart.effectiveCores(engine);
+            double tieLoad = minLoad + TIE_FRACTION * request.threads() / slowStart.effectiveCores(engine);
             if (classLoad(engine, request.classIndex(), averageReported) <= Math.min(maxLoad, tieLoad)) {
                 tied.add(engine);
             }
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Returns the load of a class per core: own threads, and reported queries of all gateways times the traffic share.
-     * Engines without a report count with the average of the others.
+     * Returns the load of a class per core: own threads, plus the reported queries of all gateways times the traffic
+     * share. Engines without a report count with the average of the others.
      */
     private double classLoad(EngineState engine, int classIndex, double averageReported) {
         double own = engine.threads().ofClass(classIndex);
@@ -86,7 +87,7 @@
         return Double.isNaN(reported) ? own / cores + averageReported : (own + reported) / cores;
     }
 
-    /** Drops engines that the fleet has found slow, unless all are. */
+    /** Removes engines that a fleet verdict states as slow, unless all are. */
     private List<EngineState> preferFast(List<EngineState> tied) {
         List<EngineState> fast = new ArrayList<>(tied.size());
         for (EngineState engine : tied) {
@@ -98,8 +99,8 @@
     }
 
     /**
-     * Where handshakes are charged, returns the first engines in this gateway's own order, so that a few are used often
-     * over open connections; the orders of the gateways differ evenly.
+     * Where handshakes have a cost, returns the first engines in this gateway's preference order, so that a few engines
+     * are used often over open connections. The preference orders spread the gateways evenly over the engines.
      */
     private List<EngineState> limitConnections(List<EngineState> tied) {
         if (!handshakesCharged) {
@@ -107,7 +108,7 @@
         }
         return tied.stream()
                 .sorted(Comparator.comparingDouble(this::position))
-                .limit(MAX_CONNECTED)
+                .limit(MAX_CONNECTED_ENGINES)
                 .toList();
     }
 
@@ -115,7 +116,7 @@
         return slowStart.isWarm(engine) ? engine.gatewayPosition() : FIRST_POSITION;
     }
 
-    /** Returns the best of all tied engines, or of two drawn at random: gateways must not all follow the same view. */
+    /** Returns the best of all tied engines, or of two random choices where other gateways have the same load view. */
     private EngineState settleTie(PendingRequest request, List<EngineState> tied) {
         int choices = soleGateway ? tied.size() : RANDOM_CHOICES;
         EngineState best = null;
@@ -131,13 +132,13 @@
         return best;
     }
 
-    /** Scores a tied engine: by few threads of all gateways, and by its affinity to the data group. */
+    /** Scores a tied engine: fewer threads of all gateways and affinity to the data group score higher. */
     private double tieScore(PendingRequest request, EngineState engine) {
         long dataGroup = request.request().dataGroup();
         double affinity = dataGroup < 0 ? random.nextDouble() : RendezvousHash.hash(dataGroup, engine.id());
         double threads = loadView.estimatedThreads(engine);
         double threadsPerCore =
                 Double.isNaN(threads) ? loadView.averageThreadsPerCore() : threads / slowStart.effectiveCores(engine);
-        return AFFINITY_THREADS_PER_CORE * affinity - threadsPerCore;
+        return AFFINITY_WEIGHT_THREADS_PER_CORE * affinity - threadsPerCore;
     }
 }
--- a/gateway/src/main/java/sandpaddle/decision/candidates/CandidateFilter.java
+++ b/gateway/src/main/java/sandpaddle/decision/candidates/CandidateFilter.java
@@ -15,11 +15,11 @@
 import sandpaddle.decision.verdict.FleetVerdicts;
 
 /**
- * Filters the engines that a request may be sent to: by placement, deduplication, draining, slow start, health and
- * quotas. This is the paper's choice among the sites that hold a copy; concurrency limits are applied after it.
+ * Determines the engines that a request may be sent to: by placement, deduplication, draining, slow start, health and
+ * quotas. In LBQP this is the set of sites that hold a copy of the data; concurrency limits are applied afterwards.
  */
 public final class CandidateFilter {
-    /** Share of the cores that must be healthy; below it health is not heeded, since all engines may look faulty. */
+    /** Share of healthy cores below which health is ignored, since a common cause may make all engines look faulty. */
     private static final double PANIC_THRESHOLD = 0.5;
 
     private final EventContext context;
@@ -30,7 +30,7 @@
     private final EjectionPolicy ejection;
     private final QuotaCheck quotaCheck;
 
-    /** Creates a filter. */
+    /** Creates a filter from the parts that it depends on. */
     public CandidateFilter(
             EventContext context,
             EngineRegistry engines,
@@ -48,7 +48,7 @@
         this.quotaCheck = quotaCheck;
     }
 
-    /** Returns the engines that a request may be sent to, in a list that the caller may change. */
+    /** Returns the engines that a request may be sent to, in a list that the caller may modify. */
     public List<EngineState> candidates(PendingRequest request) {
         List<EngineState> permitted = new ArrayList<>();
         List<EngineState> healthy = new ArrayList<>();
@@ -63,7 +63,7 @@
             healthyCores += isAnyUnhealthy(scopes) ? 0 : engine.cores();
             if (slowStart.allows(request, engine)) {
                 permitted.add(engine);
-                if (doAllAdmit(scopes, request)) {
+                if (isAdmittedByAll(scopes, request)) {
                     healthy.add(engine);
                 }
             }
@@ -90,7 +90,7 @@
         return false;
     }
 
-    private boolean doAllAdmit(List<HealthScope> scopes, PendingRequest request) {
+    private boolean isAdmittedByAll(List<HealthScope> scopes, PendingRequest request) {
         for (HealthScope scope : scopes) {
             if (!ejection.admits(scope, request)) {
                 return false;
@@ -99,19 +99,19 @@
         return true;
     }
 
-    /** Whether an engine is known to answer nothing, which counts even where health is not heeded. */
+    /** Whether an engine is known not to answer, which counts even below the panic threshold. */
     private boolean isUnreachable(EngineState engine, PendingRequest request) {
         HealthScope health = engine.health();
         return health.isUnresponsive() && context.nowUs() < health.ejectedUntilUs()
-                || isSilent(engine.zoneHealth(), request)
-                || isSilent(engine.classHealth(request.classIndex()), request);
+                || isExcludedAsUnresponsive(engine.zoneHealth(), request)
+                || isExcludedAsUnresponsive(engine.classHealth(request.classIndex()), request);
     }
 
-    private boolean isSilent(HealthScope scope, PendingRequest request) {
+    private boolean isExcludedAsUnresponsive(HealthScope scope, PendingRequest request) {
         return scope.isUnresponsive() && !ejection.admits(scope, request);
     }
 
-    /** A retry goes to another engine than the attempt before, if there is one. */
+    /** Removes engines that exceed a quota, and for a retry the previous engine if there is another. */
     private List<EngineState> withinQuotas(List<EngineState> candidates, PendingRequest request) {
         candidates.removeIf(engine -> !quotaCheck.allows(request, engine));
         if (candidates.size() > 1 && request.isRetry()) {
--- a/gateway/src/main/java/sandpaddle/decision/completion/AttemptCompletion.java
+++ b/gateway/src/main/java/sandpaddle/decision/completion/AttemptCompletion.java
@@ -10,7 +10,7 @@
 import sandpaddle.decision.retry.KeyOrdering;
 import sandpaddle.decision.retry.RetryPolicy;
 
-/** Ends attempts: records the outcome, then finishes the request, queues it for a retry, or gives it up. */
+/** Completes attempts: records the outcome, then finishes the request, queues it for a retry, or gives it up. */
 public final class AttemptCompletion {
     private final PendingRequests requests;
     private final InFlightLoad inFlightLoad;
@@ -20,7 +20,7 @@
     private final QuotaCheck quotaCheck;
     private final RequestCompletion completion;
 
-    /** Creates a completion of attempts. */
+    /** Creates a completion from the parts that it informs. */
     public AttemptCompletion(
             PendingRequests requests,
             InFlightLoad inFlightLoad,
@@ -38,7 +38,7 @@
         this.completion = completion;
     }
 
-    /** Ends an attempt; ignored where it is not in flight. */
+    /** Completes an attempt; the event is ignored if the attempt is not in flight. */
     public void end(AttemptEnded event) {
         Attempt attempt = findInFlight(event.id(), event.attempt());
         if (attempt == null) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Records the progress of an attempt; ignored where it is not in flight. */
+    /** Records the progress of an attempt; the event is ignored if the attempt is not in flight. */
     public void recordProgress(ProgressReported event) {
         Attempt attempt = findInFlight(event.id(), event.attempt());
         if (attempt != null) {
--- a/gateway/src/main/java/sandpaddle/decision/completion/AttemptOutcomes.java
+++ b/gateway/src/main/java/sandpaddle/decision/completion/AttemptOutcomes.java
@@ -18,9 +18,11 @@
 import sandpaddle.decision.outlier.SilenceDetector;
 import sandpaddle.decision.slowstart.SlowStart;
 
-/** Takes the end of an attempt, and its progress, into the estimates, the limits and the health of its engine. */
+/** Records outcomes and progress of attempts in the estimates, the concurrency limits and the health of engines. */
 public final class AttemptOutcomes {
-    /** Usual latencies for which the threads of an attempt count that ended while its work may go on. */
+    /**
+     * Time for which threads of an ended attempt that may still be running count, as a multiple of its mean latency.
+     */
     private static final double RETAINED_LATENCIES = 2.0;
 
     private final EventContext context;
@@ -34,7 +36,7 @@
     private final SilenceDetector silence;
     private final boolean canCancel;
 
-    /** Creates the outcomes from the parts that they are recorded in. */
+    /** Creates a recorder from the parts that it updates. */
     public AttemptOutcomes(
             EventContext context,
             LoadSignals load,
@@ -108,12 +110,12 @@
             case CONNECT_FAILED -> outliers.recordUnreachable(engine);
             case TIMEOUT -> recordTimeout(attempt);
             default -> {
-                // a cancelled attempt tells nothing about its engine
+                // a cancelled attempt says nothing about its engine
             }
         }
     }
 
-    /** While answers are fast, a timeout is a lost answer and tells nothing about latency. */
+    /** While answers are fast, a timeout means a lost answer and is no sample of the latency. */
     private void recordTimeout(Attempt attempt) {
         if (silence.isOverdue(attempt)) {
             outliers.recordTimeout(attempt);
@@ -124,18 +126,18 @@
     }
 
     /**
-     * Whether the threads of an ended attempt count on for a while: its work goes on where it cannot be cancelled, and
-     * an engine that fails at once must not look free.
+     * Whether the threads of an ended attempt keep counting for a while: without cancellation its work continues, and
+     * an engine that fails attempts immediately must not appear unloaded.
      */
     private boolean mayRunOn(AttemptResult result) {
         boolean notCancelled = !canCancel && (result == AttemptResult.TIMEOUT || result == AttemptResult.CANCELLED);
         return notCancelled || result == AttemptResult.ERROR;
     }
 
-    /** Records the progress of the attempt in flight; the first report of missing memory adjusts later grants. */
+    /** Records the progress of the attempt in flight; its first report of missing memory adjusts later grants. */
     public void recordProgress(PendingRequest request, ProgressReported event) {
         request.recordProgress(context.nowUs());
-        if (event.topic() == ProgressTopic.SPILL && request.missingMb() == 0) {
+        if (event.topic() == ProgressTopic.MISSING_MEMORY && request.missingMb() == 0) {
             request.recordMissingMemory(event.value());
             estimators.recordMemoryShortfall(request);
         }
--- a/gateway/src/main/java/sandpaddle/decision/completion/RequestCompletion.java
+++ b/gateway/src/main/java/sandpaddle/decision/completion/RequestCompletion.java
@@ -16,11 +16,11 @@
 import sandpaddle.decision.settings.Idempotency;
 import sandpaddle.decision.settings.RequestClass;
 
-/** Finishes requests: gives the final answer of those that are given up, and removes those that are done. */
+/** Finishes requests: emits the final answer of those that are given up, and removes those that are done. */
 public final class RequestCompletion {
-    /** Expected latencies before it is due at which a queued request is given up: half of the later ones are late. */
+    /** Multiple of its expected latency that must remain until a queued request is due; with less, half are late. */
     private static final double MIN_LATENCIES_LEFT = 1.5;
-    /** Usual Retry-After of a rejected request (us). */
+    /** Default Retry-After of a rejected request (us). */
     private static final long RETRY_AFTER_US = 500_000;
 
     private final EventContext context;
@@ -32,7 +32,7 @@
     private final boolean canCancel;
     private final long maxRetryAfterUs;
 
-    /** Creates a completion. */
+    /** Creates a completion from the parts that it informs. */
     public RequestCompletion(
             DecisionSettings settings,
             EventContext context,
@@ -51,7 +51,9 @@
         maxRetryAfterUs = settings.limits().retryAfter() ? settings.limits().maxRetryAfterUs() : 0;
     }
 
-    /** Gives up the queued requests that cannot be answered when due, or that the next sweep would find late. */
+    /**
+     * Gives up the queued requests that are unlikely to be answered when due, or that the next sweep would find late.
+     */
     public void giveUpLate() {
         for (PendingRequest request : requests.queued()) {
             long neededUs = (long) (MIN_LATENCIES_LEFT * estimators.expectedLatencyUs(request));
@@ -61,7 +63,7 @@
         }
     }
 
-    /** Rejects a request if a retry by its client has no second effect, and fails it otherwise. */
+    /** Rejects a request if a retry by its client would have no second effect, and fails it otherwise. */
     public void giveUp(PendingRequest request) {
         if (retryPolicy.isWithoutEffect(request) || isDeduplicatedEverywhere(request.requestClass())) {
             long retryAfterUs = quotaCheck.retryAfterUs(request, RETRY_AFTER_US);
@@ -77,7 +79,7 @@
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Drops a request whose client has disconnected, and cancels its attempt where that is safe. */
+    /** Finishes a request whose client has disconnected, and cancels its attempt if the request is idempotent. */
     public void abandon(PendingRequest request) {
         boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         if (request.inFlight() != null && canCancel && idempotent) {
@@ -86,7 +88,7 @@
         finish(request);
     }
 
-    /** Finishes a request; an attempt in flight keeps its place on the engine and in the order of its key. */
+    /** Finishes a request; an attempt in flight still counts on its engine and keeps its place in the key's queue. */
     public void finish(PendingRequest request) {
         request.finish();
         requests.dequeue(request);
--- a/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
@@ -13,37 +13,40 @@
 import sandpaddle.decision.model.PendingRequest;
 
 /**
- * Adaptive concurrency limits of each engine and of the fleet: the design's thread bound. A limit grows while latencies
- * are near the best ones known, and is cut on slow answers, full queues and late attempts. It counts the threads of all
- * gateways; this gateway's share of it is its share of the traffic. {@link OverloadDetector} decides when limits bind.
+ * Adaptive concurrency limits of each engine and of the fleet, adjusted by additive increase and multiplicative
+ * decrease: a limit grows while latencies are near the best known ones, and is cut on slow answers, full queues and
+ * late attempts. Limits count the threads of all gateways; a gateway may use them up to its share of the traffic.
+ * {@link OverloadDetector} decides when limits are enforced.
  */
 public final class ConcurrencyLimits {
-    /** Slowdown from which an engine is overloaded: latency objectives leave about as much slack. */
+    /** Slowdown above which an engine is overloaded: about the slack that latency objectives leave. */
     static final double OVERLOAD_SLOWDOWN = 2.5;
-    /** Natural logarithm of that slowdown. */
+    /** Natural logarithm of {@link #OVERLOAD_SLOWDOWN}. */
     static final double LOG_OVERLOAD_SLOWDOWN = Math.log(OVERLOAD_SLOWDOWN);
-    /** Limit on an engine, in threads per core: engines lose total throughput well before. */
+    /** Greatest limit of an engine, in threads per core: the throughput of an engine declines well before. */
     static final double MAX_THREADS_PER_CORE = 2.5;
 
-    /** Limit on an engine that has started, in threads per core, from the design. */
+    /** Initial limit of an engine that has started, in threads per core. */
     private static final double INITIAL_THREADS_PER_CORE = 2.0;
-    /** Threads per core that cuts leave an engine, so that its cores stay busy. */
+    /** Least limit of an engine after cuts, in threads per core, so that its cores stay busy. */
     private static final double MIN_THREADS_PER_CORE = 1.2;
-    /** Slowdown below which a limit may grow. */
+    /** Natural logarithm of the slowdown below which a limit may grow. */
     private static final double LOG_GROWTH_SLOWDOWN = Math.log(1.6);
-    /** Multiple of the limits for the class with the most priority weight for its work. */
-    private static final double HIGH_VALUE_MULTIPLE = 1.5;
-    /** Threads per core that cuts leave the fleet. */
+    /** Multiple of the limits for the class with the highest priority weight per work. */
+    private static final double HIGH_WEIGHT_MULTIPLE = 1.5;
+    /** Least limit of the fleet after cuts, in threads per core. */
     private static final double FLEET_MIN_THREADS_PER_CORE = 2.0;
-    /** Limit on the fleet where reports lack queries in flight, in threads per core: twice an equal share when busy. */
+    /**
+     * Greatest fleet limit where reports omit queries in flight, in threads per core: twice an equal share when busy.
+     */
     private static final double FLEET_MAX_THREADS_PER_CORE = 4.0;
-    /** Growth of the fleet's limit in a round of fast answers, in threads per core. */
+    /** Increase of the fleet's limit per round of fast answers, in threads per core. */
     private static final double FLEET_GROWTH_PER_CORE = 0.3;
-    /** Growth of an engine's limit in a round of fast answers, in threads. */
+    /** Increase of an engine's limit per round of fast answers, in threads. */
     private static final double GROWTH_THREADS = 1;
-    /** Factor of a cut; small, since cuts can follow each other at the adjustment interval. */
+    /** Factor of a cut; close to 1, since cuts can follow each other at the adjustment interval. */
     private static final double CUT_FACTOR = 0.93;
-    /** Weight of an answer in the slowdown of successful answers, from 0 to 1: about ten answers count. */
+    /** Weight of one answer in the slowdown of successful answers; the average covers about ten answers. */
     private static final double ANSWER_WEIGHT = 0.1;
 
     private final EventContext context;
@@ -70,7 +73,7 @@
         engine.limit().restart(INITIAL_THREADS_PER_CORE * engine.cores());
     }
 
-    /** Scales the fleet's limit to the present number of cores. */
+    /** Scales the fleet's limit to the current number of cores. */
     public void resizeFleet(double coresBefore) {
         double cores = engines.totalCores();
         fleet.resize(coresBefore > 0 ? fleet.threads() * cores / coresBefore : LoadView.BUSY_THREADS_PER_CORE * cores);
@@ -82,11 +85,12 @@
     }
 
     /**
-     * Whether a request fits the limits. On an engine without own queries the fleet's limit counts in place of the
-     * engine's, and what fits only in part is admitted by chance; one query on the whole fleet is always permitted.
+     * Whether a request fits within the limits. On an engine without own queries, this gateway's share of the fleet's
+     * limit applies in place of its share of the engine's limit, and a request that fits only partly is admitted with a
+     * probability equal to the fraction of its threads that fits. One query on the whole fleet is always permitted.
      */
     boolean isWithinLimits(PendingRequest request, EngineState engine) {
-        double multiple = estimators.hasHighestValueForWork(request.classIndex()) ? HIGH_VALUE_MULTIPLE : 1;
+        double multiple = estimators.hasHighestWeightPerWork(request.classIndex()) ? HIGH_WEIGHT_MULTIPLE : 1;
         double engineLimit = engine.limit().threads() * multiple;
         double estimated = loadView.estimatedThreads(engine);
         double allThreads = Double.isNaN(estimated) ? loadView.averageThreadsPerCore() * engine.cores() : estimated;
@@ -97,18 +101,18 @@
             return engine.threads().total() < engineLimit * traffic.share();
         }
         double fleetThreads = inFlightLoad.fleetThreads();
-        double wanted = fleetThreads + request.admissionDraw() * request.threads();
-        return fleetThreads == 0 || wanted < fleet.threads() * multiple * traffic.share();
+        double required = fleetThreads + request.admissionDraw() * request.threads();
+        return fleetThreads == 0 || required < fleet.threads() * multiple * traffic.share();
     }
 
-    /** Whether successful answers are near the best latency, so that a missing one is lost rather than slow. */
+    /** Whether successful answers are near the best latency, so that a missing answer is lost rather than late. */
     public boolean areAnswersFast() {
         return answersLogSlowdown < LOG_GROWTH_SLOWDOWN;
     }
 
     /**
-     * Takes in the latency of an attempt (us). Timeouts count with the time that they took, since only the fast
-     * answers of an overloaded engine would be seen otherwise.
+     * Adjusts the limits to the latency of an attempt (us). Timeouts count with their elapsed time; otherwise only the
+     * fast answers of an overloaded engine would be taken into account.
      */
     public void recordLatency(Attempt attempt, double latencyUs, boolean answered) {
         double logSlowdown = estimators.recordLatency(attempt.request(), latencyUs);
@@ -133,7 +137,7 @@
         fleet.recordSlowdown(logSlowdown);
         if (fleet.logSlowdown() < LOG_GROWTH_SLOWDOWN) {
             double cores = engines.totalCores();
-            // without queries in reports the traffic share is a guess, so the fleet's limit may go higher
+            // without reported queries the traffic share is assumed to be equal, so the fleet's limit may be higher
             double maxPerCore = loadView.reportsInFlight() ? MAX_THREADS_PER_CORE : FLEET_MAX_THREADS_PER_CORE;
             double growth = FLEET_GROWTH_PER_CORE * cores;
             fleet.raise(growth / (fleet.threads() * traffic.share()), maxPerCore * cores);
@@ -142,12 +146,12 @@
         }
     }
 
-    /** Cuts the limit of an engine, at most once an adjustment interval. */
+    /** Cuts the limit of an engine, at most once per adjustment interval. */
     void cut(EngineState engine) {
         engine.limit().cut(context.nowUs(), CUT_FACTOR, MIN_THREADS_PER_CORE * engine.cores());
     }
 
-    /** Cuts the limit of the fleet, at most once an adjustment interval. */
+    /** Cuts the limit of the fleet, at most once per adjustment interval. */
     void cutFleet() {
         fleet.cut(context.nowUs(), CUT_FACTOR, FLEET_MIN_THREADS_PER_CORE * engines.totalCores());
     }
--- a/gateway/src/main/java/sandpaddle/decision/concurrency/IdleCapacity.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/IdleCapacity.java
@@ -11,14 +11,16 @@
 import sandpaddle.decision.model.TokenBucket;
 
 /**
- * Budget of work for lightly loaded engines while the fleet is overloaded. All gateways see the same engines as lightly
- * loaded, so each may fill them only at a rate, which begins in debt.
+ * Token bucket for work sent to lightly loaded engines while the fleet is overloaded. All gateways see the same engines
+ * as lightly loaded, so each sends them work at a limited rate, starting from a pseudo-random negative balance.
  */
 public final class IdleCapacity {
-    /** This gateway's part of the capacity left, in traffic shares: few of the gateways have requests queued. */
-    private static final double SHARES = 3;
-    /** Key of the debt that the budget begins with, in place of an engine's id. */
-    private static final String DEBT_KEY = "";
+    /**
+     * Multiple of its traffic share of the spare capacity that a gateway may use: few gateways have queued requests.
+     */
+    private static final double TRAFFIC_SHARE_MULTIPLE = 3;
+    /** Hash key of the initial debt, in place of an engine's id. */
+    private static final String IDLE_CAPACITY_KEY = "";
 
     private final EventContext context;
     private final EngineRegistry engines;
@@ -28,7 +30,7 @@
     private final TokenBucket work = new TokenBucket();
     private double rate;
 
-    /** Creates a budget of no work. */
+    /** Creates a budget with a rate of 0. */
     public IdleCapacity(EventContext context, EngineRegistry engines, LoadSignals load) {
         this.context = context;
         this.engines = engines;
@@ -37,36 +39,36 @@
         loadView = load.loadView();
     }
 
-    /** Sets the rate by the capacity that fresh reports show as left, with the number of those reports. */
+    /** Sets the rate from the spare capacity that fresh reports show, given the number of fresh reports. */
     void update(long freshReports) {
-        // DoubleStream.sum compensates rounding errors, a loop would not: the sum would differ in its last digits
-        double sharesLeft = engines.up().stream()
+        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
+        double spareFractions = engines.up().stream()
                 .filter(loadView::isLightlyLoaded)
-                .mapToDouble(IdleCapacity::shareLeft)
+                .mapToDouble(IdleCapacity::spareFraction)
                 .sum();
-        rate = SHARES * traffic.share() * engines.totalCores() * sharesLeft / freshReports;
+        rate = TRAFFIC_SHARE_MULTIPLE * traffic.share() * engines.totalCores() * spareFractions / freshReports;
     }
 
-    private static double shareLeft(EngineState engine) {
-        return 1 - engine.report().scarcestShare();
+    private static double spareFraction(EngineState engine) {
+        return 1 - engine.report().bottleneckUtilization();
     }
 
-    /** Restarts the budget with a debt, while the fleet is not overloaded. */
+    /** Resets the budget to its initial debt; called while the fleet is not overloaded. */
     void reset() {
-        work.reset(context.nowUs(), estimators.warmUpDebtUs(DEBT_KEY));
+        work.reset(context.nowUs(), estimators.initialDebtUs(IDLE_CAPACITY_KEY));
     }
 
-    /** Whether the budget permits another send. */
+    /** Whether the budget permits a send. */
     boolean isAvailable() {
         return work.refill(context.nowUs(), rate, rate * Sweep.INTERVAL_US) >= 0;
     }
 
-    /** Spends work (us). */
+    /** Subtracts the work of a send (us). */
     void spend(double workUs) {
         work.spend(workUs);
     }
 
-    /** Returns the rate of the budget (us of work per us). */
+    /** Returns the refill rate (us of work per us). */
     public double rate() {
         return rate;
     }
--- a/gateway/src/main/java/sandpaddle/decision/concurrency/OverloadDetector.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/OverloadDetector.java
@@ -16,16 +16,16 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.slowstart.SlowStart;
 
-/** Detects overload of engines and of the fleet; concurrency limits bind only then (the design's thread bound). */
+/** Detects overload of engines and of the fleet; concurrency limits are enforced only during an overload. */
 public final class OverloadDetector {
-    /** Estimated threads per core, on average, from which an overload may be near. */
+    /** Average of the estimated threads per core above which an overload may be imminent. */
     public static final double NEAR_OVERLOAD_THREADS_PER_CORE = 1.2;
 
-    /** Share of attempts in flight that are late from which an engine is overloaded. */
+    /** Share of late attempts among those in flight above which an engine is overloaded. */
     private static final double MAX_LATE_SHARE = 0.4;
-    /** Time for which a sign of overload counts (us). */
+    /** Time for which an overload signal remains in force (us). */
     private static final long OVERLOAD_HOLD_US = 1_000_000;
-    /** Time without sends to an engine after it rejected an attempt because its queue is full (us). */
+    /** Time for which an engine is excluded after it rejected an attempt because its queue is full (us). */
     private static final long QUEUE_FULL_HOLD_US = 300_000;
 
     private final EventContext context;
@@ -40,7 +40,7 @@
     private final IdleCapacity idleCapacity;
     private final boolean reportsInAnswers;
 
-    /** Creates a detector that has seen no overload. */
+    /** Creates a detector without overload signals. */
     public OverloadDetector(
             DecisionSettings settings,
             EventContext context,
@@ -62,7 +62,7 @@
         reportsInAnswers = settings.reportsInAnswers();
     }
 
-    /** Whether an engine may be sent a request, by its queue and its concurrency limit. */
+    /** Whether the queue and the concurrency limit of an engine permit a request. */
     public boolean hasCapacity(PendingRequest request, EngineState engine) {
         if (engine.limit().isQueueFull(context.nowUs())) {
             return false;
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Whether an engine is overloaded. While reports are sparse, an engine counts as overloaded with the fleet, since
-     * its own figures are too few and too old.
+     * Whether an engine is overloaded. While reports are sparse, a warm engine counts as overloaded when the fleet is,
+     * since its own reports are too few and too old.
      */
     public boolean isOverloaded(EngineState engine) {
         boolean sparse = arrivals.areReportsSparse();
@@ -94,7 +94,7 @@
         return showsOverload(fleet, fleet.lastOverloadAtUs(), arrivals.areReportsSparse());
     }
 
-    /** A stall of this gateway counts as a sign too: what happened in the meantime is unknown. */
+    /** A stall of this gateway counts as an overload signal too, since what happened during it is unknown. */
     private boolean showsOverload(ConcurrencyLimit limit, long lastSignAtUs, boolean sparse) {
         if (limit.logSlowdown() > ConcurrencyLimits.LOG_OVERLOAD_SLOWDOWN) {
             return true;
@@ -103,7 +103,7 @@
         return context.nowUs() - Math.max(lastSignAtUs, context.lastStallAtUs()) < holdUs;
     }
 
-    /** Whether a lightly loaded engine may be filled while the fleet is overloaded, as far as own work is in bounds. */
+    /** Whether a lightly loaded engine may be sent work during an overload: within the own share, and at a rate. */
     private boolean mayFill(EngineState engine) {
         double maxThreads = ConcurrencyLimits.MAX_THREADS_PER_CORE * traffic.share() * engines.totalCores();
         return loadView.isLightlyLoaded(engine)
@@ -111,7 +111,7 @@
                 && idleCapacity.isAvailable();
     }
 
-    /** Counts a request that is sent to an engine in the budget for lightly loaded engines. */
+    /** Charges a request that is sent to an engine to the budget for lightly loaded engines. */
     public void recordSend(PendingRequest request, EngineState engine) {
         if (loadView.isLightlyLoaded(engine) && isFleetOverloaded()) {
             idleCapacity.spend(estimators.expectedWorkUs(request));
@@ -127,7 +127,7 @@
         limits.cutFleet();
     }
 
-    /** Checks the engines for late attempts: an overloaded engine answers little, so latencies alone show it late. */
+    /** Checks engines for late attempts: an overloaded engine answers rarely, so its latencies show it late. */
     public void checkLateness() {
         for (EngineState engine : engines.up()) {
             if (engine.ownQueries() > 0 && isLate(engine)) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** A late attempt proves nothing where an engine gets few. */
+    /** Where engines get few attempts, late ones are not a sign of overload. */
     private boolean isLate(EngineState engine) {
         int late = 0;
         for (Attempt attempt : engine.health().inFlight()) {
@@ -156,7 +156,7 @@
                         * estimators.bestLatencyRatio(request);
     }
 
-    /** Updates the fleet's average load and capacity left, and checks both for overload. */
+    /** Updates the fleet's average load and spare capacity, and checks the fleet for overload. */
     public void updateFleet() {
         loadView.updateAverage();
         long freshReports = Math.max(1, countFreshReports());
@@ -179,9 +179,9 @@
     }
 
     /**
-     * Whether own threads exceed this gateway's share of a busy fleet: the earliest sign of an overload where reports
-     * lack queries or arrive by health checks only. A few heavy queries are enough for it at little traffic, so an
-     * average that is known to be low overrules it.
+     * Whether own threads exceed this gateway's share of a busy fleet: the earliest overload signal where reports omit
+     * queries or arrive only in health checks. With little traffic a few heavy queries suffice for it, so an average
+     * load that is known to be low overrules it.
      */
     private boolean isOwnLoadHigh(long freshReports) {
         boolean current = reportsInAnswers || 2 * freshReports >= engines.up().size();
--- a/gateway/src/main/java/sandpaddle/decision/enginelist/EngineListTracker.java
+++ b/gateway/src/main/java/sandpaddle/decision/enginelist/EngineListTracker.java
@@ -9,7 +9,7 @@
 import sandpaddle.decision.model.EventContext;
 import sandpaddle.decision.outlier.OutlierDetection;
 
-/** Takes in endpoint lists; an engine that is new or has restarted loses what was known of it and warms up. */
+/** Applies endpoint lists; the state of an engine that is new or has restarted is reset, and it warms up. */
 public final class EngineListTracker {
     private final EventContext context;
     private final EngineRegistry engines;
@@ -17,7 +17,7 @@
     private final OutlierDetection outliers;
     private final boolean subscribes;
 
-    /** Creates a tracker; where {@code subscribes}, it asks for changes of the list after the first one. */
+    /** Creates a tracker; where {@code subscribes}, it subscribes to changes after a cached list. */
     public EngineListTracker(
             EventContext context,
             EngineRegistry engines,
@@ -31,7 +31,7 @@
         this.subscribes = subscribes;
     }
 
-    /** Takes in a list that was read successfully. */
+    /** Applies a list that was read successfully. */
     public void receive(EngineListReceived event) {
         double coresBefore = engines.totalCores();
         engines.update(event).forEach(this::restart);
--- a/gateway/src/main/java/sandpaddle/decision/event/AttemptEnded.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/AttemptEnded.java
@@ -7,7 +7,7 @@
  * @param attempt number of the attempt, from 0
  * @param engine where it ran
  * @param result how it ended
- * @param settled whether the request has its final answer, so that nothing more is owed to the client
+ * @param settled whether the client has received its final answer, so that no retry is needed
  * @param elapsedUs time from sending to its end in microseconds, 0 where unknown
  * @param usedWorkMs work as reported by the engine, in milliseconds over all threads, 0 where unknown
  * @param usedMemoryMb peak memory as reported by the engine in MB, 0 where unknown
--- a/gateway/src/main/java/sandpaddle/decision/event/AttemptResult.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/AttemptResult.java
@@ -6,20 +6,20 @@
     OK,
     /** The engine answered with an error. */
     ERROR,
-    /** The engine rejected it because its queue is full. */
+    /** The engine rejected the attempt because its queue is full. */
     QUEUE_FULL,
-    /** No answer arrived within the timeout; it may still run. */
+    /** No answer arrived within the timeout; the attempt may still be running. */
     TIMEOUT,
     /** No connection could be established. */
     CONNECT_FAILED,
-    /** The connection broke before the answer was complete; it may still run. */
+    /** The connection broke before the answer was complete; the attempt may still be running. */
     RESET,
-    /** It was cancelled; it may have had an effect. */
+    /** The attempt was cancelled; it may have had an effect. */
     CANCELLED,
-    /** It was cancelled before anything of it was written. */
+    /** The attempt was cancelled before any of it was written to the engine. */
     CANCELLED_BEFORE_START;
 
-    /** Whether this proves that the attempt never ran. */
+    /** Whether this result proves that the attempt never ran. */
     public boolean neverRan() {
         return this == QUEUE_FULL || this == CONNECT_FAILED || this == CANCELLED_BEFORE_START;
     }
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineCondition.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineCondition.java
@@ -1,15 +1,15 @@
 package sandpaddle.decision.event;
 
-/** A condition of an engine that the fleet has agreed on. */
+/** Condition of an engine that a verdict of the fleet states. */
 public enum EngineCondition {
-    /** It answers with errors. */
+    /** The engine answers with errors. */
     FAILING,
-    /** It answers nothing, or cannot be reached. */
+    /** The engine does not answer, or cannot be reached. */
     UNRESPONSIVE,
-    /** It answers more slowly than the others. */
+    /** The engine answers more slowly than the others. */
     SLOW,
-    /** It has started recently and has not reached its full capacity. */
+    /** The engine has started recently and has not reached its full capacity. */
     WARMING_UP,
-    /** It is about to shut down and must not be sent new attempts. */
+    /** The engine is about to shut down and must not be sent new attempts. */
     DRAINING
 }
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineEntry.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineEntry.java
@@ -8,15 +8,17 @@
  * @param kind position of its machine kind in the settings, or -1
  * @param cell deduplication cell within its zone
  * @param status whether it may be sent new attempts
- * @param rating relative size, used where the settings do not state the cores of its kind; a value that is no size
- *     (negative, not a number, above 1,000,000) counts as 1, since it would outweigh all others
- * @param startedUs start of its process, in microseconds; 0 for long ago
+ * @param rating relative capacity, used where the settings do not state the cores of its kind; an invalid value
+ *     (negative, NaN, above 1,000,000) is replaced by 1
+ * @param startedUs start time of its process, in microseconds; 0 if it started long ago
  */
 public record EngineEntry(String id, int zone, int kind, int cell, EngineStatus status, double rating, long startedUs) {
-    /** Limit on ratings; a greater one is no size. */
+    /** Greatest valid rating. */
     private static final double MAX_RATING = 1e6;
 
-    /** Replaces a rating that is no size by 1, since it would outweigh all others or make their sum no number. */
+    /**
+     * Replaces an invalid rating by 1: a huge one would attract all the load, and NaN would make the sum of cores NaN.
+     */
     public EngineEntry {
         rating = rating >= 0 && rating <= MAX_RATING ? rating : 1;
     }
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineStatus.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineStatus.java
@@ -2,10 +2,10 @@
 
 /** Status of an engine in the endpoint list. */
 public enum EngineStatus {
-    /** It may be sent new attempts. */
+    /** The engine may be sent new attempts. */
     UP,
-    /** It finishes its attempts and must not be sent new ones. */
+    /** The engine finishes its attempts in flight and must not be sent new ones. */
     DRAINING,
-    /** It is no longer part of the deployment. */
+    /** The engine is no longer part of the deployment. */
     REMOVED
 }
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineVerdict.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineVerdict.java
@@ -1,11 +1,12 @@
 package sandpaddle.decision.event;
 
 /**
- * The fleet's finding on an engine. Times are those of {@link sandpaddle.decision.DecisionModule#handle}.
+ * A verdict of the fleet: a condition of an engine, derived from the evidence of all gateways. Times are those of
+ * {@link sandpaddle.decision.DecisionModule#handle}.
  *
  * @param engine the engine's id
- * @param condition what was found
- * @param sinceUs since when it holds
- * @param untilUs when it lapses by itself
+ * @param condition the condition of the engine
+ * @param sinceUs time since which the condition holds
+ * @param untilUs time at which the verdict expires unless it is renewed
  */
 public record EngineVerdict(String engine, EngineCondition condition, long sinceUs, long untilUs) {}
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineVerdictsChanged.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineVerdictsChanged.java
@@ -5,7 +5,7 @@
 /**
  * Replaces all verdicts on engines.
  *
- * @param verdicts all verdicts; each lapses by itself
+ * @param verdicts all verdicts in force; each has its own expiry time
  */
 public record EngineVerdictsChanged(List<EngineVerdict> verdicts) implements Event {
 
--- a/gateway/src/main/java/sandpaddle/decision/event/ProgressReported.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/ProgressReported.java
@@ -5,8 +5,8 @@
  *
  * @param id the request
  * @param attempt number of the attempt, from 0
- * @param topic what the value is about
- * @param value a share for {@link ProgressTopic#DONE_PART}, MB for {@link ProgressTopic#SPILL}, milliseconds for {@link
- *     ProgressTopic#WAIT}
+ * @param topic meaning and unit of {@code value}
+ * @param value a share for {@link ProgressTopic#COMPLETED_SHARE}, MB for {@link ProgressTopic#MISSING_MEMORY},
+ *     milliseconds for {@link ProgressTopic#WAIT}
  */
 public record ProgressReported(String id, int attempt, ProgressTopic topic, double value) implements Event {}
--- a/gateway/src/main/java/sandpaddle/decision/event/ProgressTopic.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/ProgressTopic.java
@@ -1,11 +1,11 @@
 package sandpaddle.decision.event;
 
-/** What a progress report is about. */
+/** The quantity that a progress report states. The order of the constants is part of the simulator's protocol. */
 public enum ProgressTopic {
-    /** Share of the work that is done, from 0 to 1. */
-    DONE_PART,
-    /** Memory that the attempt lacks, in MB. */
-    SPILL,
+    /** Completed share of the work, from 0 to 1. */
+    COMPLETED_SHARE,
+    /** Memory that the attempt needs beyond its grant, in MB. */
+    MISSING_MEMORY,
     /** Time spent waiting, in milliseconds. */
     WAIT
 }
--- a/gateway/src/main/java/sandpaddle/decision/event/Quota.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/Quota.java
@@ -1,12 +1,12 @@
 package sandpaddle.decision.event;
 
 /**
- * This gateway's quota of a limit that the whole fleet shares. A class or tenant of -1 and a null engine match any.
+ * This gateway's share of a fleet-wide limit. A class or tenant of -1 and a null engine match any.
  *
- * @param classIndex position of the request class
+ * @param classIndex index of the request class
  * @param tenant index of the tenant
  * @param engine the engine's id
- * @param maxInFlight limit on this gateway's attempts in flight at once
+ * @param maxInFlight limit on this gateway's concurrent attempts
  * @param maxStarts limit on attempts started until the next {@link QuotasChanged}; {@link Integer#MAX_VALUE} where
  *     starts are not limited
  */
--- a/gateway/src/main/java/sandpaddle/decision/event/StreamStarted.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/StreamStarted.java
@@ -1,7 +1,7 @@
 package sandpaddle.decision.event;
 
 /**
- * The first part of a streamed answer arrived.
+ * The first chunk of a streamed answer arrived.
  *
  * @param id the request
  * @param attempt number of the attempt, from 0
--- a/gateway/src/main/java/sandpaddle/decision/event/TimerFired.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/TimerFired.java
@@ -1,8 +1,8 @@
 package sandpaddle.decision.event;
 
 /**
- * A timer that the module scheduled is due.
+ * A timer that the module scheduled has fired.
  *
- * @param token token of the timer
+ * @param token token that the timer was scheduled with
  */
 public record TimerFired(String token) implements Event {}
--- a/gateway/src/main/java/sandpaddle/decision/healthcheck/HealthCheckScheduler.java
+++ b/gateway/src/main/java/sandpaddle/decision/healthcheck/HealthCheckScheduler.java
@@ -15,15 +15,15 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.slowstart.SlowStart;
 
-/** Checks the engines whose load report is oldest, as long as the platform's charge stays small for each query. */
+/** Sends health checks to the engines with the oldest load report, at a rate that keeps their cost per query small. */
 public final class HealthCheckScheduler {
-    /** Limit on the health checks saved up. */
-    private static final double MAX_SAVED = 3;
-    /** Points of the platform's score that health checks may cost a query. */
+    /** Capacity of the token bucket of health checks. */
+    private static final double MAX_BURST = 3;
+    /** Greatest cost of health checks per query, in points of the platform's score. */
     private static final double MAX_COST = 0.001;
-    /** That limit near an overload where only health checks carry load reports, in points. */
+    /** The same near an overload where only health checks carry load reports. */
     private static final double MAX_COST_NEAR_OVERLOAD = 0.012;
-    /** Least time between two health checks of an engine (us). */
+    /** Minimum interval between health checks of an engine (us). */
     private static final long MIN_INTERVAL_US = 1_500_000;
 
     private final DecisionSettings settings;
@@ -34,9 +34,9 @@
     private final SlowStart slowStart;
     private final OverloadDetector overload;
     private final OutlierDetection outliers;
-    private double saved = MAX_SAVED;
+    private double tokens = MAX_BURST;
 
-    /** Creates a scheduler that may start its first health checks at once. */
+    /** Creates a scheduler with a full token bucket. */
     public HealthCheckScheduler(
             DecisionSettings settings,
             EventContext context,
@@ -55,7 +55,7 @@
         this.outliers = outliers;
     }
 
-    /** Takes in the result of a health check. */
+    /** Records the result of a health check. */
     public void recordResult(EngineState engine, HealthCheckEnded event) {
         engine.endHealthCheck();
         if (loadView.receive(engine, event.loadReport(), context.nowUs())) {
@@ -66,33 +66,33 @@
         }
     }
 
-    /** Starts at most one health check, once a sweep. */
+    /** Starts at most one health check; called once per sweep. */
     public void sweep() {
         if (!settings.limits().healthChecks()) {
             return;
         }
-        double earned = checksPerQuery() * arrivals.perSecond() * Sweep.INTERVAL_US / 1e6;
-        saved = Math.min(MAX_SAVED, saved + earned);
+        double refill = tokensPerQuery() * arrivals.perSecond() * Sweep.INTERVAL_US / 1e6;
+        tokens = Math.min(MAX_BURST, tokens + refill);
         EngineState engine = longestUnchecked();
-        if (engine != null && saved >= 1) {
-            saved--;
+        if (engine != null && tokens >= 1) {
+            tokens--;
             engine.startHealthCheck(context.nowUs());
             context.emit(new StartHealthCheck(engine.id()));
         }
     }
 
-    private double checksPerQuery() {
+    private double tokensPerQuery() {
         double cost = settings.costs().healthCheck();
         if (!(cost > 0)) {
             return 1;
         }
-        boolean nearOverload = loadView.averageThreadsPerCore() > OverloadDetector.NEAR_OVERLOAD_THREADS_PER_CORE;
-        boolean onlyByChecks = !settings.reportsInAnswers();
-        double maxCost = onlyByChecks && nearOverload ? MAX_COST_NEAR_OVERLOAD : MAX_COST;
+        boolean isNearOverload = loadView.averageThreadsPerCore() > OverloadDetector.NEAR_OVERLOAD_THREADS_PER_CORE;
+        boolean reportsOnlyInChecks = !settings.reportsInAnswers();
+        double maxCost = reportsOnlyInChecks && isNearOverload ? MAX_COST_NEAR_OVERLOAD : MAX_COST;
         return Math.min(1, maxCost / cost);
     }
 
-    /** Returns the engine whose last report or health check is the oldest and due for a check, or null. */
+    /** Returns the engine with the oldest report or health check among those that are due for one, or null. */
     private EngineState longestUnchecked() {
         EngineState oldest = null;
         for (EngineState engine : engines.up()) {
@@ -104,7 +104,7 @@
         return oldest;
     }
 
-    /** Where answers carry reports, only overloaded engines are checked: nothing is sent there. */
+    /** Where answers carry reports, only overloaded engines are checked, since they are sent no requests. */
     private boolean isCheckDue(EngineState engine) {
         return !engine.isHealthCheckInFlight()
                 && context.nowUs() - engine.lastCheckedAtUs() > MIN_INTERVAL_US
--- a/gateway/src/main/java/sandpaddle/decision/loadview/ArrivalRate.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/ArrivalRate.java
@@ -4,9 +4,9 @@
 import sandpaddle.decision.model.EventContext;
 import sandpaddle.decision.model.Sweep;
 
-/** Rate of requests at this gateway, smoothed over sweeps; it tells how much its own observations can prove. */
+/** Smoothed arrival rate at this gateway; at a low rate its own observations are too few to judge engines by. */
 public final class ArrivalRate {
-    /** Requests per second and engine from which load reports in answers are current. */
+    /** Requests per second per engine from which load reports in answers are frequent enough to be current. */
     private static final double CURRENT_REPORTS_RATE = 3;
 
     private final EventContext context;
@@ -21,7 +21,7 @@
         this.engines = engines;
     }
 
-    /** Begins to measure, with the first sweep. */
+    /** Starts measuring; called when the first sweep is scheduled. */
     public void start() {
         lastSweepAtUs = context.nowUs();
     }
@@ -31,7 +31,7 @@
         arrivals++;
     }
 
-    /** Takes the requests since the last sweep into the rate. */
+    /** Adds the requests since the last sweep to the rate; called once per sweep. */
     public void update() {
         long elapsedUs = Math.max(1, context.nowUs() - lastSweepAtUs);
         lastSweepAtUs = context.nowUs();
@@ -44,12 +44,12 @@
         return perSecond;
     }
 
-    /** Whether an engine gets less than one request a second, so that a single sign of a fault must be enough. */
+    /** Whether engines get less than one request per second each, so that a single sign of a fault must suffice. */
     public boolean isSparse() {
         return perSecond < engines.up().size();
     }
 
-    /** Whether load reports in answers are so rare that an overload may be over when one shows it. */
+    /** Whether load reports in answers are so infrequent that an overload may be over before the next one arrives. */
     public boolean areReportsSparse() {
         return perSecond < CURRENT_REPORTS_RATE * engines.up().size();
     }
--- a/gateway/src/main/java/sandpaddle/decision/loadview/ClassEstimates.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/ClassEstimates.java
@@ -2,26 +2,26 @@
 
 import sandpaddle.decision.model.Numbers;
 
-/** Latency, work and memory of the queries of one class, as exponential averages over about the last thirty answers. */
+/** Estimated latency, work and memory of the queries of one class, as exponential averages over about 30 answers. */
 final class ClassEstimates {
-    /** Answers from which the best latency of a class is meaningful. */
+    /** Number of answers after which the best latency of a class is meaningful. */
     private static final int BASELINE_ANSWERS = 20;
-    /** Weight of an answer, from 0 to 1: about thirty answers count. */
+    /** Weight of one answer in the exponential averages, which cover about 30 answers. */
     private static final double ANSWER_WEIGHT = 0.03;
-    /** Rise of the logarithm of the best latency with each answer, so that a lucky streak is forgotten. */
+    /** Increase of the logarithm of the best latency per answer, so that an exceptionally fast period is forgotten. */
     private static final double BEST_DRIFT = 0.00005;
-    /** Weight of a query in the memory bias of its class, from 0 to 1. */
+    /** Step of the memory bias per query, relative to the missing fraction of its grant. */
     private static final double GRANT_WEIGHT = 0.2;
-    /** Part of a grant that may be missing on average. */
+    /** Fraction of a grant that may be missing on average. */
     private static final double TOLERATED_SHORTFALL = 0.01;
 
-    /** Least ratio of a report to an estimate that counts. */
+    /** Lower bound to which the ratio of a report to an estimate is clamped. */
     private static final double MIN_BIAS = 0.1;
-    /** Greatest ratio of a report to an estimate that counts. */
+    /** Upper bound to which the ratio of a report to an estimate is clamped. */
     private static final double MAX_BIAS = 10;
-    /** Least memory bias that is learnt from missing memory alone. */
+    /** Lower bound of the memory bias where it is learnt from missing memory. */
     private static final double MIN_GRANT_BIAS = 0.5;
-    /** Greatest memory bias that is learnt from missing memory alone. */
+    /** Upper bound of the memory bias where it is learnt from missing memory. */
     private static final double MAX_GRANT_BIAS = 3;
 
     private int answers;
@@ -32,21 +32,21 @@
     private double workBias = 1;
     private double memoryBias = 1;
 
-    /** Creates the estimates that hold before the first answer: latency (us) and work over all threads (us). */
+    /** Creates the initial estimates, used until the first answer: latency (us) and work over all threads (us). */
     ClassEstimates(double latencyUs, double workUs) {
         this.latencyUs = latencyUs;
         this.workUs = workUs;
     }
 
     /**
-     * Takes in the latency of an attempt.
+     * Adds the latency of an attempt to the estimates.
      *
      * @param attemptUs latency (us)
-     * @param normUs latency (us) to compare it with, so that queries of unlike work are comparable
-     * @return natural logarithm of the slowdown against the best latency of the class
+     * @param referenceUs reference latency (us) that it is divided by, so that queries of different work are comparable
+     * @return natural logarithm of the slowdown relative to the best latency of the class
      */
-    double recordLatency(double attemptUs, double normUs) {
-        double logLatency = Math.log(attemptUs / normUs);
+    double recordLatency(double attemptUs, double referenceUs) {
+        double logLatency = Math.log(attemptUs / referenceUs);
         answers++;
         meanLogLatency += Math.max(ANSWER_WEIGHT, 1.0 / answers) * (logLatency - meanLogLatency);
         bestLogLatency =
@@ -55,58 +55,58 @@
         return logLatency - bestLogLatency;
     }
 
-    /** Takes in the work of an answered query over all its threads (us). */
+    /** Adds the work of an answered query over all its threads (us) to the estimate. */
     void recordWork(double queryUs) {
         workUs += Math.max(ANSWER_WEIGHT, 1.0 / (answers + 1)) * (queryUs - workUs);
     }
 
-    /** Takes in the ratio of a query's reported work to its client's estimate. */
+    /** Adds the ratio of a query's reported work to its client's estimate to the work bias. */
     void recordWorkRatio(double ratio) {
         workBias += ANSWER_WEIGHT * (Numbers.clamp(ratio, MIN_BIAS, MAX_BIAS) - workBias);
     }
 
-    /** Takes in the ratio of a query's reported memory to its client's estimate. */
+    /** Adds the ratio of a query's reported memory to its client's estimate to the memory bias. */
     void recordMemoryRatio(double ratio) {
         memoryBias += ANSWER_WEIGHT * (Numbers.clamp(ratio, MIN_BIAS, MAX_BIAS) - memoryBias);
     }
 
-    /** Raises the memory bias by the part of a grant that was missing, or lowers it a little where none was. */
-    void recordShortfall(double missingPart) {
-        double factor = 1 + GRANT_WEIGHT * (missingPart - TOLERATED_SHORTFALL);
+    /** Raises the memory bias by the fraction of a grant that was missing, or lowers it slightly where none was. */
+    void recordShortfall(double missingFraction) {
+        double factor = 1 + GRANT_WEIGHT * (missingFraction - TOLERATED_SHORTFALL);
         memoryBias = Numbers.clamp(memoryBias * factor, MIN_GRANT_BIAS, MAX_GRANT_BIAS);
     }
 
-    /** Whether there were enough answers for the best latency to be meaningful. */
+    /** Whether enough answers have arrived for the best latency to be meaningful. */
     boolean hasBaseline() {
         return answers > BASELINE_ANSWERS;
     }
 
-    /** Whether there was an answer. */
+    /** Whether any answer has arrived. */
     boolean hasAnswers() {
         return answers > 0;
     }
 
-    /** Returns the mean of the natural logarithm of latency over its norm. */
+    /** Returns the mean of the natural logarithm of latency over the reference latency. */
     double meanLogLatency() {
         return meanLogLatency;
     }
 
-    /** Returns the usual latency (us). */
+    /** Returns the mean latency (us). */
     double latencyUs() {
         return latencyUs;
     }
 
-    /** Returns the usual work of a query over all its threads (us). */
+    /** Returns the mean work of a query over all its threads (us). */
     double workUs() {
         return workUs;
     }
 
-    /** Returns the work of all queries of the class so far, and of one more (us). */
+    /** Returns the estimated work of all queries of the class so far and one more (us). */
     double totalWorkUs() {
         return (answers + 1) * workUs;
     }
 
-    /** Returns the best latency as a part of the usual one. */
+    /** Returns the ratio of the best latency to the geometric mean latency. */
     double bestLatencyRatio() {
         return Math.exp(bestLogLatency - meanLogLatency);
     }
--- a/gateway/src/main/java/sandpaddle/decision/loadview/Estimators.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/Estimators.java
@@ -11,19 +11,19 @@
 import sandpaddle.decision.settings.RequestClass;
 
 /**
- * Estimates latency, work and memory of queries from the answers to earlier ones of their class. They stand in for the
- * optimizer's estimates that the paper's allocation starts from; clients' estimates are used where there are any,
- * corrected by their usual error.
+ * Estimates latency, work and memory of queries from the answers to earlier queries of their class. These estimates
+ * replace the query optimizer's, which LBQP allocates by (see {@link sandpaddle.decision.balancing.LeastLoadBalancer}).
+ * Where a client states an estimate, it is used, corrected by the mean error of such estimates in the class.
  */
 public final class Estimators {
-    /** Usual latency as a part of the latency objective, before the first answer. */
-    private static final double INITIAL_OBJECTIVE_PART = 0.3;
+    /** Initial latency estimate as a fraction of the latency objective, used until the first answer. */
+    private static final double INITIAL_OBJECTIVE_FRACTION = 0.3;
 
     private final DecisionSettings settings;
     private final EventContext context;
     private final ClassEstimates[] byClass;
 
-    /** Creates the estimates that hold before the first answer. */
+    /** Creates the initial estimates of all classes. */
     public Estimators(DecisionSettings settings, EventContext context) {
         this.settings = settings;
         this.context = context;
@@ -31,7 +31,7 @@
         byClass = new ClassEstimates[classes.size()];
         for (int i = 0; i < byClass.length; i++) {
             RequestClass requestClass = classes.get(i);
-            double latencyUs = INITIAL_OBJECTIVE_PART * requestClass.latencyObjectiveUs();
+            double latencyUs = INITIAL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveUs();
             byClass[i] = new ClassEstimates(latencyUs, latencyUs * requestClass.threads());
         }
     }
@@ -47,7 +47,7 @@
         return expectedWorkUs(request.request());
     }
 
-    /** Returns the expected latency of a request under the present load (us). */
+    /** Returns the expected latency of a request under the current load (us). */
     public long expectedLatencyUs(PendingRequest request) {
         ClassEstimates estimates = of(request);
         if (request.request().estimateUs() > 0 && estimates.hasAnswers()) {
@@ -56,22 +56,22 @@
         return (long) estimates.latencyUs();
     }
 
-    /** Returns the usual latency of the request's class (us). */
+    /** Returns the mean latency of the request's class (us). */
     public double classLatencyUs(PendingRequest request) {
         return of(request).latencyUs();
     }
 
-    /** Returns the usual work of the request's class over all threads of a query (us). */
+    /** Returns the mean work of a query of the request's class over all its threads (us). */
     public double classWorkUs(PendingRequest request) {
         return of(request).workUs();
     }
 
-    /** Returns the best latency of the request's class as a part of the usual one. */
+    /** Returns the ratio of the best latency of the request's class to its geometric mean latency. */
     public double bestLatencyRatio(PendingRequest request) {
         return of(request).bestLatencyRatio();
     }
 
-    /** Whether the best latency of the request's class is known well. */
+    /** Whether enough answers have arrived for the best latency of the request's class to be meaningful. */
     public boolean hasBaseline(PendingRequest request) {
         return of(request).hasBaseline();
     }
@@ -81,35 +81,35 @@
         return request.request().memoryMb() * of(request).memoryBias();
     }
 
-    /** Whether a class has the most priority weight for its expected work; false where there is one class only. */
-    public boolean hasHighestValueForWork(int classIndex) {
+    /** Whether a class has the highest priority weight per expected work; false where there is only one class. */
+    public boolean hasHighestWeightPerWork(int classIndex) {
         if (byClass.length <= 1) {
             return false;
         }
-        double value = valueForWork(classIndex);
+        double weight = weightPerWork(classIndex);
         for (int other = 0; other < byClass.length; other++) {
-            if (!(valueForWork(other) <= value)) {
+            if (!(weightPerWork(other) <= weight)) {
                 return false;
             }
         }
         return true;
     }
 
-    private double valueForWork(int classIndex) {
+    private double weightPerWork(int classIndex) {
         return settings.classes().get(classIndex).priorityWeight() / byClass[classIndex].workUs();
     }
 
     /**
-     * Takes in the latency of an attempt (us).
+     * Adds the latency of an attempt (us) to the estimates of its class.
      *
-     * @return natural logarithm of the slowdown against the best latency of the class
+     * @return natural logarithm of the slowdown relative to the best latency of the class
      */
     public double recordLatency(PendingRequest request, double latencyUs) {
-        double normUs = request.request().estimateUs() > 0 ? expectedWorkUs(request) / request.threads() : 1;
-        return of(request).recordLatency(latencyUs, normUs);
+        double referenceUs = request.request().estimateUs() > 0 ? expectedWorkUs(request) / request.threads() : 1;
+        return of(request).recordLatency(latencyUs, referenceUs);
     }
 
-    /** Takes in the work and memory of an answered query; latency stands in for work that is not reported. */
+    /** Adds the work and memory of an answered query; where work is not reported, it is derived from the latency. */
     public void recordCost(PendingRequest request, AttemptEnded event, double latencyUs) {
         ClassEstimates estimates = of(request);
         RequestReceived received = request.request();
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Adjusts grants of the class by what the attempt lacks; only where answers do not report memory. */
+    /** Adjusts the memory grants of the class by what the attempt lacks; only where answers do not report memory. */
     public void recordMemoryShortfall(PendingRequest request) {
         if (request.grantedMb() > 0 && !settings.features().reportsCost()) {
             of(request).recordShortfall(Math.min(1, request.missingMb() / request.grantedMb()));
@@ -133,13 +133,16 @@
     }
 
     /**
-     * Returns the debt (us of work) with which an engine begins a slow start. All gateways see the start at once, so
-     * each draws a different debt, from none up to one query of a class drawn by its share of the work.
+     * Returns the initial debt (us of work) of a token bucket that all gateways start at the same time, such as that of
+     * an engine's slow start. Each gateway gets a different pseudo-random debt, so that they do not all send at once:
+     * up to the work of one query, of a class chosen with a probability proportional to its share of the work.
+     *
+     * @param engineId id of the engine, or another key that identifies the token bucket
      */
-    public double warmUpDebtUs(String engineId) {
+    public double initialDebtUs(String engineId) {
         long key = context.nowUs();
         int gateway = settings.gatewayIndex();
-        // DoubleStream.sum compensates rounding errors, a loop would not: the sum would differ in its last digits
+        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
         double totalWorkUs =
                 Arrays.stream(byClass).mapToDouble(ClassEstimates::totalWorkUs).sum();
         double position = RendezvousHash.hash(key + gateway, engineId) * totalWorkUs;
--- a/gateway/src/main/java/sandpaddle/decision/loadview/InFlightLoad.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/InFlightLoad.java
@@ -11,19 +11,19 @@
 import sandpaddle.decision.model.RetainedLoad;
 import sandpaddle.decision.model.ThreadUsage;
 
-/** This gateway's attempts in flight and the threads that they use, by engine and on the fleet. */
+/** Tracks this gateway's attempts in flight and the threads that they use, per engine and on the fleet. */
 public final class InFlightLoad {
     private final EventContext context;
     private final ThreadUsage fleetThreads;
     private final List<RetainedLoad> retained = new ArrayList<>();
 
-    /** Creates the load of no attempts, for a number of classes. */
+    /** Creates a load without attempts, for a number of classes. */
     public InFlightLoad(EventContext context, int classes) {
         this.context = context;
         fleetThreads = new ThreadUsage(classes);
     }
 
-    /** Counts an attempt that is sent. */
+    /** Adds an attempt that is sent, and its threads. */
     public void startAttempt(Attempt attempt) {
         PendingRequest request = attempt.request();
         for (HealthScope scope : attempt.engine().healthScopes(request.classIndex())) {
@@ -32,7 +32,7 @@
         addThreads(attempt.engine(), request.classIndex(), request.threads());
     }
 
-    /** Removes an attempt that ended; its threads count until they are released. */
+    /** Removes an attempt that ended; its threads still count until they are released. */
     public void endAttempt(Attempt attempt) {
         int classIndex = attempt.request().classIndex();
         for (HealthScope scope : attempt.engine().healthScopes(classIndex)) {
@@ -46,13 +46,13 @@
         addThreads(attempt.engine(), request.classIndex(), -request.threads());
     }
 
-    /** Counts the threads of an attempt that ended until a time (us). */
+    /** Keeps counting the threads of an attempt that ended until a time (us). */
     public void retainThreads(Attempt attempt, long untilUs) {
         PendingRequest request = attempt.request();
         retained.add(new RetainedLoad(attempt.engine(), request.classIndex(), request.threads(), untilUs));
     }
 
-    /** Releases the retained threads whose time is over. */
+    /** Releases the retained threads whose time has passed. */
     public void releaseExpired() {
         Iterator<RetainedLoad> loads = retained.iterator();
         while (loads.hasNext()) {
--- a/gateway/src/main/java/sandpaddle/decision/loadview/LoadSignals.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/LoadSignals.java
@@ -1,13 +1,13 @@
 package sandpaddle.decision.loadview;
 
 /**
- * The signals of load that decisions are based on.
+ * The load signals that decisions are based on.
  *
- * @param arrivals rate of requests at this gateway
+ * @param arrivals arrival rate at this gateway
  * @param traffic this gateway's share of the traffic
  * @param inFlightLoad this gateway's attempts in flight
  * @param estimators estimates of latency, work and memory
- * @param loadView load of the engines
+ * @param loadView estimated load of the engines
  */
 public record LoadSignals(
         ArrivalRate arrivals,
--- a/gateway/src/main/java/sandpaddle/decision/loadview/LoadView.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/LoadView.java
@@ -12,19 +12,19 @@
 import sandpaddle.decision.settings.LoadField;
 
 /**
- * Load of the engines as this gateway sees it: its own queries, and those of other gateways from load reports scaled by
- * its share of the traffic (the design's share-scaled reports, in place of the paper's common load vector).
+ * Load of the engines as this gateway estimates it: its own queries, and the queries of all gateways from load reports,
+ * scaled by its share of the traffic. These scaled reports replace the load vector that LBQP assumes all sites share.
  */
 public final class LoadView {
-    /** Threads per core from which an engine is busy: near the usual knee of its latency. */
+    /** Threads per core from which an engine is busy: near the usual knee of its latency curve. */
     public static final double BUSY_THREADS_PER_CORE = 1.5;
-    /** Share in use of the scarcest resource below which an engine is lightly loaded. */
-    private static final double LIGHT_SHARE = 0.7;
-    /** Share in use of cores, disks or memory from which little of the resource is left. */
-    private static final double SATURATED_SHARE = 0.9;
+    /** Utilization of the most utilized resource below which an engine is lightly loaded. */
+    private static final double LIGHT_UTILIZATION = 0.7;
+    /** Utilization of cores, disks or memory from which the resource is nearly exhausted. */
+    private static final double SATURATED_UTILIZATION = 0.9;
 
-    /** Fields that state the share in use of a resource. */
-    private static final Set<LoadField> RESOURCE_SHARES =
+    /** Fields that state the utilization of a resource. */
+    private static final Set<LoadField> UTILIZATION_FIELDS =
             EnumSet.of(LoadField.UTILIZATION, LoadField.MEMORY, LoadField.DISKS);
 
     private final EventContext context;
@@ -37,7 +37,7 @@
     private final ToDoubleFunction<EngineState> estimatedThreads = this::estimatedThreads;
     private double averageThreadsPerCore;
 
-    /** Creates a view in which nothing has been reported. */
+    /** Creates a view without load reports. */
     public LoadView(DecisionSettings settings, EventContext context, EngineRegistry engines, TrafficShare traffic) {
         this.context = context;
         this.engines = engines;
@@ -48,30 +48,30 @@
     }
 
     /**
-     * Takes in a load report.
+     * Applies a load report.
      *
      * @param values the report, or null
      * @param atUs when the engine wrote it (us)
-     * @return false where there is no report, it is older than the present one, or a value is missing or no number
+     * @return false where there is no report, it is older than the current one, or a value is missing or invalid
      */
     public boolean receive(EngineState engine, double[] values, long atUs) {
         LoadReport report = engine.report();
         if (!isValid(values) || atUs < report.receivedAtUs()) {
             return false;
         }
-        double scarcestShare = 0;
+        double bottleneckUtilization = 0;
         double queued = 0;
         for (int i = 0; i < values.length; i++) {
             LoadField field = reportFields.get(i);
             double value = values[i];
-            scarcestShare = Math.max(scarcestShare, shareInUse(engine, field, value));
+            bottleneckUtilization = Math.max(bottleneckUtilization, utilization(engine, field, value));
             queued += field == LoadField.QUEUED ? value : 0;
             if (showsBusy(field, value)) {
                 report.recordBusy(atUs);
             }
         }
         double inFlight = inFlightField >= 0 ? values[inFlightField] : Double.NaN;
-        report.replace(atUs, inFlight, scarcestShare, queued, engine.ownQueries());
+        report.replace(atUs, inFlight, bottleneckUtilization, queued, engine.ownQueries());
         return true;
     }
 
@@ -88,19 +88,20 @@
     }
 
     /**
-     * Returns the share in use that a value proves. Queries in flight stand for the shares of cores and disks where
-     * they are reported, since shares level off at 1; a busy engine's threads use all of it.
+     * Returns the utilization that a reported value implies. Where queries in flight are reported, they replace the
+     * utilization of cores and disks, which cannot exceed 1: a busy engine's threads count as a saturated resource.
      */
-    private double shareInUse(EngineState engine, LoadField field, double value) {
+    private double utilization(EngineState engine, LoadField field, double value) {
         if (field == LoadField.IN_FLIGHT) {
-            return value * traffic.threadsPerQuery() * SATURATED_SHARE / (BUSY_THREADS_PER_CORE * engine.cores());
+            return value * traffic.threadsPerQuery() * SATURATED_UTILIZATION / (BUSY_THREADS_PER_CORE * engine.cores());
         }
-        boolean counts = field == LoadField.MEMORY || inFlightField < 0 && RESOURCE_SHARES.contains(field);
+        boolean counts = field == LoadField.MEMORY || inFlightField < 0 && UTILIZATION_FIELDS.contains(field);
         return counts ? value : 0;
     }
 
     private static boolean showsBusy(LoadField field, double value) {
-        return RESOURCE_SHARES.contains(field) && value >= SATURATED_SHARE || field == LoadField.QUEUED && value >= 1;
+        return UTILIZATION_FIELDS.contains(field) && value >= SATURATED_UTILIZATION
+                || field == LoadField.QUEUED && value >= 1;
     }
 
     /** Whether the engine's load report is recent enough to be used. */
@@ -108,17 +109,17 @@
         return engine.report().isFresh(context.nowUs());
     }
 
-    /** Whether the latest report showed capacity left of each resource. */
+    /** Whether the latest report showed spare capacity of every resource. */
     public boolean hadSpareResources(EngineState engine) {
-        return engine.report().scarcestShare() < LIGHT_SHARE;
+        return engine.report().bottleneckUtilization() < LIGHT_UTILIZATION;
     }
 
-    /** Whether the latest report showed a resource in use nearly as a whole. */
+    /** Whether the latest report showed a resource that is nearly exhausted. */
     public boolean wasSaturated(EngineState engine) {
-        return engine.report().scarcestShare() > SATURATED_SHARE;
+        return engine.report().bottleneckUtilization() > SATURATED_UTILIZATION;
     }
 
-    /** Whether a recent report shows capacity left of each resource. */
+    /** Whether a recent report shows spare capacity of every resource. */
     public boolean isLightlyLoaded(EngineState engine) {
         return isFresh(engine) && hadSpareResources(engine);
     }
@@ -128,7 +129,7 @@
         return inFlightField >= 0;
     }
 
-    /** Returns reported queries times the traffic share; own queries where reports lack them; NaN without a report. */
+    /** Returns reported queries times the traffic share, own queries where reports omit them, NaN without a report. */
     public double reportedQueries(EngineState engine) {
         if (inFlightField < 0) {
             return engine.ownQueries();
@@ -136,7 +137,7 @@
         return isFresh(engine) ? engine.report().inFlight() * traffic.share() : Double.NaN;
     }
 
-    /** Returns the threads known to run on an engine: own ones, or reported queries as wide as own ones. */
+    /** Returns the threads known to run on an engine: own ones, or reported queries times the own threads per query. */
     public double knownThreads(EngineState engine) {
         double own = engine.threads().total();
         if (inFlightField < 0 || !isFresh(engine)) {
@@ -145,7 +146,7 @@
         return Math.max(own, engine.report().inFlight() * traffic.threadsPerQuery());
     }
 
-    /** Returns the threads on an engine, at least as many as keep its scarcest resource busy; NaN where unknown. */
+    /** Returns the threads on an engine, at least as many as its most utilized resource implies; NaN where unknown. */
     public double estimatedThreads(EngineState engine) {
         if (soleGateway) {
             return knownThreads(engine);
@@ -158,7 +159,7 @@
             return Double.NaN;
         }
         LoadReport report = engine.report();
-        return report.scarcestShare() / SATURATED_SHARE * BUSY_THREADS_PER_CORE * engine.cores()
+        return report.bottleneckUtilization() / SATURATED_UTILIZATION * BUSY_THREADS_PER_CORE * engine.cores()
                 + report.queued() * traffic.threadsPerQuery();
     }
 
@@ -167,12 +168,12 @@
         averageThreadsPerCore = averagePerCore(estimatedThreads);
     }
 
-    /** Returns the average of the estimated threads per core, which stands in for engines without an estimate. */
+    /** Returns the average of the estimated threads per core, which is used for engines without an estimate. */
     public double averageThreadsPerCore() {
         return averageThreadsPerCore;
     }
 
-    /** Returns the reported queries per core, on average over the engines with a report. */
+    /** Returns the average of the reported queries per core over the engines with a report. */
     public double averageReportedQueries() {
         return averagePerCore(reportedQueries);
     }
--- a/gateway/src/main/java/sandpaddle/decision/loadview/TrafficShare.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/TrafficShare.java
@@ -10,14 +10,14 @@
 import sandpaddle.decision.settings.LoadField;
 
 /**
- * This gateway's share of the fleet's traffic, learnt from load reports that state the queries of all gateways. Other
- * gateways' queries are estimated by it: reported queries times the share count as one's own.
+ * This gateway's share of the fleet's traffic, learnt from load reports that state the queries of all gateways.
+ * Reported queries times the share are this gateway's part of an engine's load.
  */
 public final class TrafficShare {
-    /** Weight of the equal share among gateways, in queries seen. */
+    /** Weight of the prior, an equal share per gateway, in observed queries. */
     private static final double EQUAL_SHARE_WEIGHT = 30;
-    /** Least share assumed, as a part of the equal share. */
-    private static final double MIN_EQUAL_SHARE_PART = 0.3;
+    /** Lower bound of the share, as a fraction of the equal share. */
+    private static final double MIN_EQUAL_SHARE_FRACTION = 0.3;
 
     private final EventContext context;
     private final EngineRegistry engines;
@@ -28,7 +28,7 @@
     private double share;
     private double threadsPerQuery = 1;
 
-    /** Creates an equal share. */
+    /** Creates an estimate that starts at an equal share per gateway. */
     public TrafficShare(DecisionSettings settings, EventContext context, EngineRegistry engines) {
         this.context = context;
         this.engines = engines;
@@ -37,7 +37,7 @@
         share = 1.0 / gateways;
     }
 
-    /** Takes in the present reports. Both sums are smoothed, since a mean of ratios would be too high. */
+    /** Updates the share from the current reports. Both sums are smoothed, since a mean of ratios is biased upwards. */
     public void update() {
         double own = 0;
         double all = 0;
@@ -52,8 +52,8 @@
         }
         ownQueries += Sweep.RATE_WEIGHT * (own - ownQueries);
         allQueries += Sweep.RATE_WEIGHT * (all - allQueries);
-        double seen = (ownQueries + EQUAL_SHARE_WEIGHT / gateways) / (allQueries + EQUAL_SHARE_WEIGHT);
-        share = Numbers.clamp(seen, MIN_EQUAL_SHARE_PART / gateways, 1);
+        double observed = (ownQueries + EQUAL_SHARE_WEIGHT / gateways) / (allQueries + EQUAL_SHARE_WEIGHT);
+        share = Numbers.clamp(observed, MIN_EQUAL_SHARE_FRACTION / gateways, 1);
         threadsPerQuery += own > 0 ? Sweep.RATE_WEIGHT * (threads / own - threadsPerQuery) : 0;
     }
 
@@ -62,7 +62,7 @@
         return share;
     }
 
-    /** Returns the threads of one of this gateway's queries, on average. */
+    /** Returns the average number of threads of this gateway's queries. */
     public double threadsPerQuery() {
         return threadsPerQuery;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/ConcurrencyLimit.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/ConcurrencyLimit.java
@@ -1,11 +1,11 @@
 package sandpaddle.decision.model;
 
-/** Limit on the threads of all gateways on an engine, or on the fleet, with the signals that adjust it. */
+/** Limit on the concurrent threads of all gateways on one engine or on the fleet, and the signals that adjust it. */
 public final class ConcurrencyLimit {
-    /** Least time between two adjustments (us): about the time after which one shows in latencies. */
+    /** Minimum interval between adjustments (us): about the time until an adjustment affects latencies. */
     public static final long ADJUST_INTERVAL_US = 250_000;
 
-    /** Weight of an answer in the slowdown, from 0 to 1: about ten answers count. */
+    /** Weight of one attempt in the exponential average of the slowdown, which covers about ten attempts. */
     private static final double SLOWDOWN_WEIGHT = 0.1;
 
     private double threads;
@@ -14,7 +14,7 @@
     private long lastOverloadAtUs = EventContext.NEVER;
     private long queueFullUntilUs = EventContext.NEVER;
 
-    /** Sets the limit (threads) of an engine that has started, and forgets its slowdown. */
+    /** Sets the limit (threads) of an engine that has restarted, and resets its slowdown. */
     public void restart(double newThreads) {
         threads = newThreads;
         logSlowdown = 0;
@@ -25,7 +25,7 @@
         threads = newThreads;
     }
 
-    /** Takes an attempt into the slowdown. */
+    /** Adds the natural logarithm of an attempt's slowdown to the exponential average. */
     public void recordSlowdown(double logOfSlowdown) {
         logSlowdown += SLOWDOWN_WEIGHT * (logOfSlowdown - logSlowdown);
     }
@@ -35,14 +35,14 @@
         threads = Math.min(threads + increase, max);
     }
 
-    /** Multiplies the limit by a factor, down to a minimum (threads), unless it was adjusted just before. */
+    /** Multiplies the limit by a factor, down to a minimum (threads), at most once per adjustment interval. */
     public void cut(long nowUs, double factor, double min) {
         if (tryAdjust(nowUs)) {
             threads = Math.max(min, threads * factor);
         }
     }
 
-    /** Whether the last adjustment is long enough ago; if so, an adjustment is recorded. */
+    /** Returns whether the adjustment interval has passed, and if so records an adjustment. */
     public boolean tryAdjust(long nowUs) {
         if (nowUs - lastAdjustedAtUs <= ADJUST_INTERVAL_US) {
             return false;
@@ -51,7 +51,7 @@
         return true;
     }
 
-    /** Records a sign of overload other than latency. */
+    /** Records an overload signal other than latency. */
     public void recordOverload(long nowUs) {
         lastOverloadAtUs = nowUs;
     }
@@ -71,12 +71,12 @@
         return logSlowdown;
     }
 
-    /** Returns the time of the last sign of overload (us). */
+    /** Returns the time of the last overload signal other than latency (us). */
     public long lastOverloadAtUs() {
         return lastOverloadAtUs;
     }
 
-    /** Whether the engine has just rejected an attempt because its queue is full. */
+    /** Whether the engine is still excluded after it rejected an attempt because its queue is full. */
     public boolean isQueueFull(long nowUs) {
         return nowUs < queueFullUntilUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/EngineRegistry.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/EngineRegistry.java
@@ -14,7 +14,7 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.EngineKind;
 
-/** The engines of the endpoint list, those that are up, and the health scopes of their zones. */
+/** Registry of the engines of the endpoint list and of the health scopes of their zones. */
 public final class EngineRegistry {
     private final DecisionSettings settings;
     private final Map<String, EngineState> engines = new LinkedHashMap<>();
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Takes in an endpoint list.
+     * Applies an endpoint list.
      *
      * @return the engines that are new, or whose process has restarted
      */
@@ -66,7 +66,7 @@
         return new HealthScope(HealthScope.Kind.ZONE, "zone " + zone);
     }
 
-    /** An engine that is no longer listed is needed until its last attempt has ended. */
+    /** An engine that is no longer listed is kept until its last attempt has ended. */
     private static boolean isObsolete(EngineState engine) {
         return !engine.isUp()
                 && engine.entry().status() != EngineStatus.DRAINING
@@ -88,7 +88,7 @@
         return engines.get(id);
     }
 
-    /** Returns all engines known, also those that drain. */
+    /** Returns all known engines, including those that are draining. */
     public Collection<EngineState> all() {
         return Collections.unmodifiableCollection(engines.values());
     }
@@ -98,12 +98,12 @@
         return upView;
     }
 
-    /** Returns the health scopes of all zones, by the position of the zone. */
+    /** Returns the health scopes of all zones, ordered by zone index. */
     public Collection<HealthScope> zones() {
         return zones.values();
     }
 
-    /** Returns the number of cores of the engines that are up. */
+    /** Returns the total cores of the engines that are up. */
     public double totalCores() {
         return totalCores;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/EngineState.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/EngineState.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import sandpaddle.decision.event.EngineEntry;
 
-/** State of one engine. Each part is a type of its own; {@link EngineRegistry} sets what the endpoint list states. */
+/** State of one engine. {@link EngineRegistry} sets the fields that come from the endpoint list. */
 public final class EngineState {
     private final String id;
     private final ThreadUsage threads;
@@ -42,13 +42,13 @@
         up = value;
     }
 
-    /** Sets the figures that hold from a start of the engine on. */
+    /** Sets the values that are fixed from one start of the engine to the next. */
     void setCapacity(double coreCount, double position) {
         cores = coreCount;
         gatewayPosition = position;
     }
 
-    /** Records that a health check is sent. */
+    /** Records that a health check was sent. */
     public void startHealthCheck(long nowUs) {
         healthCheckInFlight = true;
         lastHealthCheckAtUs = nowUs;
@@ -79,7 +79,7 @@
         return cores;
     }
 
-    /** Returns the engine's position in this gateway's own order of engines, in [0, 1). */
+    /** Returns the engine's position in the order in which this gateway prefers engines, in [0, 1). */
     public double gatewayPosition() {
         return gatewayPosition;
     }
@@ -99,7 +99,7 @@
         return health.inFlight().size();
     }
 
-    /** Returns the threads of this gateway's queries. */
+    /** Returns the threads used by this gateway's queries. */
     public ThreadUsage threads() {
         return threads;
     }
@@ -109,7 +109,7 @@
         return report;
     }
 
-    /** Returns the limit on the engine's threads. */
+    /** Returns the engine's concurrency limit. */
     public ConcurrencyLimit limit() {
         return limit;
     }
@@ -139,7 +139,7 @@
         return classHealth.length;
     }
 
-    /** Returns the scopes that contain an attempt of a class: the engine, its zone, and the class on the engine. */
+    /** Returns the scopes that an attempt of a class belongs to: the engine, its zone, and the class on the engine. */
     public List<HealthScope> healthScopes(int classIndex) {
         return List.of(health, zoneHealth, classHealth[classIndex]);
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/EventContext.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/EventContext.java
@@ -4,11 +4,11 @@
 import sandpaddle.decision.action.Action;
 
 /**
- * The event being handled: its time, which is the module's only clock, and the receiver of its actions. Only the
- * decision module begins an event; its parts read the time and emit actions.
+ * Context of the event being handled: its time, which is the module's only clock, and the receiver of its actions. Only
+ * the decision module begins an event; its parts read the time and emit actions.
  */
 public final class EventContext {
-    /** A time (us) before all others. Halved, so that differences to it do not overflow. */
+    /** A time (us) before any event. Half of the least value, so that differences to it do not overflow. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
     private long nowUs;
@@ -21,7 +21,9 @@
         actions = receiver;
     }
 
-    /** Records that the gateway stood still until now, so that older deadlines prove nothing about the engines. */
+    /**
+     * Records that the gateway was stalled until now, so that deadlines missed before now say nothing about engines.
+     */
     public void recordStall() {
         lastStallAtUs = nowUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/HealthScope.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/HealthScope.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * State of outlier detection for one scope: an engine, a zone, or a class on an engine. An attempt counts in the three
- * scopes that contain it, since any of them can fail alone.
+ * State of outlier detection for one scope: an engine, a zone, or a class on an engine. An attempt counts in all three
+ * scopes that it belongs to, since each of them can fail independently.
  */
 public final class HealthScope {
-    /** What a scope contains. */
+    /** The set of attempts that a scope covers. */
     public enum Kind {
         /** All attempts on an engine. */
         ENGINE,
@@ -37,7 +37,7 @@
         this.id = id;
     }
 
-    /** Adds an attempt that is sent. */
+    /** Adds an attempt that was sent. */
     public void attemptStarted(Attempt attempt) {
         inFlight.put(attempt.request().id(), attempt);
     }
@@ -47,7 +47,7 @@
         inFlight.remove(attempt.request().id());
     }
 
-    /** Keeps an overdue attempt that timed out until the next answer of the scope. */
+    /** Keeps an overdue attempt that timed out until the scope's next answer. */
     public void recordTimeout(Attempt attempt) {
         timedOut.add(attempt);
     }
@@ -63,17 +63,17 @@
         lastSuccessAtUs = nowUs;
     }
 
-    /** Takes an outcome, 1 for an error and 0 for a success, into the error rate by a weight. */
+    /** Adds an outcome, 1 for an error and 0 for a success, to the exponential average of the error rate. */
     public void recordOutcome(int error, double weight) {
         errorRate += weight * (error - errorRate);
     }
 
-    /** Clears the error rate of an engine that has restarted. */
+    /** Resets the error rate of an engine that has restarted. */
     public void clearErrors() {
         errorRate = 0;
     }
 
-    /** Sets whether the scope answers nothing or cannot be reached. */
+    /** Sets whether the scope does not answer or cannot be reached. */
     public void setUnresponsive(boolean value) {
         unresponsive = value;
     }
@@ -83,12 +83,12 @@
         ejectedUntilUs = untilUs;
     }
 
-    /** Sets the least time (us) of the next ejection. */
+    /** Sets the minimum duration of the next ejection (us). */
     public void setEjectionTimeUs(long timeUs) {
         ejectionTimeUs = timeUs;
     }
 
-    /** Returns what the scope contains. */
+    /** Returns the kind of the scope. */
     public Kind kind() {
         return kind;
     }
@@ -98,7 +98,7 @@
         return id;
     }
 
-    /** Returns the attempts in flight in the order of their start. */
+    /** Returns the attempts in flight in the order in which they were sent. */
     public Collection<Attempt> inFlight() {
         return inFlight.values();
     }
@@ -108,12 +108,12 @@
         return timedOut;
     }
 
-    /** Whether the scope answers nothing or cannot be reached. */
+    /** Whether the scope does not answer or cannot be reached. */
     public boolean isUnresponsive() {
         return unresponsive;
     }
 
-    /** Returns the smoothed share of errors, from 0 to 1. */
+    /** Returns the exponential average of the error rate, from 0 to 1. */
     public double errorRate() {
         return errorRate;
     }
@@ -133,7 +133,7 @@
         return ejectedUntilUs;
     }
 
-    /** Returns the least time (us) of the next ejection. */
+    /** Returns the minimum duration of the next ejection (us). */
     public long ejectionTimeUs() {
         return ejectionTimeUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/LoadReport.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/LoadReport.java
@@ -1,13 +1,13 @@
 package sandpaddle.decision.model;
 
-/** The latest load report of an engine, reduced to the figures that decisions use. */
+/** The latest load report of an engine, reduced to the values that decisions use. */
 public final class LoadReport {
-    /** Age (us) from which a report is no longer used. */
+    /** Age (us) at which a report expires. */
     public static final long MAX_AGE_US = 3_000_000;
 
     private boolean present;
     private double inFlight;
-    private double scarcestShare;
+    private double bottleneckUtilization;
     private double queued;
     private int ownQueries;
     private long receivedAtUs = EventContext.NEVER;
@@ -17,26 +17,26 @@
      * Replaces the report.
      *
      * @param atUs when the engine wrote it (us)
-     * @param inFlightQueries queries running on the engine, of all gateways; NaN where reports lack them
-     * @param scarcestResourceShare share in use of its scarcest resource
-     * @param queuedQueries queries that wait for memory
-     * @param ownQueriesInFlight queries of this gateway running there now
+     * @param inFlightQueries running queries of all gateways; NaN where reports do not state them
+     * @param bottleneckResourceUtilization utilization of the engine's most utilized resource
+     * @param queuedQueries queries that are queued for memory
+     * @param ownQueriesInFlight queries of this gateway in flight there now
      */
     public void replace(
             long atUs,
             double inFlightQueries,
-            double scarcestResourceShare,
+            double bottleneckResourceUtilization,
             double queuedQueries,
             int ownQueriesInFlight) {
         present = true;
         receivedAtUs = atUs;
         inFlight = inFlightQueries;
-        scarcestShare = scarcestResourceShare;
+        bottleneckUtilization = bottleneckResourceUtilization;
         queued = queuedQueries;
         ownQueries = ownQueriesInFlight;
     }
 
-    /** Records that a report showed the engine busy. */
+    /** Records the time of a report that showed the engine busy. */
     public void recordBusy(long atUs) {
         lastBusyAtUs = Math.max(lastBusyAtUs, atUs);
     }
@@ -51,22 +51,22 @@
         return present && nowUs - receivedAtUs < MAX_AGE_US;
     }
 
-    /** Returns the queries running on the engine, of all gateways; NaN where reports lack them. */
+    /** Returns the running queries of all gateways; NaN where reports do not state them. */
     public double inFlight() {
         return inFlight;
     }
 
-    /** Returns the share in use of the engine's scarcest resource. */
-    public double scarcestShare() {
-        return scarcestShare;
+    /** Returns the utilization of the engine's most utilized resource. */
+    public double bottleneckUtilization() {
+        return bottleneckUtilization;
     }
 
-    /** Returns the queries that wait for memory. */
+    /** Returns the queries that are queued for memory. */
     public double queued() {
         return queued;
     }
 
-    /** Returns the queries of this gateway that ran there when the report was received. */
+    /** Returns the queries of this gateway in flight there when the report was received. */
     public int ownQueries() {
         return ownQueries;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/OrderedKeyQueue.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/OrderedKeyQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The requests of one ordering key in their order of arrival (rule 5), and the pause after one that may still run. */
+/** Queue of the requests of one ordering key, and the pause after an attempt that may still be running. */
 public final class OrderedKeyQueue {
     private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
     private long pausedUntilUs = EventContext.NEVER;
@@ -12,17 +12,17 @@
         requests.add(request);
     }
 
-    /** Removes a request that is finished. */
+    /** Removes a finished request. */
     public void remove(PendingRequest request) {
         requests.remove(request);
     }
 
-    /** Whether a request is the next of its key. */
+    /** Whether a request is at the head of the queue. */
     public boolean isFirst(PendingRequest request) {
         return requests.peek() == request;
     }
 
-    /** Delays the first attempt of the following requests until a time (us). */
+    /** Delays the first attempts of the queued requests until a time (us). */
     public void pauseUntil(long timeUs) {
         pausedUntilUs = timeUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/PendingRequest.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/PendingRequest.java
@@ -35,8 +35,8 @@
      * @param requestClass its class
      * @param sequence its number in the order of arrival
      * @param expiresAtUs its deadline (us)
-     * @param dueAtUs until when its answer has its full priority weight (us)
-     * @param admissionDraw random number in [0, 1): the part of the request that must fit within a limit
+     * @param dueAtUs time until which its answer has its full priority weight (us)
+     * @param admissionDraw random number in [0, 1): fraction of its threads that must fit within the fleet's limit
      */
     public PendingRequest(
             RequestReceived request,
@@ -64,7 +64,7 @@
         cancelRequested = false;
     }
 
-    /** Ends the attempt in flight and keeps the first one that may have had an effect. */
+    /** Ends the attempt in flight, and remembers the first one that may have had an effect. */
     public void endAttempt(AttemptResult result) {
         Attempt ended = inFlight;
         inFlight = null;
@@ -96,7 +96,7 @@
         cancelRequested = true;
     }
 
-    /** Records that the client has its final answer, or has disconnected. */
+    /** Records that the client has received its final answer, or has disconnected. */
     public void finish() {
         finished = true;
     }
@@ -121,7 +121,7 @@
         return requestClass;
     }
 
-    /** Returns the position of the class in the settings. */
+    /** Returns the index of the class in the settings. */
     public int classIndex() {
         return request.classIndex();
     }
@@ -141,12 +141,12 @@
         return expiresAtUs;
     }
 
-    /** Returns until when an answer has its full priority weight (us). */
+    /** Returns the time until which an answer has its full priority weight (us). */
     public long dueAtUs() {
         return dueAtUs;
     }
 
-    /** Returns the random number in [0, 1) that decides where a request fits within a limit only in part. */
+    /** Returns the random number in [0, 1) that decides whether a request that fits a limit only partly is admitted. */
     public double admissionDraw() {
         return admissionDraw;
     }
@@ -196,7 +196,7 @@
         return cancelRequested;
     }
 
-    /** Whether the client has its final answer, or has disconnected. */
+    /** Whether the client has received its final answer, or has disconnected. */
     public boolean isFinished() {
         return finished;
     }
@@ -211,7 +211,7 @@
         return firstRanOn;
     }
 
-    /** Returns when that attempt was sent (us). */
+    /** Returns when the first attempt that may have had an effect was sent (us). */
     public long firstRanAtUs() {
         return firstRanAtUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/PendingRequests.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/PendingRequests.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** All requests of the gateway, and the queue of those without an attempt in flight, ordered by when they are due. */
+/** All pending requests of the gateway, and the queue of those without an attempt in flight, earliest due first. */
 public final class PendingRequests {
     private final Map<String, PendingRequest> byId = new HashMap<>();
     private final TreeSet<PendingRequest> queue = new TreeSet<>(
@@ -24,7 +24,7 @@
         queue.add(request);
     }
 
-    /** Removes a request from the queue, since an attempt is sent or it is finished. */
+    /** Removes a request from the queue, because an attempt is sent or it is finished. */
     public void dequeue(PendingRequest request) {
         queue.remove(request);
     }
@@ -54,7 +54,7 @@
         return List.copyOf(queue);
     }
 
-    /** Whether a request is the first of the queue, which must not be empty. */
+    /** Whether a request is at the head of the queue, which must not be empty. */
     public boolean isFirst(PendingRequest request) {
         return queue.first() == request;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/QuotaUsage.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/QuotaUsage.java
@@ -3,7 +3,7 @@
 import sandpaddle.decision.event.Quota;
 import sandpaddle.decision.event.RequestReceived;
 
-/** A quota of this gateway, and the attempts that use it. */
+/** Counts the attempts that use a quota of this gateway. */
 public final class QuotaUsage {
     /** Key of quotas that cover attempts on any engine. */
     public static final String ANY_ENGINE = "";
@@ -12,13 +12,13 @@
     private int inFlight;
     private int startsLeft;
 
-    /** Creates the usage of a quota of which nothing is used. */
+    /** Creates the counters of a quota that is not in use yet. */
     public QuotaUsage(Quota quota) {
         this.quota = quota;
         startsLeft = quota.maxStarts();
     }
 
-    /** Returns the id of the engine that the quota is for, or {@link #ANY_ENGINE}. */
+    /** Returns the id of the engine that the quota applies to, or {@link #ANY_ENGINE}. */
     public String engineId() {
         return quota.engine() == null ? ANY_ENGINE : quota.engine();
     }
@@ -39,7 +39,7 @@
         startsLeft -= quota.maxStarts() == Integer.MAX_VALUE ? 0 : 1;
     }
 
-    /** Counts an attempt that was in flight before the quota was received: it uses up no start. */
+    /** Counts an attempt that was in flight before the quota was received; it does not count as a start. */
     public void recordInFlight() {
         inFlight++;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/RateMeter.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/RateMeter.java
@@ -1,29 +1,29 @@
 package sandpaddle.decision.model;
 
-/** Exponentially decaying rate of additions over a span. */
+/** Rate of additions, as an exponentially weighted moving average. */
 public final class RateMeter {
-    private final double spanUs;
+    private final double timeConstantUs;
     private double sum;
     private long lastAddedAtUs;
     private long firstAddedAtUs = -EventContext.NEVER;
 
-    /** Creates a meter whose additions decay by a factor of e in {@code spanUs} microseconds. */
-    public RateMeter(double spanUs) {
-        this.spanUs = spanUs;
+    /** Creates a meter whose additions decay by a factor of e within a time constant (us). */
+    public RateMeter(double timeConstantUs) {
+        this.timeConstantUs = timeConstantUs;
     }
 
-    /** Adds an amount; a negative one takes back an earlier addition. */
+    /** Adds an amount; a negative one reverts an earlier addition. */
     public void add(long nowUs, double amount) {
         firstAddedAtUs = Math.min(firstAddedAtUs, nowUs);
-        sum = sum * Math.exp(-(nowUs - lastAddedAtUs) / spanUs) + amount;
+        sum = sum * Math.exp(-(nowUs - lastAddedAtUs) / timeConstantUs) + amount;
         lastAddedAtUs = nowUs;
     }
 
-    /** Returns the rate per microsecond, corrected for the time before the first addition. */
+    /** Returns the rate per microsecond, corrected for the bias of an average that started at the first addition. */
     public double ratePerUs(long nowUs) {
         return sum
-                * Math.exp(-(nowUs - lastAddedAtUs) / spanUs)
-                / (spanUs * (1 - Math.exp(-(nowUs - firstAddedAtUs) / spanUs)));
+                * Math.exp(-(nowUs - lastAddedAtUs) / timeConstantUs)
+                / (timeConstantUs * (1 - Math.exp(-(nowUs - firstAddedAtUs) / timeConstantUs)));
     }
 
     /** Returns the time since the first addition (us); negative if there was none. */
--- a/gateway/src/main/java/sandpaddle/decision/model/RetainedLoad.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/RetainedLoad.java
@@ -1,11 +1,11 @@
 package sandpaddle.decision.model;
 
 /**
- * Threads that still count on an engine after their attempt ended, since its work goes on there.
+ * Threads that still count as load of an engine after their attempt ended, because the engine may still be running it.
  *
  * @param engine the engine
  * @param classIndex class of the request
  * @param threads threads of the request
- * @param untilUs until when they count (us)
+ * @param untilUs time until which they count (us)
  */
 public record RetainedLoad(EngineState engine, int classIndex, int threads, long untilUs) {}
--- a/gateway/src/main/java/sandpaddle/decision/model/Sweep.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/Sweep.java
@@ -5,7 +5,7 @@
     /** Interval between sweeps (us). */
     public static final long INTERVAL_US = 50_000;
 
-    /** Weight of one sweep in smoothed rates, from 0 to 1: the average covers about 3 s. */
+    /** Weight of one sweep in exponential averages; the average covers about 3 s. */
     public static final double RATE_WEIGHT = 0.02;
 
     private Sweep() {}
--- a/gateway/src/main/java/sandpaddle/decision/model/ThreadUsage.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/ThreadUsage.java
@@ -1,11 +1,11 @@
 package sandpaddle.decision.model;
 
-/** Threads that this gateway's queries use, by class and in sum, on one engine or on the fleet. */
+/** Threads used by this gateway's queries on one engine or on the fleet, per class and in total. */
 public final class ThreadUsage {
     private final double[] byClass;
     private double total;
 
-    /** Creates the usage of no threads for a number of classes. */
+    /** Creates a usage of zero for a number of classes. */
     public ThreadUsage(int classes) {
         byClass = new double[classes];
     }
@@ -16,12 +16,12 @@
         total += threads;
     }
 
-    /** Returns the threads of a class. */
+    /** Returns the threads used by a class. */
     public double ofClass(int classIndex) {
         return byClass[classIndex];
     }
 
-    /** Returns the threads of all classes. */
+    /** Returns the threads used by all classes. */
     public double total() {
         return total;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/WarmUpState.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/WarmUpState.java
@@ -1,13 +1,13 @@
 package sandpaddle.decision.model;
 
-/** State of the slow start of one engine. */
+/** Slow start state of one engine. */
 public final class WarmUpState {
     private final TokenBucket work = new TokenBucket();
     private double rateMultiple;
     private long unreachableAtUs = EventContext.NEVER;
     private long verdictAtUs = EventContext.NEVER;
 
-    /** Begins a slow start at the rate of warm engines, with a debt (us of work). */
+    /** Begins a slow start at the base rate, with an initial debt (us of work) in the token bucket. */
     public void begin(long nowUs, double debtUs) {
         rateMultiple = 1;
         work.reset(nowUs, debtUs);
@@ -18,27 +18,27 @@
         unreachableAtUs = nowUs;
     }
 
-    /** Forgets that the engine was unreachable: the endpoint list states its start. */
+    /** Clears the record that the engine was unreachable, since the endpoint list now states its start. */
     public void clearUnreachable() {
         unreachableAtUs = EventContext.NEVER;
     }
 
-    /** Records the start that a fleet verdict states (us). */
+    /** Records the start time that a fleet verdict states (us). */
     public void recordVerdict(long startedAtUs) {
         verdictAtUs = startedAtUs;
     }
 
-    /** Sets the multiple of the warm engines' rate that the engine is sent. */
+    /** Sets the multiple of the base rate at which the engine is sent work. */
     public void setRateMultiple(double multiple) {
         rateMultiple = multiple;
     }
 
-    /** Returns the multiple of the warm engines' rate that the engine is sent. */
+    /** Returns the multiple of the base rate at which the engine is sent work. */
     public double rateMultiple() {
         return rateMultiple;
     }
 
-    /** Returns the work that the engine may be sent while it warms up. */
+    /** Returns the token bucket that limits the work sent to the engine while it warms up. */
     public TokenBucket work() {
         return work;
     }
@@ -48,7 +48,7 @@
         return unreachableAtUs;
     }
 
-    /** Returns the last start that only a fleet verdict states (us). */
+    /** Returns the last start time that was learnt from a fleet verdict alone (us). */
     public long verdictAtUs() {
         return verdictAtUs;
     }
--- a/gateway/src/main/java/sandpaddle/decision/outlier/EjectionPolicy.java
+++ b/gateway/src/main/java/sandpaddle/decision/outlier/EjectionPolicy.java
@@ -9,19 +9,23 @@
 import sandpaddle.decision.settings.Idempotency;
 import sandpaddle.decision.verdict.FleetVerdicts;
 
-/** Ejects health scopes for a time that doubles, and decides what may be sent to one that is ejected or on trial. */
+/**
+ * Ejects health scopes with exponential backoff, and decides which requests they may be sent. After its ejection a
+ * scope is on trial, the half-open state of a circuit breaker: one query at a time is sent there until it answers and
+ * its error rate is low.
+ */
 public final class EjectionPolicy {
-    /** Share of recent attempts that failed, above the fleet's, from which an engine is on trial. */
+    /** Error rate above the fleet's from which a scope is on trial. */
     private static final double TRIAL_ERROR_RATE = 0.12;
-    /** Weight of an outcome in an engine's error rate, from 0 to 1: two errors in a row eject. */
+    /** Weight of one outcome in the error rate of a scope; two consecutive errors lead to an ejection. */
     private static final double OUTCOME_WEIGHT = 0.2;
-    /** Weight of an outcome in the fleet's error rate, from 0 to 1. */
+    /** Weight of one outcome in the fleet's error rate. */
     private static final double FLEET_OUTCOME_WEIGHT = 0.02;
-    /** Time of the first ejection (us); it doubles with each one that follows. */
+    /** Duration of the first ejection (us); it doubles with each further one. */
     private static final long MIN_EJECTION_US = 500_000;
-    /** Limit on the doubled time (us): an engine that has recovered waits no longer. */
+    /** Greatest duration of an ejection by doubling (us), the longest that an engine which has recovered waits. */
     private static final long MAX_EJECTION_US = 4_000_000;
-    /** Own queries for each trial: trials cost some hundredths of the queries at most. */
+    /** Own queries per trial: trials cost a few percent of the queries at most. */
     private static final double QUERIES_PER_TRIAL = 20;
 
     private final EventContext context;
@@ -29,25 +33,27 @@
     private final FleetVerdicts verdicts;
     private double fleetErrorRate;
 
-    /** Creates a policy for scopes of which none is ejected. */
+    /** Creates a policy; no scope is ejected. */
     public EjectionPolicy(EventContext context, ArrivalRate arrivals, FleetVerdicts verdicts) {
         this.context = context;
         this.arrivals = arrivals;
         this.verdicts = verdicts;
     }
 
-    /** Takes an outcome, 1 for an error and 0 for a success, into the error rates of its scope and of the fleet. */
+    /** Adds an outcome, 1 for an error and 0 for a success, to the error rates of its scope and of the fleet. */
     void recordOutcome(HealthScope scope, int error) {
         scope.recordOutcome(error, OUTCOME_WEIGHT);
         fleetErrorRate += FLEET_OUTCOME_WEIGHT * (error - fleetErrorRate);
     }
 
-    /** Returns the error rate above the fleet's: errors that all engines return alike are no sign of an outlier. */
+    /** Returns the error rate minus the fleet's, since errors that all engines return do not indicate an outlier. */
     double relativeErrorRate(HealthScope scope) {
         return scope.errorRate() - fleetErrorRate;
     }
 
-    /** Ejects a scope unless it is ejected. A trial may cost a query, so trials are rare at little traffic. */
+    /**
+     * Ejects a scope unless it is ejected already. A trial may cost a query, so with little traffic trials are rare.
+     */
     void eject(HealthScope scope) {
         if (context.nowUs() >= scope.ejectedUntilUs()) {
             long trialIntervalUs = (long) (QUERIES_PER_TRIAL * 1e6 / (1 + arrivals.perSecond()));
@@ -56,7 +62,7 @@
         }
     }
 
-    /** Takes a scope that has answered back into service. */
+    /** Records that a scope answers again; the next ejection is short again if its error rate is low. */
     void readmit(HealthScope scope) {
         scope.setUnresponsive(false);
         if (relativeErrorRate(scope) < TRIAL_ERROR_RATE) {
@@ -75,8 +81,8 @@
     }
 
     /**
-     * Whether the fleet has found an engine faulty since its last successful answer here. No trial is spent on it, so
-     * that not each of many gateways loses a query to learn the same.
+     * Whether a fleet verdict states that an engine has been faulty since its last successful answer to this gateway.
+     * It gets no trials, since otherwise each of many gateways would lose a query to learn the same.
      */
     private boolean isFaultyByVerdict(HealthScope scope) {
         long failingUs = verdicts.sinceUs(scope.id(), EngineCondition.FAILING);
@@ -91,8 +97,9 @@
     }
 
     /**
-     * Whether a request may be sent to a scope. A scope on trial gets one query at a time, and none that must not be
-     * lost, unless only its class could try it; attempts sent before the ejection do not count.
+     * Whether a request may be sent to a scope. A scope on trial gets one query at a time, and no request that cannot
+     * be retried, except where the scope is a class, which no other request could try. Attempts sent before the end of
+     * the ejection do not count as trials.
      */
     public boolean admits(HealthScope scope, PendingRequest request) {
         if (context.nowUs() < scope.ejectedUntilUs() || isFaultyByVerdict(scope)) {
--- a/gateway/src/main/java/sandpaddle/decision/outlier/OutlierDetection.java
+++ b/gateway/src/main/java/sandpaddle/decision/outlier/OutlierDetection.java
@@ -12,13 +12,13 @@
 import sandpaddle.decision.slowstart.SlowStart;
 
 /**
- * Detects outliers by errors and refused connections, and has them ejected; after the ejection they are tried with one
- * query at a time. {@link SilenceDetector} finds those that answer nothing.
+ * Detects outliers by errors and failed connections, and ejects them by an {@link EjectionPolicy}. {@link
+ * SilenceDetector} detects those that do not answer.
  */
 public final class OutlierDetection {
-    /** Share of recent attempts that failed, above the fleet's, from which an engine is ejected. */
+    /** Error rate above the fleet's beyond which an engine is ejected. */
     private static final double EJECTION_ERROR_RATE = 0.3;
-    /** Engines that count for the half of a zone, at least: of two, both must be unreachable. */
+    /** Least zone size by which half of a zone is counted: of two engines, both must be unreachable. */
     private static final int MIN_ZONE_SIZE = 3;
 
     private final EventContext context;
@@ -28,7 +28,7 @@
     private final SlowStart slowStart;
     private long lastSuccessAtUs = EventContext.NEVER;
 
-    /** Creates a detection that has seen no outcome. */
+    /** Creates a detection without outcomes. */
     public OutlierDetection(
             EventContext context,
             EngineRegistry engines,
@@ -42,7 +42,9 @@
         this.slowStart = slowStart;
     }
 
-    /** Records an error. Only the first of a request counts: one that fails elsewhere too is no fault of an engine. */
+    /**
+     * Records an error. Only a request's first error counts, since one that fails on several engines is itself faulty.
+     */
     public void recordError(EngineState engine, PendingRequest request) {
         HealthScope health = engine.health();
         if (request.recordError() == 1) {
@@ -67,14 +69,14 @@
         }
     }
 
-    /** Records an answer of any kind: its scopes are not silent. */
+    /** Records an answer of any kind, which proves that its scopes respond. */
     public void recordAnswer(EngineState engine, int classIndex) {
         for (HealthScope scope : engine.healthScopes(classIndex)) {
             scope.recordAnswer(context.nowUs());
         }
     }
 
-    /** Keeps an overdue attempt that timed out as a sign of silence of its zone and class. */
+    /** Records an overdue attempt that timed out as a sign that its zone and its class may be unresponsive. */
     public void recordTimeout(Attempt attempt) {
         EngineState engine = attempt.engine();
         engine.zoneHealth().recordTimeout(attempt);
@@ -82,9 +84,9 @@
     }
 
     /**
-     * Records a refused connection. An engine that was unreachable may have restarted, which the endpoint list states
-     * seconds late, so it warms up when it is back. A single lost connection is no sign of that: it takes two in a row,
-     * or half of the zone.
+     * Records a failed connection. An engine that was unreachable may have restarted, which the endpoint list states
+     * seconds late, so its slow start begins. A single failed connection is not sufficient for that: it takes two in a
+     * row, or half of the engines of the zone.
      */
     public void recordUnreachable(EngineState engine) {
         boolean repeated = engine.health().isUnresponsive();
@@ -116,7 +118,7 @@
         return 2 * unresponsive >= Math.max(zone.size(), MIN_ZONE_SIZE);
     }
 
-    /** Clears what is known of an engine that has restarted, and begins its slow start. */
+    /** Resets the health of an engine that has restarted, and begins its slow start. */
     public void restart(EngineState engine) {
         engine.health().clearErrors();
         ejection.readmitNow(engine.health());
--- a/gateway/src/main/java/sandpaddle/decision/outlier/SilenceDetector.java
+++ b/gateway/src/main/java/sandpaddle/decision/outlier/SilenceDetector.java
@@ -16,24 +16,24 @@
 import sandpaddle.decision.settings.DecisionSettings;
 
 /**
- * Detects scopes that answer nothing while others do: attempts sent there since the last answer or ejection are
- * overdue.
+ * Detects unresponsive scopes, which do not answer while others do: attempts sent there since the last answer or
+ * ejection are overdue. Single-engine scopes take several overdue attempts, since a single one may be a heavy query.
  *
- * <p>A zone is judged by overdue attempts on two of its engines, timed-out ones included: a gateway with little traffic
- * uses a single engine too seldom to learn what cut off all of them. A class on an engine is judged by itself, since an
- * engine may answer all but one class. This protects against a lost route to a zone, a zone without power and lost
- * answers. Its cost: a zone that is only slow may be tried with one query at a time for a few seconds, while the others
- * bear its load.
+ * <p>A zone is unresponsive if two of its engines have overdue attempts, including attempts that timed out: a gateway
+ * with little traffic uses each engine too rarely to detect from one engine that a whole zone is cut off. A class on an
+ * engine is a scope of its own, since an engine may answer all classes but one. This protects against a lost route to a
+ * zone, a zone without power, and lost answers. The cost is that a zone that is only slow may be limited to one query
+ * at a time for a few seconds, while the other zones take its load.
  */
 public final class SilenceDetector {
-    /** Time before which no attempt is overdue (us). */
+    /** Least age of an overdue attempt (us). */
     public static final long MIN_OVERDUE_US = 400_000;
 
     /** Multiple of its expected latency after which an attempt is overdue. */
     private static final double OVERDUE_MULTIPLE = 4.0;
-    /** Intervals of progress reports without any after which an attempt is lost. */
+    /** Number of missed progress reports after which an attempt is lost. */
     private static final int MAX_MISSED_REPORTS = 4;
-    /** Overdue attempts that make a scope silent; a single one may just be heavy. */
+    /** Overdue attempts from which a scope is unresponsive; a single one may be a heavy query. */
     private static final int MIN_OVERDUE_ATTEMPTS = 2;
 
     private final EventContext context;
@@ -44,7 +44,7 @@
     private final boolean canCancel;
     private final long maxProgressGapUs;
 
-    /** Creates a detector that ejects silent scopes by an ejection policy. */
+    /** Creates a detector that ejects unresponsive scopes by an ejection policy. */
     public SilenceDetector(
             DecisionSettings settings,
             EventContext context,
@@ -61,7 +61,7 @@
         maxProgressGapUs = settings.features().progressIntervalUs() * MAX_MISSED_REPORTS;
     }
 
-    /** Checks all scopes. Must not be called before this gateway has read the answers that waited during a stall. */
+    /** Checks all scopes. After a stall it must not be called before the answers that arrived meanwhile are handled. */
     public void checkAll() {
         for (HealthScope zone : engines.zones()) {
             check(zone);
@@ -84,13 +84,13 @@
     }
 
     private void check(HealthScope scope) {
-        boolean othersAnswer = context.nowUs() - outliers.lastSuccessAtUs() <= MIN_OVERDUE_US;
-        if (!othersAnswer) {
+        boolean othersAnswered = context.nowUs() - outliers.lastSuccessAtUs() <= MIN_OVERDUE_US;
+        if (!othersAnswered) {
             return;
         }
         int overdue = countOverdue(scope);
-        boolean silentAgain = overdue > 0 && scope.isUnresponsive();
-        if (overdue < MIN_OVERDUE_ATTEMPTS && !silentAgain) {
+        boolean stillUnresponsive = overdue > 0 && scope.isUnresponsive();
+        if (overdue < MIN_OVERDUE_ATTEMPTS && !stillUnresponsive) {
             return;
         }
         if (!scope.isUnresponsive()) {
@@ -101,7 +101,9 @@
         cancelLost(scope);
     }
 
-    /** Counts overdue attempts since the last answer or ejection; for a zone the engines that have such attempts. */
+    /**
+     * Counts overdue attempts sent since the last answer or ejection; for a zone, the engines that have such attempts.
+     */
     private int countOverdue(HealthScope scope) {
         long sinceUs = Math.max(scope.lastAnswerAtUs(), scope.ejectedUntilUs() - 1);
         List<Attempt> overdue = new ArrayList<>();
@@ -126,7 +128,7 @@
         return engines.size();
     }
 
-    /** Cancels the attempts that a silent scope has lost, so that they are retried elsewhere, where both are safe. */
+    /** Cancels attempts lost on an unresponsive scope, so that they are retried elsewhere, if they may be abandoned. */
     private void cancelLost(HealthScope scope) {
         if (!canCancel) {
             return;
@@ -141,7 +143,7 @@
         }
     }
 
-    /** A class has few attempts on an engine: there one that reports progress is heavy rather than lost. */
+    /** A class has few attempts on an engine, so there an attempt that still reports progress is heavy, not lost. */
     private boolean isLost(HealthScope scope, Attempt attempt) {
         boolean hasProgress = attempt.request().lastProgressAtUs() != EventContext.NEVER;
         if (scope.kind() == HealthScope.Kind.ENGINE_CLASS && hasProgress) {
@@ -150,13 +152,13 @@
         return isOverdue(attempt);
     }
 
-    /** Whether an attempt takes much longer than expected, or its progress reports are missing. */
+    /** Whether an attempt takes much longer than expected, or its progress reports have stopped. */
     public boolean isOverdue(Attempt attempt) {
         double maxUs = Math.max(MIN_OVERDUE_US, OVERDUE_MULTIPLE * attempt.expectedUs());
         return context.nowUs() - attempt.sentAtUs() > maxUs || isProgressMissing(attempt);
     }
 
-    /** An attempt that runs reports its progress however heavy it is, so one without reports is lost. */
+    /** A running attempt reports progress regardless of its duration, so an attempt without reports is lost. */
     private boolean isProgressMissing(Attempt attempt) {
         if (maxProgressGapUs <= 0) {
             return false;
--- a/gateway/src/main/java/sandpaddle/decision/quota/QuotaCheck.java
+++ b/gateway/src/main/java/sandpaddle/decision/quota/QuotaCheck.java
@@ -24,7 +24,7 @@
         this.requests = requests;
     }
 
-    /** Replaces all quotas; attempts in flight count on. */
+    /** Replaces all quotas; attempts in flight count towards the new ones. */
     public void replace(QuotasChanged event) {
         retryAfterUs = event.retryAfterUs();
         byEngine = event.quotas().stream().map(QuotaUsage::new).collect(Collectors.groupingBy(QuotaUsage::engineId));
@@ -85,23 +85,24 @@
     }
 
     /**
-     * Returns the Retry-After for a rejected request (us): that of the quotas where they keep the request from every
-     * engine that its placement permits, else the usual one.
+     * Returns the Retry-After for a rejected request (us).
+     *
+     * @param defaultUs Retry-After unless quotas exclude the request from every engine that its placement permits
      */
-    public long retryAfterUs(PendingRequest request, long usualUs) {
+    public long retryAfterUs(PendingRequest request, long defaultUs) {
         if (isUnlimited() || retryAfterUs <= 0) {
-            return usualUs;
+            return defaultUs;
         }
         boolean anyPermitted = false;
         for (EngineState engine : engines.up()) {
             if (request.requestClass().permits(engine.entry())) {
                 anyPermitted = true;
                 if (allows(request, engine)) {
-                    return usualUs;
+                    return defaultUs;
                 }
             }
         }
-        return anyPermitted ? retryAfterUs : usualUs;
+        return anyPermitted ? retryAfterUs : defaultUs;
     }
 
     private List<QuotaUsage> ofAnyEngine() {
--- a/gateway/src/main/java/sandpaddle/decision/retry/KeyOrdering.java
+++ b/gateway/src/main/java/sandpaddle/decision/retry/KeyOrdering.java
@@ -8,7 +8,7 @@
 import sandpaddle.decision.model.PendingRequest;
 import sandpaddle.decision.settings.DecisionSettings;
 
-/** The order of requests with the same key (rule 5): one runs at a time, in the order of arrival. */
+/** Runs requests with the same ordering key one at a time, in order of arrival. */
 public final class KeyOrdering {
     private final EventContext context;
     private final long pauseUs;
@@ -37,13 +37,13 @@
         }
     }
 
-    /** Whether the order of its key permits an attempt of a request. A retry needs no pause. */
+    /** Whether an attempt of a request may be sent now by the order of its key. A retry does not wait for a pause. */
     public boolean isInTurn(PendingRequest request) {
         OrderedKeyQueue queue = request.keyQueue();
         return queue == null || queue.isFirst(request) && (request.isRetry() || queue.isPauseOver(context.nowUs()));
     }
 
-    /** Pauses the key of a request whose attempt ended but may still run. */
+    /** Pauses the key of a request whose attempt ended but may still be running on the engine. */
     public void pauseAfter(PendingRequest request, AttemptResult result) {
         boolean mayStillRun =
                 result == AttemptResult.TIMEOUT || result == AttemptResult.RESET || result == AttemptResult.CANCELLED;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Drops the keys without requests and pause. */
+    /** Removes the keys that have no requests and whose pause is over. */
     public void dropIdle() {
         queues.values().removeIf(queue -> queue.isEmpty() && queue.isPauseOver(context.nowUs()));
     }
--- a/gateway/src/main/java/sandpaddle/decision/retry/RetryBudget.java
+++ b/gateway/src/main/java/sandpaddle/decision/retry/RetryBudget.java
@@ -5,7 +5,7 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.PlatformRules;
 
-/** The retry budget (rule 7): retries over a span are limited by a floor and a ratio of the requests received. */
+/** Retry budget: limits the retries in a sliding window to a floor plus a ratio of the requests received in it. */
 public final class RetryBudget {
     private final EventContext context;
     private final PlatformRules rules;
@@ -20,26 +20,26 @@
         connectTimeoutUs = settings.limits().connectTimeoutUs();
     }
 
-    /** Counts a request received. */
+    /** Records a received request. */
     public void recordRequest() {
-        dropBefore(requestTimesUs, context.nowUs() - rules.retryBudgetSpanUs());
+        dropBefore(requestTimesUs, context.nowUs() - rules.retryBudgetWindowUs());
         requestTimesUs.add(context.nowUs());
     }
 
-    /** Counts a retry sent. */
+    /** Records a retry that is sent. */
     public void recordRetry() {
         retryTimesUs.add(context.nowUs());
     }
 
     /**
-     * Whether one more retry is within the budget. A retry may be written as late as its connection is established, so
-     * requests count shorter and retries longer by the connect timeout.
+     * Whether one more retry is within the budget. A retry may be written up to the connect timeout later than it is
+     * sent here, so requests expire from the window earlier, and retries later, by that time.
      */
     public boolean allowsRetry() {
-        long spanStartUs = context.nowUs() - rules.retryBudgetSpanUs();
-        dropBefore(requestTimesUs, spanStartUs + connectTimeoutUs + 1);
-        dropBefore(retryTimesUs, spanStartUs - connectTimeoutUs);
-        if (rules.retryBudgetSpanUs() == 0) {
+        long windowStartUs = context.nowUs() - rules.retryBudgetWindowUs();
+        dropBefore(requestTimesUs, windowStartUs + connectTimeoutUs + 1);
+        dropBefore(retryTimesUs, windowStartUs - connectTimeoutUs);
+        if (rules.retryBudgetWindowUs() == 0) {
             return true;
         }
         double maxRetries = rules.retryBudgetFloor() + rules.retryBudgetRatio() * requestTimesUs.size();
--- a/gateway/src/main/java/sandpaddle/decision/retry/RetryPolicy.java
+++ b/gateway/src/main/java/sandpaddle/decision/retry/RetryPolicy.java
@@ -6,9 +6,9 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.Idempotency;
 
-/** Decides whether and where a request may be retried without a second effect (rule 2), within the budget (rule 7). */
+/** Decides whether and where a request may be retried without a second effect. */
 public final class RetryPolicy {
-    /** Engines that must fail a request before the request itself counts as the cause. */
+    /** Number of errors after which the request itself counts as the cause. */
     private static final int MAX_ERRORS = 3;
 
     private final EventContext context;
@@ -22,7 +22,7 @@
         maxAttempts = settings.limits().maxAttempts();
     }
 
-    /** Whether a request may have one more attempt, leaving the budget aside. */
+    /** Whether a request may have one more attempt, regardless of the retry budget. */
     public boolean allowsAttempt(PendingRequest request) {
         boolean exhausted = request.attempts() >= maxAttempts
                 || context.nowUs() >= request.expiresAtUs()
@@ -30,7 +30,7 @@
         return !exhausted && (isWithoutEffect(request) || isDeduplicated(request));
     }
 
-    /** Whether a second run has no effect: no attempt may have run, or the request is idempotent. */
+    /** Whether another run has no second effect: no attempt may have run, or the request is idempotent. */
     public boolean isWithoutEffect(PendingRequest request) {
         return !request.mayHaveRun() || isIdempotent(request);
     }
@@ -49,12 +49,12 @@
         return request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** Returns the time (us) from which an attempt must not be written, however late its connection is established. */
+    /** Returns the time (us) from which an attempt must not be written, even if its connection is established later. */
     public long writeDeadlineUs(PendingRequest request) {
         return isWithoutEffect(request) ? request.expiresAtUs() : deduplicatedUntilUs(request);
     }
 
-    /** Whether a retry may go to an engine: a request that may have run stays where its repeats are dropped. */
+    /** Whether a retry may be sent to an engine: a request that may have run stays within its deduplication scope. */
     public boolean allowsEngine(PendingRequest request, EngineState engine) {
         if (isWithoutEffect(request)) {
             return true;
--- a/gateway/src/main/java/sandpaddle/decision/settings/DecisionSettings.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/DecisionSettings.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * The settings that a decision module is created with.
+ * Settings of a decision module, as stated by the platform.
  *
  * @param gateways gateways in the deployment
  * @param gatewayIndex this gateway's index among them
- * @param zone position of this gateway's zone, -1 where it is in none
+ * @param zone index of this gateway's zone, -1 where it is in none
  * @param subscribe whether changes of the endpoint list must be subscribed to
  * @param classes request classes, by class index
- * @param kinds machine kinds, by their position
- * @param reportFields fields of a load report in their order, null for an unknown one; empty where reports are not used
- * @param reportsInAnswers whether answers hold a load report
+ * @param kinds machine kinds, by kind index
+ * @param reportFields fields of a load report in their order, null for an unknown field; empty where reports are not
+ *     used
+ * @param reportsInAnswers whether answers carry a load report
  * @param limits what the platform permits
- * @param rules figures of the platform's rules
+ * @param rules parameters of the platform's rules
  * @param features what the engines support
- * @param costs what service costs besides
+ * @param costs costs of health checks and handshakes
  */
 public record DecisionSettings(
         int gateways,
@@ -33,7 +34,7 @@
         ServiceCosts costs) {
 
     /**
-     * Checks the values.
+     * Validates the values.
      *
      * @throws IllegalArgumentException naming the first setting that is out of its range
      */
@@ -61,10 +62,10 @@
         require(limits.maxRetryAfterUs() >= 0, "bounds.max_retry_after_us", "is under 0");
         require(rules.slowStartFrom() >= 0 && rules.slowStartFrom() <= 1, "rules.cold_from", "is not from 0 to 1");
         require(rules.slowStartUs() >= 0, "rules.cold_us", "is under 0");
-        require(rules.overloadSpanUs() >= 0, "rules.fall_us", "is under 0");
+        require(rules.overloadWindowUs() >= 0, "rules.fall_us", "is under 0");
         require(rules.overloadMultiple() >= 0, "rules.tip_multiple", "is under 0");
         require(rules.drainGraceUs() >= 0, "rules.drain_grace_us", "is under 0");
-        require(rules.retryBudgetSpanUs() >= 0, "rules.budget_span_us", "is under 0");
+        require(rules.retryBudgetWindowUs() >= 0, "rules.budget_span_us", "is under 0");
         require(rules.retryBudgetFloor() >= 0 && rules.retryBudgetRatio() >= 0, "rules.extra_share", "is under 0");
         require(features.progressIntervalUs() >= 0, "specifics.progress_us", "is under 0");
         require(costs.healthCheck() >= 0, "charges.probe", "is under 0");
--- a/gateway/src/main/java/sandpaddle/decision/settings/DeduplicationScope.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/DeduplicationScope.java
@@ -2,7 +2,7 @@
 
 import sandpaddle.decision.event.EngineEntry;
 
-/** Which engines share the deduplication of requests with an idempotency key. */
+/** The set of engines within which repeats with the same idempotency key are dropped. */
 public enum DeduplicationScope {
     /** All engines. */
     ALL,
@@ -11,7 +11,7 @@
     /** The engines of a cell. */
     CELL;
 
-    /** Whether two engines drop each other's repeats. */
+    /** Whether two engines are in the same scope, so that each drops repeats of what the other has run. */
     public boolean isSharedBy(EngineEntry first, EngineEntry second) {
         return this == ALL
                 || this == ZONE && first.zone() == second.zone()
--- a/gateway/src/main/java/sandpaddle/decision/settings/Idempotency.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/Idempotency.java
@@ -1,6 +1,6 @@
 package sandpaddle.decision.settings;
 
-/** What a repeated run of a request of a class does. */
+/** Effect of running a request of a class more than once. */
 public enum Idempotency {
     /** A second run has no further effect. */
     IDEMPOTENT,
--- a/gateway/src/main/java/sandpaddle/decision/settings/ServiceCosts.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/ServiceCosts.java
@@ -1,7 +1,7 @@
 package sandpaddle.decision.settings;
 
 /**
- * What service costs besides, in points of the platform's score.
+ * Costs of health checks and handshakes, in points of the platform's score.
  *
  * @param healthCheck cost of one health check per query
  * @param handshake cost of one new connection per query
--- a/gateway/src/main/java/sandpaddle/decision/slowstart/SlowStart.java
+++ b/gateway/src/main/java/sandpaddle/decision/slowstart/SlowStart.java
@@ -15,20 +15,20 @@
 import sandpaddle.decision.verdict.FleetVerdicts;
 
 /**
- * Slow start of engines that have just started (rule 4): an engine that warms up is sent work at the rate that warm
- * engines are sent, times the part of its capacity that it has reached.
+ * Slow start: limits the rate of work sent to engines that are warming up. Each is sent work at about the rate per core
+ * of the warm engines, times the fraction of its capacity that it has reached.
  */
 public final class SlowStart {
-    /** Part of the warm engines' rate that an engine is sent for its present capacity. */
-    private static final double RATE_PART = 0.9;
-    /** Step by which the multiple of that rate grows while reports show spare resources. */
+    /** Base rate of an engine that is warming up, as a fraction of the warm engines' rate for its current capacity. */
+    private static final double RATE_FRACTION = 0.9;
+    /** Step by which the multiple of the base rate grows while reports show spare resources. */
     private static final double RATE_STEP = 0.15;
-    /** Limit on the multiple of that rate. */
+    /** Greatest multiple of the base rate. */
     private static final double MAX_RATE_MULTIPLE = 2;
-    /** Part of the work that overloads an engine which heavy queries may add up to in one turn. */
-    private static final double TURN_PART = 0.8;
-    /** Part of that work up to which a query is light and needs no turn. */
-    private static final double LIGHT_PART = 0.25;
+    /** Fraction of the work that overloads an engine which heavy queries may add up to in one turn. */
+    private static final double TURN_FRACTION = 0.8;
+    /** Fraction of that limit up to which a query is light and need not wait for a turn. */
+    private static final double LIGHT_FRACTION = 0.25;
 
     private final DecisionSettings settings;
     private final PlatformRules rules;
@@ -39,7 +39,7 @@
     private final FleetVerdicts verdicts;
     private final WarmRate warmRate;
 
-    /** Creates the slow start; no engine is warming up. */
+    /** Creates a slow start in which no engine is warming up. */
     public SlowStart(
             DecisionSettings settings,
             EventContext context,
@@ -58,16 +58,16 @@
 
     /** Begins the slow start of an engine. */
     public void begin(EngineState engine) {
-        engine.warmUp().begin(context.nowUs(), estimators.warmUpDebtUs(engine.id()));
+        engine.warmUp().begin(context.nowUs(), estimators.initialDebtUs(engine.id()));
     }
 
-    /** Begins the slow start of an engine that was unreachable, so that it may have restarted. */
+    /** Begins the slow start of an engine that was unreachable, since it may have restarted. */
     public void beginAfterOutage(EngineState engine) {
         engine.warmUp().recordUnreachable(context.nowUs());
         begin(engine);
     }
 
-    /** Begins the slow start of engines whose restart only a verdict of the fleet states yet. */
+    /** Begins the slow start of engines whose restart is known only from a fleet verdict so far. */
     public void beginByVerdicts() {
         for (EngineState engine : engines.up()) {
             WarmUpState warmUp = engine.warmUp();
@@ -82,16 +82,16 @@
 
     /** Whether an engine has its full capacity. */
     public boolean isWarm(EngineState engine) {
-        return capacityPart(engine) == 1;
+        return capacityFraction(engine) == 1;
     }
 
-    /** Returns the cores of an engine times the part of its capacity that it has reached. */
+    /** Returns the cores of an engine times the fraction of its capacity that it has reached. */
     public double effectiveCores(EngineState engine) {
-        return engine.cores() * capacityPart(engine);
+        return engine.cores() * capacityFraction(engine);
     }
 
-    /** Returns the part of its capacity that an engine has at least, by the platform's rules. */
-    private double capacityPart(EngineState engine) {
+    /** Returns the least fraction of its capacity that an engine has by the platform's rules. */
+    private double capacityFraction(EngineState engine) {
         long listedUs = Math.max(engine.entry().startedUs(), engine.warmUp().unreachableAtUs());
         long startedUs = Math.max(listedUs, verdicts.sinceUs(engine.id(), EngineCondition.WARMING_UP));
         double ageUs = Numbers.clamp(context.nowUs() - startedUs, 0, rules.slowStartUs());
@@ -101,7 +101,10 @@
         return rules.slowStartFrom() + (1 - rules.slowStartFrom()) * ageUs / rules.slowStartUs();
     }
 
-    /** Adjusts the rate of an engine to its new load report; the report shows all gateways' work, so all agree. */
+    /**
+     * Adjusts the rate of an engine to its new load report, which shows the load of all gateways, so that they adjust
+     * alike.
+     */
     public void adjustRate(EngineState engine) {
         if (isWarm(engine) || !engine.limit().tryAdjust(context.nowUs())) {
             return;
@@ -115,7 +118,7 @@
         }
     }
 
-    /** Updates the rate of the warm engines, once a sweep. */
+    /** Updates the rate of the warm engines, once per sweep. */
     public void updateWarmRate() {
         boolean anyWarm = false;
         for (EngineState engine : engines.up()) {
@@ -127,14 +130,14 @@
     }
 
     private double warmCores() {
-        // DoubleStream.sum compensates rounding errors, a loop would not: the sum would differ in its last digits
+        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
         return engines.up().stream()
                 .filter(this::isWarm)
                 .mapToDouble(EngineState::cores)
                 .sum();
     }
 
-    /** Whether an engine may be sent a request, by its slow start. */
+    /** Whether the slow start of an engine permits a request. */
     public boolean allows(PendingRequest request, EngineState engine) {
         if (isWarm(engine)) {
             return true;
@@ -142,18 +145,18 @@
         if (mustWaitForTurn(request, engine)) {
             return false;
         }
-        // half of what overloads the engine, split evenly: learnt shares may sum to more than one
+        // half of the rate that overloads the engine, split evenly, since the learnt traffic shares may sum to over 1
         double maxRate = rules.overloadMultiple() / 2 / settings.gateways();
         double ratePerCore =
-                warmRate.perCore(warmCores()) * RATE_PART * engine.warmUp().rateMultiple();
+                warmRate.perCore(warmCores()) * RATE_FRACTION * engine.warmUp().rateMultiple();
         double rate = Math.min(ratePerCore, maxRate) * effectiveCores(engine);
-        return engine.warmUp().work().refill(context.nowUs(), rate, rate * rules.overloadSpanUs()) >= 0;
+        return engine.warmUp().work().refill(context.nowUs(), rate, rate * rules.overloadWindowUs()) >= 0;
     }
 
     /**
-     * Whether an engine that warms up could be overloaded by many gateways that send it such a query at once, and this
-     * gateway has no turn. Turns rotate with each span over which overload is counted; as many gateways have one as may
-     * send a query each.
+     * Whether a heavy query must wait for this gateway's turn at an engine that is warming up, because the engine would
+     * be overloaded if all gateways sent it such a query at once. Turns are assigned round-robin, one overload window
+     * long; in each window as many gateways have a turn as may send one such query each.
      */
     public boolean mustWaitForTurn(PendingRequest request, EngineState engine) {
         if (isWarm(engine)) {
@@ -161,15 +164,16 @@
         }
         long elapsedUs = context.nowUs() - engine.entry().startedUs();
         long rotation =
-                elapsedUs / Math.max(1, rules.overloadSpanUs()) + engine.id().hashCode();
-        double capacityUs = TURN_PART * rules.overloadMultiple() * rules.overloadSpanUs() * effectiveCores(engine);
+                elapsedUs / Math.max(1, rules.overloadWindowUs()) + engine.id().hashCode();
+        double capacityUs =
+                TURN_FRACTION * rules.overloadMultiple() * rules.overloadWindowUs() * effectiveCores(engine);
         double workUs = Math.max(estimators.expectedWorkUs(request), estimators.classWorkUs(request));
-        return workUs > LIGHT_PART * capacityUs
+        return workUs > LIGHT_FRACTION * capacityUs
                 && Math.floorMod(settings.gatewayIndex() - rotation, settings.gateways())
                         >= (int) (capacityUs / workUs);
     }
 
-    /** Counts a request that is sent to an engine. */
+    /** Charges a request that is sent to an engine to its token bucket, and if it is warm to the warm engines' rate. */
     public void recordSend(PendingRequest request, EngineState engine) {
         engine.warmUp().work().spend(estimators.expectedWorkUs(request));
         if (isWarm(engine)) {
@@ -177,7 +181,7 @@
         }
     }
 
-    /** Takes back the work of a request that an engine has not run. */
+    /** Reverts the work of a request that a warm engine never ran. */
     public void recordNeverRan(PendingRequest request, EngineState engine) {
         warmRate.recordWork(isWarm(engine) ? -estimators.classWorkUs(request) : 0);
     }
--- a/gateway/src/main/java/sandpaddle/decision/slowstart/WarmRate.java
+++ b/gateway/src/main/java/sandpaddle/decision/slowstart/WarmRate.java
@@ -5,16 +5,16 @@
 import sandpaddle.decision.model.RateMeter;
 import sandpaddle.decision.model.Sweep;
 
-/** Rate of the work that this gateway sends to warm engines; the smoothed rate stands in while none is warm. */
+/** Rate of the work that this gateway sends to warm engines; a smoothed rate is used while no engine is warm. */
 final class WarmRate {
-    /** Span of the rate (us). */
-    private static final double SPAN_US = 5_000_000;
-    /** Time of sending from which the rate is meaningful (us). */
+    /** Time constant of the rate meter (us). */
+    private static final double TIME_CONSTANT_US = 5_000_000;
+    /** Time since the first send from which the rate is meaningful (us). */
     private static final long MIN_AGE_US = 2_000_000;
 
     private final EventContext context;
     private final TrafficShare traffic;
-    private final RateMeter work = new RateMeter(SPAN_US);
+    private final RateMeter work = new RateMeter(TIME_CONSTANT_US);
     private double smoothedPerCore;
 
     WarmRate(EventContext context, TrafficShare traffic) {
@@ -22,19 +22,19 @@
         this.traffic = traffic;
     }
 
-    /** Adds work sent to a warm engine (us), or takes it back where negative. */
+    /** Adds work sent to a warm engine (us); a negative value reverts work that never ran. */
     void recordWork(double workUs) {
         work.add(context.nowUs(), workUs);
     }
 
-    /** Takes the present rate into the smoothed one; some engine must be warm. */
+    /** Adds the current rate to the smoothed rate; at least one engine must be warm. */
     void update(double warmCores) {
         smoothedPerCore += Sweep.RATE_WEIGHT * (perCore(warmCores) - smoothedPerCore);
     }
 
     /**
-     * Returns the work sent for each core of the warm engines (us of work per us). Until it is known, at least one
-     * core's work of the whole fleet counts.
+     * Returns the rate of work sent per core of the warm engines (us of work per us). While it is unknown, the smoothed
+     * rate is used, and at least this gateway's share of one core's work per core.
      */
     double perCore(double warmCores) {
         boolean known = warmCores > 0 && work.ageUs(context.nowUs()) >= MIN_AGE_US;
--- a/gateway/src/main/java/sandpaddle/decision/verdict/FleetVerdicts.java
+++ b/gateway/src/main/java/sandpaddle/decision/verdict/FleetVerdicts.java
@@ -10,7 +10,7 @@
 import sandpaddle.decision.model.EngineState;
 import sandpaddle.decision.model.EventContext;
 
-/** The fleet's verdicts on engines, each in force until it lapses. */
+/** Verdicts of the fleet on engines, each in force until it expires. */
 public final class FleetVerdicts {
     private final EventContext context;
     private Map<String, List<EngineVerdict>> byEngine = Map.of();
@@ -25,7 +25,9 @@
         byEngine = event.verdicts().stream().collect(groupingBy(EngineVerdict::engine));
     }
 
-    /** Returns since when a condition holds by the latest verdict in force (us), or {@link EventContext#NEVER}. */
+    /**
+     * Returns the time since which the latest verdict in force states a condition (us), or {@link EventContext#NEVER}.
+     */
     public long sinceUs(String id, EngineCondition condition) {
         List<EngineVerdict> verdicts = byEngine.get(id);
         if (verdicts == null) {
--- a/gateway/src/main/java/sandpaddle/dispatch/ResultMapping.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/ResultMapping.java
@@ -57,8 +57,8 @@
     /** The topic of a progress report by its name on the wire; null for one that the module does not know. */
     static ProgressTopic topic(String name) {
         return switch (name) {
-            case "frac" -> ProgressTopic.DONE_PART;
-            case "missing" -> ProgressTopic.SPILL;
+            case "frac" -> ProgressTopic.COMPLETED_SHARE;
+            case "missing" -> ProgressTopic.MISSING_MEMORY;
             case "parked" -> ProgressTopic.WAIT;
             default -> null;
         };
--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -25,7 +25,7 @@
 class StaticStateTest {
     /** What may be of a type that can change, and why nothing of a gateway is in it. */
     private static final Map<String, String> EXCEPT = Map.ofEntries(
-            Map.entry("decision.loadview.LoadView.RESOURCE_SHARES", "private, asked only whether it holds a value"),
+            Map.entry("decision.loadview.LoadView.UTILIZATION_FIELDS", "private, asked only whether it holds a value"),
             Map.entry("codec.HttpWriter.LAST_CHUNK", "private, only copied from"),
             Map.entry("codec.ContentEncoder.GZIP_HEAD", "private, only copied from"),
             Map.entry("fleet.link.queue.SendQueue.MAX_PERCENT_BY_URGENCY", "private, only read by place"),
--- a/gateway/src/test/java/sandpaddle/config/OddSettingsTest.java
+++ b/gateway/src/test/java/sandpaddle/config/OddSettingsTest.java
@@ -328,7 +328,7 @@
             odd(
                     "\"cold_from\": 0.3",
                     "\"cold_from\": 0.3, \"extra_share\": 0.1, \"budget_free\": 8",
-                    c -> c.decisionSettings().rules().retryBudgetSpanUs(),
+                    c -> c.decisionSettings().rules().retryBudgetWindowUs(),
                     600_000_000L,
                     "field 'settings.rules.budget_span_us' is "
                             + "0 or missing beside a budget: further attempts are counted over all time"),
--- a/gateway/src/test/java/sandpaddle/decision/DecisionModuleTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/DecisionModuleTest.java
@@ -214,7 +214,7 @@
     @Test
     void retriesStayWithinTheBudget() {
         TestGateway.Spec spec = new TestGateway.Spec();
-        spec.retryBudgetSpanUs = 10 * S;
+        spec.retryBudgetWindowUs = 10 * S;
         TestGateway gateway = site(spec, 5);
         for (int i = 0; i < 60; i++) {
             String id = gateway.receive(0);
@@ -232,7 +232,7 @@
     void aRetryCountsInTheBudgetWhileItMayBeWritten() {
         TestGateway.Spec spec =
                 new TestGateway.Spec(); // 2 further attempts and 0.2 for each request taken, 250 ms to connect
-        spec.retryBudgetSpanUs = S;
+        spec.retryBudgetWindowUs = S;
         TestGateway gateway = site(spec, 5);
         for (int i = 0; i < 2; i++) {
             String id = gateway.receive(0);
@@ -457,7 +457,7 @@
             spec.ordered = seed % 2 == 0;
             spec.orderingPauseUs = 200 * MS;
             spec.cancel = seed % 4 < 2;
-            spec.retryBudgetSpanUs = seed % 3 == 0 ? 0 : 5 * S;
+            spec.retryBudgetWindowUs = seed % 3 == 0 ? 0 : 5 * S;
             TestGateway gateway = site(spec, 5);
             List<String> open = new ArrayList<>();
             for (int i = 0; i < 1500; i++) {
--- a/gateway/src/test/java/sandpaddle/decision/FaultHandlingTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/FaultHandlingTest.java
@@ -365,8 +365,8 @@
         TestGateway gateway = site(spec, 2);
         List<String> heavy = List.of(gateway.receive(1), gateway.receive(1), gateway.receive(1), gateway.receive(1));
         for (int i = 0; i < 60; i++) {
-            heavy.forEach(id ->
-                    gateway.handle(new ProgressReported(id, gateway.attempts(id) - 1, ProgressTopic.DONE_PART, 0.1)));
+            heavy.forEach(id -> gateway.handle(
+                    new ProgressReported(id, gateway.attempts(id) - 1, ProgressTopic.COMPLETED_SHARE, 0.1)));
             drive(gateway, 1);
         }
         assertEquals(0, actions(gateway, CancelAttempt.class).size());
--- a/gateway/src/test/java/sandpaddle/decision/RuleChecker.java
+++ b/gateway/src/test/java/sandpaddle/decision/RuleChecker.java
@@ -196,8 +196,8 @@
 
     private void budget(long now) {
         furtherAt.add(now);
-        if (s.rules().retryBudgetSpanUs() > 0) {
-            long from = now - s.rules().retryBudgetSpanUs();
+        if (s.rules().retryBudgetWindowUs() > 0) {
+            long from = now - s.rules().retryBudgetWindowUs();
             long further = furtherAt.stream().filter(x -> x >= from).count();
             long taken = takenAt.stream().filter(x -> x > from).count();
             check(further <= s.rules().retryBudgetFloor() + s.rules().retryBudgetRatio() * taken, "rule 7: budget");
@@ -212,14 +212,14 @@
         List<double[]> sent = coldWork.computeIfAbsent(e.id() + e.startedUs(), id -> new ArrayList<>());
         sent.add(new double[] {now, usualWork[t.request.classIndex()]});
         double work = sent.stream()
-                .filter(x -> x[0] > now - s.rules().overloadSpanUs())
+                .filter(x -> x[0] > now - s.rules().overloadWindowUs())
                 .mapToDouble(x -> x[1])
                 .sum();
         double warmth = s.rules().slowStartFrom()
                 + (1 - s.rules().slowStartFrom()) * age / s.rules().slowStartUs();
         double capacity = warmth * capacityPerCore * s.kinds().get(e.kind()).cores() / s.gateways();
         check(
-                work <= s.rules().overloadMultiple() * capacity * s.rules().overloadSpanUs(),
+                work <= s.rules().overloadMultiple() * capacity * s.rules().overloadWindowUs(),
                 "rule 4: cold engine pushed over");
     }
 
--- a/gateway/src/test/java/sandpaddle/decision/SlowStartFleetTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/SlowStartFleetTest.java
@@ -90,14 +90,14 @@
         assertTrue(start < 1006 * SECOND_US, "first sent at " + start);
         for (Sent from : sent) {
             double inSpan = sent.stream()
-                    .filter(x -> x.at() >= from.at() && x.at() < from.at() + rules.overloadSpanUs())
+                    .filter(x -> x.at() >= from.at() && x.at() < from.at() + rules.overloadWindowUs())
                     .mapToDouble(x -> work[x.cls()])
                     .sum();
             double able = 8
                     * (rules.slowStartFrom()
                             + (1 - rules.slowStartFrom()) * (from.at() - 1005 * SECOND_US) / rules.slowStartUs());
             assertTrue(
-                    inSpan < rules.overloadMultiple() * able * rules.overloadSpanUs(),
+                    inSpan < rules.overloadMultiple() * able * rules.overloadWindowUs(),
                     "sent " + inSpan + " at " + from.at());
         }
         double all = sent.stream().mapToDouble(x -> work[x.cls()]).sum();
@@ -184,13 +184,13 @@
         for (List<Sent> list : sent.values()) {
             for (Sent from : list) {
                 double inSpan = list.stream()
-                        .filter(x -> x.at() >= from.at() && x.at() < from.at() + rules.overloadSpanUs())
+                        .filter(x -> x.at() >= from.at() && x.at() < from.at() + rules.overloadWindowUs())
                         .mapToDouble(x -> work[x.cls()])
                         .sum();
                 double able = 8
                         * (rules.slowStartFrom()
                                 + (1 - rules.slowStartFrom()) * (from.at() - back) / rules.slowStartUs());
-                most = Math.max(most, inSpan / (rules.overloadMultiple() * able * rules.overloadSpanUs()));
+                most = Math.max(most, inSpan / (rules.overloadMultiple() * able * rules.overloadWindowUs()));
             }
         }
         return most;
--- a/gateway/src/test/java/sandpaddle/decision/SlowStartRecount.java
+++ b/gateway/src/test/java/sandpaddle/decision/SlowStartRecount.java
@@ -20,7 +20,7 @@
     /** Requests of mean work that the settings allow an engine in a window that begins at an age. */
     static double allowed(PlatformRules r, double cores, double meanWork, long age) {
         double able = r.slowStartFrom() + (1 - r.slowStartFrom()) * Math.min(1, (double) age / r.slowStartUs());
-        return r.overloadMultiple() * able * cores * r.overloadSpanUs() / meanWork;
+        return r.overloadMultiple() * able * cores * r.overloadWindowUs() / meanWork;
     }
 
     void count(SlowStartFleet.Start start, PlatformRules r, double meanWork) {
@@ -32,7 +32,7 @@
         int told = 0;
         starts++;
         for (int i = 0, end = 0; i < sent.size(); i++) {
-            for (; end < sent.size() && sent.get(end).at() < sent.get(i).at() + r.overloadSpanUs(); end++) {
+            for (; end < sent.size() && sent.get(end).at() < sent.get(i).at() + r.overloadWindowUs(); end++) {
                 sum += sent.get(end).usualWork() / meanWork;
                 sumTrue += sent.get(end).work() / meanWork;
                 told += sent.get(end).told() ? 1 : 0;
--- a/gateway/src/test/java/sandpaddle/decision/SparseTrafficTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/SparseTrafficTest.java
@@ -56,7 +56,7 @@
             String id = gateway.receiveWithMemory(1, estimate);
             double grant = granted(gateway, id);
             for (int t = 0; t < tellings && grant < need * estimate; t++) {
-                gateway.handle(new ProgressReported(id, 0, ProgressTopic.SPILL, need * estimate - grant));
+                gateway.handle(new ProgressReported(id, 0, ProgressTopic.MISSING_MEMORY, need * estimate - grant));
             }
             gateway.advance(300 * MILLISECOND_US);
             gateway.answer(id, AttemptResult.OK);
--- a/gateway/src/test/java/sandpaddle/decision/TestGateway.java
+++ b/gateway/src/test/java/sandpaddle/decision/TestGateway.java
@@ -47,7 +47,7 @@
         boolean priorities;
         boolean memoryGrants;
         long progressIntervalUs;
-        long retryBudgetSpanUs;
+        long retryBudgetWindowUs;
         long orderingPauseUs;
         int gateways = 2;
         int gatewayIndex;
@@ -118,7 +118,7 @@
                             2.5,
                             1500 * MILLISECOND_US,
                             orderingPauseUs,
-                            retryBudgetSpanUs,
+                            retryBudgetWindowUs,
                             2,
                             0.2),
                     new EngineFeatures(memoryGrants, priorities, 0.4, true, false, progressIntervalUs),
