--- a/gateway/src/test/java/sandpaddle/decision/ActionText.java
+++ b/gateway/src/test/java/sandpaddle/decision/ActionText.java
@@ -12,11 +12,11 @@
 import sandpaddle.decision.action.StartHealthCheck;
 import sandpaddle.decision.action.SubscribeToEngineList;
 
-/** Actions of the decision module as text that depends on no name of a type or a component. */
+/** Actions of the decision module as text for recorded files; independent of the names of types and components. */
 final class ActionText {
     private ActionText() {}
 
-    /** The action in one line: a word, then its values in a fixed order. */
+    /** Returns an action as one line: a word, then its values in a fixed order. */
     static String of(Action action) {
         if (action instanceof SendAttempt a) {
             return line("send", a.id(), a.engine(), a.timeoutUs(), a.trial(), a.writeDeadlineUs());
@@ -37,7 +37,7 @@
         } else if (action instanceof LogMessage a) {
             return line("log", a.text());
         }
-        throw new IllegalArgumentException("an action without a text: " + action);
+        throw new IllegalArgumentException("unsupported action: " + action);
     }
 
     private static String line(Object... words) {
--- a/gateway/src/test/java/sandpaddle/decision/ConnectionReuseTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/ConnectionReuseTest.java
@@ -16,15 +16,15 @@
 import sandpaddle.decision.event.EngineStatus;
 import sandpaddle.decision.settings.LoadField;
 
-/** New connections of many gateways add up: each meets few engines often, and together they meet all alike. */
+/** Where handshakes have a cost, each gateway reuses connections to few engines, and all together use all engines. */
 class ConnectionReuseTest {
     private static final int ENGINES = 40;
     private static final int GATEWAYS = 100;
 
-    private static TestGateway gateway(int me, double handshake) {
+    private static TestGateway createGateway(int gatewayIndex, double handshake) {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.gateways = GATEWAYS;
-        spec.gatewayIndex = me;
+        spec.gatewayIndex = gatewayIndex;
         spec.handshake = handshake;
         spec.reportFields = List.of(LoadField.UTILIZATION, LoadField.QUEUED, LoadField.MEMORY);
         TestGateway gateway = new TestGateway(spec);
@@ -34,43 +34,45 @@
         return gateway;
     }
 
-    /** The engines that queries one after the other, with few out at a time, are sent to. */
-    private static Set<String> met(TestGateway gateway, int queries, int atOnce) {
-        Set<String> met = new HashSet<>();
-        for (int i = 0; i < queries; i += atOnce) {
-            List<String> ids =
-                    IntStream.range(0, atOnce).mapToObj(k -> gateway.receive(0)).toList();
-            ids.forEach(id -> met.add(gateway.engineOf(id)));
+    /** Sends queries, a few of them concurrently, and returns the engines that they were sent to. */
+    private static Set<String> enginesUsed(TestGateway gateway, int queries, int concurrency) {
+        Set<String> used = new HashSet<>();
+        for (int i = 0; i < queries; i += concurrency) {
+            List<String> ids = IntStream.range(0, concurrency)
+                    .mapToObj(k -> gateway.receive(0))
+                    .toList();
+            ids.forEach(id -> used.add(gateway.engineOf(id)));
             gateway.advance(300 * MILLISECOND_US);
             ids.forEach(id -> gateway.answer(id, AttemptResult.OK));
         }
-        return met;
+        return used;
     }
 
     @Test
-    void whereHandshakesAreChargedFewEnginesAreUsedOften() {
-        assertTrue(met(gateway(3, 0.05), 120, 1).size() <= 6);
-        assertTrue(met(gateway(3, 0.05), 120, 3).size() <= 8, "those that are busy make room for the next");
-        assertTrue(met(gateway(3, 0), 120, 1).size() > 30, "without a charge there is no reason to");
+    void fewEnginesAreUsedWhereHandshakesHaveACost() {
+        assertTrue(enginesUsed(createGateway(3, 0.05), 120, 1).size() <= 6);
+        assertTrue(
+                enginesUsed(createGateway(3, 0.05), 120, 3).size() <= 8, "busy engines are replaced by the next ones");
+        assertTrue(enginesUsed(createGateway(3, 0), 120, 1).size() > 30, "no limit where handshakes have no cost");
     }
 
     @Test
     void aRemovedEngineIsReplacedByTheNextOne() {
-        TestGateway gateway = gateway(3, 0.05);
-        Set<String> before = met(gateway, 60, 1);
-        String left = before.iterator().next();
-        gateway.receiveList(EngineListKind.CHANGES, TestGateway.engine(left, 0, 0, 0, EngineStatus.REMOVED, 0));
-        Set<String> after = met(gateway, 60, 1);
-        before.remove(left);
+        TestGateway gateway = createGateway(3, 0.05);
+        Set<String> before = enginesUsed(gateway, 60, 1);
+        String removed = before.iterator().next();
+        gateway.receiveList(EngineListKind.CHANGES, TestGateway.engine(removed, 0, 0, 0, EngineStatus.REMOVED, 0));
+        Set<String> after = enginesUsed(gateway, 60, 1);
+        before.remove(removed);
         assertTrue(after.containsAll(before) && after.size() == before.size() + 1, before + " and then " + after);
     }
 
-    /** Guards the engines: were all gateways' first ones the same, few would bear all and the others nothing. */
+    /** Guards against all gateways preferring the same engines, which would then get all the load. */
     @Test
     void allGatewaysTogetherUseAllEnginesEvenly() {
         Map<String, Integer> gateways = new HashMap<>();
-        for (int me = 0; me < GATEWAYS; me++) {
-            met(gateway(me, 0.05), 60, 1).forEach(e -> gateways.merge(e, 1, Integer::sum));
+        for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
+            enginesUsed(createGateway(gatewayIndex, 0.05), 60, 1).forEach(e -> gateways.merge(e, 1, Integer::sum));
         }
         int equal = GATEWAYS * 6 / ENGINES;
         assertEquals(gateways.size(), ENGINES);
--- a/gateway/src/test/java/sandpaddle/decision/DecisionModuleTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/DecisionModuleTest.java
@@ -27,22 +27,23 @@
 import sandpaddle.decision.settings.DeduplicationScope;
 import sandpaddle.decision.settings.Idempotency;
 
+/** Tests the decision module by its events and actions, one gateway at a time, with the platform's rules checked. */
 class DecisionModuleTest {
-    private static final long S = TestGateway.SECOND_US;
-    private static final long MS = TestGateway.MILLISECOND_US;
+    private static final long SECOND_US = TestGateway.SECOND_US;
+    private static final long MILLISECOND_US = TestGateway.MILLISECOND_US;
 
     private static EngineEntry[] engines(int n) {
         return IntStream.range(0, n).mapToObj(i -> TestGateway.engine("e" + i)).toArray(EngineEntry[]::new);
     }
 
-    private static TestGateway site(TestGateway.Spec spec, int n) {
-        return new TestGateway(spec).receiveList(EngineListKind.FULL, engines(n));
+    private static TestGateway createGateway(TestGateway.Spec spec, int engineCount) {
+        return new TestGateway(spec).receiveList(EngineListKind.FULL, engines(engineCount));
     }
 
-    private static List<String> takeAll(TestGateway gateway, int cls, int n) {
+    private static List<String> receiveAll(TestGateway gateway, int classIndex, int n) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            ids.add(gateway.receive(cls));
+            ids.add(gateway.receive(classIndex));
         }
         return ids;
     }
@@ -54,15 +55,15 @@
                         EngineListKind.FULL,
                         TestGateway.engine("small"),
                         TestGateway.engine("big", 0, 1, 0, EngineStatus.UP, 0));
-        takeAll(gateway, 0, 30);
+        receiveAll(gateway, 0, 30);
         assertEquals(10, gateway.sentTo("small"), 1);
         assertEquals(20, gateway.sentTo("big"), 1);
     }
 
     @Test
     void classesAreBalancedIndependently() {
-        TestGateway gateway = site(new TestGateway.Spec(), 2);
-        takeAll(gateway, 0, 4);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 2);
+        receiveAll(gateway, 0, 4);
         String first = gateway.receive(1);
         String second = gateway.receive(1);
         assertNotEquals(gateway.engineOf(first), gateway.engineOf(second));
@@ -70,10 +71,10 @@
 
     @Test
     void loadReportsChangeTheChoice() {
-        TestGateway gateway = site(new TestGateway.Spec(), 2);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 2);
         String id = gateway.receive(0);
         String busy = gateway.engineOf(id);
-        gateway.advance(100 * MS);
+        gateway.advance(100 * MILLISECOND_US);
         gateway.answer(id, AttemptResult.OK, new double[] {20, 0.5});
         String other = gateway.receive(0);
         while (gateway.engineOf(other).equals(busy)) {
@@ -81,27 +82,27 @@
             other = gateway.receive(0);
         }
         gateway.answer(other, AttemptResult.OK, new double[] {0, 0.1});
-        List<String> next = takeAll(gateway, 0, 5);
+        List<String> next = receiveAll(gateway, 0, 5);
         assertTrue(next.stream().noneMatch(x -> gateway.engineOf(x).equals(busy)));
     }
 
     @Test
     void concurrencyLimitsBindOnlyUnderOverload() {
-        TestGateway gateway = site(new TestGateway.Spec(), 1);
-        takeAll(gateway, 0, 10);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 1);
+        receiveAll(gateway, 0, 10);
         assertEquals(10, gateway.sentTo("e0"));
-        TestGateway pressed = site(new TestGateway.Spec(), 1);
-        pressed.answer(pressed.receive(0), AttemptResult.OK, new double[] {1, 1.0});
-        takeAll(pressed, 0, 40);
-        assertEquals(1 + 12, pressed.sentTo("e0"), 1);
+        TestGateway overloaded = createGateway(new TestGateway.Spec(), 1);
+        overloaded.answer(overloaded.receive(0), AttemptResult.OK, new double[] {1, 1.0});
+        receiveAll(overloaded, 0, 40);
+        assertEquals(1 + 12, overloaded.sentTo("e0"), 1);
     }
 
     @Test
     void queuedRequestsAreAdmittedEarliestDueFirst() {
-        TestGateway gateway = site(new TestGateway.Spec(), 1);
-        List<String> running = takeAll(gateway, 0, 12);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 1);
+        List<String> running = receiveAll(gateway, 0, 12);
         gateway.receive(1);
-        gateway.advance(10 * MS);
+        gateway.advance(10 * MILLISECOND_US);
         gateway.answer(running.get(0), AttemptResult.OK, new double[] {1, 1.0});
         String heavy = gateway.receive(1);
         String quick = gateway.receive(0);
@@ -115,14 +116,14 @@
     void requestsThatWouldBeLateAreRejectedAtOnceWithRetryAfter() {
         TestGateway gateway = new TestGateway(new TestGateway.Spec());
         String id = gateway.receive(0);
-        gateway.advance(4 * S);
-        var refuse = gateway.log.stream()
+        gateway.advance(4 * SECOND_US);
+        var rejection = gateway.log.stream()
                 .filter(RejectRequest.class::isInstance)
                 .map(RejectRequest.class::cast)
                 .filter(r -> r.id().equals(id))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(refuse.retryAfterUs() > 0);
+        assertTrue(rejection.retryAfterUs() > 0);
         gateway.end();
     }
 
@@ -130,7 +131,7 @@
     void aNonIdempotentRequestThatMayHaveRunFailsWithoutRetry() {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.idempotency = Idempotency.NOT_IDEMPOTENT;
-        TestGateway gateway = site(spec, 3);
+        TestGateway gateway = createGateway(spec, 3);
         String id = gateway.receive(0);
         gateway.answer(id, AttemptResult.RESET);
         assertTrue(gateway.hasFailed(id));
@@ -156,7 +157,7 @@
         String first = gateway.engineOf(id);
         gateway.answer(id, AttemptResult.RESET);
         assertEquals(first.charAt(0), gateway.engineOf(id).charAt(0));
-        gateway.advance(3 * S);
+        gateway.advance(3 * SECOND_US);
         gateway.answer(id, AttemptResult.RESET);
         assertEquals(2, gateway.attempts(id));
         assertTrue(gateway.hasFailed(id));
@@ -166,18 +167,18 @@
     void requestsOfAKeyRunInOrderAndTheKeyPauses() {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.ordered = true;
-        spec.orderingPauseUs = 300 * MS;
+        spec.orderingPauseUs = 300 * MILLISECOND_US;
         spec.maxAttempts = 1;
-        TestGateway gateway = site(spec, 3);
+        TestGateway gateway = createGateway(spec, 3);
         String a = gateway.receive(0, "k", -1);
         String b = gateway.receive(0, "k", -1);
         String other = gateway.receive(0, "m", -1);
         assertEquals(0, gateway.attempts(b));
         assertEquals(1, gateway.attempts(other));
         gateway.answer(a, AttemptResult.TIMEOUT);
-        gateway.advance(250 * MS);
+        gateway.advance(250 * MILLISECOND_US);
         assertEquals(0, gateway.attempts(b));
-        gateway.advance(100 * MS);
+        gateway.advance(100 * MILLISECOND_US);
         assertEquals(1, gateway.attempts(b));
     }
 
@@ -185,7 +186,7 @@
     void aKeyStaysOccupiedWhileAnAttemptRunsAfterItsClientDisconnected() {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.ordered = true;
-        TestGateway gateway = site(spec, 3);
+        TestGateway gateway = createGateway(spec, 3);
         String a = gateway.receive(0, "k", -1);
         String b = gateway.receive(0, "k", -1);
         gateway.handle(new ClientDisconnected(a));
@@ -214,38 +215,38 @@
     @Test
     void retriesStayWithinTheBudget() {
         TestGateway.Spec spec = new TestGateway.Spec();
-        spec.retryBudgetWindowUs = 10 * S;
-        TestGateway gateway = site(spec, 5);
+        spec.retryBudgetWindowUs = 10 * SECOND_US;
+        TestGateway gateway = createGateway(spec, 5);
         for (int i = 0; i < 60; i++) {
             String id = gateway.receive(0);
-            gateway.advance(7 * MS);
+            gateway.advance(7 * MILLISECOND_US);
             for (int n = 0; n < 4 && gateway.attempts(id) == n + 1; n++) {
                 gateway.answer(id, AttemptResult.ERROR);
             }
-            gateway.advance(93 * MS);
+            gateway.advance(93 * MILLISECOND_US);
         }
         gateway.end();
     }
 
-    /** Rule 7 counts what is written: a repeat whose connection comes up late stands in the next span too. */
+    /** The retry budget counts written retries: one whose connection is established late counts in a later window. */
     @Test
     void aRetryCountsInTheBudgetWhileItMayBeWritten() {
-        TestGateway.Spec spec =
-                new TestGateway.Spec(); // 2 further attempts and 0.2 for each request taken, 250 ms to connect
-        spec.retryBudgetWindowUs = S;
-        TestGateway gateway = site(spec, 5);
+        // 2 retries plus 0.2 per request received; connect timeout of 250 ms
+        TestGateway.Spec spec = new TestGateway.Spec();
+        spec.retryBudgetWindowUs = SECOND_US;
+        TestGateway gateway = createGateway(spec, 5);
         for (int i = 0; i < 2; i++) {
             String id = gateway.receive(0);
             gateway.answer(id, AttemptResult.ERROR);
             assertEquals(2, gateway.attempts(id));
             gateway.answer(id, AttemptResult.OK);
         }
-        gateway.advance(1050 * MS);
+        gateway.advance(1050 * MILLISECOND_US);
         String early = gateway.receive(0);
         gateway.answer(early, AttemptResult.ERROR);
-        assertEquals(1, gateway.attempts(early), "two may have been written within the last second");
+        assertEquals(1, gateway.attempts(early), "two retries may have been written within the last second");
         assertTrue(gateway.isRejected(early));
-        gateway.advance(300 * MS);
+        gateway.advance(300 * MILLISECOND_US);
         String later = gateway.receive(0);
         gateway.answer(later, AttemptResult.ERROR);
         assertEquals(2, gateway.attempts(later));
@@ -255,12 +256,12 @@
 
     @Test
     void noAttemptIsSentToADrainingEngine() {
-        TestGateway gateway = site(new TestGateway.Spec(), 2);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 2);
         gateway.receiveList(EngineListKind.CHANGES, TestGateway.engine("e0", 0, 0, 0, EngineStatus.DRAINING, 0));
-        takeAll(gateway, 0, 10);
+        receiveAll(gateway, 0, 10);
         assertEquals(0, gateway.sentTo("e0"));
         gateway.receiveList(EngineListKind.FULL, TestGateway.engine("e0"));
-        takeAll(gateway, 0, 10);
+        receiveAll(gateway, 0, 10);
         assertEquals(10, gateway.sentTo("e0"));
         assertEquals(10, gateway.sentTo("e1"));
     }
@@ -270,12 +271,12 @@
         for (EngineListKind kind : List.of(EngineListKind.CHANGES, EngineListKind.CACHED)) {
             TestGateway gateway =
                     new TestGateway(new TestGateway.Spec(), 2.0).receiveList(EngineListKind.FULL, engines(4));
-            drive(gateway, 3 * S);
+            playTraffic(gateway, 3 * SECOND_US);
             List<EngineEntry> all = new ArrayList<>(List.of(engines(4)));
-            all.set(0, TestGateway.engine("e0", 0, 0, 0, EngineStatus.UP, gateway.nowUs - S));
+            all.set(0, TestGateway.engine("e0", 0, 0, 0, EngineStatus.UP, gateway.nowUs - SECOND_US));
             gateway.receiveList(kind, all.toArray(EngineEntry[]::new));
             long before = gateway.sentTo("e0");
-            drive(gateway, 12 * S);
+            playTraffic(gateway, 12 * SECOND_US);
             assertTrue(gateway.sentTo("e0") > before);
         }
     }
@@ -283,19 +284,20 @@
     @Test
     void anEngineOfUnknownCapacityIsNotOverloadedWhileItWarmsUp() {
         TestGateway gateway = new TestGateway(new TestGateway.Spec(), 1.0)
-                .receiveList(EngineListKind.CACHED, TestGateway.engine("e0", 0, 0, 0, EngineStatus.UP, 999 * S));
-        takeAll(gateway, 1, 30);
+                .receiveList(
+                        EngineListKind.CACHED, TestGateway.engine("e0", 0, 0, 0, EngineStatus.UP, 999 * SECOND_US));
+        receiveAll(gateway, 1, 30);
         assertTrue(gateway.sentTo("e0") <= 1);
-        gateway.advance(S);
+        gateway.advance(SECOND_US);
         assertTrue(gateway.sentTo("e0") <= 1);
     }
 
-    /** Steady traffic: every 40 ms a query, each answered after its usual work. */
-    private static void drive(TestGateway gateway, long us) {
+    /** Sends a query every 40 ms, and answers the oldest one while more than four are open. */
+    private static void playTraffic(TestGateway gateway, long durationUs) {
         List<String> open = new ArrayList<>();
-        for (int i = 0; i < us / (40 * MS); i++) {
+        for (int i = 0; i < durationUs / (40 * MILLISECOND_US); i++) {
             open.add(gateway.receive(i % 7 == 0 ? 1 : 0));
-            gateway.advance(40 * MS);
+            gateway.advance(40 * MILLISECOND_US);
             if (open.size() > 4 && gateway.attempts(open.get(0)) > 0) {
                 gateway.answer(open.remove(0), AttemptResult.OK, new double[] {5, 0.5});
             }
@@ -309,10 +311,10 @@
 
     @Test
     void anEngineThatFailsAtOnceIsEjected() {
-        TestGateway gateway = site(new TestGateway.Spec(), 4);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 4);
         for (int i = 0; i < 200; i++) {
             String id = gateway.receive(0);
-            gateway.advance(10 * MS);
+            gateway.advance(10 * MILLISECOND_US);
             while (gateway.attempts(id) < 4 && gateway.engineOf(id).equals("e0")) {
                 gateway.answer(id, AttemptResult.ERROR);
             }
@@ -323,14 +325,14 @@
 
     @Test
     void anEngineThatAnswersNothingIsEjected() {
-        TestGateway gateway = site(new TestGateway.Spec(), 4);
-        List<String> first = takeAll(gateway, 0, 8);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 4);
+        List<String> first = receiveAll(gateway, 0, 8);
         first.stream()
                 .filter(id -> !gateway.engineOf(id).equals("e0"))
                 .forEach(id -> gateway.answer(id, AttemptResult.OK));
         for (int i = 0; i < 100; i++) {
             String id = gateway.receive(0);
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
             if (!gateway.engineOf(id).equals("e0")) {
                 gateway.answer(id, AttemptResult.OK);
             }
@@ -342,82 +344,83 @@
 
     @Test
     void lostAttemptsDoNotDelayTrialsOfTheirEngine() {
-        TestGateway gateway = site(new TestGateway.Spec(), 4);
-        List<String> first = takeAll(gateway, 0, 8);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 4);
+        List<String> first = receiveAll(gateway, 0, 8);
         first.stream()
                 .filter(id -> !gateway.engineOf(id).equals("e0"))
                 .forEach(id -> gateway.answer(id, AttemptResult.OK));
         for (int i = 0; i < 40; i++) {
             String id = gateway.receive(0);
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
             if (!gateway.engineOf(id).equals("e0")) {
                 gateway.answer(id, AttemptResult.OK);
             }
         }
-        gateway.advance(1500 * MS);
+        gateway.advance(1500 * MILLISECOND_US);
         long before = gateway.sentTo("e0");
-        takeAll(gateway, 0, 12);
+        receiveAll(gateway, 0, 12);
         assertEquals(before + 1, gateway.sentTo("e0"));
     }
 
     @Test
     void aGatewayWithRisingTrafficIsNotLimitedBelowItsShare() {
-        long firsts = sentInABurst(60, false).sends();
-        assertTrue(firsts >= 3, "sent " + firsts);
+        long sends = sendBurst(60, false).sends();
+        assertTrue(sends >= 3, "sent " + sends);
     }
 
-    /** Else all gateways that hold would open their bounds at once. */
+    /** Guards against all gateways with queued requests raising their limits at the same time. */
     @Test
     void neitherQueuedRequestsNorRetriesRaiseTheTrafficShare() {
-        Burst few = sentInABurst(30, true);
-        Burst many = sentInABurst(60, true);
+        Burst few = sendBurst(30, true);
+        Burst many = sendBurst(60, true);
         assertTrue(many.shareAfter() <= many.shareBefore(), "share " + many);
         assertEquals(few.sends(), many.sends());
-        assertEquals(many.sends(), sentInABurst(60, false).sends());
-        double most = 1 + 1.5 * Math.ceil(many.shareBefore() * 2.5 * 8); // one, and its share of 2.5 threads a core
-        assertTrue(many.sends() <= most, "sent " + many + ", at most " + most);
+        assertEquals(many.sends(), sendBurst(60, false).sends());
+        // one query, plus its share of 2.5 threads per core
+        double maxSends = 1 + 1.5 * Math.ceil(many.shareBefore() * 2.5 * 8);
+        assertTrue(many.sends() <= maxSends, "sent " + many + ", at most " + maxSends);
     }
 
-    /** What was sent in a burst, and this gateway's share of the traffic before and after it. */
+    /** Number of sends in a burst, and this gateway's traffic share before and after it. */
     private record Burst(long sends, double shareBefore, double shareAfter) {}
 
-    /** After a calm while one of four gateways gets a query every 20 ms, for an engine that reports to be busy. */
-    private static Burst sentInABurst(int queries, boolean retries) {
+    /** After light traffic, one of four gateways receives a query every 20 ms, while its engine reports as busy. */
+    private static Burst sendBurst(int queries, boolean retries) {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.gateways = 4;
-        TestGateway gateway = site(spec, 1);
+        TestGateway gateway = createGateway(spec, 1);
         for (int i = 0; i < 40; i++) {
             String id = gateway.receive(0);
-            gateway.advance(200 * MS);
+            gateway.advance(200 * MILLISECOND_US);
             gateway.answer(id, AttemptResult.OK, new double[] {20, i < 39 ? 0.5 : 1.0});
         }
         long before = gateway.sentTo("e0");
         double shareBefore = gateway.module.parts.traffic.share();
         for (int i = 0; i < queries; i++) {
-            gateway.handle(new RequestReceived("b" + i, 0, null, 4 * S, 0, 0, -1, retries));
-            gateway.advance(20 * MS);
+            gateway.handle(new RequestReceived("b" + i, 0, null, 4 * SECOND_US, 0, 0, -1, retries));
+            gateway.advance(20 * MILLISECOND_US);
         }
         return new Burst(gateway.sentTo("e0") - before, shareBefore, gateway.module.parts.traffic.share());
     }
 
     @Test
     void aFleetWhoseEnginesAllFailStaysInUse() {
-        TestGateway gateway = site(new TestGateway.Spec(), 4);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 4);
         for (int i = 0; i < 100; i++) {
             String id = gateway.receive(0);
-            gateway.advance(10 * MS);
+            gateway.advance(10 * MILLISECOND_US);
             gateway.answer(id, i % 2 == 0 ? AttemptResult.ERROR : AttemptResult.OK);
             gateway.answer(id, AttemptResult.OK);
         }
-        gateway.advance(S);
+        gateway.advance(SECOND_US);
         Set<String> used = new HashSet<>();
-        takeAll(gateway, 0, 30).forEach(id -> used.add(gateway.engineOf(id)));
+        receiveAll(gateway, 0, 30).forEach(id -> used.add(gateway.engineOf(id)));
         assertEquals(4, used.size());
     }
 
     @Test
     void unknownAttemptsTimersAndClientsAreIgnored() {
-        TestGateway gateway = site(new TestGateway.Spec(), 2);
+        TestGateway gateway = createGateway(new TestGateway.Spec(), 2);
         String id = gateway.receive(0);
         gateway.answer(id, AttemptResult.OK);
         gateway.handle(new AttemptEnded(id, 0, "e0", AttemptResult.OK, true, 0, 0, 0, null));
@@ -442,12 +445,12 @@
     @Test
     void rulesHoldUnderRandomFaults() {
         for (int seed = 0; seed < 12; seed++) {
-            randomDay(seed);
+            playRandomEvents(seed);
         }
     }
 
-    /** The same seed gives the same actions; the rule checker watches a day of random outcomes and lists. */
-    private static void randomDay(int seed) {
+    /** Plays random outcomes and endpoint lists under the rule checker, twice: the same seed gives the same actions. */
+    private static void playRandomEvents(int seed) {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             Random random = new Random(seed);
@@ -455,14 +458,14 @@
             spec.idempotency = Idempotency.values()[seed % 3];
             spec.deduplicationScope = DeduplicationScope.values()[seed / 3 % 3];
             spec.ordered = seed % 2 == 0;
-            spec.orderingPauseUs = 200 * MS;
+            spec.orderingPauseUs = 200 * MILLISECOND_US;
             spec.cancel = seed % 4 < 2;
-            spec.retryBudgetWindowUs = seed % 3 == 0 ? 0 : 5 * S;
-            TestGateway gateway = site(spec, 5);
+            spec.retryBudgetWindowUs = seed % 3 == 0 ? 0 : 5 * SECOND_US;
+            TestGateway gateway = createGateway(spec, 5);
             List<String> open = new ArrayList<>();
             for (int i = 0; i < 1500; i++) {
                 open.add(gateway.receive(random.nextInt(5) == 0 ? 1 : 0, "k" + random.nextInt(9), random.nextInt(12)));
-                gateway.advance(random.nextInt((int) (30 * MS)));
+                gateway.advance(random.nextInt((int) (30 * MILLISECOND_US)));
                 String id = open.get(random.nextInt(open.size()));
                 if (gateway.attempts(id) > 0) {
                     var results = AttemptResult.values();
@@ -477,7 +480,7 @@
                                     0,
                                     0,
                                     EngineStatus.values()[random.nextInt(3)],
-                                    random.nextBoolean() ? 0 : gateway.nowUs - S));
+                                    random.nextBoolean() ? 0 : gateway.nowUs - SECOND_US));
                 }
             }
             runs.add(gateway.log);
--- a/gateway/src/test/java/sandpaddle/decision/Replay.java
+++ b/gateway/src/test/java/sandpaddle/decision/EventReplay.java
@@ -34,29 +34,31 @@
 import sandpaddle.decision.settings.RequestClass;
 
 /**
- * Events of one gateway on a drawn day and its actions on each event, so that the same can be given to another
- * one in other words. The events of the day are those of the first run: as long as both decide alike they fit both.
+ * Records the events of a random workload and the actions of a module on each event, so that the events can be replayed
+ * to another module under a renaming. The events answer the actions of the recorded run, so they fit the replay as long
+ * as both modules decide alike.
  */
-final class Replay {
+final class EventReplay {
     private static final int TENANTS = 4;
-    private static final int RULINGS = 150; // events between two rulings of a fleet
+    /** Events between two updates of quotas and verdicts. */
+    private static final int EVENTS_BETWEEN_FLEET_EVENTS = 150;
 
-    /** An event with its time and what was decided on it. */
-    record Step(long at, Event event, List<Action> decided) {}
+    /** An event with its time and the resulting actions. */
+    record Step(long atUs, Event event, List<Action> actions) {}
 
-    /** Other words: for positions, ids, times and load rows. */
-    static final class Words {
-        UnaryOperator<Integer> cls = c -> c, zone = z -> z, kind = k -> k, tenant = t -> t;
+    /** A renaming of indices, ids, times and load reports. */
+    static final class Renaming {
+        UnaryOperator<Integer> classIndex = c -> c, zone = z -> z, kind = k -> k, tenant = t -> t;
         UnaryOperator<String> request = r -> r, key = k -> k, engine = e -> e;
         UnaryOperator<double[]> load = l -> l;
-        UnaryOperator<List<EngineEntry>> order = l -> l;
+        UnaryOperator<List<EngineEntry>> entryOrder = l -> l;
         LongUnaryOperator time = t -> t;
 
         DecisionSettings settings(DecisionSettings s) {
             RequestClass[] classes = new RequestClass[s.classes().size()];
             for (int c = 0; c < classes.length; c++) {
                 RequestClass o = s.classes().get(c);
-                classes[cls.apply(c)] = new RequestClass(
+                classes[classIndex.apply(c)] = new RequestClass(
                         o.latencyObjectiveUs(),
                         o.objectiveStretch(),
                         o.deadlineUs(),
@@ -81,13 +83,13 @@
             for (int k = 0; k < kinds.length; k++) {
                 kinds[kind.apply(k)] = s.kinds().get(k);
             }
-            double[] places = new double[s.reportFields().size()];
-            for (int i = 0; i < places.length; i++) {
-                places[i] = i;
+            double[] positions = new double[s.reportFields().size()];
+            for (int i = 0; i < positions.length; i++) {
+                positions[i] = i;
             }
             List<LoadField> fields = new ArrayList<>();
-            for (double place : places.length == 0 ? places : load.apply(places)) {
-                fields.add(s.reportFields().get((int) place));
+            for (double position : positions.length == 0 ? positions : load.apply(positions)) {
+                fields.add(s.reportFields().get((int) position));
             }
             return new DecisionSettings(
                     s.gateways(),
@@ -104,15 +106,15 @@
                     s.costs());
         }
 
-        private double[] row(double[] row) {
-            return row == null || row.length == 0 ? row : load.apply(row);
+        private double[] loadReport(double[] values) {
+            return values == null || values.length == 0 ? values : load.apply(values);
         }
 
         Event event(Event event) {
             if (event instanceof EngineListReceived l) {
                 return new EngineListReceived(
                         l.kind(),
-                        order.apply(l.entries()).stream()
+                        entryOrder.apply(l.entries()).stream()
                                 .map(e -> new EngineEntry(
                                         engine.apply(e.id()),
                                         zone.apply(e.zone()),
@@ -125,7 +127,7 @@
             } else if (event instanceof RequestReceived r) {
                 return new RequestReceived(
                         request.apply(r.id()),
-                        cls.apply(r.classIndex()),
+                        classIndex.apply(r.classIndex()),
                         r.key() == null ? null : key.apply(r.key()),
                         r.expiresInUs(),
                         r.estimateUs(),
@@ -144,18 +146,19 @@
                         o.elapsedUs(),
                         o.usedWorkMs(),
                         o.usedMemoryMb(),
-                        row(o.loadReport()));
+                        loadReport(o.loadReport()));
             } else if (event instanceof ProgressReported n) {
                 return new ProgressReported(request.apply(n.id()), n.attempt(), n.topic(), n.value());
             } else if (event instanceof ClientDisconnected l) {
                 return new ClientDisconnected(request.apply(l.id()));
             } else if (event instanceof HealthCheckEnded p) {
-                return new HealthCheckEnded(engine.apply(p.engine()), p.result(), p.elapsedUs(), row(p.loadReport()));
+                return new HealthCheckEnded(
+                        engine.apply(p.engine()), p.result(), p.elapsedUs(), loadReport(p.loadReport()));
             } else if (event instanceof QuotasChanged a) {
                 return new QuotasChanged(
                         a.quotas().stream()
                                 .map(g -> new Quota(
-                                        g.classIndex() < 0 ? -1 : cls.apply(g.classIndex()),
+                                        g.classIndex() < 0 ? -1 : classIndex.apply(g.classIndex()),
                                         g.tenant() < 0 ? -1 : tenant.apply(g.tenant()),
                                         g.engine() == null ? null : engine.apply(g.engine()),
                                         g.maxInFlight(),
@@ -195,7 +198,7 @@
             } else if (action instanceof ScheduleTimer a) {
                 return new ScheduleTimer(a.token(), time.applyAsLong(a.atUs()));
             }
-            return action instanceof LogMessage ? new LogMessage("") : action; // its text is for people
+            return action instanceof LogMessage ? new LogMessage("") : action; // its text is not compared
         }
     }
 
@@ -203,27 +206,28 @@
     final List<Step> steps = new ArrayList<>();
     private final long seed;
 
-    /** A day at a site made from the drawn one, of events made from the drawn ones. */
-    Replay(int seed, long lengthUs, UnaryOperator<DecisionSettings> site, UnaryOperator<Event> events) {
+    /** Records a random workload, with changed settings and changed events. */
+    EventReplay(
+            int seed, long lengthUs, UnaryOperator<DecisionSettings> settingsChange, UnaryOperator<Event> eventChange) {
         this.seed = seed;
-        DecisionSettings[] drawn = new DecisionSettings[1];
-        new DrawnDay(seed, s -> {
-            drawn[0] = s;
+        DecisionSettings[] randomSettings = new DecisionSettings[1];
+        new RandomWorkload(seed, s -> {
+            randomSettings[0] = s;
             return null;
         });
-        settings = site.apply(drawn[0]);
+        settings = settingsChange.apply(randomSettings[0]);
         DefaultDecisionModule module = new DefaultDecisionModule(settings, seed);
-        new DrawnDay(seed, settings, s -> (now, event, actions) -> {
-                    if (steps.size() % RULINGS == RULINGS - 1) {
-                        ruling(now).forEach(e -> tell(module, now, e).forEach(actions));
+        new RandomWorkload(seed, settings, s -> (nowUs, event, actions) -> {
+                    if (steps.size() % EVENTS_BETWEEN_FLEET_EVENTS == EVENTS_BETWEEN_FLEET_EVENTS - 1) {
+                        fleetEvents(nowUs).forEach(e -> handle(module, nowUs, e).forEach(actions));
                     }
-                    tell(module, now, events.apply(event)).forEach(actions);
+                    handle(module, nowUs, eventChange.apply(event)).forEach(actions);
                 })
-                .play(lengthUs);
+                .run(lengthUs);
     }
 
-    private List<Action> tell(DefaultDecisionModule module, long now, Event event) {
-        Event told = event instanceof RequestReceived r
+    private List<Action> handle(DefaultDecisionModule module, long nowUs, Event event) {
+        Event withTenant = event instanceof RequestReceived r
                 ? new RequestReceived(
                         r.id(),
                         r.classIndex(),
@@ -236,52 +240,52 @@
                         r.sheddable(),
                         r.id().hashCode() % TENANTS)
                 : event;
-        List<Action> decided = new ArrayList<>();
-        module.handle(now, told, decided::add);
-        steps.add(new Step(now, told, decided));
-        return decided;
+        List<Action> actions = new ArrayList<>();
+        module.handle(nowUs, withTenant, actions::add);
+        steps.add(new Step(nowUs, withTenant, actions));
+        return actions;
     }
 
-    private List<Event> ruling(long now) {
-        int n = steps.size() / RULINGS;
+    private List<Event> fleetEvents(long nowUs) {
+        int round = steps.size() / EVENTS_BETWEEN_FLEET_EVENTS;
         return List.of(
                 new QuotasChanged(
                         List.of(
-                                new Quota(-1, n % TENANTS, null, 6, 40),
-                                new Quota(n % settings.classes().size(), -1, null, 9, Integer.MAX_VALUE),
+                                new Quota(-1, round % TENANTS, null, 6, 40),
+                                new Quota(round % settings.classes().size(), -1, null, 9, Integer.MAX_VALUE),
                                 new Quota(-1, -1, "e1", 3, 30)),
                         200_000),
                 new EngineVerdictsChanged(IntStream.range(0, 3)
                         .mapToObj(i -> new EngineVerdict(
                                 "e" + i % 2,
-                                EngineCondition.values()[(n + i) % EngineCondition.values().length],
-                                now - 50_000 * i,
-                                now + 400_000))
+                                EngineCondition.values()[(round + i) % EngineCondition.values().length],
+                                nowUs - 50_000 * i,
+                                nowUs + 400_000))
                         .toList()));
     }
 
-    /** What another gateway decides on the same events in other words, step by step. */
-    List<List<Action>> inOther(Words words) {
-        return inOther(words, words.settings(settings));
+    /** Replays the events under a renaming, and returns the actions of the replay for each step. */
+    List<List<Action>> replay(Renaming renaming) {
+        return replay(renaming, renaming.settings(settings));
     }
 
-    List<List<Action>> inOther(Words words, DecisionSettings site) {
-        DefaultDecisionModule module = new DefaultDecisionModule(site, seed);
+    List<List<Action>> replay(Renaming renaming, DecisionSettings replaySettings) {
+        DefaultDecisionModule module = new DefaultDecisionModule(replaySettings, seed);
         List<List<Action>> all = new ArrayList<>();
         for (Step step : steps) {
-            List<Action> decided = new ArrayList<>();
-            module.handle(words.time.applyAsLong(step.at), words.event(step.event), decided::add);
-            all.add(decided.stream()
+            List<Action> actions = new ArrayList<>();
+            module.handle(renaming.time.applyAsLong(step.atUs), renaming.event(step.event), actions::add);
+            all.add(actions.stream()
                     .map(a -> a instanceof LogMessage ? new LogMessage("") : a)
                     .toList());
         }
         return all;
     }
 
-    /** What the first gateway decided, in other words. */
-    List<List<Action>> expected(Words words) {
+    /** Returns the recorded actions under a renaming, for each step. */
+    List<List<Action>> expected(Renaming renaming) {
         return steps.stream()
-                .map(s -> s.decided.stream().map(words::action).toList())
+                .map(s -> s.actions.stream().map(renaming::action).toList())
                 .toList();
     }
 
--- a/gateway/src/test/java/sandpaddle/decision/FaultHandlingTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/FaultHandlingTest.java
@@ -29,12 +29,12 @@
 import sandpaddle.decision.model.EventContext;
 import sandpaddle.decision.settings.LoadField;
 
-/** Many gateways with little traffic each, lost answers, and gateways that stand still. */
+/** Faults: lost answers, silent engines and zones, stalled gateways, and many gateways with little traffic each. */
 class FaultHandlingTest {
-    private static final long S = TestGateway.SECOND_US;
-    private static final long MS = TestGateway.MILLISECOND_US;
+    private static final long SECOND_US = TestGateway.SECOND_US;
+    private static final long MILLISECOND_US = TestGateway.MILLISECOND_US;
 
-    private static TestGateway site(TestGateway.Spec spec, int engines) {
+    private static TestGateway createGateway(TestGateway.Spec spec, int engines) {
         return new TestGateway(spec)
                 .receiveList(
                         EngineListKind.FULL,
@@ -43,21 +43,21 @@
                                 .toArray(EngineEntry[]::new));
     }
 
-    private static TestGateway.Spec gateways(int n) {
+    private static TestGateway.Spec specOf(int gateways) {
         TestGateway.Spec spec = new TestGateway.Spec();
-        spec.gateways = n;
+        spec.gateways = gateways;
         return spec;
     }
 
-    /** One query every 250 ms, each answered 100 ms later with the report given. */
-    private static void drive(TestGateway gateway, int queries, double... report) {
+    /** Sends one query every 250 ms, and answers each 100 ms later with a load report. */
+    private static void playTraffic(TestGateway gateway, int queries, double... report) {
         for (int i = 0; i < queries; i++) {
             String id = gateway.receive(0);
-            gateway.advance(100 * MS);
+            gateway.advance(100 * MILLISECOND_US);
             if (gateway.attempts(id) > 0) {
                 gateway.answer(id, AttemptResult.OK, report.length > 0 ? report : null);
             }
-            gateway.advance(150 * MS);
+            gateway.advance(150 * MILLISECOND_US);
         }
     }
 
@@ -67,8 +67,8 @@
 
     @Test
     void manyGatewaysDoNotOverloadBusyEnginesWithOneQueryEach() {
-        TestGateway gateway = site(gateways(100), 20);
-        drive(gateway, 40, 18, 1.0);
+        TestGateway gateway = createGateway(specOf(100), 20);
+        playTraffic(gateway, 40, 18, 1.0);
         long before = actions(gateway, SendAttempt.class).size();
         for (int i = 0; i < 20; i++) {
             gateway.receive(0);
@@ -79,21 +79,21 @@
 
     @Test
     void healthChecksFollowOwnTraffic() {
-        TestGateway.Spec spec = gateways(100);
+        TestGateway.Spec spec = specOf(100);
         spec.healthChecks = true;
         spec.reportsInAnswers = false;
-        TestGateway gateway = site(spec, 20);
-        drive(gateway, 80);
-        int probes = actions(gateway, StartHealthCheck.class).size();
-        assertTrue(probes >= 5 && probes <= 80 * 0.3 + 3, "probes " + probes);
+        TestGateway gateway = createGateway(spec, 20);
+        playTraffic(gateway, 80);
+        int healthChecks = actions(gateway, StartHealthCheck.class).size();
+        assertTrue(healthChecks >= 5 && healthChecks <= 80 * 0.3 + 3, "health checks " + healthChecks);
     }
 
     @Test
     void aLostAnswerLeavesTimeForARetry() {
-        TestGateway gateway = site(gateways(2), 4);
-        drive(gateway, 60);
+        TestGateway gateway = createGateway(specOf(2), 4);
+        playTraffic(gateway, 60);
         String lost = gateway.receive(0);
-        gateway.advance(900 * MS);
+        gateway.advance(900 * MILLISECOND_US);
         assertEquals(2, gateway.attempts(lost));
         gateway.answer(lost, AttemptResult.OK);
         gateway.end();
@@ -101,11 +101,11 @@
 
     @Test
     void slowAnswersShortenNoTimeout() {
-        TestGateway gateway = site(gateways(2), 4);
-        drive(gateway, 40);
+        TestGateway gateway = createGateway(specOf(2), 4);
+        playTraffic(gateway, 40);
         for (int i = 0; i < 12; i++) {
             String slow = gateway.receive(0);
-            gateway.advance(600 * MS);
+            gateway.advance(600 * MILLISECOND_US);
             gateway.answer(slow, AttemptResult.OK);
         }
         String id = gateway.receive(0);
@@ -113,39 +113,39 @@
                 .filter(x -> x.id().equals(id))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(4 * S, send.timeoutUs());
+        assertEquals(4 * SECOND_US, send.timeoutUs());
     }
 
     @Test
     void attemptsOnASilentEngineAreCancelledWhereThatIsSupported() {
-        TestGateway.Spec spec = gateways(2);
+        TestGateway.Spec spec = specOf(2);
         spec.cancel = true;
-        TestGateway gateway = site(spec, 4);
+        TestGateway gateway = createGateway(spec, 4);
         List<String> first =
                 IntStream.range(0, 8).mapToObj(i -> gateway.receive(1)).toList();
-        List<String> stuck =
+        List<String> unanswered =
                 first.stream().filter(id -> gateway.engineOf(id).equals("e0")).toList();
-        gateway.advance(100 * MS);
-        first.stream().filter(id -> !stuck.contains(id)).forEach(id -> gateway.answer(id, AttemptResult.OK));
+        gateway.advance(100 * MILLISECOND_US);
+        first.stream().filter(id -> !unanswered.contains(id)).forEach(id -> gateway.answer(id, AttemptResult.OK));
         for (int i = 0; i < 60 && actions(gateway, CancelAttempt.class).isEmpty(); i++) {
             String id = gateway.receive(0);
-            gateway.advance(100 * MS);
+            gateway.advance(100 * MILLISECOND_US);
             if (!gateway.engineOf(id).equals("e0")) {
                 gateway.answer(id, AttemptResult.OK);
             }
         }
-        String called = actions(gateway, CancelAttempt.class).get(0).id();
-        assertEquals("e0", gateway.engineOf(called));
-        gateway.answer(called, AttemptResult.CANCELLED);
-        assertEquals(2, gateway.attempts(called));
-        assertTrue(!gateway.engineOf(called).equals("e0"));
+        String cancelledId = actions(gateway, CancelAttempt.class).get(0).id();
+        assertEquals("e0", gateway.engineOf(cancelledId));
+        gateway.answer(cancelledId, AttemptResult.CANCELLED);
+        assertEquals(2, gateway.attempts(cancelledId));
+        assertTrue(!gateway.engineOf(cancelledId).equals("e0"));
     }
 
     @Test
     void attemptsOfADisconnectedClientAreCancelledWhereThatIsSupported() {
-        TestGateway.Spec spec = gateways(2);
+        TestGateway.Spec spec = specOf(2);
         spec.cancel = true;
-        TestGateway gateway = site(spec, 2);
+        TestGateway gateway = createGateway(spec, 2);
         String id = gateway.receive(1);
         gateway.handle(new ClientDisconnected(id));
         assertEquals(List.of(new CancelAttempt(id, 0)), actions(gateway, CancelAttempt.class));
@@ -153,15 +153,24 @@
 
     @Test
     void aStalledGatewayEjectsNoEngineBeforeItHasReadTheAnswers() {
-        TestGateway gateway = site(gateways(2), 4);
-        drive(gateway, 60);
-        List<String> out = new ArrayList<>();
+        TestGateway gateway = createGateway(specOf(2), 4);
+        playTraffic(gateway, 60);
+        List<String> open = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            out.add(gateway.receive(1));
+            open.add(gateway.receive(1));
         }
-        gateway.nowUs += 30 * S; // no event for long: then the answer of one engine and the sweep come in one batch
+        // stalled; then the answer of one engine and the timer of the sweep arrive in one batch
+        gateway.nowUs += 30 * SECOND_US;
         gateway.handle(new AttemptEnded(
-                out.get(0), 0, gateway.engineOf(out.get(0)), AttemptResult.OK, true, 200 * MS, 0, 0, null));
+                open.get(0),
+                0,
+                gateway.engineOf(open.get(0)),
+                AttemptResult.OK,
+                true,
+                200 * MILLISECOND_US,
+                0,
+                0,
+                null));
         gateway.handle(new TimerFired("sweep"));
         assertTrue(actions(gateway, LogMessage.class).isEmpty());
     }
@@ -170,16 +179,16 @@
     void manyGatewaysDoNotAllSendToAStartedEngineAtOnce() {
         int sent = 0;
         for (int seed = 0; seed < 100; seed++) {
-            TestGateway.Spec spec = gateways(100);
+            TestGateway.Spec spec = specOf(100);
             spec.seed = seed;
             TestGateway gateway = new TestGateway(spec)
                     .receiveList(
                             EngineListKind.CACHED,
                             TestGateway.engine("warm"),
-                            TestGateway.engine("cold", 0, 0, 0, EngineStatus.UP, 999 * S));
+                            TestGateway.engine("cold", 0, 0, 0, EngineStatus.UP, 999 * SECOND_US));
             for (int i = 0; i < 4; i++) {
                 gateway.receive(0);
-                gateway.advance(50 * MS);
+                gateway.advance(50 * MILLISECOND_US);
             }
             sent += gateway.sentTo("cold");
         }
@@ -188,37 +197,38 @@
 
     @Test
     void oneErrorEjectsAnEngineThatIsRarelyUsed() {
-        TestGateway gateway = site(gateways(100), 20);
-        drive(gateway, 20);
+        TestGateway gateway = createGateway(specOf(100), 20);
+        playTraffic(gateway, 20);
         String id = gateway.receive(0);
-        String sick = gateway.engineOf(id);
+        String faulty = gateway.engineOf(id);
         gateway.answer(id, AttemptResult.ERROR);
-        long before = gateway.sentTo(sick);
-        drive(gateway, 12);
-        assertEquals(before, gateway.sentTo(sick));
+        long before = gateway.sentTo(faulty);
+        playTraffic(gateway, 12);
+        assertEquals(before, gateway.sentTo(faulty));
     }
 
     @Test
     void rejectedWorkDoesNotRaiseTheSlowStartRate() {
-        TestGateway gateway = site(gateways(100), 10);
-        jam(gateway, 40);
+        TestGateway gateway = createGateway(specOf(100), 10);
+        rejectAsFull(gateway, 40);
         gateway.receiveList(
-                EngineListKind.CHANGES, TestGateway.engine("cold", 0, 0, 0, EngineStatus.UP, gateway.nowUs - S));
-        jam(gateway, 80);
+                EngineListKind.CHANGES,
+                TestGateway.engine("cold", 0, 0, 0, EngineStatus.UP, gateway.nowUs - SECOND_US));
+        rejectAsFull(gateway, 80);
         assertTrue(gateway.sentTo("cold") <= 1, "sent " + gateway.sentTo("cold"));
     }
 
-    /** Engines e0 to e19 in two zones; every answer of zone 1 is lost. Returns the queries sent there. */
-    private static long sentIntoSilence(TestGateway gateway, int queries) {
+    /** Sends queries to engines in two zones; every answer of zone 1 is lost. Returns the number sent there. */
+    private static long sentToSilentZone(TestGateway gateway, int queries) {
         long before =
                 gateway.log.stream().filter(FaultHandlingTest::goesToZoneOne).count();
         for (int i = 0; i < queries; i++) {
             String id = gateway.receive(0);
-            gateway.advance(100 * MS);
+            gateway.advance(100 * MILLISECOND_US);
             if (gateway.attempts(id) > 0 && gateway.engineOf(id).compareTo("e1") < 0) {
                 gateway.answer(id, AttemptResult.OK);
             }
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
         }
         return gateway.log.stream().filter(FaultHandlingTest::goesToZoneOne).count() - before;
     }
@@ -228,7 +238,7 @@
     }
 
     private static TestGateway twoZones() {
-        return new TestGateway(gateways(100))
+        return new TestGateway(specOf(100))
                 .receiveList(
                         EngineListKind.FULL,
                         IntStream.range(0, 20)
@@ -239,13 +249,14 @@
     @Test
     void anUnreachableZoneIsEjectedAsOne() {
         TestGateway gateway = twoZones();
-        drive(gateway, 40);
-        long sent = sentIntoSilence(gateway, 60); // 9 s at 7 a second: each of ten engines is met every 3 s
+        playTraffic(gateway, 40);
+        // 9 s at 7 queries per second: each of the ten engines gets one every 3 s
+        long sent = sentToSilentZone(gateway, 60);
         assertTrue(sent <= 12, "sent " + sent);
-        drive(gateway, 80); // answers come again: one trial reopens the zone
+        playTraffic(gateway, 80); // the zone answers again: one trial ends its ejection
         long before =
                 gateway.log.stream().filter(FaultHandlingTest::goesToZoneOne).count();
-        drive(gateway, 40);
+        playTraffic(gateway, 40);
         long after =
                 gateway.log.stream().filter(FaultHandlingTest::goesToZoneOne).count();
         assertTrue(after - before >= 10, "sent " + (after - before));
@@ -254,30 +265,30 @@
     @Test
     void oneSilentEngineDoesNotEjectItsZone() {
         TestGateway gateway = twoZones();
-        drive(gateway, 40);
+        playTraffic(gateway, 40);
         for (int i = 0; i < 60; i++) {
             String id = gateway.receive(0);
-            gateway.advance(100 * MS);
+            gateway.advance(100 * MILLISECOND_US);
             if (gateway.attempts(id) > 0 && !gateway.engineOf(id).equals("e11")) {
                 gateway.answer(id, AttemptResult.OK);
             }
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
         }
         assertTrue(actions(gateway, LogMessage.class).stream()
                 .noneMatch(l -> l.text().contains("zone")));
     }
 
-    /** One connection that does not come up is no sign that a zone is lost, however few engines it has. */
+    /** A single failed connection does not indicate that a zone is unreachable, even if it has only two engines. */
     @Test
     void aZoneOfTwoEnginesIsUnreachableOnlyWithBoth() {
-        TestGateway gateway = new TestGateway(gateways(6))
+        TestGateway gateway = new TestGateway(specOf(6))
                 .receiveList(
                         EngineListKind.FULL,
                         TestGateway.engine("a0", 0, 0, 0, EngineStatus.UP, 0),
                         TestGateway.engine("a1", 0, 0, 0, EngineStatus.UP, 0),
                         TestGateway.engine("b0", 1, 0, 1, EngineStatus.UP, 0),
                         TestGateway.engine("b1", 1, 0, 1, EngineStatus.UP, 0));
-        drive(gateway, 20);
+        playTraffic(gateway, 20);
         Collection<EngineState> engines = gateway.module.parts.engines.all();
         gateway.handle(new HealthCheckEnded("a0", AttemptResult.CONNECT_FAILED, 0, null));
         assertTrue(engines.stream().allMatch(e -> e.warmUp().unreachableAtUs() == EventContext.NEVER));
@@ -293,27 +304,27 @@
 
     @Test
     void ownThreadsOverTheShareAreOverloadWhereReportsLackQueries() {
-        long nearBusy = sentWithOwnThreadsOnly(0.8);
-        long atEase = sentWithOwnThreadsOnly(0.3);
-        assertTrue(nearBusy >= 1 && nearBusy <= 3, "sent " + nearBusy);
-        assertEquals(10, atEase);
+        long highlyLoaded = sentWithOwnThreadsOnly(0.8);
+        long lightlyLoaded = sentWithOwnThreadsOnly(0.3);
+        assertTrue(highlyLoaded >= 1 && highlyLoaded <= 3, "sent " + highlyLoaded);
+        assertEquals(10, lightlyLoaded);
     }
 
-    /** Ten queries of three threads; this gateway's share of busy engines is 2.4 threads. */
-    private static long sentWithOwnThreadsOnly(double util) {
-        TestGateway.Spec spec = gateways(100);
+    /** Sends ten queries of three threads each; this gateway's share of busy engines is 2.4 threads. */
+    private static long sentWithOwnThreadsOnly(double utilization) {
+        TestGateway.Spec spec = specOf(100);
         spec.reportFields = List.of(LoadField.UTILIZATION);
-        TestGateway gateway = site(spec, 20);
-        drive(gateway, 40, util);
+        TestGateway gateway = createGateway(spec, 20);
+        playTraffic(gateway, 40, utilization);
         for (int i = 0; i < 10; i++) {
             gateway.receive(1);
-            gateway.advance(100 * MS);
+            gateway.advance(100 * MILLISECOND_US);
         }
         return actions(gateway, SendAttempt.class).size() - 40;
     }
 
-    /** A heavy query every 50 ms; all engines but one that warms up reject as full. */
-    private static void jam(TestGateway gateway, int queries) {
+    /** Sends a heavy query every 50 ms; all engines except one that is warming up reject it because of a full queue. */
+    private static void rejectAsFull(TestGateway gateway, int queries) {
         for (int i = 0; i < queries; i++) {
             String id = gateway.receive(1);
             for (int n = 1;
@@ -321,72 +332,72 @@
                     n++) {
                 gateway.answer(id, AttemptResult.QUEUE_FULL);
             }
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
         }
     }
 
-    /** Guards a class that some engines swallow while they answer all else: it goes where it is answered. */
+    /** Guards against an engine that never answers one class but answers all others. */
     @Test
     void aClassThatAnEngineNeverAnswersGoesElsewhereAndOthersStay() {
-        TestGateway.Spec spec = gateways(1);
+        TestGateway.Spec spec = specOf(1);
         spec.cancel = true;
-        spec.progressIntervalUs = 100 * MS;
-        TestGateway gateway = site(spec, 3);
+        spec.progressIntervalUs = 100 * MILLISECOND_US;
+        TestGateway gateway = createGateway(spec, 3);
         List<String> heavy = new ArrayList<>();
-        int calledOff = 0;
+        int cancelled = 0;
         for (int i = 0; i < 40; i++) {
-            drive(gateway, 4);
+            playTraffic(gateway, 4);
             for (CancelAttempt c : actions(gateway, CancelAttempt.class).stream()
-                    .skip(calledOff)
+                    .skip(cancelled)
                     .toList()) {
                 gateway.answer(c.id(), AttemptResult.CANCELLED);
-                calledOff++;
+                cancelled++;
             }
             heavy.add(gateway.receive(1));
             for (String id : heavy) {
                 if (gateway.attempts(id) > 0 && !gateway.engineOf(id).equals("e0")) {
-                    gateway.answer(id, AttemptResult.OK); // answers to what has ended change nothing
+                    gateway.answer(id, AttemptResult.OK); // answers to ended attempts are ignored
                 }
             }
         }
-        long heavyToSick =
+        long heavyToFaulty =
                 heavy.stream().filter(id -> "e0".equals(gateway.engineOf(id))).count();
-        assertTrue(heavyToSick <= 2, heavyToSick + " heavy ones stay with the engine that swallows them");
-        assertTrue(calledOff >= 2, "what is stuck is called off, not only " + calledOff);
-        assertTrue(gateway.sentTo("e0") > 20, "the other class still goes there, not only " + gateway.sentTo("e0"));
+        assertTrue(heavyToFaulty <= 2, heavyToFaulty + " heavy queries stayed on the engine that does not answer them");
+        assertTrue(cancelled >= 2, "cancelled attempts: " + cancelled);
+        assertTrue(gateway.sentTo("e0") > 20, "queries of the other class sent there: " + gateway.sentTo("e0"));
     }
 
-    /** Protects heavy queries: one that reports progress is not lost, however long it takes. */
+    /** Protects heavy queries: an attempt that reports progress is not lost, regardless of its duration. */
     @Test
     void anAttemptThatReportsProgressIsNotCancelled() {
-        TestGateway.Spec spec = gateways(1);
+        TestGateway.Spec spec = specOf(1);
         spec.cancel = true;
-        spec.progressIntervalUs = 100 * MS;
-        TestGateway gateway = site(spec, 2);
+        spec.progressIntervalUs = 100 * MILLISECOND_US;
+        TestGateway gateway = createGateway(spec, 2);
         List<String> heavy = List.of(gateway.receive(1), gateway.receive(1), gateway.receive(1), gateway.receive(1));
         for (int i = 0; i < 60; i++) {
             heavy.forEach(id -> gateway.handle(
                     new ProgressReported(id, gateway.attempts(id) - 1, ProgressTopic.COMPLETED_SHARE, 0.1)));
-            drive(gateway, 1);
+            playTraffic(gateway, 1);
         }
         assertEquals(0, actions(gateway, CancelAttempt.class).size());
     }
 
-    /** Protects against errors that all engines return: none of them is an outlier. */
+    /** Where all engines return errors at the same rate, none of them is an outlier. */
     @Test
     void errorsOfAllEnginesPutNoneOnTrial() {
-        TestGateway gateway = site(gateways(1), 4);
-        Map<String, Integer> met = new HashMap<>();
+        TestGateway gateway = createGateway(specOf(1), 4);
+        Map<String, Integer> attemptsByEngine = new HashMap<>();
         boolean failedLast = false;
-        for (int i = 0; i < 500 || !failedLast; i++) { // the last answer of one engine is a failure
+        for (int i = 0; i < 500 || !failedLast; i++) { // until the last answer of e0 is an error
             String id = gateway.receive(0);
-            gateway.advance(20 * MS);
+            gateway.advance(20 * MILLISECOND_US);
             String engine = gateway.engineOf(id);
-            boolean fails = met.merge(engine, 1, Integer::sum) % 6 == 0;
+            boolean fails = attemptsByEngine.merge(engine, 1, Integer::sum) % 6 == 0;
             failedLast = fails && engine.equals("e0");
             gateway.answer(id, fails ? AttemptResult.ERROR : AttemptResult.OK);
             if (fails) {
-                gateway.answer(id, AttemptResult.OK); // from another engine
+                gateway.answer(id, AttemptResult.OK); // by another engine
             }
         }
         long before = gateway.sentTo("e0");
@@ -394,27 +405,27 @@
             gateway.receive(0);
         }
         long sent = gateway.sentTo("e0") - before;
-        assertTrue(sent > 4, "e0 was sent " + sent); // on trial it would be sent one
+        assertTrue(sent > 4, "e0 was sent " + sent); // an engine on trial would be sent one
     }
 
-    /** Guards engines against a request that no engine can use: it is its own fault. */
+    /** A request that fails on three engines is itself the cause, so it is not sent to more of them. */
     @Test
     void aRequestThatFailsOnThreeEnginesIsGivenUp() {
-        TestGateway.Spec spec = gateways(1);
+        TestGateway.Spec spec = specOf(1);
         spec.maxAttempts = 5;
-        TestGateway gateway = site(spec, 6);
-        drive(gateway, 30);
-        String bad = gateway.receive(0);
-        while (!gateway.isRejected(bad)) {
-            gateway.answer(bad, AttemptResult.ERROR);
+        TestGateway gateway = createGateway(spec, 6);
+        playTraffic(gateway, 30);
+        String failing = gateway.receive(0);
+        while (!gateway.isRejected(failing)) {
+            gateway.answer(failing, AttemptResult.ERROR);
         }
-        assertEquals(3, gateway.attempts(bad));
+        assertEquals(3, gateway.attempts(failing));
     }
 
-    /** Guards memory: ids are new all day. */
+    /** Guards against a memory leak where engine ids keep changing. */
     @Test
     void removedEnginesAreForgotten() {
-        TestGateway gateway = site(gateways(1), 3);
+        TestGateway gateway = createGateway(specOf(1), 3);
         for (int i = 0; i < 100; i++) {
             gateway.receiveList(EngineListKind.CHANGES, TestGateway.engine("n" + i));
             gateway.receiveList(EngineListKind.CHANGES, TestGateway.engine("n" + i, 0, 0, 0, EngineStatus.REMOVED, 0));
--- a/gateway/src/test/java/sandpaddle/decision/FleetSizeTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/FleetSizeTest.java
@@ -18,33 +18,33 @@
 import sandpaddle.decision.event.EngineStatus;
 import sandpaddle.decision.settings.LoadField;
 
-/** The ends of the range: no engine, one gateway, an engine in no hall, a thousand engines, ids new all day. */
+/** Extreme fleets: no engine, a single gateway, an engine without a zone, 1000 engines, engines that are replaced. */
 class FleetSizeTest {
-    private static TestGateway site(int gateways, EngineEntry... engines) {
+    private static TestGateway createGateway(int gateways, EngineEntry... engines) {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.gateways = gateways;
         spec.reportFields = List.of(LoadField.UTILIZATION, LoadField.QUEUED, LoadField.MEMORY);
         return new TestGateway(spec).receiveList(EngineListKind.FULL, engines);
     }
 
-    private static long refused(TestGateway gateway) {
+    private static long countRejections(TestGateway gateway) {
         return gateway.log.stream().filter(RejectRequest.class::isInstance).count();
     }
 
     @Test
     void withoutEnginesEachRequestIsRejected() {
-        TestGateway gateway = site(14);
+        TestGateway gateway = createGateway(14);
         for (int i = 0; i < 50; i++) {
             gateway.receive(i % 2);
         }
         gateway.advance(4 * SECOND_US);
-        assertEquals(50, refused(gateway));
+        assertEquals(50, countRejections(gateway));
         gateway.end();
     }
 
     @Test
     void aSoleGatewayHasAllOfTheTraffic() {
-        TestGateway gateway = site(1, TestGateway.engine("e0"), TestGateway.engine("e1"));
+        TestGateway gateway = createGateway(1, TestGateway.engine("e0"), TestGateway.engine("e1"));
         for (int i = 0; i < 20; i++) {
             String id = gateway.receive(0);
             gateway.advance(50 * MILLISECOND_US);
@@ -56,7 +56,7 @@
 
     @Test
     void anEngineWithoutZoneIsUsedAndEjectedLikeAnyOther() {
-        TestGateway gateway = site(14, TestGateway.engine("e0", -1, -1, 0, EngineStatus.UP, 0));
+        TestGateway gateway = createGateway(14, TestGateway.engine("e0", -1, -1, 0, EngineStatus.UP, 0));
         String id = gateway.receive(0);
         assertEquals("e0", gateway.engineOf(id));
         gateway.answer(id, AttemptResult.CONNECT_FAILED);
@@ -66,27 +66,27 @@
 
     @Test
     void aThousandEnginesAreAllUsed() {
-        TestGateway gateway = site(
+        TestGateway gateway = createGateway(
                 14,
                 IntStream.range(0, 1000)
                         .mapToObj(i -> TestGateway.engine("e" + i))
                         .toArray(EngineEntry[]::new));
         Set<String> used = new HashSet<>();
-        List<String> out = new ArrayList<>();
+        List<String> open = new ArrayList<>();
         for (int i = 0; i < 900; i++) {
-            out.add(gateway.receive(0));
+            open.add(gateway.receive(0));
             gateway.advance(MILLISECOND_US);
         }
-        out.forEach(id -> used.add(gateway.engineOf(id)));
+        open.forEach(id -> used.add(gateway.engineOf(id)));
         assertTrue(used.size() > 600, "used " + used.size());
-        out.forEach(id -> gateway.answer(id, AttemptResult.OK, new double[] {0.2, 0, 0.1}));
+        open.forEach(id -> gateway.answer(id, AttemptResult.OK, new double[] {0.2, 0, 0.1}));
         gateway.end();
     }
 
-    /** Guards memory: a long day replaces every engine many times. */
+    /** Guards against a memory leak where engines are replaced many times. */
     @Test
     void removedEnginesAreForgotten() {
-        TestGateway gateway = site(14);
+        TestGateway gateway = createGateway(14);
         for (int i = 0; i < 500; i++) {
             gateway.receiveList(
                     EngineListKind.CHANGES, TestGateway.engine("n" + i, i % 3, 0, 0, EngineStatus.UP, gateway.nowUs));
--- a/gateway/src/test/java/sandpaddle/decision/FleetVerdictsTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/FleetVerdictsTest.java
@@ -14,30 +14,30 @@
 import sandpaddle.decision.event.EngineVerdict;
 import sandpaddle.decision.event.EngineVerdictsChanged;
 
-/** What the fleet finds of engines, at one gateway. */
+/** Effect of fleet verdicts on the decisions of one gateway. */
 class FleetVerdictsTest {
-    private static final long S = TestGateway.SECOND_US;
-    private static final long MS = TestGateway.MILLISECOND_US;
+    private static final long SECOND_US = TestGateway.SECOND_US;
+    private static final long MILLISECOND_US = TestGateway.MILLISECOND_US;
 
-    private static TestGateway site(String... engines) {
+    private static TestGateway createGateway(String... engines) {
         return new TestGateway(new TestGateway.Spec())
                 .receiveList(
                         EngineListKind.FULL,
                         Arrays.stream(engines).map(TestGateway::engine).toArray(EngineEntry[]::new));
     }
 
-    private static void found(TestGateway gateway, EngineCondition kind, long forUs, String... engines) {
+    private static void setVerdict(TestGateway gateway, EngineCondition condition, long durationUs, String... engines) {
         gateway.handle(new EngineVerdictsChanged(Arrays.stream(engines)
-                .map(e -> new EngineVerdict(e, kind, gateway.nowUs, gateway.nowUs + forUs))
+                .map(e -> new EngineVerdict(e, condition, gateway.nowUs, gateway.nowUs + durationUs))
                 .toList()));
     }
 
-    /** Queries one after the other, each answered; how many went to an engine. */
-    private static long served(TestGateway gateway, int queries, String engine) {
+    /** Sends queries one after the other, answers each, and returns the number sent to an engine. */
+    private static long sendAndCount(TestGateway gateway, int queries, String engine) {
         long before = gateway.sentTo(engine);
         for (int i = 0; i < queries; i++) {
             String id = gateway.receive(0);
-            gateway.advance(50 * MS);
+            gateway.advance(50 * MILLISECOND_US);
             if (gateway.attempts(id) > 0) {
                 gateway.answer(id, AttemptResult.OK);
             }
@@ -46,55 +46,55 @@
     }
 
     @Test
-    void aFailingOrUnresponsiveEngineGetsNothingUntilTheVerdictLapses() {
-        for (EngineCondition kind : List.of(EngineCondition.FAILING, EngineCondition.UNRESPONSIVE)) {
-            TestGateway gateway = site("a", "b");
-            found(gateway, kind, 2 * S, "a");
-            assertEquals(0, served(gateway, 30, "a"));
-            gateway.advance(600 * MS);
-            assertTrue(served(gateway, 30, "a") > 5);
+    void aFailingOrUnresponsiveEngineGetsNothingUntilTheVerdictExpires() {
+        for (EngineCondition condition : List.of(EngineCondition.FAILING, EngineCondition.UNRESPONSIVE)) {
+            TestGateway gateway = createGateway("a", "b");
+            setVerdict(gateway, condition, 2 * SECOND_US, "a");
+            assertEquals(0, sendAndCount(gateway, 30, "a"));
+            gateway.advance(600 * MILLISECOND_US);
+            assertTrue(sendAndCount(gateway, 30, "a") > 5);
         }
     }
 
     @Test
     void aLaterSuccessfulAnswerOverridesTheVerdict() {
-        TestGateway gateway = site("a", "b");
+        TestGateway gateway = createGateway("a", "b");
         String early = gateway.receive(0);
-        String heard = gateway.engineOf(early);
-        found(gateway, EngineCondition.FAILING, 60 * S, heard);
-        assertEquals(0, served(gateway, 10, heard));
+        String answeringEngine = gateway.engineOf(early);
+        setVerdict(gateway, EngineCondition.FAILING, 60 * SECOND_US, answeringEngine);
+        assertEquals(0, sendAndCount(gateway, 10, answeringEngine));
         gateway.answer(early, AttemptResult.OK);
-        assertTrue(served(gateway, 20, heard) > 0);
+        assertTrue(sendAndCount(gateway, 20, answeringEngine) > 0);
     }
 
     @Test
     void anEarlierSuccessfulAnswerDoesNotOverrideTheVerdict() {
-        TestGateway gateway = site("a", "b");
-        assertTrue(served(gateway, 20, "a") > 0);
-        gateway.advance(10 * MS);
-        found(gateway, EngineCondition.FAILING, 60 * S, "a");
-        assertEquals(0, served(gateway, 20, "a"));
+        TestGateway gateway = createGateway("a", "b");
+        assertTrue(sendAndCount(gateway, 20, "a") > 0);
+        gateway.advance(10 * MILLISECOND_US);
+        setVerdict(gateway, EngineCondition.FAILING, 60 * SECOND_US, "a");
+        assertEquals(0, sendAndCount(gateway, 20, "a"));
     }
 
     @Test
     void verdictsAreIgnoredWhereMostEnginesWouldBeEjected() {
-        TestGateway gateway = site("a", "b", "c");
-        found(gateway, EngineCondition.FAILING, 60 * S, "a", "b");
-        assertTrue(served(gateway, 30, "a") > 0);
+        TestGateway gateway = createGateway("a", "b", "c");
+        setVerdict(gateway, EngineCondition.FAILING, 60 * SECOND_US, "a", "b");
+        assertTrue(sendAndCount(gateway, 30, "a") > 0);
     }
 
     @Test
     void noTrialIsSentWhileTheVerdictIsInForce() {
-        TestGateway gateway = site("a", "b");
+        TestGateway gateway = createGateway("a", "b");
         for (int i = 0; i < 20 && gateway.sentTo("a") == 0; i++) {
             String id = gateway.receive(0);
             gateway.answer(id, "a".equals(gateway.engineOf(id)) ? AttemptResult.CONNECT_FAILED : AttemptResult.OK);
         }
         assertEquals(1, gateway.sentTo("a"));
-        found(gateway, EngineCondition.FAILING, 60 * S, "a");
-        assertEquals(0, served(gateway, 900, "a"));
-        gateway.advance(20 * S);
-        assertTrue(served(gateway, 30, "a") > 0);
+        setVerdict(gateway, EngineCondition.FAILING, 60 * SECOND_US, "a");
+        assertEquals(0, sendAndCount(gateway, 900, "a"));
+        gateway.advance(20 * SECOND_US);
+        assertTrue(sendAndCount(gateway, 30, "a") > 0);
         assertEquals(
                 1,
                 gateway.log.stream()
@@ -104,41 +104,41 @@
 
     @Test
     void nothingNewIsSentToADrainingEngineEvenWhereItIsTheLast() {
-        TestGateway gateway = site("a", "b");
-        found(gateway, EngineCondition.DRAINING, 3 * S, "a", "b");
-        String held = gateway.receive(0);
-        gateway.advance(1 * S);
-        assertEquals(0, gateway.attempts(held));
-        assertTrue(gateway.isRejected(held));
-        found(gateway, EngineCondition.DRAINING, 60 * S, "a");
-        assertEquals(20, served(gateway, 20, "b"));
+        TestGateway gateway = createGateway("a", "b");
+        setVerdict(gateway, EngineCondition.DRAINING, 3 * SECOND_US, "a", "b");
+        String queued = gateway.receive(0);
+        gateway.advance(1 * SECOND_US);
+        assertEquals(0, gateway.attempts(queued));
+        assertTrue(gateway.isRejected(queued));
+        setVerdict(gateway, EngineCondition.DRAINING, 60 * SECOND_US, "a");
+        assertEquals(20, sendAndCount(gateway, 20, "b"));
         gateway.handle(new EngineVerdictsChanged(List.of()));
-        assertTrue(served(gateway, 20, "a") > 0);
+        assertTrue(sendAndCount(gateway, 20, "a") > 0);
     }
 
     @Test
     void aSlowEngineLosesTiesButIsUsedWhileOthersAreBusy() {
-        TestGateway gateway = site("a", "b");
-        found(gateway, EngineCondition.SLOW, 60 * S, "a");
-        assertEquals(0, served(gateway, 30, "a"));
+        TestGateway gateway = createGateway("a", "b");
+        setVerdict(gateway, EngineCondition.SLOW, 60 * SECOND_US, "a");
+        assertEquals(0, sendAndCount(gateway, 30, "a"));
         for (int i = 0; i < 4; i++) {
             gateway.receive(0);
         }
         assertEquals(2, gateway.sentTo("a"));
     }
 
-    /** The same verdict arrives with each heartbeat: it does not begin the slow start again. */
+    /** The same verdict arrives with each heartbeat and must not restart the slow start. */
     @Test
     void aRepeatedWarmingUpVerdictChangesNothing() {
         long[] sent = new long[2];
         for (int again = 0; again < 2; again++) {
-            TestGateway gateway = site("a", "b");
-            served(gateway, 60, "a");
-            var verdict = new EngineVerdictsChanged(
-                    List.of(new EngineVerdict("a", EngineCondition.WARMING_UP, gateway.nowUs, gateway.nowUs + 9 * S)));
+            TestGateway gateway = createGateway("a", "b");
+            sendAndCount(gateway, 60, "a");
+            var verdict = new EngineVerdictsChanged(List.of(
+                    new EngineVerdict("a", EngineCondition.WARMING_UP, gateway.nowUs, gateway.nowUs + 9 * SECOND_US)));
             gateway.handle(verdict);
             for (int i = 0; i < 60; i++) {
-                sent[again] += served(gateway, 1, "a");
+                sent[again] += sendAndCount(gateway, 1, "a");
                 if (again == 1) {
                     gateway.handle(verdict);
                 }
@@ -149,21 +149,23 @@
     }
 
     @Test
-    void aWarmingUpVerdictLimitsTheRateUntilItLapses() {
-        TestGateway gateway = site("a", "b");
-        served(gateway, 60, "a");
-        found(gateway, EngineCondition.WARMING_UP, 3 * S, "a");
+    void aWarmingUpVerdictLimitsTheRateUntilItExpires() {
+        TestGateway gateway = createGateway("a", "b");
+        sendAndCount(gateway, 60, "a");
+        setVerdict(gateway, EngineCondition.WARMING_UP, 3 * SECOND_US, "a");
         long since = gateway.nowUs;
         long before = gateway.sentTo("a");
         for (int i = 0; i < 12; i++) {
             gateway.receive(1);
         }
-        assertTrue(gateway.sentTo("a") <= before + 1, "sent to a cold one " + (gateway.sentTo("a") - before));
+        assertTrue(
+                gateway.sentTo("a") <= before + 1,
+                "sent to the engine that is warming up: " + (gateway.sentTo("a") - before));
         before = gateway.sentTo("a");
         gateway.handle(new EngineVerdictsChanged(
-                List.of(new EngineVerdict("a", EngineCondition.WARMING_UP, since, since + 3 * S))));
+                List.of(new EngineVerdict("a", EngineCondition.WARMING_UP, since, since + 3 * SECOND_US))));
         assertEquals(before, gateway.sentTo("a"));
         gateway.handle(new EngineVerdictsChanged(List.of()));
-        assertTrue(gateway.sentTo("a") > before, "what waited goes to it at once");
+        assertTrue(gateway.sentTo("a") > before, "queued requests are sent to it immediately");
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/MetamorphicTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/MetamorphicTest.java
@@ -14,7 +14,7 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sandpaddle.decision.Replay.Words;
+import sandpaddle.decision.EventReplay.Renaming;
 import sandpaddle.decision.action.Action;
 import sandpaddle.decision.action.CancelAttempt;
 import sandpaddle.decision.action.LogMessage;
@@ -34,27 +34,28 @@
 import sandpaddle.decision.settings.ServiceCosts;
 
 /**
- * The same day under other names is decided alike: names, numbers and orders that mean nothing change nothing.
+ * Metamorphic tests: ids, indices and orders without a meaning do not change decisions.
  *
- * <p>What does matter, and is kept: an engine's id (hashes of it spread data groups, handshakes, the turns and the
- * debts of engines that warm up over the fleet) and the order in which engines are first listed (draws go by it). The
- * position of a class decides which class's work is drawn as a debt. Where nothing of that is looked at ({@link
- * #plain}), ids of engines, positions of classes and the origin of time must not matter either.
+ * <p>The following do change them, and are kept: the id of an engine, whose hash distributes data groups, connections,
+ * turns and initial debts of engines that are warming up; the order in which engines are first listed, which random
+ * choices depend on; and the index of a class, which decides which class's work becomes an initial debt. In a workload
+ * where none of these is used ({@link #plain}), ids of engines, indices of classes and the origin of time must not
+ * change decisions either.
  */
 class MetamorphicTest {
-    private static final int DAYS = 8;
+    private static final int WORKLOAD_COUNT = 8;
     private static final long LENGTH_US = 3_000_000;
 
-    /** Fails at the first event on which the two decide differently. */
-    private static void assertAlike(Replay day, Words words, Comparator<Action> order) {
-        List<List<Action>> expected = day.expected(words);
-        List<List<Action>> got = day.inOther(words);
-        for (int i = 0; i < got.size(); i++) {
+    /** Fails at the first event with different actions; with an order, actions are compared regardless of theirs. */
+    private static void assertSameDecisions(EventReplay workload, Renaming renaming, Comparator<Action> order) {
+        List<List<Action>> expected = workload.expected(renaming);
+        List<List<Action>> actual = workload.replay(renaming);
+        for (int i = 0; i < actual.size(); i++) {
             assertEquals(
                     sorted(expected.get(i), order),
-                    sorted(got.get(i), order),
-                    "event " + i + " of " + day.steps.size() + ": "
-                            + day.steps.get(i).event());
+                    sorted(actual.get(i), order),
+                    "event " + i + " of " + workload.steps.size() + ": "
+                            + workload.steps.get(i).event());
         }
     }
 
@@ -62,21 +63,24 @@
         return order == null ? actions : actions.stream().sorted(order).toList();
     }
 
-    /** Zones, and classes on an engine, are looked at one by one: what is called off in a sweep has no order. */
-    private static final Comparator<Action> SWEPT = Comparator.comparing(
+    /**
+     * A sweep checks zones and classes one by one, so the order of its cancellations and log messages depends on
+     * theirs.
+     */
+    private static final Comparator<Action> UNORDERED_SWEEP_ACTIONS = Comparator.comparing(
             (Action a) -> a instanceof CancelAttempt || a instanceof LogMessage ? a.toString() : "");
 
-    private static final List<Replay> DRAWN = IntStream.range(0, DAYS)
-            .mapToObj(seed -> new Replay(seed, LENGTH_US, s -> s, e -> e))
+    private static final List<EventReplay> WORKLOADS = IntStream.range(0, WORKLOAD_COUNT)
+            .mapToObj(seed -> new EventReplay(seed, LENGTH_US, s -> s, e -> e))
             .toList();
 
-    private static Replay drawn(int seed) {
-        return DRAWN.get(seed);
+    private static EventReplay workload(int seed) {
+        return WORKLOADS.get(seed);
     }
 
-    /** A day without engines that warm up, reports, charged handshakes and data groups. */
-    private static Replay plain(int seed) {
-        return new Replay(
+    /** A workload without slow start, load reports, data groups and costs of handshakes. */
+    private static EventReplay plain(int seed) {
+        return new EventReplay(
                 seed,
                 LENGTH_US,
                 s -> {
@@ -138,13 +142,13 @@
                 : event;
     }
 
-    private static Words words(Consumer<Words> change) {
-        Words w = new Words();
+    private static Renaming renaming(Consumer<Renaming> change) {
+        Renaming w = new Renaming();
         change.accept(w);
         return w;
     }
 
-    /** A drawn order of so many positions; never the one there was. */
+    /** Returns a random permutation of indices other than the identity. */
     private static UnaryOperator<Integer> permutation(int size, int seed) {
         List<Integer> order = new ArrayList<>(IntStream.range(0, size).boxed().toList());
         Collections.shuffle(order, new Random(seed));
@@ -154,9 +158,9 @@
         return i -> i >= 0 && i < size ? order.get(i) : i;
     }
 
-    private static int sends(Replay day) {
-        return day
-                .map(s -> (int) s.decided().stream()
+    private static int countSends(EventReplay workload) {
+        return workload
+                .map(s -> (int) s.actions().stream()
                         .filter(a -> a instanceof SendAttempt)
                         .count())
                 .stream()
@@ -166,12 +170,12 @@
 
     @Test
     void idsOfRequestsAndKeysDoNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
-            Replay day = drawn(seed);
-            assertTrue(sends(day) > 50, "sends " + sends(day));
-            assertAlike(
-                    day,
-                    words(w -> {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            EventReplay workload = workload(seed);
+            assertTrue(countSends(workload) > 50, "sends " + countSends(workload));
+            assertSameDecisions(
+                    workload,
+                    renaming(w -> {
                         w.request = r -> "q/" + new StringBuilder(r).reverse();
                         w.key = k -> "z" + k.hashCode() * 31;
                     }),
@@ -180,55 +184,56 @@
     }
 
     @Test
-    void numbersOfTenantsDoNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
+    void indicesOfTenantsDoNotChangeDecisions() {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
             UnaryOperator<Integer> other = permutation(4, seed);
-            assertAlike(drawn(seed), words(w -> w.tenant = t -> 70 + other.apply(t)), null);
+            assertSameDecisions(workload(seed), renaming(w -> w.tenant = t -> 70 + other.apply(t)), null);
         }
     }
 
     @Test
-    void numbersOfZonesDoNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
+    void indicesOfZonesDoNotChangeDecisions() {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
             UnaryOperator<Integer> other = permutation(3, seed);
-            assertAlike(drawn(seed), words(w -> w.zone = z -> other.apply(z) * 5), SWEPT);
+            assertSameDecisions(
+                    workload(seed), renaming(w -> w.zone = z -> other.apply(z) * 5), UNORDERED_SWEEP_ACTIONS);
         }
     }
 
     @Test
     void theOrderOfKindsDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
             UnaryOperator<Integer> other = permutation(2, seed);
-            assertAlike(drawn(seed), words(w -> w.kind = other), null);
+            assertSameDecisions(workload(seed), renaming(w -> w.kind = other), null);
         }
     }
 
     @Test
     void theOrderOfReportedValuesDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
-            Replay day = drawn(seed);
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            EventReplay workload = workload(seed);
             int shuffle = seed;
-            assertAlike(
-                    day,
-                    words(w -> w.load = row -> {
-                        UnaryOperator<Integer> other = permutation(row.length, shuffle);
-                        return IntStream.range(0, row.length)
-                                .mapToDouble(i -> row[other.apply(i)])
+            assertSameDecisions(
+                    workload,
+                    renaming(w -> w.load = values -> {
+                        UnaryOperator<Integer> other = permutation(values.length, shuffle);
+                        return IntStream.range(0, values.length)
+                                .mapToDouble(i -> values[other.apply(i)])
                                 .toArray();
                     }),
                     null);
         }
     }
 
-    /** Engines that are known already, in whatever order a list names them again. */
+    /** Only the order of engines that are already known is changed. */
     @Test
     void theOrderOfTheEngineListDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
             Set<String> known = new HashSet<>();
             int shuffle = seed;
-            assertAlike(
-                    drawn(seed),
-                    words(w -> w.order = l -> {
+            assertSameDecisions(
+                    workload(seed),
+                    renaming(w -> w.entryOrder = l -> {
                         List<EngineEntry> again = new ArrayList<>(
                                 l.stream().filter(e -> known.contains(e.id())).toList());
                         Collections.shuffle(again, new Random(shuffle));
@@ -249,13 +254,13 @@
 
     @Test
     void theOrderOfQuotasAndVerdictsDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
-            Replay day = drawn(seed);
-            DefaultDecisionModule module = new DefaultDecisionModule(day.settings, seed);
-            for (Replay.Step s : day.steps) {
-                List<Action> decided = new ArrayList<>();
-                module.handle(s.at(), reversed(s.event()), decided::add);
-                assertEquals(s.decided(), decided);
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            EventReplay workload = workload(seed);
+            DefaultDecisionModule module = new DefaultDecisionModule(workload.settings, seed);
+            for (EventReplay.Step s : workload.steps) {
+                List<Action> actions = new ArrayList<>();
+                module.handle(s.atUs(), reversed(s.event()), actions::add);
+                assertEquals(s.actions(), actions);
             }
         }
     }
@@ -275,39 +280,40 @@
 
     @Test
     void theOrderOfClassesDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
             UnaryOperator<Integer> other = permutation(3, seed);
-            assertAlike(plain(seed), words(w -> w.cls = other), SWEPT);
+            assertSameDecisions(plain(seed), renaming(w -> w.classIndex = other), UNORDERED_SWEEP_ACTIONS);
         }
     }
 
     @Test
     void idsOfEnginesChangeDecisionsByTheirHashesOnly() {
-        for (int seed = 0; seed < DAYS; seed++) {
-            assertAlike(plain(seed), words(w -> w.engine = e -> "node." + new StringBuilder(e + "x").reverse()), null);
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            assertSameDecisions(
+                    plain(seed), renaming(w -> w.engine = e -> "node." + new StringBuilder(e + "x").reverse()), null);
         }
     }
 
     @Test
     void theOriginOfTimeDoesNotChangeDecisions() {
-        for (int seed = 0; seed < DAYS; seed++) {
-            assertAlike(plain(seed), words(w -> w.time = t -> t + 1_764_000_000_123_457L), null);
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            assertSameDecisions(plain(seed), renaming(w -> w.time = t -> t + 1_764_000_000_123_457L), null);
         }
     }
 
-    /** The tests above see it when words do matter: requests of another class, and what {@link #plain} leaves out. */
+    /** The comparison detects changes that do matter: requests of another class, and other ids of engines. */
     @Test
     void changesThatMatterAreDetected() {
-        int cls = 0;
-        int ids = 0;
-        for (int seed = 0; seed < DAYS; seed++) {
-            Replay day = drawn(seed);
-            Words swapped = words(w -> w.cls = c -> (c + 1) % 3);
-            cls += day.inOther(swapped, day.settings).equals(day.expected(swapped)) ? 0 : 1;
-            Words named = words(w -> w.engine = e -> "other-" + e);
-            ids += day.inOther(named).equals(day.expected(named)) ? 0 : 1;
+        int classChanges = 0;
+        int idChanges = 0;
+        for (int seed = 0; seed < WORKLOAD_COUNT; seed++) {
+            EventReplay workload = workload(seed);
+            Renaming swapped = renaming(w -> w.classIndex = c -> (c + 1) % 3);
+            classChanges += workload.replay(swapped, workload.settings).equals(workload.expected(swapped)) ? 0 : 1;
+            Renaming named = renaming(w -> w.engine = e -> "other-" + e);
+            idChanges += workload.replay(named).equals(workload.expected(named)) ? 0 : 1;
         }
-        assertEquals(DAYS, cls);
-        assertTrue(ids > DAYS / 2, "days " + ids);
+        assertEquals(WORKLOAD_COUNT, classChanges);
+        assertTrue(idChanges > WORKLOAD_COUNT / 2, "workloads " + idChanges);
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/PolicyListTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/PolicyListTest.java
@@ -14,15 +14,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The files that decide are all named under {@code policy}, and each is small enough to be read at once. */
+/** All files with decisions are listed under {@code policy} in the deploy file, and each has at most 200 lines. */
 class PolicyListTest {
-    private static final Path DECIDE = Path.of("gateway/src/main/java/sandpaddle/decision");
+    private static final Path DECISION_SOURCES = Path.of("gateway/src/main/java/sandpaddle/decision");
     private static final int MAX_LINES = 200;
-    private static final Pattern MESSAGES = Pattern.compile("(settings|event|action)/"); // records, no decisions
-    /** The port, a conversion of times, and the record of a request: none of them decides. */
-    private static final Set<String> DATA = Set.of("DecisionModule.java", "Micros.java", "model/PendingRequest.java");
+    /** Packages of records without decisions. */
+    private static final Pattern MESSAGE_PACKAGES = Pattern.compile("(settings|event|action)/");
+    /** Files without decisions: the interface, the conversion of times, and the state of a request. */
+    private static final Set<String> EXCLUDED =
+            Set.of("DecisionModule.java", "Micros.java", "model/PendingRequest.java");
 
-    private static List<Path> listed() throws IOException {
+    private static List<Path> listedFiles() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("policy = "))
                 .findFirst()
@@ -35,22 +37,23 @@
     }
 
     @Test
-    void allDecidingFilesAreListed() throws IOException {
-        Set<String> named = listed().stream()
-                .map(p -> DECIDE.relativize(p).toString())
+    void allFilesWithDecisionsAreListed() throws IOException {
+        Set<String> listed = listedFiles().stream()
+                .map(p -> DECISION_SOURCES.relativize(p).toString())
                 .collect(Collectors.toCollection(TreeSet::new));
-        try (Stream<Path> files = Files.walk(DECIDE)) {
-            Set<String> deciding = files.filter(p -> p.toString().endsWith(".java"))
-                    .map(p -> DECIDE.relativize(p).toString())
-                    .filter(p -> !DATA.contains(p) && !MESSAGES.matcher(p).lookingAt())
+        try (Stream<Path> files = Files.walk(DECISION_SOURCES)) {
+            Set<String> expected = files.filter(p -> p.toString().endsWith(".java"))
+                    .map(p -> DECISION_SOURCES.relativize(p).toString())
+                    .filter(p -> !EXCLUDED.contains(p)
+                            && !MESSAGE_PACKAGES.matcher(p).lookingAt())
                     .collect(Collectors.toCollection(TreeSet::new));
-            assertEquals(deciding, named);
+            assertEquals(expected, listed);
         }
     }
 
     @Test
     void listedFilesHaveAtMost200Lines() throws IOException {
-        for (Path file : listed()) {
+        for (Path file : listedFiles()) {
             List<String> lines = Files.readAllLines(file);
             assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
         }
--- a/gateway/src/test/java/sandpaddle/decision/QuotaProperties.java
+++ b/gateway/src/test/java/sandpaddle/decision/QuotaProperties.java
@@ -19,24 +19,24 @@
 import sandpaddle.decision.event.QuotasChanged;
 import sandpaddle.decision.event.RequestReceived;
 
-/** Drawn allowances, requests and answers, recounted by a model that knows nothing of the module. */
+/** Random quotas, requests and answers, checked by a model that is independent of the module. */
 class QuotaProperties {
     private static final List<String> ENGINES = List.of("a", "b", "c");
 
-    private final Map<String, RequestReceived> waiting = new LinkedHashMap<>();
-    private final Map<String, SendAttempt> out = new LinkedHashMap<>();
+    private final Map<String, RequestReceived> queued = new LinkedHashMap<>();
+    private final Map<String, SendAttempt> inFlight = new LinkedHashMap<>();
     private final Map<String, RequestReceived> all = new LinkedHashMap<>();
-    private List<Quota> allowances = List.of();
+    private List<Quota> quotas = List.of();
     private List<SendAttempt> sendsSince = new ArrayList<>();
     private SplittableRandom random;
 
     @Property(tries = 60, seed = "4711")
     void quotasAreNeverExceededAndNoRequestWaitsWithinThem(@ForAll long seed) {
         random = new SplittableRandom(seed);
-        waiting.clear();
-        out.clear();
+        queued.clear();
+        inFlight.clear();
         all.clear();
-        allowances = List.of();
+        quotas = List.of();
         sendsSince = new ArrayList<>();
         TestGateway gateway = new TestGateway(new TestGateway.Spec())
                 .receiveList(
@@ -47,9 +47,9 @@
             gateway.advance(random.nextInt(20) * TestGateway.MILLISECOND_US);
             int draw = random.nextInt(100);
             if (draw < 8) {
-                allowances = drawn();
+                quotas = randomQuotas();
                 sendsSince = new ArrayList<>();
-                follow(gateway.handle(new QuotasChanged(allowances, 0)));
+                applyActions(gateway.handle(new QuotasChanged(quotas, 0)));
             } else if (draw < 55) {
                 RequestReceived r = new RequestReceived(
                         "r" + step,
@@ -63,53 +63,54 @@
                         false,
                         random.nextInt(4) - 1);
                 all.put(r.id(), r);
-                waiting.put(r.id(), r);
-                follow(gateway.handle(r));
-            } else if (!out.isEmpty()) {
-                String id = new ArrayList<>(out.keySet()).get(random.nextInt(out.size()));
-                out.remove(id);
-                follow(gateway.answer(id, AttemptResult.OK));
+                queued.put(r.id(), r);
+                applyActions(gateway.handle(r));
+            } else if (!inFlight.isEmpty()) {
+                String id = new ArrayList<>(inFlight.keySet()).get(random.nextInt(inFlight.size()));
+                inFlight.remove(id);
+                applyActions(gateway.answer(id, AttemptResult.OK));
             }
             sends += sendsSince.size();
-            for (RequestReceived r : waiting.values()) {
+            for (RequestReceived r : queued.values()) {
                 assertTrue(
-                        gateway.isRejected(r.id()) || ENGINES.stream().noneMatch(e -> allowed(r, e)),
-                        r + " waits though allowed");
+                        gateway.isRejected(r.id()) || ENGINES.stream().noneMatch(e -> isPermitted(r, e)),
+                        r + " is queued although quotas permit it");
             }
         }
         assertTrue(sends > 0);
         assertFalse(all.isEmpty());
     }
 
-    /** One of any scope is always among them, so that engines never come under pressure. */
-    private List<Quota> drawn() {
-        List<Quota> some = new ArrayList<>(List.of(new Quota(-1, -1, null, 1 + random.nextInt(4), Integer.MAX_VALUE)));
+    /** Returns random quotas; one of them always limits all attempts, so that engines are never overloaded. */
+    private List<Quota> randomQuotas() {
+        List<Quota> quotas =
+                new ArrayList<>(List.of(new Quota(-1, -1, null, 1 + random.nextInt(4), Integer.MAX_VALUE)));
         for (int i = random.nextInt(5); i > 0; i--) {
-            some.add(new Quota(
+            quotas.add(new Quota(
                     random.nextInt(3) - 1,
                     random.nextInt(4) - 1,
                     random.nextBoolean() ? null : ENGINES.get(random.nextInt(3)),
                     random.nextInt(4),
                     random.nextBoolean() ? Integer.MAX_VALUE : random.nextInt(6)));
         }
-        return some;
+        return quotas;
     }
 
-    private void follow(List<Action> actions) {
+    private void applyActions(List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof SendAttempt s) {
-                assertTrue(allowed(all.get(s.id()), s.engine()), s + " is not allowed by " + allowances);
-                waiting.remove(s.id());
-                out.put(s.id(), s);
+                assertTrue(isPermitted(all.get(s.id()), s.engine()), s + " exceeds " + quotas);
+                queued.remove(s.id());
+                inFlight.put(s.id(), s);
                 sendsSince.add(s);
             }
         }
     }
 
-    private boolean allowed(RequestReceived r, String engine) {
-        return allowances.stream()
+    private boolean isPermitted(RequestReceived r, String engine) {
+        return quotas.stream()
                 .filter(a -> covers(a, r, engine))
-                .allMatch(a -> out.values().stream()
+                .allMatch(a -> inFlight.values().stream()
                                         .filter(s -> covers(a, all.get(s.id()), s.engine()))
                                         .count()
                                 < a.maxInFlight()
@@ -121,8 +122,10 @@
     }
 
     private static boolean covers(Quota a, RequestReceived r, String engine) {
-        boolean cls = a.classIndex() == -1 || a.classIndex() == r.classIndex();
-        boolean tenant = a.tenant() == -1 || a.tenant() == r.tenant();
-        return cls && tenant && (a.engine() == null || a.engine().equals(engine));
+        boolean matchesClass = a.classIndex() == -1 || a.classIndex() == r.classIndex();
+        boolean matchesTenant = a.tenant() == -1 || a.tenant() == r.tenant();
+        return matchesClass
+                && matchesTenant
+                && (a.engine() == null || a.engine().equals(engine));
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/RecordedDecisionsTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/RecordedDecisionsTest.java
@@ -28,21 +28,21 @@
 import sandpaddle.recorded.RecordedFile;
 
 /**
- * All actions of drawn days, with every setting of the platform's file changed or left out in turn, as an earlier
- * version took them. A line of the record is a digest of the actions on a hundred events, so the first line that
- * differs names the day and the events.
+ * Compares all actions under random workloads, and under workloads with each setting of the platform's file changed or
+ * left out in turn, with those of an earlier version. A line of the recorded file is a digest of the actions on 100
+ * events, so the first line that differs names the workload and the events.
  */
 class RecordedDecisionsTest {
-    private static final int DRAWN_DAYS = 40;
+    private static final int RANDOM_WORKLOADS = 40;
     private static final int FIRST_SEED = 100;
-    private static final long DAY_US = 6_000_000;
-    private static final long SETTING_DAY_US = 4_000_000;
+    private static final long LENGTH_US = 6_000_000;
+    private static final long SETTING_LENGTH_US = 4_000_000;
     private static final int SETTING_SEED = 3;
-    private static final int EVENTS_IN_A_LINE = 100;
+    private static final int EVENTS_PER_LINE = 100;
     private static final int EVENTS_BETWEEN_VERDICTS = 60;
     private static final int TENANTS = 4;
     private static final int ENGINES = 8;
-    private static final Map<String, String> OTHER_WORD = Map.of(
+    private static final Map<String, String> OTHER_VALUE = Map.of(
             "safe",
             "keyed",
             "keyed",
@@ -58,9 +58,9 @@
             "automatic",
             "subscribe");
 
-    /** Passes events on, adds verdicts, allowances and tenants as a fleet brings them, and records the actions. */
+    /** Passes events to a module, adds verdicts, quotas and tenants where it is in a fleet, and records the actions. */
     private static final class Recorder implements DecisionModule {
-        private final String day;
+        private final String workload;
         private final DecisionModule module;
         private final SplittableRandom random;
         private final boolean fleet;
@@ -68,8 +68,8 @@
         private final List<String> actions = new ArrayList<>();
         private int events;
 
-        Recorder(String day, DecisionSettings settings, int seed, boolean fleet, List<String> record) {
-            this.day = day;
+        Recorder(String workload, DecisionSettings settings, int seed, boolean fleet, List<String> record) {
+            this.workload = workload;
             this.fleet = fleet;
             this.record = record;
             module = new DefaultDecisionModule(settings, seed);
@@ -77,30 +77,30 @@
         }
 
         @Override
-        public void handle(long nowUs, Event event, Consumer<Action> out) {
+        public void handle(long nowUs, Event event, Consumer<Action> receiver) {
             if (fleet && events % EVENTS_BETWEEN_VERDICTS == EVENTS_BETWEEN_VERDICTS - 1) {
-                play(nowUs, random.nextBoolean() ? verdicts(nowUs) : allowances(), out);
+                deliver(nowUs, random.nextBoolean() ? verdicts(nowUs) : quotas(), receiver);
             }
-            play(nowUs, fleet && event instanceof RequestReceived r ? ofTenant(r) : event, out);
+            deliver(nowUs, fleet && event instanceof RequestReceived r ? withTenant(r) : event, receiver);
         }
 
-        private void play(long nowUs, Event event, Consumer<Action> out) {
+        private void deliver(long nowUs, Event event, Consumer<Action> receiver) {
             module.handle(nowUs, event, action -> {
                 actions.add(nowUs + " " + ActionText.of(action));
-                out.accept(action);
+                receiver.accept(action);
             });
-            if (++events % EVENTS_IN_A_LINE == 0) {
+            if (++events % EVENTS_PER_LINE == 0) {
                 flush();
             }
         }
 
         void flush() {
-            record.add(
-                    day + " events to " + events + ": " + actions.size() + " actions " + RecordedFile.digest(actions));
+            record.add(workload + " events to " + events + ": " + actions.size() + " actions "
+                    + RecordedFile.digest(actions));
             actions.clear();
         }
 
-        private RequestReceived ofTenant(RequestReceived r) {
+        private RequestReceived withTenant(RequestReceived r) {
             return new RequestReceived(
                     r.id(),
                     r.classIndex(),
@@ -125,7 +125,7 @@
             return new EngineVerdictsChanged(all);
         }
 
-        private Event allowances() {
+        private Event quotas() {
             List<Quota> all = IntStream.range(0, random.nextInt(4))
                     .mapToObj(i -> new Quota(
                             random.nextInt(4) - 1,
@@ -138,66 +138,69 @@
         }
     }
 
-    private static void play(
-            String day, int seed, DecisionSettings settings, boolean fleet, long lengthUs, List<String> record) {
+    private static void run(
+            String workload, int seed, DecisionSettings settings, boolean fleet, long lengthUs, List<String> record) {
         Recorder[] recorder = new Recorder[1];
-        new DrawnDay(seed, settings, s -> {
-                    recorder[0] = new Recorder(day, s, seed, fleet, record);
+        new RandomWorkload(seed, settings, s -> {
+                    recorder[0] = new Recorder(workload, s, seed, fleet, record);
                     return recorder[0];
                 })
-                .play(lengthUs);
+                .run(lengthUs);
         recorder[0].flush();
     }
 
     @Test
-    void actionsOfDrawnDaysEqualTheRecord() {
+    void actionsOfRandomWorkloadsEqualTheRecordedOnes() {
         List<String> record = new ArrayList<>();
-        for (int i = 0; i < DRAWN_DAYS; i++) {
-            play("day " + i + (i % 2 == 0 ? "" : " in a fleet"), FIRST_SEED + i, null, i % 2 == 1, DAY_US, record);
+        for (int i = 0; i < RANDOM_WORKLOADS; i++) {
+            run("day " + i + (i % 2 == 0 ? "" : " in a fleet"), FIRST_SEED + i, null, i % 2 == 1, LENGTH_US, record);
         }
         new RecordedFile("decisions-of-drawn-days.txt").check(record);
     }
 
-    /** Also what is said of a setting that looks wrong, or cannot be used. */
+    /** Includes the warnings and errors about invalid settings. */
     @Test
-    void actionsUnderEachSettingEqualTheRecord() throws Exception {
+    void actionsUnderEachSettingEqualTheRecordedOnes() throws Exception {
         List<String> record = new ArrayList<>();
-        playWith("as shipped", site(), record);
+        runWith("as shipped", settingsByKey(), record);
         int changed = 0;
-        Set<String> paths = leaves("", site()).keySet();
+        Set<String> paths = leaves("", settingsByKey()).keySet();
         for (String path : paths) {
-            Map<String, Object> other = site();
+            Map<String, Object> other = settingsByKey();
             if (change(other, path, false)) {
-                playWith(path + " changed", other, record);
+                runWith(path + " changed", other, record);
                 changed++;
             }
-            Map<String, Object> without = site();
+            Map<String, Object> without = settingsByKey();
             change(without, path, true);
-            playWith(path + " left out", without, record);
+            runWith(path + " left out", without, record);
         }
         assertTrue(changed > 60, "settings changed: " + changed);
         new RecordedFile("decisions-by-setting.txt").check(record);
     }
 
-    private static void playWith(String day, Map<String, Object> site, List<String> record) {
+    private static void runWith(String workload, Map<String, Object> settingsByKey, List<String> record) {
         List<String> warnings = new ArrayList<>();
         try {
-            DecisionSettings settings = DecisionSettingsReader.read(new JsonObject("settings.", site), warnings);
-            warnings.forEach(w -> record.add(day + " warning: " + w));
-            play(day, SETTING_SEED, settings, false, SETTING_DAY_US, record);
+            DecisionSettings settings =
+                    DecisionSettingsReader.read(new JsonObject("settings.", settingsByKey), warnings);
+            warnings.forEach(w -> record.add(workload + " warning: " + w));
+            run(workload, SETTING_SEED, settings, false, SETTING_LENGTH_US, record);
         } catch (InvalidFieldException | IllegalArgumentException e) {
-            record.add(day + " fault: " + e.getMessage());
+            record.add(workload + " fault: " + e.getMessage());
         }
     }
 
-    private static Map<String, Object> site() throws Exception {
-        try (JsonParser in = new JsonFactory().createParser(UnusualSettingsTest.site())) {
+    private static Map<String, Object> settingsByKey() throws Exception {
+        try (JsonParser in = new JsonFactory().createParser(UnusualSettingsTest.settingsText())) {
             in.nextToken();
             return JsonObject.read(in, "").asMap();
         }
     }
 
-    /** All values that are no objects of an object, by path; parts of a path are separated by a slash. */
+    /**
+     * Returns the values of an object that are not objects themselves, by path; keys in a path are separated by '/'.
+     */
     private static Map<String, Object> leaves(String path, Object value) {
         Map<String, Object> leaves = new TreeMap<>();
         if (value instanceof Map<?, ?> map) {
@@ -212,17 +215,19 @@
         return leaves;
     }
 
-    /** Changes the value at a path, or removes it; false where there is no other value to try. */
+    /** Changes or removes the value at a path; returns false where no other value is defined. */
     @SuppressWarnings("unchecked")
-    private static boolean change(Map<String, Object> site, String path, boolean remove) {
+    private static boolean change(Map<String, Object> settingsByKey, String path, boolean remove) {
         String[] parts = path.split("/");
-        Object at = site;
+        Object node = settingsByKey;
         for (int i = 0; i < parts.length - 1; i++) {
-            at = at instanceof List<?> list ? list.get(Integer.parseInt(parts[i])) : ((Map<?, ?>) at).get(parts[i]);
+            node = node instanceof List<?> list
+                    ? list.get(Integer.parseInt(parts[i]))
+                    : ((Map<?, ?>) node).get(parts[i]);
         }
-        Map<String, Object> owner = (Map<String, Object>) at;
+        Map<String, Object> owner = (Map<String, Object>) node;
         String key = parts[parts.length - 1];
-        Object other = remove ? null : other(owner.get(key));
+        Object other = remove ? null : otherValue(owner.get(key));
         if (remove) {
             owner.remove(key);
         } else if (other != null) {
@@ -231,7 +236,7 @@
         return other != null;
     }
 
-    private static Object other(Object value) {
+    private static Object otherValue(Object value) {
         if (value instanceof Boolean b) {
             return !b;
         } else if (value instanceof Long n) {
@@ -241,6 +246,6 @@
         } else if (value instanceof List<?> list) {
             return list.size() > 1 ? list.subList(0, list.size() - 1) : null;
         }
-        return value instanceof String s ? OTHER_WORD.get(s) : null;
+        return value instanceof String s ? OTHER_VALUE.get(s) : null;
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/RuleChecker.java
+++ b/gateway/src/test/java/sandpaddle/decision/RuleChecker.java
@@ -27,212 +27,265 @@
 import sandpaddle.decision.settings.Idempotency;
 import sandpaddle.decision.settings.RequestClass;
 
-/** Watches the events and actions of one gateway and fails the test when one of the seven rules breaks. */
+/**
+ * Checks the events and actions of one gateway against the platform's rules, and fails the test on a violation:
+ *
+ * <ol>
+ *   <li>Each request gets exactly one final answer in time, and no attempt afterwards.
+ *   <li>A request that may have run is repeated, or rejected, only where a repeat has no second effect.
+ *   <li>An engine that is not up is sent no attempts after the drain grace period.
+ *   <li>An engine that is warming up is not overloaded.
+ *   <li>Requests with the same ordering key run one at a time in order of arrival.
+ *   <li>Attempts respect the placement of the request class.
+ *   <li>Retries stay within the retry budget.
+ * </ol>
+ */
 final class RuleChecker {
-    private static final class Taken {
+    private static final class TrackedRequest {
         RequestReceived request;
-        long takenAt;
-        long seq;
+        long receivedAtUs;
+        long sequence;
         int attempts;
-        boolean out;
-        boolean over;
+        boolean inFlight;
+        boolean finished;
         boolean settled;
-        EngineEntry ranOn;
-        long ranAt;
-        long sentAt;
+        EngineEntry firstRanOn;
+        long firstRanAtUs;
+        long sentAtUs;
         String sentTo;
     }
 
-    private final DecisionSettings s;
-    private final Map<String, Taken> requests = new LinkedHashMap<>();
+    private final DecisionSettings settings;
+    private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
     private final Map<String, EngineEntry> entries = new HashMap<>();
-    private final Map<String, Long> stoppedAt = new HashMap<>();
-    private final Map<String, Long> keyRest = new HashMap<>();
-    private final List<Long> takenAt = new ArrayList<>();
-    private final List<Long> furtherAt = new ArrayList<>();
-    private final Map<String, List<double[]>> coldWork = new HashMap<>();
-    private final double[] usualWork;
+    private final Map<String, Long> notUpSinceUs = new HashMap<>();
+    private final Map<String, Long> keyPausedUntilUs = new HashMap<>();
+    private final List<Long> requestTimesUs = new ArrayList<>();
+    private final List<Long> retryTimesUs = new ArrayList<>();
+    private final Map<String, List<double[]>> sendsWhileWarmingUp = new HashMap<>();
+    private final double[] meanWorkUs;
     private final double capacityPerCore;
 
-    /** {@code capacityPerCore} is in us of work per us; infinite where a test has no engine that warms up. */
-    RuleChecker(DecisionSettings s, double[] usualWork, double capacityPerCore) {
-        this.s = s;
-        this.usualWork = usualWork;
+    /**
+     * Creates a checker that has seen no events.
+     *
+     * @param meanWorkUs mean work of a request by class (us)
+     * @param capacityPerCore us of work per us; infinite where a test has no engine that is warming up
+     */
+    RuleChecker(DecisionSettings settings, double[] meanWorkUs, double capacityPerCore) {
+        this.settings = settings;
+        this.meanWorkUs = meanWorkUs;
         this.capacityPerCore = capacityPerCore;
     }
 
-    void event(long now, Event event) {
+    void event(long nowUs, Event event) {
         if (event instanceof RequestReceived r && !requests.containsKey(r.id())) {
-            Taken t = new Taken();
-            t.request = r;
-            t.takenAt = now;
-            t.seq = requests.size();
-            requests.put(r.id(), t);
-            takenAt.add(now);
+            TrackedRequest tracked = new TrackedRequest();
+            tracked.request = r;
+            tracked.receivedAtUs = nowUs;
+            tracked.sequence = requests.size();
+            requests.put(r.id(), tracked);
+            requestTimesUs.add(nowUs);
         } else if (event instanceof AttemptEnded o) {
-            outcome(now, o);
+            endAttempt(nowUs, o);
         } else if (event instanceof ClientDisconnected l && requests.containsKey(l.id())) {
-            requests.get(l.id()).over = true;
+            requests.get(l.id()).finished = true;
         } else if (event instanceof EngineListReceived l && l.kind() != EngineListKind.FAILED) {
-            list(now, l);
+            applyList(nowUs, l);
         }
     }
 
-    private void outcome(long now, AttemptEnded o) {
-        Taken t = requests.get(o.id());
-        if (t == null || !t.out || t.attempts - 1 != o.attempt()) {
+    private void endAttempt(long nowUs, AttemptEnded o) {
+        TrackedRequest tracked = requests.get(o.id());
+        if (tracked == null || !tracked.inFlight || tracked.attempts - 1 != o.attempt()) {
             return;
         }
-        t.out = false;
-        if (!o.result().neverRan() && t.ranOn == null) {
-            t.ranOn = entries.get(t.sentTo);
-            t.ranAt = t.sentAt;
+        tracked.inFlight = false;
+        if (!o.result().neverRan() && tracked.firstRanOn == null) {
+            tracked.firstRanOn = entries.get(tracked.sentTo);
+            tracked.firstRanAtUs = tracked.sentAtUs;
         }
         if (o.settled()) {
-            t.over = true;
+            tracked.finished = true;
         }
-        if (ordered(t)
+        if (isOrdered(tracked)
                 && Set.of(AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
                         .contains(o.result())) {
-            keyRest.put(t.request.key(), now + s.rules().orderingPauseUs());
+            keyPausedUntilUs.put(tracked.request.key(), nowUs + settings.rules().orderingPauseUs());
         }
     }
 
-    private void list(long now, EngineListReceived l) {
-        Set<String> named = new HashSet<>();
+    private void applyList(long nowUs, EngineListReceived l) {
+        Set<String> listed = new HashSet<>();
         for (EngineEntry e : l.entries()) {
-            named.add(e.id());
+            listed.add(e.id());
             entries.put(e.id(), e);
             if (e.status() == EngineStatus.UP) {
-                stoppedAt.remove(e.id());
+                notUpSinceUs.remove(e.id());
             } else {
-                stoppedAt.putIfAbsent(e.id(), now);
+                notUpSinceUs.putIfAbsent(e.id(), nowUs);
             }
         }
         if (l.kind() != EngineListKind.CHANGES) {
-            entries.keySet().stream().filter(id -> !named.contains(id)).forEach(id -> stoppedAt.putIfAbsent(id, now));
+            entries.keySet().stream()
+                    .filter(id -> !listed.contains(id))
+                    .forEach(id -> notUpSinceUs.putIfAbsent(id, nowUs));
         }
     }
 
-    private RequestClass cls(Taken t) {
-        return s.classes().get(t.request.classIndex());
+    private RequestClass requestClass(TrackedRequest tracked) {
+        return settings.classes().get(tracked.request.classIndex());
     }
 
-    private boolean ordered(Taken t) {
-        return cls(t).ordered() && t.request.key() != null;
+    private boolean isOrdered(TrackedRequest tracked) {
+        return requestClass(tracked).ordered() && tracked.request.key() != null;
     }
 
-    void action(long now, Action action) {
+    void action(long nowUs, Action action) {
         if (action instanceof SendAttempt a) {
-            send(now, a, requests.get(a.id()));
+            checkSend(nowUs, a, requests.get(a.id()));
         } else if (action instanceof RejectRequest a) {
-            Taken t = requests.get(a.id());
-            boolean harmless = cls(t).idempotency() == Idempotency.IDEMPOTENT
-                    || t.ranOn == null && !t.out
-                    || cls(t).idempotency() == Idempotency.WITH_KEY
-                            && cls(t).deduplicationScope() == DeduplicationScope.ALL;
-            check(harmless, "rule 2: refusal of work that may have run: " + a.id());
-            close(now, t);
+            TrackedRequest tracked = requests.get(a.id());
+            boolean withoutEffect = requestClass(tracked).idempotency() == Idempotency.IDEMPOTENT
+                    || tracked.firstRanOn == null && !tracked.inFlight
+                    || requestClass(tracked).idempotency() == Idempotency.WITH_KEY
+                            && requestClass(tracked).deduplicationScope() == DeduplicationScope.ALL;
+            check(withoutEffect, "rule 2: rejected a request that may have run: " + a.id());
+            checkFinalAnswer(nowUs, tracked);
         } else if (action instanceof FailRequest a) {
-            close(now, requests.get(a.id()));
+            checkFinalAnswer(nowUs, requests.get(a.id()));
         }
     }
 
-    private void close(long now, Taken t) {
-        check(!t.over, "rule 1: second final answer: " + t.request.id());
+    private void checkFinalAnswer(long nowUs, TrackedRequest tracked) {
+        check(!tracked.finished, "rule 1: second final answer: " + tracked.request.id());
         check(
-                now <= t.takenAt + t.request.expiresInUs() + s.rules().answerSlackUs(),
-                "rule 1: late: " + t.request.id());
-        t.over = true;
+                nowUs
+                        <= tracked.receivedAtUs
+                                + tracked.request.expiresInUs()
+                                + settings.rules().answerSlackUs(),
+                "rule 1: late final answer: " + tracked.request.id());
+        tracked.finished = true;
     }
 
-    private void send(long now, SendAttempt a, Taken t) {
-        check(t != null && !t.over, "rule 1: sent after its end: " + a.id());
-        check(!t.out, "two attempts at once: " + a.id());
-        check(t.attempts < s.limits().maxAttempts(), "too many attempts: " + a.id());
+    private void checkSend(long nowUs, SendAttempt a, TrackedRequest tracked) {
+        check(tracked != null && !tracked.finished, "rule 1: attempt after the final answer: " + a.id());
+        check(!tracked.inFlight, "two attempts in flight: " + a.id());
+        check(tracked.attempts < settings.limits().maxAttempts(), "too many attempts: " + a.id());
         EngineEntry e = entries.get(a.engine());
         check(e != null, "unknown engine " + a.engine());
-        Long stopped = stoppedAt.get(a.engine());
-        check(stopped == null || now <= stopped + s.rules().drainGraceUs(), "rule 3: sent to stopped " + a.engine());
-        check(cls(t).permittedKinds() == null || cls(t).permittedKinds().contains(e.kind()), "rule 6: kind");
-        check(cls(t).permittedZones() == null || cls(t).permittedZones().contains(e.zone()), "rule 6: zone");
-        repeat(now, t, e);
-        order(now, t);
-        if (t.attempts > 0) {
-            budget(now);
-        }
-        cold(now, t, e);
-        t.attempts++;
-        t.out = true;
-        t.sentAt = now;
-        t.sentTo = a.engine();
-    }
-
-    private void repeat(long now, Taken t, EngineEntry e) {
-        if (t.ranOn == null || cls(t).idempotency() == Idempotency.IDEMPOTENT) {
+        Long notUpUs = notUpSinceUs.get(a.engine());
+        check(
+                notUpUs == null || nowUs <= notUpUs + settings.rules().drainGraceUs(),
+                "rule 3: attempt sent to an engine that is not up: " + a.engine());
+        check(
+                requestClass(tracked).permittedKinds() == null
+                        || requestClass(tracked).permittedKinds().contains(e.kind()),
+                "rule 6: machine kind not permitted: " + a.engine());
+        check(
+                requestClass(tracked).permittedZones() == null
+                        || requestClass(tracked).permittedZones().contains(e.zone()),
+                "rule 6: zone not permitted: " + a.engine());
+        checkRepeat(nowUs, tracked, e);
+        checkOrder(nowUs, tracked);
+        if (tracked.attempts > 0) {
+            checkRetryBudget(nowUs);
+        }
+        checkSlowStart(nowUs, tracked, e);
+        tracked.attempts++;
+        tracked.inFlight = true;
+        tracked.sentAtUs = nowUs;
+        tracked.sentTo = a.engine();
+    }
+
+    private void checkRepeat(long nowUs, TrackedRequest tracked, EngineEntry e) {
+        if (tracked.firstRanOn == null || requestClass(tracked).idempotency() == Idempotency.IDEMPOTENT) {
             return;
         }
-        check(cls(t).idempotency() == Idempotency.WITH_KEY, "rule 2: unsafe sent again");
-        check(now <= t.ranAt + cls(t).deduplicationWindowUs(), "rule 2: keyed sent again after its window");
-        boolean inGroup = switch (cls(t).deduplicationScope()) {
+        check(
+                requestClass(tracked).idempotency() == Idempotency.WITH_KEY,
+                "rule 2: request without idempotency repeated");
+        check(
+                nowUs <= tracked.firstRanAtUs + requestClass(tracked).deduplicationWindowUs(),
+                "rule 2: request with idempotency key repeated after its deduplication window");
+        boolean inScope = switch (requestClass(tracked).deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> e.zone() == t.ranOn.zone();
-            case CELL -> e.cell() == t.ranOn.cell();
+            case ZONE -> e.zone() == tracked.firstRanOn.zone();
+            case CELL -> e.cell() == tracked.firstRanOn.cell();
         };
-        check(inGroup, "rule 2: keyed sent outside its group");
+        check(inScope, "rule 2: request with idempotency key repeated outside its deduplication scope");
     }
 
-    private void order(long now, Taken t) {
-        if (!ordered(t)) {
+    private void checkOrder(long nowUs, TrackedRequest tracked) {
+        if (!isOrdered(tracked)) {
             return;
         }
-        for (Taken u : requests.values()) {
-            if (u.seq < t.seq && ordered(u) && u.request.key().equals(t.request.key())) {
-                check(u.over && !u.out, "rule 5: " + t.request.id() + " before " + u.request.id());
+        for (TrackedRequest other : requests.values()) {
+            if (other.sequence < tracked.sequence
+                    && isOrdered(other)
+                    && other.request.key().equals(tracked.request.key())) {
+                check(
+                        other.finished && !other.inFlight,
+                        "rule 5: " + tracked.request.id() + " sent before the end of " + other.request.id());
             }
         }
-        check(t.attempts > 0 || now >= keyRest.getOrDefault(t.request.key(), Long.MIN_VALUE), "rule 5: key at rest");
+        check(
+                tracked.attempts > 0 || nowUs >= keyPausedUntilUs.getOrDefault(tracked.request.key(), Long.MIN_VALUE),
+                "rule 5: sent while its ordering key is paused");
     }
 
-    private void budget(long now) {
-        furtherAt.add(now);
-        if (s.rules().retryBudgetWindowUs() > 0) {
-            long from = now - s.rules().retryBudgetWindowUs();
-            long further = furtherAt.stream().filter(x -> x >= from).count();
-            long taken = takenAt.stream().filter(x -> x > from).count();
-            check(further <= s.rules().retryBudgetFloor() + s.rules().retryBudgetRatio() * taken, "rule 7: budget");
+    private void checkRetryBudget(long nowUs) {
+        retryTimesUs.add(nowUs);
+        if (settings.rules().retryBudgetWindowUs() > 0) {
+            long windowStartUs = nowUs - settings.rules().retryBudgetWindowUs();
+            long retries = retryTimesUs.stream().filter(x -> x >= windowStartUs).count();
+            long received =
+                    requestTimesUs.stream().filter(x -> x > windowStartUs).count();
+            check(
+                    retries
+                            <= settings.rules().retryBudgetFloor()
+                                    + settings.rules().retryBudgetRatio() * received,
+                    "rule 7: retry budget exceeded");
         }
     }
 
-    private void cold(long now, Taken t, EngineEntry e) {
-        long age = now - e.startedUs();
-        if (e.startedUs() <= 0 || age >= s.rules().slowStartUs()) {
+    private void checkSlowStart(long nowUs, TrackedRequest tracked, EngineEntry e) {
+        long ageUs = nowUs - e.startedUs();
+        if (e.startedUs() <= 0 || ageUs >= settings.rules().slowStartUs()) {
             return;
         }
-        List<double[]> sent = coldWork.computeIfAbsent(e.id() + e.startedUs(), id -> new ArrayList<>());
-        sent.add(new double[] {now, usualWork[t.request.classIndex()]});
-        double work = sent.stream()
-                .filter(x -> x[0] > now - s.rules().overloadWindowUs())
+        List<double[]> sends = sendsWhileWarmingUp.computeIfAbsent(e.id() + e.startedUs(), id -> new ArrayList<>());
+        sends.add(new double[] {nowUs, meanWorkUs[tracked.request.classIndex()]});
+        double workUs = sends.stream()
+                .filter(x -> x[0] > nowUs - settings.rules().overloadWindowUs())
                 .mapToDouble(x -> x[1])
                 .sum();
-        double warmth = s.rules().slowStartFrom()
-                + (1 - s.rules().slowStartFrom()) * age / s.rules().slowStartUs();
-        double capacity = warmth * capacityPerCore * s.kinds().get(e.kind()).cores() / s.gateways();
+        double capacityFraction = settings.rules().slowStartFrom()
+                + (1 - settings.rules().slowStartFrom())
+                        * ageUs
+                        / settings.rules().slowStartUs();
+        double capacity = capacityFraction
+                * capacityPerCore
+                * settings.kinds().get(e.kind()).cores()
+                / settings.gateways();
         check(
-                work <= s.rules().overloadMultiple() * capacity * s.rules().overloadWindowUs(),
-                "rule 4: cold engine pushed over");
+                workUs
+                        <= settings.rules().overloadMultiple()
+                                * capacity
+                                * settings.rules().overloadWindowUs(),
+                "rule 4: overloaded an engine that is warming up: " + e.id());
     }
 
-    /** At the end of a test: each request has its answer, unless it is in flight or queued in time. */
-    void end(long now) {
-        for (Taken t : requests.values()) {
+    /** Checks at the end of a test that each request has its final answer, unless its deadline has not passed. */
+    void end(long nowUs) {
+        for (TrackedRequest tracked : requests.values()) {
             check(
-                    t.over
-                            || now
-                                    <= t.takenAt
-                                            + t.request.expiresInUs()
-                                            + s.rules().answerSlackUs(),
-                    "rule 1: no answer: " + t.request.id());
+                    tracked.finished
+                            || nowUs
+                                    <= tracked.receivedAtUs
+                                            + tracked.request.expiresInUs()
+                                            + settings.rules().answerSlackUs(),
+                    "rule 1: no answer: " + tracked.request.id());
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/decision/SettingsPermutationTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/SettingsPermutationTest.java
@@ -15,112 +15,113 @@
 import sandpaddle.config.JsonObject;
 import sandpaddle.decision.settings.DecisionSettings;
 
-/** From the text of the settings on: names mean nothing, and lists in another order give the same in that order. */
+/** Reading settings: names have no effect, and lists in another order give the same settings in that order. */
 class SettingsPermutationTest {
-    private static final List<Integer> ORDER = List.of(2, 0, 1); // the new place of each
+    private static final List<Integer> ORDER = List.of(2, 0, 1); // new index of each entry
 
-    private static Map<String, Object> site() throws Exception {
-        try (JsonParser in = new JsonFactory().createParser(UnusualSettingsTest.site())) {
+    private static Map<String, Object> settingsByKey() throws Exception {
+        try (JsonParser in = new JsonFactory().createParser(UnusualSettingsTest.settingsText())) {
             in.nextToken();
             return JsonObject.read(in, "").asMap();
         }
     }
 
-    private static DecisionSettings read(Map<String, Object> site) throws Exception {
-        return DecisionSettingsReader.read(new JsonObject("settings.", site), new ArrayList<>());
+    private static DecisionSettings read(Map<String, Object> settings) throws Exception {
+        return DecisionSettingsReader.read(new JsonObject("settings.", settings), new ArrayList<>());
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> part(Map<String, Object> of, String key) {
-        return (Map<String, Object>) of.get(key);
+    private static Map<String, Object> part(Map<String, Object> owner, String key) {
+        return (Map<String, Object>) owner.get(key);
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> rows(Map<String, Object> of, String key) {
-        return (List<Map<String, Object>>) of.get(key);
+    private static List<Map<String, Object>> rows(Map<String, Object> owner, String key) {
+        return (List<Map<String, Object>>) owner.get(key);
     }
 
-    /** A list in another order; {@code place}: the new place of each. */
-    private static void reorder(Map<String, Object> of, String key, UnaryOperator<Integer> place) {
-        List<?> was = (List<?>) of.get(key);
-        Object[] is = new Object[was.size()];
-        for (int i = 0; i < is.length; i++) {
-            is[place.apply(i)] = was.get(i);
+    /** Reorders a list; {@code newIndex} maps the index of each entry to its new one. */
+    private static void reorder(Map<String, Object> owner, String key, UnaryOperator<Integer> newIndex) {
+        List<?> entries = (List<?>) owner.get(key);
+        Object[] reordered = new Object[entries.size()];
+        for (int i = 0; i < reordered.length; i++) {
+            reordered[newIndex.apply(i)] = entries.get(i);
         }
-        of.put(key, new ArrayList<>(Arrays.asList(is)));
+        owner.put(key, new ArrayList<>(Arrays.asList(reordered)));
     }
 
-    private static void move(Map<String, Object> of, String key, UnaryOperator<Integer> place) {
-        if (of.containsKey(key)) {
-            of.put(
+    private static void mapIndices(Map<String, Object> owner, String key, UnaryOperator<Integer> newIndex) {
+        if (owner.containsKey(key)) {
+            owner.put(
                     key,
-                    ((List<?>) of.get(key))
+                    ((List<?>) owner.get(key))
                             .stream()
-                                    .map(n -> (Object) (long) place.apply(((Long) n).intValue()))
+                                    .map(n -> (Object) (long) newIndex.apply(((Long) n).intValue()))
                                     .toList());
         }
     }
 
     @Test
     void namesDoNotChangeDecisions() throws Exception {
-        Map<String, Object> site = site();
-        DecisionSettings was = read(site);
+        Map<String, Object> settings = settingsByKey();
+        DecisionSettings original = read(settings);
         for (String list : List.of("classes", "tenants")) {
-            rows(site, list).forEach(r -> r.put("name", "another " + r.get("name")));
+            rows(settings, list).forEach(r -> r.put("name", "another " + r.get("name")));
         }
         for (String list : List.of("failure_domains", "models", "tiers")) {
-            site.put(
+            settings.put(
                     list,
-                    ((List<?>) site.get(list)).stream().map(n -> "another " + n).toList());
+                    ((List<?>) settings.get(list))
+                            .stream().map(n -> "another " + n).toList());
         }
-        assertEquals(was, read(site));
+        assertEquals(original, read(settings));
     }
 
     @Test
     void theOrderOfClassesDoesNotChangeDecisions() throws Exception {
-        Map<String, Object> site = site();
-        Replay.Words words = new Replay.Words();
-        words.cls = ORDER::get;
-        DecisionSettings expected = words.settings(read(site));
-        reorder(site, "classes", words.cls);
-        assertNotEquals(expected, read(site)); // values by class are still in the old order
-        for (String fact : List.of("class_load", "class_threads", "class_waits")) {
-            reorder(part(site, "specifics"), fact, words.cls);
+        Map<String, Object> settings = settingsByKey();
+        EventReplay.Renaming renaming = new EventReplay.Renaming();
+        renaming.classIndex = ORDER::get;
+        DecisionSettings expected = renaming.settings(read(settings));
+        reorder(settings, "classes", renaming.classIndex);
+        assertNotEquals(expected, read(settings)); // lists of values by class still have the old order
+        for (String key : List.of("class_load", "class_threads", "class_waits")) {
+            reorder(part(settings, "specifics"), key, renaming.classIndex);
         }
-        assertEquals(expected, read(site));
+        assertEquals(expected, read(settings));
     }
 
     @Test
     void theOrderOfZonesKindsAndTenantsDoesNotChangeDecisions() throws Exception {
-        Map<String, Object> site = site();
-        Replay.Words words = new Replay.Words();
-        words.zone = ORDER::get;
-        words.kind = k -> 1 - k;
-        DecisionSettings expected = words.settings(read(site));
-        reorder(site, "failure_domains", words.zone);
-        reorder(site, "models", words.kind);
-        reorder(site, "tenants", t -> 1 - t);
-        reorder(part(site, "specifics"), "size_cores", words.kind);
-        reorder(part(site, "specifics"), "kind_memory_mb", words.kind);
-        assertNotEquals(expected, read(site));
-        site.put("zone", (long) words.zone.apply(((Long) site.get("zone")).intValue()));
-        rows(site, "classes").forEach(c -> {
-            move(c, "allowed_on", words.kind);
-            move(c, "failure_domains_allowed", words.zone);
+        Map<String, Object> settings = settingsByKey();
+        EventReplay.Renaming renaming = new EventReplay.Renaming();
+        renaming.zone = ORDER::get;
+        renaming.kind = k -> 1 - k;
+        DecisionSettings expected = renaming.settings(read(settings));
+        reorder(settings, "failure_domains", renaming.zone);
+        reorder(settings, "models", renaming.kind);
+        reorder(settings, "tenants", t -> 1 - t);
+        reorder(part(settings, "specifics"), "size_cores", renaming.kind);
+        reorder(part(settings, "specifics"), "kind_memory_mb", renaming.kind);
+        assertNotEquals(expected, read(settings));
+        settings.put("zone", (long) renaming.zone.apply(((Long) settings.get("zone")).intValue()));
+        rows(settings, "classes").forEach(c -> {
+            mapIndices(c, "allowed_on", renaming.kind);
+            mapIndices(c, "failure_domains_allowed", renaming.zone);
         });
-        assertEquals(expected, read(site));
+        assertEquals(expected, read(settings));
     }
 
-    /** The control feed spells kinds and zones by name, and so may the settings. */
+    /** Like the control feed, settings may state kinds and zones by name. */
     @Test
     void placementByNameEqualsPlacementByPosition() throws Exception {
-        Map<String, Object> site = site();
-        DecisionSettings was = read(site);
-        Map<String, Object> placed = rows(site, "classes").get(1);
+        Map<String, Object> settings = settingsByKey();
+        DecisionSettings original = read(settings);
+        Map<String, Object> placed = rows(settings, "classes").get(1);
         placed.put("allowed_on", List.of("ka", "kb"));
         placed.put("failure_domains_allowed", List.of("za", "zc"));
-        assertEquals(was, read(site));
+        assertEquals(original, read(settings));
         placed.put("failure_domains_allowed", List.of("za", "zb"));
-        assertNotEquals(was, read(site));
+        assertNotEquals(original, read(settings));
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/SlowStartRateTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/SlowStartRateTest.java
@@ -8,29 +8,29 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The work that all gateways send an engine that warms up stays within N + 2 x root of N + 2 requests of mean work in
- * every window over which overload is counted, and such engines are used. docs/design/cold-ramp.md has the bound, proof
- * and limits.
+ * The work that all gateways together send to an engine that is warming up stays within N + 2 sqrt(N) + 2 requests of
+ * mean work in every overload window, and such engines are used. The bound, its proof and its limits are in
+ * docs/design/cold-ramp.md.
  */
 class SlowStartRateTest {
-    private static void holds(SlowStartFleet fleet) {
-        SlowStartRecount recount = fleet.play().recount();
-        assertTrue(recount.starts > 0 && recount.windows > 0, recount.toString());
-        assertEquals(0, recount.over, recount.toString());
-        assertTrue(fleet.coldUsed() > 0.05, "cold engines used " + fleet.coldUsed());
+    private static void assertWithinBound(SlowStartSimulation simulation) {
+        SlowStartWorkCounter counter = simulation.run().countWork();
+        assertTrue(counter.starts > 0 && counter.windows > 0, counter.toString());
+        assertEquals(0, counter.windowsOver2, counter.toString());
+        assertTrue(simulation.warmingUpUtilization() > 0.05, "utilization " + simulation.warmingUpUtilization());
     }
 
-    /** Traffic several times the mean at some gateways, heavy tails, lists that come late, restarts, surges. */
+    /** Uneven traffic, heavy-tailed work, delayed endpoint lists, restarts, and surges. */
     @ParameterizedTest
     @CsvSource({"20, 0", "20, 1", "20, 4", "30, 0", "30, 2", "120, 1"})
-    void drawnFleetsStayWithinTheBound(int gateways, int seed) {
-        holds(new SlowStartFleet(gateways, seed));
+    void randomFleetsStayWithinTheBound(int gateways, int seed) {
+        assertWithinBound(new SlowStartSimulation(gateways, seed));
     }
 
-    /** Guards against parts that sum to more than the budget: here the shares that gateways learn sum to 17. */
+    /** Guards against rates that rely on the learnt traffic shares: here these sum to 17 over all gateways. */
     @ParameterizedTest
     @ValueSource(ints = {0, 4})
-    void gatewaysThatTakeAllTrafficForTheirOwnStayWithinTheBound(int seed) {
-        holds(new SlowStartFleet(20, seed, true));
+    void gatewaysWhoseTrafficSharesSumToOverOneStayWithinTheBound(int seed) {
+        assertWithinBound(new SlowStartSimulation(20, seed, true));
     }
 }
--- a/gateway/src/test/java/sandpaddle/decision/SparseTrafficTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/SparseTrafficTest.java
@@ -17,19 +17,20 @@
 import sandpaddle.decision.event.ProgressTopic;
 import sandpaddle.decision.settings.LoadField;
 
-/** Estimates from few queries: memory grants, lightly loaded engines, engines that may be unreachable. */
+/** Decisions with little traffic: memory grants, lightly loaded engines, engines that may be unreachable. */
 class SparseTrafficTest {
-    private static final List<LoadField> PLATFORM = List.of(LoadField.UTILIZATION, LoadField.QUEUED, LoadField.MEMORY);
+    private static final List<LoadField> REPORT_FIELDS =
+            List.of(LoadField.UTILIZATION, LoadField.QUEUED, LoadField.MEMORY);
 
-    private static TestGateway site(int gateways, String... engines) {
-        return site(7, gateways, engines);
+    private static TestGateway createGateway(int gateways, String... engines) {
+        return createGateway(7, gateways, engines);
     }
 
-    private static TestGateway site(long seed, int gateways, String... engines) {
+    private static TestGateway createGateway(long seed, int gateways, String... engines) {
         TestGateway.Spec spec = new TestGateway.Spec();
         spec.seed = seed;
         spec.gateways = gateways;
-        spec.reportFields = PLATFORM;
+        spec.reportFields = REPORT_FIELDS;
         spec.memoryGrants = true;
         TestGateway gateway = new TestGateway(spec);
         for (String e : engines) {
@@ -38,7 +39,7 @@
         return gateway;
     }
 
-    private static double granted(TestGateway gateway, String id) {
+    private static double grantedMb(TestGateway gateway, String id) {
         return gateway.log.stream()
                 .filter(SetAttemptOptions.class::isInstance)
                 .map(SetAttemptOptions.class::cast)
@@ -48,15 +49,18 @@
                 .orElse(0.0);
     }
 
-    /** Runs queries one by one whose need is a multiple of their estimate; the last one's grant over its estimate. */
-    private static double grantAfter(TestGateway gateway, int queries, double need, int tellings) {
+    /**
+     * Runs queries one by one that need a multiple of their estimated memory, and returns the ratio of the last one's
+     * grant to its estimate.
+     */
+    private static double grantAfter(TestGateway gateway, int queries, double needRatio, int reports) {
         double last = 0;
         for (int i = 0; i < queries; i++) {
             double estimate = 100 + i % 7 * 30;
             String id = gateway.receiveWithMemory(1, estimate);
-            double grant = granted(gateway, id);
-            for (int t = 0; t < tellings && grant < need * estimate; t++) {
-                gateway.handle(new ProgressReported(id, 0, ProgressTopic.MISSING_MEMORY, need * estimate - grant));
+            double grant = grantedMb(gateway, id);
+            for (int t = 0; t < reports && grant < needRatio * estimate; t++) {
+                gateway.handle(new ProgressReported(id, 0, ProgressTopic.MISSING_MEMORY, needRatio * estimate - grant));
             }
             gateway.advance(300 * MILLISECOND_US);
             gateway.answer(id, AttemptResult.OK);
@@ -67,7 +71,7 @@
 
     @Test
     void grantsGrowWithWhatIsMissingAndShrinkWhereNothingIs() {
-        TestGateway gateway = site(14, "e0");
+        TestGateway gateway = createGateway(14, "e0");
         assertEquals(1.15, grantAfter(gateway, 1, 0.5, 1), 1e-9);
         double learnt = grantAfter(gateway, 60, 1.6, 1);
         assertTrue(learnt > 1.5 && learnt < 1.7, "granted " + learnt);
@@ -76,17 +80,18 @@
     }
 
     @Test
-    void aSpillReportedTwiceCountsOnce() {
-        assertEquals(grantAfter(site(14, "e0"), 5, 1.6, 1), grantAfter(site(14, "e0"), 5, 1.6, 4), 1e-9);
+    void missingMemoryReportedTwiceCountsOnce() {
+        assertEquals(
+                grantAfter(createGateway(14, "e0"), 5, 1.6, 1), grantAfter(createGateway(14, "e0"), 5, 1.6, 4), 1e-9);
     }
 
     @Test
     void grantsStayBoundedWhereMoreMemoryDoesNotHelp() {
-        double most = grantAfter(site(14, "e0"), 400, 1000, 1);
-        assertTrue(most < 4, "granted " + most);
+        double maxRatio = grantAfter(createGateway(14, "e0"), 400, 1000, 1);
+        assertTrue(maxRatio < 4, "granted " + maxRatio);
     }
 
-    private static void reports(TestGateway gateway, String engine, double... report) {
+    private static void receiveReport(TestGateway gateway, String engine, double... report) {
         String id = null;
         while (id == null || !engine.equals(gateway.engineOf(id))) {
             if (id != null) {
@@ -98,49 +103,51 @@
         gateway.answer(id, AttemptResult.OK, report);
     }
 
-    /** One engine is overloaded, the other reports that it is not: queued requests may go there. */
+    /** One engine is overloaded and the other reports that it is not, so queued requests may be sent to the other. */
     @Test
     void aLightlyLoadedEngineIsUsedWhileTheFleetIsOverloaded() {
-        TestGateway gateway = site(14, "busy", "easy");
-        reports(gateway, "busy", 1, 60, 1);
-        reports(gateway, "easy", 0.3, 0, 0.2);
+        TestGateway gateway = createGateway(14, "busy", "easy");
+        receiveReport(gateway, "busy", 1, 60, 1);
+        receiveReport(gateway, "easy", 0.3, 0, 0.2);
         gateway.advance(100 * MILLISECOND_US);
         String first = gateway.receive(1);
-        gateway.advance(1700 * MILLISECOND_US); // within what it is wanted in
+        gateway.advance(1700 * MILLISECOND_US); // within the request's latency objective
         assertEquals("easy", gateway.engineOf(first));
     }
 
-    /** Other gateways see the same engine lightly loaded: each fills it at its share of the capacity left. */
+    /** Other gateways see the same engine as lightly loaded, so each may use only its share of the spare capacity. */
     @Test
     void aLightlyLoadedEngineIsFilledAtARate() {
         int atOnce = 0;
         for (int i = 0; i < 30; i++) {
-            TestGateway gateway = site(i, 14, "busy", "easy");
-            reports(gateway, "busy", 1, 60, 1);
-            reports(gateway, "easy", 0.3, 0, 0.2);
+            TestGateway gateway = createGateway(i, 14, "busy", "easy");
+            receiveReport(gateway, "busy", 1, 60, 1);
+            receiveReport(gateway, "easy", 0.3, 0, 0.2);
             gateway.advance(100 * MILLISECOND_US);
             for (int k = 0; k < 3; k++) {
                 String id = gateway.receive(1);
                 atOnce += "easy".equals(gateway.engineOf(id)) ? 1 : 0;
             }
         }
-        assertTrue(atOnce <= 45, "sent at once " + atOnce + " of 90"); // one that has nothing out sends one in any case
+        // a gateway without queries in flight always sends one
+        assertTrue(atOnce <= 45, "sent at once " + atOnce + " of 90");
     }
 
     @Test
     void queriesThatWaitForMemoryCountAsLoad() {
-        int waiting = 0;
+        int sentToQueueing = 0;
         for (int i = 0; i < 60; i++) {
-            TestGateway gateway = site(i, 14, "free", "line");
-            reports(gateway, "free", 0.85, 0, 0.5);
-            reports(gateway, "line", 0.85, 9, 0.5);
-            waiting += "line".equals(gateway.engineOf(gateway.receive(0))) ? 1 : 0;
+            TestGateway gateway = createGateway(i, 14, "free", "line");
+            receiveReport(gateway, "free", 0.85, 0, 0.5);
+            receiveReport(gateway, "line", 0.85, 9, 0.5);
+            sentToQueueing += "line".equals(gateway.engineOf(gateway.receive(0))) ? 1 : 0;
         }
-        assertTrue(waiting <= 25, "sent " + waiting + " of 60"); // one in four: both draws fall on it
+        // expected: one in four, where both random choices are this engine
+        assertTrue(sentToQueueing <= 25, "sent " + sentToQueueing + " of 60");
     }
 
     private static boolean laterSendIsTrial(AttemptResult first) {
-        TestGateway gateway = site(2, "e0");
+        TestGateway gateway = createGateway(2, "e0");
         gateway.answer(gateway.receive(0), first);
         gateway.advance(30 * SECOND_US);
         gateway.receive(0);
@@ -152,48 +159,54 @@
         return sends.get(sends.size() - 1).trial();
     }
 
-    /** Guards the socket side: a connection from before may lead to a machine that is cut off; errors prove none is. */
+    /**
+     * A pooled connection may lead to a machine that is cut off, so the dispatcher must open a new one. An
+     * engine that answers with errors is reachable.
+     */
     @Test
     void anAttemptIsMarkedAsTrialWhereTheEngineMayBeUnreachable() {
         assertTrue(laterSendIsTrial(AttemptResult.CONNECT_FAILED));
         assertFalse(laterSendIsTrial(AttemptResult.ERROR));
     }
 
-    /** The front gives some gateways more than an equal share: while latencies are near the best, none is queued. */
+    /**
+     * The front end may give some gateways more than an equal share of the traffic: while latencies are near
+     * the best ones, no request is queued.
+     */
     @Test
     void twiceAnEqualShareIsNotLimitedWhileAnswersAreFast() {
         String[] engines = new String[30];
         for (int i = 0; i < engines.length; i++) {
             engines[i] = "e" + i;
         }
-        TestGateway gateway = site(14, engines);
-        ArrayDeque<String> out = new ArrayDeque<>();
-        int held = 0;
-        for (int turn = 0; turn < 600; turn++) { // a query every 50 ms, each runs for 0.65 s
+        TestGateway gateway = createGateway(14, engines);
+        ArrayDeque<String> open = new ArrayDeque<>();
+        int queued = 0;
+        for (int i = 0; i < 600; i++) { // a query every 50 ms, each runs for 0.65 s
             String id = gateway.receive(1);
-            out.add(id);
-            held += turn >= 400 && gateway.attempts(id) == 0 ? 1 : 0;
+            open.add(id);
+            queued += i >= 400 && gateway.attempts(id) == 0 ? 1 : 0;
             gateway.advance(50 * MILLISECOND_US);
-            if (out.size() > 13) {
-                String oldest = out.poll();
+            if (open.size() > 13) {
+                String oldest = open.poll();
                 if (gateway.attempts(oldest) > 0) {
                     gateway.answer(oldest, AttemptResult.OK, new double[] {0.8, 0, 0.5});
                 }
             }
         }
-        assertEquals(0, held);
+        assertEquals(0, queued);
     }
 
-    /** Two queries a second for each engine: earlier reports still hold, and all engines are overloaded together. */
+    /** With two queries per second and engine, earlier reports still count, and engines are overloaded as a fleet. */
     @Test
     void anOverloadIsRememberedBetweenTwoReports() {
-        TestGateway gateway = site(14, "e0", "e1", "e2", "e3");
-        ArrayDeque<String> out = new ArrayDeque<>();
-        for (int turn = 0; turn < 150; turn++) {
-            out.add(gateway.receive(1));
+        TestGateway gateway = createGateway(14, "e0", "e1", "e2", "e3");
+        ArrayDeque<String> open = new ArrayDeque<>();
+        for (int i = 0; i < 150; i++) {
+            open.add(gateway.receive(1));
             gateway.advance(100 * MILLISECOND_US);
-            if (out.size() > 3) {
-                String oldest = out.poll();
+            if (open.size() > 3) {
+                String oldest = open.poll();
                 if (gateway.attempts(oldest) > 0) {
                     gateway.answer(oldest, AttemptResult.OK, new double[] {0.95, 0, 0.5});
                 }
--- a/gateway/src/test/java/sandpaddle/decision/TestGateway.java
+++ b/gateway/src/test/java/sandpaddle/decision/TestGateway.java
@@ -31,7 +31,7 @@
 import sandpaddle.decision.settings.RequestClass;
 import sandpaddle.decision.settings.ServiceCosts;
 
-/** A gateway under test with its settings, its clock and the rule checker; tests play the engines. */
+/** A decision module under test with its settings, a virtual clock and a {@link RuleChecker}; tests act as engines. */
 final class TestGateway {
     static final long SECOND_US = 1_000_000;
     static final long MILLISECOND_US = 1_000;
@@ -132,7 +132,7 @@
     final List<Action> log = new ArrayList<>();
     private final TreeMap<Long, List<Runnable>> timers = new TreeMap<>();
     private final List<SendAttempt> sends = new ArrayList<>();
-    private final Map<String, Long> sentAt = new HashMap<>();
+    private final Map<String, Long> sentAtUs = new HashMap<>();
     private final Map<String, Integer> classOf = new HashMap<>();
     long nowUs = 1000 * SECOND_US;
     private int nextId;
@@ -151,8 +151,8 @@
         return engine(id, 0, 0, 0, EngineStatus.UP, 0);
     }
 
-    static EngineEntry engine(String id, int zone, int kind, int cell, EngineStatus status, long started) {
-        return new EngineEntry(id, zone, kind, cell, status, 1, started);
+    static EngineEntry engine(String id, int zone, int kind, int cell, EngineStatus status, long startedUs) {
+        return new EngineEntry(id, zone, kind, cell, status, 1, startedUs);
     }
 
     TestGateway receiveList(EngineListKind kind, EngineEntry... entries) {
@@ -167,53 +167,55 @@
             rules.action(nowUs, a);
             actions.add(a);
             if (a instanceof ScheduleTimer t) {
-                at(t.atUs(), () -> handle(new TimerFired(t.token())));
+                schedule(t.atUs(), () -> handle(new TimerFired(t.token())));
             } else if (a instanceof SendAttempt send) {
                 sends.add(send);
-                sentAt.put(send.id(), nowUs);
+                sentAtUs.put(send.id(), nowUs);
                 int attempt = attempts(send.id()) - 1;
-                at(nowUs + send.timeoutUs(), () -> expire(send, attempt));
+                schedule(nowUs + send.timeoutUs(), () -> expire(send, attempt));
             }
         });
         log.addAll(actions);
         return actions;
     }
 
-    private void at(long us, Runnable what) {
-        timers.computeIfAbsent(us, k -> new ArrayList<>()).add(what);
+    private void schedule(long atUs, Runnable task) {
+        timers.computeIfAbsent(atUs, k -> new ArrayList<>()).add(task);
     }
 
-    /** Lets time pass, with the timers that fall due. */
-    TestGateway advance(long us) {
-        long until = nowUs + us;
-        while (!timers.isEmpty() && timers.firstKey() <= until) {
+    /** Advances the clock, and fires the timers that are due. */
+    TestGateway advance(long durationUs) {
+        long untilUs = nowUs + durationUs;
+        while (!timers.isEmpty() && timers.firstKey() <= untilUs) {
             nowUs = Math.max(nowUs, timers.firstKey());
             timers.pollFirstEntry().getValue().forEach(Runnable::run);
         }
-        nowUs = until;
+        nowUs = untilUs;
         return this;
     }
 
-    String receive(int cls) {
-        return receive(cls, null, -1);
+    String receive(int classIndex) {
+        return receive(classIndex, null, -1);
     }
 
-    String receive(int cls, String key, long group) {
+    String receive(int classIndex, String key, long dataGroup) {
         String id = "r" + nextId++;
-        classOf.put(id, cls);
-        handle(new RequestReceived(id, cls, key, settings.classes().get(cls).deadlineUs(), 0, 0, group, false));
+        classOf.put(id, classIndex);
+        handle(new RequestReceived(
+                id, classIndex, key, settings.classes().get(classIndex).deadlineUs(), 0, 0, dataGroup, false));
         return id;
     }
 
-    /** Receives a request with an estimate of its memory. */
-    String receiveWithMemory(int cls, double memoryMb) {
+    /** Receives a request with an estimate of its memory (MB). */
+    String receiveWithMemory(int classIndex, double memoryMb) {
         String id = "r" + nextId++;
-        classOf.put(id, cls);
-        handle(new RequestReceived(id, cls, null, settings.classes().get(cls).deadlineUs(), 0, memoryMb, -1, false));
+        classOf.put(id, classIndex);
+        handle(new RequestReceived(
+                id, classIndex, null, settings.classes().get(classIndex).deadlineUs(), 0, memoryMb, -1, false));
         return id;
     }
 
-    /** The engine that a request's latest attempt went to; null if it was not sent. */
+    /** Returns the engine of a request's latest attempt, or null if none was sent. */
     String engineOf(String id) {
         return sends.stream()
                 .filter(x -> x.id().equals(id))
@@ -226,9 +228,9 @@
         return classOf.get(id);
     }
 
-    /** When its latest attempt was sent. */
-    long sentAt(String id) {
-        return sentAt.get(id);
+    /** Returns when a request's latest attempt was sent (us). */
+    long sentAtUs(String id) {
+        return sentAtUs.get(id);
     }
 
     int attempts(String id) {
@@ -247,9 +249,9 @@
         return answer(id, result, null);
     }
 
-    List<Action> answer(String id, AttemptResult result, double[] load) {
+    List<Action> answer(String id, AttemptResult result, double[] loadReport) {
         return handle(new AttemptEnded(
-                id, attempts(id) - 1, engineOf(id), result, result == AttemptResult.OK, 0, 0, 0, load));
+                id, attempts(id) - 1, engineOf(id), result, result == AttemptResult.OK, 0, 0, 0, loadReport));
     }
 
     boolean isRejected(String id) {
--- a/gateway/src/test/java/sandpaddle/decision/UnusualSettingsTest.java
+++ b/gateway/src/test/java/sandpaddle/decision/UnusualSettingsTest.java
@@ -40,14 +40,16 @@
 import sandpaddle.overload.OverloadSettings;
 
 /**
- * Every number of the settings in turn takes every odd value that JSON can hold, or is absent. The start must come
- * about unless no reading can serve, and then a drawn day must pass: no exception, an answer for each request in time,
- * and no figure in an action that is not one.
+ * Replaces each number of the settings in turn by unusual values that JSON permits, and by null. The settings must be
+ * accepted unless no default can replace the value, and a random workload must then succeed: no exception, an answer
+ * for each request in time, and only finite numbers in actions.
  */
 class UnusualSettingsTest {
-    private static final long DAY_US = 400_000;
-    private static final long PATIENCE_US = 6_000_000; // of the day's requests
-    private static final List<String> ODD = List.of(
+    private static final long LENGTH_US = 400_000;
+    /** Time until the deadline of a request of the workload. */
+    private static final long EXPIRES_IN_US = 6_000_000;
+
+    private static final List<String> UNUSUAL_VALUES = List.of(
             "null",
             "0",
             "-1",
@@ -61,8 +63,8 @@
             "-9223372036854775808",
             "4294967296",
             "99999999999999999999");
-    /** Numbers that the platform always states and that have no default: the start may fail without them. */
-    private static final Set<String> NEEDED = Set.of(
+    /** Numbers that the platform always states and that have no default: settings without them may be refused. */
+    private static final Set<String> REQUIRED = Set.of(
             "balancers",
             "me",
             "hard_limit_us",
@@ -74,13 +76,13 @@
             "cold_us",
             "tip_multiple",
             "fall_us");
-    /** Of these a fraction, or nothing above 0, may stop it too. */
-    private static final Set<String> COUNTS = Set.of("balancers", "me", "max_attempts", "most_held");
+    /** Integers: a fraction may be refused too. */
+    private static final Set<String> INTEGERS = Set.of("balancers", "me", "max_attempts", "most_held");
 
-    /** The settings with a number replaced, as the platform would write them; {@code place}: its rank among all. */
-    private static String with(String text, int place, String odd) {
+    /** Returns the text of the settings with the number at an index among all numbers replaced. */
+    private static String replaceNumber(String text, int index, String value) {
         List<int[]> numbers = numbers(text);
-        return text.substring(0, numbers.get(place)[0]) + odd + text.substring(numbers.get(place)[1]);
+        return text.substring(0, numbers.get(index)[0]) + value + text.substring(numbers.get(index)[1]);
     }
 
     private static List<int[]> numbers(String text) {
@@ -102,63 +104,63 @@
                 JsonObject.parse(text.getBytes(StandardCharsets.UTF_8), "settings."), new ArrayList<>());
     }
 
-    static String site() throws Exception {
+    static String settingsText() throws Exception {
         String text = Files.readString(Path.of("gateway/src/test/resources/settings-full.json"));
         assertTrue(numbers(text).size() > 50, "numbers " + numbers(text).size());
         return text;
     }
 
     @Test
-    void extremeNumbersInSettingsCauseNoFault() throws Exception {
-        String text = site();
+    void unusualNumbersInSettingsCauseNoFault() throws Exception {
+        String text = settingsText();
         List<String> faults = new ArrayList<>();
-        Set<DecisionSettings> played = new HashSet<>(); // many are read alike
+        Set<DecisionSettings> accepted = new HashSet<>(); // many values give the same settings
         for (int n = 0; n < numbers(text).size(); n++) {
             String key = keyBefore(text, numbers(text).get(n)[0]);
-            for (String odd : ODD) {
+            for (String value : UNUSUAL_VALUES) {
                 DecisionSettings s;
                 try {
-                    s = read(with(text, n, odd));
-                } catch (InvalidFieldException | IllegalArgumentException refused) {
-                    if (!mayRefuse(key, odd) || !refused.getMessage().contains(key)) {
-                        faults.add(key + " = " + odd + ": " + refused);
+                    s = read(replaceNumber(text, n, value));
+                } catch (InvalidFieldException | IllegalArgumentException e) {
+                    if (!mayBeRefused(key, value) || !e.getMessage().contains(key)) {
+                        faults.add(key + " = " + value + ": " + e);
                     }
                     continue;
                 }
-                if (!played.add(s)) {
+                if (!accepted.add(s)) {
                     continue;
                 }
                 try {
-                    restarted(s);
-                    play(s);
-                    storm(s);
+                    runWithRestartedFleet(s);
+                    runWorkload(s);
+                    runOverloadController(s);
                 } catch (RuntimeException | AssertionError e) {
-                    faults.add(key + " = " + odd + ": " + e);
+                    faults.add(key + " = " + value + ": " + e);
                 }
             }
         }
         assertTrue(faults.isEmpty(), faults.size() + " faults\n" + String.join("\n", faults));
-        assertTrue(played.size() > 100, "played " + played.size());
+        assertTrue(accepted.size() > 100, "accepted " + accepted.size());
     }
 
-    private static boolean mayRefuse(String key, String odd) {
-        return odd.equals("null") && NEEDED.contains(key)
-                || key.equals("hard_limit_us") && (odd.startsWith("-") || Double.parseDouble(odd) < 1)
-                || COUNTS.contains(key) && (odd.equals("0.5") || odd.equals("1e-300"));
+    private static boolean mayBeRefused(String key, String value) {
+        return value.equals("null") && REQUIRED.contains(key)
+                || key.equals("hard_limit_us") && (value.startsWith("-") || Double.parseDouble(value) < 1)
+                || INTEGERS.contains(key) && (value.equals("0.5") || value.equals("1e-300"));
     }
 
-    /** A drawn day, watched: what is taken has one answer no later than its client waits. */
-    private static void play(DecisionSettings s) {
+    /** Runs a random workload, and checks that each request has one answer before its deadline. */
+    private static void runWorkload(DecisionSettings s) {
         Map<String, Long> open = new HashMap<>();
-        Map<String, Long> out = new HashMap<>();
+        Map<String, Long> inFlight = new HashMap<>();
         DefaultDecisionModule module = new DefaultDecisionModule(s, 5);
         long[] last = new long[1];
-        new DrawnDay(5, s, any -> (now, event, actions) -> {
+        new RandomWorkload(5, s, unused -> (now, event, actions) -> {
                     last[0] = now;
                     if (event instanceof RequestReceived r) {
                         open.put(r.id(), now);
                     } else if (event instanceof AttemptEnded o) {
-                        out.remove(o.id());
+                        inFlight.remove(o.id());
                         if (o.settled()) {
                             open.remove(o.id());
                         }
@@ -167,12 +169,12 @@
                     }
                     module.handle(now, event, a -> {
                         if (a instanceof SendAttempt send) {
-                            out.put(send.id(), now);
-                            check(send.timeoutUs() >= 0 && send.timeoutUs() <= PATIENCE_US, a);
+                            inFlight.put(send.id(), now);
+                            check(send.timeoutUs() >= 0 && send.timeoutUs() <= EXPIRES_IN_US, a);
                         } else if (a instanceof SetAttemptOptions t) {
                             check(Double.isFinite(t.memoryMb()) && t.memoryMb() >= 0, a);
                         } else if (a instanceof ScheduleTimer t) {
-                            check(t.atUs() > now && t.atUs() <= now + DAY_US, a);
+                            check(t.atUs() > now && t.atUs() <= now + LENGTH_US, a);
                         } else if (a instanceof RejectRequest r) {
                             check(r.retryAfterUs() >= 0, a);
                             check(open.remove(r.id()) != null, a);
@@ -182,32 +184,32 @@
                         actions.accept(a);
                     });
                 })
-                .play(DAY_US);
-        // what waits for an engine is answered by the sweeps, though nothing else comes
-        Set<String> waiting = new HashSet<>(open.keySet());
-        waiting.removeAll(out.keySet());
+                .run(LENGTH_US);
+        // queued requests are answered by the sweeps alone, without further events
+        Set<String> queued = new HashSet<>(open.keySet());
+        queued.removeAll(inFlight.keySet());
         for (long now = last[0];
-                !waiting.isEmpty() && now <= last[0] + PATIENCE_US + DAY_US;
+                !queued.isEmpty() && now <= last[0] + EXPIRES_IN_US + LENGTH_US;
                 now += Sweep.INTERVAL_US) {
             module.handle(now, new TimerFired("sweep"), a -> {
                 if (a instanceof RejectRequest r) {
-                    waiting.remove(r.id());
+                    queued.remove(r.id());
                 } else if (a instanceof FailRequest f) {
-                    waiting.remove(f.id());
+                    queued.remove(f.id());
                 } else if (a instanceof SendAttempt send) {
-                    waiting.remove(send.id());
+                    queued.remove(send.id());
                 }
             });
         }
-        check(waiting.isEmpty(), waiting);
+        check(queued.isEmpty(), queued);
     }
 
     /**
-     * Nobody is listed at first: what its clients wait for long enough must wait too, whatever sums of times come to.
-     * Then the whole fleet has just started, with nothing to compare its loads by but the capacity of engines that warm
-     * up.
+     * Runs without engines at first: requests with a long enough latency objective must be queued, even where sums of
+     * times overflow. Then the whole fleet has just started, so that loads are scaled by the capacity of engines that
+     * are warming up.
      */
-    private static void restarted(DecisionSettings s) {
+    private static void runWithRestartedFleet(DecisionSettings s) {
         DefaultDecisionModule module = new DefaultDecisionModule(s, 5);
         long now = 1_000_000_000;
         List<SendAttempt> sent = new ArrayList<>();
@@ -217,7 +219,7 @@
             long at = now;
             List<SendAttempt> before = List.copyOf(sent);
             sent.clear();
-            Consumer<Action> acts = a -> {
+            Consumer<Action> receiver = a -> {
                 if (a instanceof SendAttempt send) {
                     check(at + send.timeoutUs() > at, send);
                     sent.add(send);
@@ -225,12 +227,12 @@
                     ended.add(r.id());
                 }
             };
-            module.handle(now, new TimerFired("sweep"), acts);
+            module.handle(now, new TimerFired("sweep"), receiver);
             before.forEach(b -> module.handle(
                     at,
                     new AttemptEnded(
                             b.id(), 0, b.engine(), AttemptResult.OK, true, 20_000, 0, 0, new double[] {0.5, 0, 0.5}),
-                    acts));
+                    receiver));
             if (sweep == 4) {
                 long started = now;
                 module.handle(
@@ -241,22 +243,22 @@
                                         .mapToObj(
                                                 i -> new EngineEntry("e" + i, i, i % 2, 0, EngineStatus.UP, 1, started))
                                         .toList()),
-                        acts);
+                        receiver);
             }
             for (int c = 0; c < s.classes().size(); c++) {
                 String id = c + "-" + requests++;
-                module.handle(now, new RequestReceived(id, c, null, PATIENCE_US, 20_000, 10, -1, false), acts);
+                module.handle(now, new RequestReceived(id, c, null, EXPIRES_IN_US, 20_000, 10, -1, false), receiver);
                 check(
                         s.classes().get(c).latencyObjectiveUs() < 500_000 || !ended.contains(id),
-                        "refused at once: " + id);
+                        "rejected immediately: " + id);
             }
         }
     }
 
-    /** The door of the retry storms, a tenth of a second at a time: no exception, and pauses in bounds. */
-    private static void storm(DecisionSettings s) {
-        OverloadController storm = new OverloadController(s, OverloadSettings.OFF, 3, 0);
-        storm.endpointListReceived(
+    /** Runs the overload controller under the settings: no exception, and Retry-After values within bounds. */
+    private static void runOverloadController(DecisionSettings s) {
+        OverloadController controller = new OverloadController(s, OverloadSettings.OFF, 3, 0);
+        controller.endpointListReceived(
                 0,
                 EngineListKind.FULL,
                 List.of(
@@ -266,15 +268,15 @@
             long now = tick * OverloadController.TICK_INTERVAL_US;
             for (int i = 0; i < 6; i++) {
                 OverloadController.TrackedQuery a =
-                        storm.queryArrived(now, i, i % s.classes().size(), i * 10_000);
-                long pause = storm.queryEnded(now, a, OverloadController.Outcome.REJECTED, 0);
-                check(pause >= 0 && pause <= 61_000_000, pause);
+                        controller.queryArrived(now, i, i % s.classes().size(), i * 10_000);
+                long retryAfterUs = controller.queryEnded(now, a, OverloadController.Outcome.REJECTED, 0);
+                check(retryAfterUs >= 0 && retryAfterUs <= 61_000_000, retryAfterUs);
             }
-            storm.tick(now);
+            controller.tick(now);
             check(
-                    storm.retryAfterWhenFull(now) >= 0
-                            && Double.isFinite(storm.stats(now).admittedWorkUsPerS()),
-                    storm.stats(now));
+                    controller.retryAfterWhenFull(now) >= 0
+                            && Double.isFinite(controller.stats(now).admittedWorkUsPerS()),
+                    controller.stats(now));
         }
     }
 
--- a/gateway/src/test/java/sandpaddle/simulator/RecordedWireTest.java
+++ b/gateway/src/test/java/sandpaddle/simulator/RecordedWireTest.java
@@ -7,12 +7,13 @@
 import sandpaddle.recorded.RecordedFile;
 
 /**
- * The adapter's whole output on a recorded input: two gateways, each event and each outcome of the simulator's wire.
- * The input was made from drawn days by the decision module's test rig.
+ * Compares the adapter's output for a recorded input with the recorded output. The input has two gateways and covers
+ * each event and each outcome of the simulator's protocol; it was generated from random workloads of the decision
+ * module.
  */
 class RecordedWireTest {
     @Test
-    void linesAreThoseOnRecord() throws Exception {
+    void outputEqualsTheRecordedOne() throws Exception {
         String input = String.join("\n", new RecordedFile("wire-input.txt").lines()) + "\n";
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output).run();
--- a/gateway/src/test/java/sandpaddle/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/sandpaddle/simulator/SimulatorAdapterTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.config.JsonObject;
 
+/** Tests the simulator's protocol with single lines of input. */
 class SimulatorAdapterTest {
     private static final String SYNC = "{\"sync\":{\"ts_us\":5000000,\"batch\":1}}\n";
     private static final String END = "{\"end\":{}}\n";
@@ -36,7 +37,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String fault(String input) {
+    private static String errorMessage(String input) {
         return assertThrows(SimulatorProtocolException.class, () -> run(input)).getMessage();
     }
 
@@ -52,7 +53,7 @@
         assertTrue(out.strip().endsWith("{\"ok\":{\"batch\":1}}"), out);
     }
 
-    /** A report without values would stand for an idle engine. */
+    /** An empty report must not be taken for the report of an idle engine. */
     @Test
     void anEmptyReportCountsAsNone() throws Exception {
         String end = "{\"report_back\":{\"who\":\"dispatcher-0\",\"msg_id\":\"q\",\"settled\":true,\"node\":\"n\","
@@ -66,19 +67,19 @@
     }
 
     @Test
-    void namesWhatIsWrongWithItsInput() {
-        assertTrue(fault(SYNC + "{\"order\":\n").contains("malformed JSON"));
-        assertEquals("line 2, event 'order': unknown instance 'dispatcher-0'", fault(SYNC + ORDER));
-        assertEquals("line 3, event 'endpoints': list 3 was not declared", fault(SYNC + CONFIGURE + LIST));
-        assertEquals("line 2, event 'novel': unknown event", fault(SYNC + "{\"novel\":{\"who\":\"x\"}}\n"));
-        assertEquals("line 1, event 'sync': field 'batch' is missing", fault("{\"sync\":{\"ts_us\":1}}\n"));
+    void errorsStateLineEventAndProblem() {
+        assertTrue(errorMessage(SYNC + "{\"order\":\n").contains("malformed JSON"));
+        assertEquals("line 2, event 'order': unknown instance 'dispatcher-0'", errorMessage(SYNC + ORDER));
+        assertEquals("line 3, event 'endpoints': list 3 was not declared", errorMessage(SYNC + CONFIGURE + LIST));
+        assertEquals("line 2, event 'novel': unknown event", errorMessage(SYNC + "{\"novel\":{\"who\":\"x\"}}\n"));
+        assertEquals("line 1, event 'sync': field 'batch' is missing", errorMessage("{\"sync\":{\"ts_us\":1}}\n"));
         assertEquals(
                 "line 1, event 'sync': field 'ts_us' has the wrong type",
-                fault("{\"sync\":{\"ts_us\":\"a\",\"batch\":1}}\n"));
-        assertTrue(fault(SYNC + CONFIGURE + POOL + LIST + ORDER.replace("\"priority\":0", "\"priority\":9"))
+                errorMessage("{\"sync\":{\"ts_us\":\"a\",\"batch\":1}}\n"));
+        assertTrue(errorMessage(SYNC + CONFIGURE + POOL + LIST + ORDER.replace("\"priority\":0", "\"priority\":9"))
                 .startsWith("line 5, event 'order': cannot be handled"));
         assertEquals(
                 "line 2, event 'configure': field 'boot_info.classes[0].hard_limit_us' is not above 0",
-                fault(SYNC + CONFIGURE.replace("\"hard_limit_us\":4000000", "\"hard_limit_us\":0")));
+                errorMessage(SYNC + CONFIGURE.replace("\"hard_limit_us\":4000000", "\"hard_limit_us\":0")));
     }
 }
