--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -25,7 +25,7 @@
 class StaticStateTest {
     /** Fields of a mutable type, with the reason why they hold no state of a gateway. */
     private static final Map<String, String> EXCEPTIONS = Map.ofEntries(
-            Map.entry("decision.loadview.LoadView.RESOURCE_SHARES", "private, only checked for containing a value"),
+            Map.entry("decision.loadview.LoadView.UTILIZATION_FIELDS", "private, only checked for containing a value"),
             Map.entry("codec.HttpWriter.LAST_CHUNK", "private, only copied from"),
             Map.entry("codec.ContentEncoder.GZIP_HEAD", "private, only copied from"),
             Map.entry("fleet.link.queue.SendQueue.MAX_PERCENT_BY_URGENCY", "private, only read by place"),
