--- a/gateway/src/main/java/sandpaddle/codec/ContentDecoder.java
+++ b/gateway/src/main/java/sandpaddle/codec/ContentDecoder.java
@@ -7,18 +7,21 @@
 import java.util.zip.Inflater;
 
 /**
- * Undoes gzip or deflate as bytes come. Guards memory against bombs: it stops where more comes out than is allowed,
- * before
- * that is kept. A gzip body may have several members. Ends must be proper: what broke off is told from what is whole.
+ * Streaming decoder of the content codings gzip (RFC 1952) and deflate (zlib format, RFC 1950). Guards memory against
+ * decompression bombs: it fails before output beyond the limit is appended. A gzip body may have several members. A
+ * truncated body is detected by {@link #finish}.
  */
 public final class ContentDecoder implements AutoCloseable {
-    /** The content codings that are understood. */
+    /** The supported content codings. */
     public enum Coding {
+        /** One or more gzip members. */
         GZIP,
+        /** One zlib stream. */
         DEFLATE
     }
 
-    private enum At {
+    /** Part of a gzip member that the next byte belongs to; a deflate body is in {@link #DATA} throughout. */
+    private enum State {
         HEADER,
         EXTRA_LENGTH,
         EXTRA,
@@ -30,164 +33,186 @@
         MEMBER_END
     }
 
-    private static final int TOO_LARGE = 413;
-    private static final int GZIP_HEADER = 10;
+    private static final int STATUS_PAYLOAD_TOO_LARGE = 413;
+    private static final int GZIP_HEADER_BYTES = 10;
     private static final int FLAG_CRC = 2;
     private static final int FLAG_EXTRA = 4;
     private static final int FLAG_NAME = 8;
     private static final int FLAG_COMMENT = 16;
-    private static final int DEFLATED = 8;
-    private static final int OUT = 8 * 1024;
+    private static final int METHOD_DEFLATE = 8;
+    private static final int GZIP_TRAILER_BYTES = 8;
+    private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
 
     private final Coding coding;
-    private final long most;
+    private final long maxOutputBytes;
     private final CRC32 crc = new CRC32();
-    private final byte[] held = new byte[GZIP_HEADER]; // of a header or trailer that is coming
-    private final byte[] out = new byte[OUT];
+    private final byte[] frame = new byte[GZIP_HEADER_BYTES]; // header or trailer received so far
+    private final byte[] outputBuffer = new byte[OUTPUT_BUFFER_BYTES];
     private Inflater inflater;
-    private At at;
-    private int have, flags, extra;
-    private long total, memberTotal;
-
-    /** {@code most}: bytes that may come out in all. */
-    public ContentDecoder(Coding coding, long most) {
+    private State state;
+    private int fieldBytes, flags, extraLength; // fieldBytes: bytes received in this state
+    private long totalBytes, memberBytes;
+
+    /**
+     * Creates a decoder of one body.
+     *
+     * @param coding the content coding
+     * @param maxOutputBytes limit on the decoded body
+     */
+    public ContentDecoder(Coding coding, long maxOutputBytes) {
         this.coding = coding;
-        this.most = most;
+        this.maxOutputBytes = maxOutputBytes;
         inflater = new Inflater(coding == Coding.GZIP);
-        at = coding == Coding.GZIP ? At.HEADER : At.DATA;
+        state = coding == Coding.GZIP ? State.HEADER : State.DATA;
     }
 
-    /** Undoes a part; what comes out is appended to {@code to}. */
-    public void decode(ByteBuffer in, ByteArrayOutputStream to) throws MalformedHttpException {
-        while (in.hasRemaining()) {
-            if (at == At.DATA) {
-                data(in, to);
+    /**
+     * Decodes a part of the body.
+     *
+     * @param input the part; consumed completely
+     * @param output receives the decoded bytes
+     * @throws MalformedHttpException if the body is malformed or exceeds the limit
+     */
+    public void decode(ByteBuffer input, ByteArrayOutputStream output) throws MalformedHttpException {
+        while (input.hasRemaining()) {
+            if (state == State.DATA) {
+                inflate(input, output);
             } else {
-                framing(in.get() & 0xFF);
+                decodeFraming(input.get() & 0xFF);
             }
         }
     }
 
-    /** The input has ended: throws where that was too early. */
+    /**
+     * Checks that the body is complete; call it after the last part.
+     *
+     * @throws MalformedHttpException if the body is truncated
+     */
     public void finish() throws MalformedHttpException {
-        if (coding == Coding.GZIP ? at != At.MEMBER_END : !inflater.finished()) {
-            throw new MalformedHttpException("a compressed body that breaks off");
+        if (coding == Coding.GZIP ? state != State.MEMBER_END : !inflater.finished()) {
+            throw new MalformedHttpException("compressed body is truncated");
         }
     }
 
-    private void data(ByteBuffer in, ByteArrayOutputStream to) throws MalformedHttpException {
-        if (inflater.finished()) { // deflate only: gzip has left this state
-            throw new MalformedHttpException("more after the end of a compressed body");
+    private void inflate(ByteBuffer input, ByteArrayOutputStream output) throws MalformedHttpException {
+        if (inflater.finished()) { // only for deflate: gzip leaves this state at the end of a member
+            throw new MalformedHttpException("data after the end of a deflate body");
         }
-        inflater.setInput(in);
+        inflater.setInput(input);
         try {
-            int n = inflater.inflate(out);
-            while (n > 0) {
-                total += n;
-                memberTotal += n;
-                if (total > most) {
-                    throw new MalformedHttpException(TOO_LARGE, "a body that inflates to more than " + most + " bytes");
+            int count = inflater.inflate(outputBuffer);
+            while (count > 0) {
+                totalBytes += count;
+                memberBytes += count;
+                if (totalBytes > maxOutputBytes) {
+                    throw new MalformedHttpException(
+                            STATUS_PAYLOAD_TOO_LARGE,
+                            "decompressed body exceeds the limit of " + maxOutputBytes + " bytes");
                 }
-                crc.update(out, 0, n);
-                to.write(out, 0, n);
-                n = inflater.inflate(out);
+                crc.update(outputBuffer, 0, count);
+                output.write(outputBuffer, 0, count);
+                count = inflater.inflate(outputBuffer);
             }
         } catch (DataFormatException e) {
-            throw new MalformedHttpException("a compressed body that cannot be read: " + e.getMessage());
+            throw new MalformedHttpException("invalid compressed data: " + e.getMessage());
         }
         if (inflater.needsDictionary()) {
-            throw new MalformedHttpException("a compressed body that needs a dictionary");
+            throw new MalformedHttpException("compressed body requires a preset dictionary");
         }
         if (inflater.finished() && coding == Coding.GZIP) {
-            next(At.TRAILER);
+            enter(State.TRAILER);
         }
     }
 
-    private void next(At state) {
-        at = state;
-        have = 0;
+    private void enter(State next) {
+        state = next;
+        fieldBytes = 0;
     }
 
-    private void framing(int b) throws MalformedHttpException {
-        switch (at) {
+    private void decodeFraming(int next) throws MalformedHttpException {
+        switch (state) {
             case HEADER -> {
-                held[have++] = (byte) b;
-                if (have == GZIP_HEADER) {
-                    header();
+                frame[fieldBytes++] = (byte) next;
+                if (fieldBytes == GZIP_HEADER_BYTES) {
+                    checkHeader();
                 }
             }
             case EXTRA_LENGTH -> {
-                extra |= b << 8 * have++;
-                if (have == 2) {
-                    next(extra > 0 ? At.EXTRA : afterExtra());
+                extraLength |= next << 8 * fieldBytes++;
+                if (fieldBytes == 2) {
+                    enter(extraLength > 0 ? State.EXTRA : afterExtra());
                 }
             }
             case EXTRA -> {
-                if (++have == extra) {
-                    next(afterExtra());
+                if (++fieldBytes == extraLength) {
+                    enter(afterExtra());
                 }
             }
             case NAME, COMMENT -> {
-                if (b == 0) {
-                    next(at == At.NAME ? afterName() : afterComment());
+                if (next == 0) {
+                    enter(state == State.NAME ? afterName() : afterComment());
                 }
             }
             case HEADER_CRC -> {
-                if (++have == 2) {
-                    next(At.DATA);
+                if (++fieldBytes == 2) {
+                    enter(State.DATA);
                 }
             }
             case TRAILER -> {
-                held[have++] = (byte) b;
-                if (have == 8) {
-                    trailer();
+                frame[fieldBytes++] = (byte) next;
+                if (fieldBytes == GZIP_TRAILER_BYTES) {
+                    checkTrailer();
                 }
             }
             case MEMBER_END -> {
                 inflater.end();
                 inflater = new Inflater(true);
                 crc.reset();
-                memberTotal = 0;
-                next(At.HEADER);
-                framing(b);
+                memberBytes = 0;
+                enter(State.HEADER);
+                decodeFraming(next);
             }
-            default -> throw new IllegalStateException(at.name());
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void header() throws MalformedHttpException {
-        if ((held[0] & 0xFF) != 0x1F || (held[1] & 0xFF) != 0x8B || held[2] != DEFLATED) {
-            throw new MalformedHttpException("a body that is not gzip");
+    private void checkHeader() throws MalformedHttpException {
+        if ((frame[0] & 0xFF) != 0x1F || (frame[1] & 0xFF) != 0x8B || frame[2] != METHOD_DEFLATE) {
+            throw new MalformedHttpException("invalid gzip header: expected magic 1f 8b and compression method 8");
         }
-        flags = held[3];
-        extra = 0;
-        next((flags & FLAG_EXTRA) != 0 ? At.EXTRA_LENGTH : afterExtra());
+        flags = frame[3];
+        extraLength = 0;
+        enter((flags & FLAG_EXTRA) != 0 ? State.EXTRA_LENGTH : afterExtra());
     }
 
-    private At afterExtra() {
-        return (flags & FLAG_NAME) != 0 ? At.NAME : afterName();
+    private State afterExtra() {
+        return (flags & FLAG_NAME) != 0 ? State.NAME : afterName();
     }
 
-    private At afterName() {
-        return (flags & FLAG_COMMENT) != 0 ? At.COMMENT : afterComment();
+    private State afterName() {
+        return (flags & FLAG_COMMENT) != 0 ? State.COMMENT : afterComment();
     }
 
-    private At afterComment() {
-        return (flags & FLAG_CRC) != 0 ? At.HEADER_CRC : At.DATA;
+    private State afterComment() {
+        return (flags & FLAG_CRC) != 0 ? State.HEADER_CRC : State.DATA;
     }
 
-    private void trailer() throws MalformedHttpException {
-        if (word(0) != (int) crc.getValue() || word(4) != (int) memberTotal) {
-            throw new MalformedHttpException("a compressed body whose check sum does not fit");
+    private void checkTrailer() throws MalformedHttpException {
+        if (littleEndianInt(0) != (int) crc.getValue() || littleEndianInt(4) != (int) memberBytes) {
+            throw new MalformedHttpException("CRC-32 or length in the gzip trailer does not match the data");
         }
-        next(At.MEMBER_END);
+        enter(State.MEMBER_END);
     }
 
-    private int word(int i) {
-        return held[i] & 0xFF | (held[i + 1] & 0xFF) << 8 | (held[i + 2] & 0xFF) << 16 | (held[i + 3] & 0xFF) << 24;
+    /** Reads four bytes of {@link #frame}, least significant first. */
+    private int littleEndianInt(int offset) {
+        return frame[offset] & 0xFF
+                | (frame[offset + 1] & 0xFF) << 8
+                | (frame[offset + 2] & 0xFF) << 16
+                | (frame[offset + 3] & 0xFF) << 24;
     }
 
-    /** Frees what it holds outside the heap. */
+    /** Releases the native memory of the inflater. */
     @Override
     public void close() {
         inflater.end();
--- a/gateway/src/main/java/sandpaddle/codec/ContentEncoder.java
+++ b/gateway/src/main/java/sandpaddle/codec/ContentEncoder.java
@@ -4,61 +4,75 @@
 import java.util.zip.CRC32;
 import java.util.zip.Deflater;
 
-/** Compresses a body as it is made, in gzip or deflate; each part can be read by the other side once it is flushed. */
+/**
+ * Streaming encoder of the content codings gzip (RFC 1952) and deflate (zlib format, RFC 1950). Each part is flushed,
+ * so that the receiver can decode it at once.
+ */
 public final class ContentEncoder implements AutoCloseable {
-    private static final int LEVEL = 3; // the core is shared: little is gained above
-    private static final int OUT = 8 * 1024;
-    private static final byte[] GZIP_HEAD = {0x1F, (byte) 0x8B, 8, 0, 0, 0, 0, 0, 0, (byte) 0xFF};
+    private static final int COMPRESSION_LEVEL = 3; // the CPU core is shared, and higher levels gain little
+    private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
+    private static final int GZIP_TRAILER_BYTES = 8;
+    private static final byte[] GZIP_HEADER = {0x1F, (byte) 0x8B, 8, 0, 0, 0, 0, 0, 0, (byte) 0xFF};
 
     private final boolean gzip;
     private final Deflater deflater;
     private final CRC32 crc = new CRC32();
-    private final byte[] out = new byte[OUT];
-    private long total;
-    private boolean begun;
+    private final byte[] outputBuffer = new byte[OUTPUT_BUFFER_BYTES];
+    private long inputBytes;
+    private boolean started;
 
+    /** Creates an encoder of one body. */
     public ContentEncoder(ContentDecoder.Coding coding) {
         gzip = coding == ContentDecoder.Coding.GZIP;
-        deflater = new Deflater(LEVEL, gzip);
+        deflater = new Deflater(COMPRESSION_LEVEL, gzip);
     }
 
-    /** Compresses a part and flushes it. */
+    /**
+     * Compresses a part of the body and flushes it.
+     *
+     * @param bytes starts with the part
+     * @param length of the part
+     * @return the compressed bytes
+     */
     public byte[] encode(byte[] bytes, int length) {
         crc.update(bytes, 0, length);
-        total += length;
+        inputBytes += length;
         deflater.setInput(bytes, 0, length);
         return drain(Deflater.SYNC_FLUSH);
     }
 
-    /** What ends the body. */
+    /** Ends the body and returns its last bytes: the final block and, for gzip, the trailer. */
     public byte[] finish() {
         deflater.finish();
-        byte[] last = drain(Deflater.NO_FLUSH);
+        byte[] end = drain(Deflater.NO_FLUSH);
         if (!gzip) {
-            return last;
+            return end;
         }
-        byte[] all = java.util.Arrays.copyOf(last, last.length + 8);
+        byte[] endWithTrailer = java.util.Arrays.copyOf(end, end.length + GZIP_TRAILER_BYTES);
         for (int i = 0; i < 4; i++) {
-            all[last.length + i] = (byte) (crc.getValue() >>> 8 * i);
-            all[last.length + 4 + i] = (byte) (total >>> 8 * i);
+            endWithTrailer[end.length + i] = (byte) (crc.getValue() >>> 8 * i);
+            endWithTrailer[end.length + 4 + i] = (byte) (inputBytes >>> 8 * i);
         }
-        return all;
+        return endWithTrailer;
     }
 
     private byte[] drain(int flush) {
-        ByteArrayOutputStream to = new ByteArrayOutputStream();
-        if (gzip && !begun) {
-            to.writeBytes(GZIP_HEAD);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        if (gzip && !started) {
+            output.writeBytes(GZIP_HEADER);
         }
-        begun = true;
-        int n = deflater.deflate(out, 0, OUT, flush);
-        while (n > 0) {
-            to.write(out, 0, n);
-            n = n < OUT && flush != Deflater.NO_FLUSH ? 0 : deflater.deflate(out, 0, OUT, flush);
+        started = true;
+        int count = deflater.deflate(outputBuffer, 0, OUTPUT_BUFFER_BYTES, flush);
+        while (count > 0) {
+            output.write(outputBuffer, 0, count);
+            count = count < OUTPUT_BUFFER_BYTES && flush != Deflater.NO_FLUSH
+                    ? 0
+                    : deflater.deflate(outputBuffer, 0, OUTPUT_BUFFER_BYTES, flush);
         }
-        return to.toByteArray();
+        return output.toByteArray();
     }
 
+    /** Releases the native memory of the deflater. */
     @Override
     public void close() {
         deflater.end();
--- a/gateway/src/main/java/sandpaddle/codec/HttpHeaders.java
+++ b/gateway/src/main/java/sandpaddle/codec/HttpHeaders.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
 
-/** The header fields of a message in their order; names are kept in lower case. */
+/** The header fields of a message in their order, with names in lower case. */
 public final class HttpHeaders {
     private static final Pattern NUMBER = Pattern.compile("\\d{1,18}");
 
@@ -18,45 +18,58 @@
         fields.add(new Field(name.toLowerCase(Locale.ROOT), value));
     }
 
-    /** The first value of a field, by its name in lower case; null where it is absent. */
+    /** The first value of a field, by its name in lower case; null if it is absent. */
     public String get(String name) {
-        for (Field f : fields) {
-            if (f.name.equals(name)) {
-                return f.value;
+        for (Field field : fields) {
+            if (field.name.equals(name)) {
+                return field.value;
             }
         }
         return null;
     }
 
-    public String get(String name, String otherwise) {
+    /** The first value of a field, by its name in lower case; {@code fallback} if it is absent. */
+    public String get(String name, String fallback) {
         String value = get(name);
-        return value == null ? otherwise : value;
+        return value == null ? fallback : value;
     }
 
-    /** All values of a field, in order. */
-    public List<String> all(String name) {
+    /** All values of a field, by its name in lower case, in order. */
+    public List<String> values(String name) {
         return fields.stream()
-                .filter(f -> f.name.equals(name))
+                .filter(field -> field.name.equals(name))
                 .map(Field::value)
                 .toList();
     }
 
+    /** Whether a field is present, by its name in lower case. */
     public boolean has(String name) {
         return get(name) != null;
     }
 
-    /** A field that is a whole number; {@code otherwise} where it is absent, -1 where it is none. */
-    public long number(String name, long otherwise) {
+    /**
+     * The value of an integer field.
+     *
+     * @param name name of the field in lower case
+     * @param fallback returned if the field is absent
+     * @return the value; -1 if it is not a non-negative integer of at most 18 digits
+     */
+    public long number(String name, long fallback) {
         String text = get(name);
         if (text == null) {
-            return otherwise;
+            return fallback;
         }
         return NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1;
     }
 
-    /** Whether a comma-separated field names a token, whatever its case; parameters after a semicolon do not count. */
-    public boolean containsToken(String field, String token) {
-        for (String value : all(field)) {
+    /**
+     * Whether a comma-separated list contains a token; ignores case, and parameters after a semicolon.
+     *
+     * @param name name of the field in lower case
+     * @param token the token
+     */
+    public boolean containsToken(String name, String token) {
+        for (String value : values(name)) {
             for (String part : value.split(",")) {
                 if (part.split(";", 2)[0].strip().equalsIgnoreCase(token)) {
                     return true;
@@ -66,11 +79,11 @@
         return false;
     }
 
-    /** The name of a field that must have one value and has two different ones; null where there is none. */
-    String contradiction(Predicate<String> single) {
-        for (Field f : fields) {
-            if (single.test(f.name) && !f.value.equals(get(f.name))) {
-                return f.name;
+    /** The name of a field that must be single-valued and has two different values; null if there is none. */
+    String conflictingField(Predicate<String> isSingleValued) {
+        for (Field field : fields) {
+            if (isSingleValued.test(field.name) && !field.value.equals(get(field.name))) {
+                return field.name;
             }
         }
         return null;
--- a/gateway/src/main/java/sandpaddle/codec/HttpParser.java
+++ b/gateway/src/main/java/sandpaddle/codec/HttpParser.java
@@ -8,41 +8,48 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the messages of one direction of an HTTP/1.1 connection, however their bytes are cut, for servers and clients
- * alike. Every limit is judged before anything is kept, so a parser holds at most one line. Of two readings that
- * servers
- * have been led astray by (a length beside chunks, two lengths, folded lines, blanks in names) none is accepted.
+ * Incremental parser of one direction of an HTTP/1.1 connection (RFC 9112), for servers and clients, from bytes that
+ * may be split anywhere. Limits are checked before bytes are stored, and body bytes are not buffered, so that a parser
+ * holds at most one head and one line. Ambiguous messages that allow request smuggling are rejected: Content-Length
+ * together with Transfer-Encoding, conflicting lengths, obsolete line folding, and white space in field names.
  *
  * <p>States: START, HEADERS, then BODY or CHUNK_SIZE, CHUNK, CHUNK_END and TRAILERS, and START again.
  */
 public final class HttpParser {
-    /**
-     * What is read. A request's lines must end in CR LF; a response's may end in LF alone, as some servers write it.
-     */
+    /** Kind of the messages. */
     public enum Side {
+        /** Requests, whose lines must end in CR LF. */
         REQUESTS,
+        /** Responses, whose lines may also end in LF alone, as some servers write them. */
         RESPONSES
     }
 
-    /** Bounds in bytes, and in header fields of one message. */
-    public record Limits(int line, int head, int fields, long body) {}
+    /**
+     * Limits on one message.
+     *
+     * @param maxLineBytes limit on a line
+     * @param maxHeadBytes limit on the start line and the header fields, and on the trailers
+     * @param maxFields limit on the number of header fields
+     * @param maxBodyBytes limit on the body, before content decoding
+     */
+    public record Limits(int maxLineBytes, int maxHeadBytes, int maxFields, long maxBodyBytes) {}
 
-    /** Who hears of a message, in this order. What it throws ends the connection. */
+    /** Receives the parts of a message, in the order of the methods. The connection must be closed if one throws. */
     public interface Handler {
-        /** A header field of the head that is still coming, as soon as its line is in. */
+        /** A header field was received, while the head is still incomplete. */
         default void field(String name, String value) {}
 
-        /** The head is in. Interim responses (1xx) are not told. */
+        /** The head is complete. Not called for interim responses (1xx). */
         void head(HttpHead head) throws MalformedHttpException;
 
-        /** A part of the body; valid during the call. */
+        /** A part of the body was received; {@code part} is valid during the call. */
         void body(ByteBuffer part) throws MalformedHttpException;
 
-        /** The message is whole. */
+        /** The message is complete. */
         void end() throws MalformedHttpException;
     }
 
-    private enum At {
+    private enum State {
         START,
         HEADERS,
         BODY,
@@ -54,165 +61,189 @@
 
     private static final Pattern REQUEST_LINE = Pattern.compile("([A-Z]{1,16}) ([\\x21-\\xFF]+) HTTP/1\\.([01])");
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.([01]) ([1-5]\\d\\d)( .*)?");
-    private static final Pattern NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
-    private static final Pattern LENGTH = Pattern.compile("\\d{1,15}");
-    private static final Pattern CHUNK = Pattern.compile("[0-9a-fA-F]{1,8}");
-    private static final int NO_CONTENT = 204;
-    private static final int NOT_MODIFIED = 304;
-    private static final int TOO_LARGE = 413;
-    private static final int LONG_TARGET = 414;
-    private static final int LARGE_HEAD = 431;
-    private static final int NOT_IMPLEMENTED = 501;
-    private static final int HEX = 16;
-    private static final int MOST_EMPTY_LINES = 4;
+    private static final Pattern FIELD_NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("\\d{1,15}");
+    private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,8}");
+    private static final int STATUS_NO_CONTENT = 204;
+    private static final int STATUS_NOT_MODIFIED = 304;
+    private static final int STATUS_PAYLOAD_TOO_LARGE = 413;
+    private static final int STATUS_URI_TOO_LONG = 414;
+    private static final int STATUS_HEADER_FIELDS_TOO_LARGE = 431;
+    private static final int STATUS_NOT_IMPLEMENTED = 501;
+    private static final int HEX_RADIX = 16;
+    private static final int MAX_LEADING_EMPTY_LINES = 4;
 
     private final Side side;
     private final Limits limits;
     private final Handler handler;
-    private final Predicate<String> single;
+    private final Predicate<String> isSingleValued;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
-    private At at = At.START;
+    private State state = State.START;
     private HttpHeaders headers = new HttpHeaders();
     private String method, target;
     private int status, headBytes, emptyLines;
-    private long left, bodyBytes;
-    private boolean http10, bodiless;
+    private long remainingBytes, bodyBytes;
+    private boolean http10, responseToHead;
 
-    /** Fields that settle where a message ends, or whom it is for, must not contradict each other. */
+    /**
+     * Creates a parser that rejects a message in which a field that determines its length or its host has two different
+     * values.
+     *
+     * @param side kind of the messages
+     * @param limits limits on each message
+     * @param handler receives the messages
+     */
     public HttpParser(Side side, Limits limits, Handler handler) {
         this(
                 side,
                 limits,
                 handler,
-                n -> n.equals("content-length") || n.equals("transfer-encoding") || n.equals("host"));
+                name -> name.equals("content-length") || name.equals("transfer-encoding") || name.equals("host"));
     }
 
-    /** {@code single}: the fields, in lower case, of which two different values make a message malformed. */
-    public HttpParser(Side side, Limits limits, Handler handler, Predicate<String> single) {
+    /**
+     * Creates a parser.
+     *
+     * @param side kind of the messages
+     * @param limits limits on each message
+     * @param handler receives the messages
+     * @param isSingleValued whether a field, by its name in lower case, must not have two different values
+     */
+    public HttpParser(Side side, Limits limits, Handler handler, Predicate<String> isSingleValued) {
         this.side = side;
-        this.single = single;
+        this.isSingleValued = isSingleValued;
         this.limits = limits;
         this.handler = handler;
     }
 
-    /** The next response answers a HEAD: it has no body, whatever its head tells. */
-    public void nextIsBodiless() {
-        bodiless = true;
+    /** Expects the response to a HEAD request next: it has no body, whatever its header fields state. */
+    public void nextResponseHasNoBody() {
+        responseToHead = true;
     }
 
-    /** Whether nothing of a message has come yet. */
+    /** Whether no byte of the next message was received. */
     public boolean isBetweenMessages() {
-        return at == At.START && line.size() == 0;
+        return state == State.START && line.size() == 0;
     }
 
-    /** Takes bytes up to the end of one message; true where it ended. What is left belongs to the next. */
+    /**
+     * Consumes bytes up to the end of one message.
+     *
+     * @param bytes the received bytes; those left belong to the next message
+     * @return whether the message is complete
+     * @throws MalformedHttpException if the message is malformed or exceeds a limit
+     */
     public boolean feed(ByteBuffer bytes) throws MalformedHttpException {
         while (bytes.hasRemaining()) {
-            if (at == At.BODY || at == At.CHUNK) {
-                if (content(bytes)) {
+            if (state == State.BODY || state == State.CHUNK) {
+                if (readBody(bytes)) {
                     return true;
                 }
-            } else if (line(bytes.get())) {
+            } else if (readLineByte(bytes.get())) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean content(ByteBuffer bytes) throws MalformedHttpException {
-        int n = (int) Math.min(left, bytes.remaining());
-        ByteBuffer part = bytes.slice(bytes.position(), n);
-        bytes.position(bytes.position() + n);
-        left -= n;
+    private boolean readBody(ByteBuffer bytes) throws MalformedHttpException {
+        int count = (int) Math.min(remainingBytes, bytes.remaining());
+        ByteBuffer part = bytes.slice(bytes.position(), count);
+        bytes.position(bytes.position() + count);
+        remainingBytes -= count;
         handler.body(part);
-        if (left == 0 && at == At.CHUNK) {
-            at = At.CHUNK_END;
+        if (remainingBytes == 0 && state == State.CHUNK) {
+            state = State.CHUNK_END;
         }
-        return left == 0 && at == At.BODY && finish();
+        return remainingBytes == 0 && state == State.BODY && endMessage();
     }
 
-    /** Takes one byte of a line; true where a message ended with it. */
-    private boolean line(byte b) throws MalformedHttpException {
-        if (++headBytes > limits.head) {
-            throw new MalformedHttpException(LARGE_HEAD, "a head of more than " + limits.head + " bytes");
+    /** Consumes one byte of a line; returns whether it completes a message. */
+    private boolean readLineByte(byte next) throws MalformedHttpException {
+        if (++headBytes > limits.maxHeadBytes) {
+            throw new MalformedHttpException(
+                    STATUS_HEADER_FIELDS_TOO_LARGE, "head or trailers exceed " + limits.maxHeadBytes + " bytes");
         }
-        if (b != '\n') {
-            if (line.size() >= limits.line) {
+        if (next != '\n') {
+            if (line.size() >= limits.maxLineBytes) {
                 throw new MalformedHttpException(
-                        at == At.START ? LONG_TARGET : LARGE_HEAD, "a line of more than " + limits.line + " bytes");
+                        state == State.START ? STATUS_URI_TOO_LONG : STATUS_HEADER_FIELDS_TOO_LARGE,
+                        "line exceeds " + limits.maxLineBytes + " bytes");
             }
-            line.write(b);
+            line.write(next);
             return false;
         }
         String text = line.toString(StandardCharsets.ISO_8859_1);
         line.reset();
         boolean cr = text.endsWith("\r");
         if (!cr && side == Side.REQUESTS) {
-            throw new MalformedHttpException("a line that does not end in CR LF");
+            throw new MalformedHttpException("line ends in LF; expected CR LF");
         }
         text = cr ? text.substring(0, text.length() - 1) : text;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c < ' ' && c != '\t' || c == 0x7F) {
-                throw new MalformedHttpException("a control character in a line");
+                throw new MalformedHttpException("control character " + (int) c + " at index " + i + " of a line");
             }
         }
-        return line(text);
+        return handleLine(text);
     }
 
-    private boolean line(String text) throws MalformedHttpException {
-        switch (at) {
-            case START -> start(text);
+    private boolean handleLine(String text) throws MalformedHttpException {
+        switch (state) {
+            case START -> parseStartLine(text);
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    return headEnded();
+                    return endHead();
                 }
-                field(text);
+                parseField(text);
             }
             case CHUNK_SIZE -> {
-                return chunk(text);
+                return startChunk(text);
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new MalformedHttpException("a chunk that is longer than it says");
+                    throw new MalformedHttpException("chunk data longer than the chunk size; expected CR LF");
                 }
-                at = At.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
                 headBytes = 0;
             }
             case TRAILERS -> {
-                return text.isEmpty() && finish();
+                return text.isEmpty() && endMessage();
             }
-            default -> throw new IllegalStateException(at.name());
+            default -> throw new IllegalStateException(state.name());
         }
         return false;
     }
 
-    private void start(String text) throws MalformedHttpException {
-        if (text.isEmpty() && side == Side.REQUESTS && ++emptyLines <= MOST_EMPTY_LINES) {
-            return; // some clients end a body with one too many
+    private void parseStartLine(String text) throws MalformedHttpException {
+        if (text.isEmpty() && side == Side.REQUESTS && ++emptyLines <= MAX_LEADING_EMPTY_LINES) {
+            return; // some clients send a surplus CR LF after a body (RFC 9112, section 2.2)
         }
-        Matcher m = (side == Side.REQUESTS ? REQUEST_LINE : STATUS_LINE).matcher(text);
-        if (!m.matches()) {
-            throw new MalformedHttpException(side == Side.REQUESTS ? "no request line" : "no status line");
+        Matcher matcher = (side == Side.REQUESTS ? REQUEST_LINE : STATUS_LINE).matcher(text);
+        if (!matcher.matches()) {
+            throw new MalformedHttpException(
+                    side == Side.REQUESTS ? "malformed request line" : "malformed status line");
         }
         if (side == Side.REQUESTS) {
-            method = m.group(1);
-            target = m.group(2);
-            http10 = m.group(3).equals("0");
+            method = matcher.group(1);
+            target = matcher.group(2);
+            http10 = matcher.group(3).equals("0");
         } else {
-            http10 = m.group(1).equals("0");
-            status = Integer.parseInt(m.group(2));
+            http10 = matcher.group(1).equals("0");
+            status = Integer.parseInt(matcher.group(2));
         }
-        at = At.HEADERS;
+        state = State.HEADERS;
     }
 
-    private void field(String text) throws MalformedHttpException {
+    private void parseField(String text) throws MalformedHttpException {
         int colon = text.indexOf(':');
-        if (colon <= 0 || !NAME.matcher(text.substring(0, colon)).matches()) {
-            throw new MalformedHttpException("a header line without a name, or folded");
+        if (colon <= 0 || !FIELD_NAME.matcher(text.substring(0, colon)).matches()) {
+            throw new MalformedHttpException("header line without a valid field name, or with line folding");
         }
-        if (headers.size() >= limits.fields) {
-            throw new MalformedHttpException(LARGE_HEAD, "more than " + limits.fields + " header fields");
+        if (headers.size() >= limits.maxFields) {
+            throw new MalformedHttpException(
+                    STATUS_HEADER_FIELDS_TOO_LARGE, "more than " + limits.maxFields + " header fields");
         }
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1).strip();
@@ -220,75 +251,77 @@
         handler.field(name.toLowerCase(java.util.Locale.ROOT), value);
     }
 
-    private boolean headEnded() throws MalformedHttpException {
+    private boolean endHead() throws MalformedHttpException {
         headBytes = 0;
-        if (status / 100 == 1) { // an interim response: the one that counts follows
+        if (status / 100 == 1) { // an interim response: the final one follows
             headers = new HttpHeaders();
-            at = At.START;
+            state = State.START;
             return false;
         }
-        long length = length();
-        boolean none = bodiless || status == NO_CONTENT || status == NOT_MODIFIED;
-        bodiless = false;
-        handler.head(new HttpHead(method, target, status, http10, headers, none ? 0 : length));
-        if (none || length == 0 || length == HttpHead.UNSPECIFIED && side == Side.REQUESTS) {
-            return finish();
+        long length = bodyLength();
+        boolean noBody = responseToHead || status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED;
+        responseToHead = false;
+        handler.head(new HttpHead(method, target, status, http10, headers, noBody ? 0 : length));
+        if (noBody || length == 0 || length == HttpHead.UNSPECIFIED && side == Side.REQUESTS) {
+            return endMessage();
         }
-        if (length
-                == HttpHead.UNSPECIFIED) { // one that ends with its connection cannot be told from one that broke off
-            throw new MalformedHttpException("no length");
+        if (length == HttpHead.UNSPECIFIED) { // a body that ends at the close cannot be told from a truncated one
+            throw new MalformedHttpException("response without Content-Length or chunked Transfer-Encoding");
         }
-        at = length == HttpHead.CHUNKED ? At.CHUNK_SIZE : At.BODY;
-        left = Math.max(0, length);
+        state = length == HttpHead.CHUNKED ? State.CHUNK_SIZE : State.BODY;
+        remainingBytes = Math.max(0, length);
         return false;
     }
 
-    private long length() throws MalformedHttpException {
+    private long bodyLength() throws MalformedHttpException {
         String coding = headers.get("transfer-encoding");
         String length = headers.get("content-length");
-        String contradiction = headers.contradiction(single);
-        if (contradiction != null) {
-            throw new MalformedHttpException("two header fields '" + contradiction + "'");
+        String conflictingField = headers.conflictingField(isSingleValued);
+        if (conflictingField != null) {
+            throw new MalformedHttpException("header field '" + conflictingField + "' has two different values");
         }
         if (coding != null && length != null) {
-            throw new MalformedHttpException("a length beside chunks");
+            throw new MalformedHttpException("Content-Length together with Transfer-Encoding");
         }
         if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked") || http10 && side == Side.REQUESTS) {
-                throw new MalformedHttpException(NOT_IMPLEMENTED, "unknown transfer encoding '" + coding + "'");
+                throw new MalformedHttpException(
+                        STATUS_NOT_IMPLEMENTED, "unsupported transfer encoding '" + coding + "'");
             }
             return HttpHead.CHUNKED;
         }
         if (length == null) {
             return HttpHead.UNSPECIFIED;
         }
-        if (!LENGTH.matcher(length).matches()) {
-            throw new MalformedHttpException("impossible length '" + length + "'");
+        if (!CONTENT_LENGTH.matcher(length).matches()) {
+            throw new MalformedHttpException("invalid Content-Length '" + length + "'");
         }
-        return bounded(Long.parseLong(length));
+        return checkBodyLimit(Long.parseLong(length));
     }
 
-    private long bounded(long bytes) throws MalformedHttpException {
-        if (bytes > limits.body) {
-            throw new MalformedHttpException(TOO_LARGE, "a body of " + bytes + " bytes, more than " + limits.body);
+    private long checkBodyLimit(long bytes) throws MalformedHttpException {
+        if (bytes > limits.maxBodyBytes) {
+            throw new MalformedHttpException(
+                    STATUS_PAYLOAD_TOO_LARGE,
+                    "body of " + bytes + " bytes exceeds the limit of " + limits.maxBodyBytes);
         }
         return bytes;
     }
 
-    private boolean chunk(String text) throws MalformedHttpException {
+    private boolean startChunk(String text) throws MalformedHttpException {
         String size = text.split(";", 2)[0].strip();
-        if (!CHUNK.matcher(size).matches()) {
-            throw new MalformedHttpException("impossible chunk size '" + size + "'");
+        if (!CHUNK_SIZE.matcher(size).matches()) {
+            throw new MalformedHttpException("invalid chunk size '" + size + "'");
         }
-        left = Long.parseLong(size, HEX);
-        bodyBytes = bounded(bodyBytes + left);
-        at = left == 0 ? At.TRAILERS : At.CHUNK;
+        remainingBytes = Long.parseLong(size, HEX_RADIX);
+        bodyBytes = checkBodyLimit(bodyBytes + remainingBytes);
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
         headBytes = 0;
         return false;
     }
 
-    private boolean finish() throws MalformedHttpException {
-        at = At.START;
+    private boolean endMessage() throws MalformedHttpException {
+        state = State.START;
         headers = new HttpHeaders();
         headBytes = 0;
         emptyLines = 0;
--- a/gateway/src/main/java/sandpaddle/codec/HttpWriter.java
+++ b/gateway/src/main/java/sandpaddle/codec/HttpWriter.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Heads, chunks and whole messages as bytes. */
+/** Encodes HTTP/1.1 messages: heads, chunks and complete messages. */
 public final class HttpWriter {
     private static final byte[] LAST_CHUNK = ascii("0\r\n\r\n");
-    private static final Map<Integer, String> REASONS = Map.ofEntries(
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
             Map.entry(100, "Continue"),
             Map.entry(200, "OK"),
             Map.entry(400, "Bad Request"),
@@ -30,19 +30,21 @@
 
     private final StringBuilder head = new StringBuilder(256);
 
-    private HttpWriter(String firstLine) {
-        head.append(firstLine).append("\r\n");
+    private HttpWriter(String startLine) {
+        head.append(startLine).append("\r\n");
     }
 
+    /** Starts the head of a request. */
     public static HttpWriter request(String method, String target) {
         return new HttpWriter(method + " " + target + " HTTP/1.1");
     }
 
+    /** Starts the head of a response, with the standard reason phrase of its status. */
     public static HttpWriter response(int status) {
-        return new HttpWriter("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "-"));
+        return new HttpWriter("HTTP/1.1 " + status + " " + REASON_PHRASES.getOrDefault(status, "-"));
     }
 
-    /** A header field; line breaks in a value would begin another one, so they become blanks. */
+    /** Adds a header field; replaces control characters by spaces, since a line break would start another field. */
     public HttpWriter field(String name, String value) {
         head.append(name).append(": ");
         for (int i = 0; i < value.length(); i++) {
@@ -53,39 +55,46 @@
         return this;
     }
 
+    /** Adds a header field with an integer value. */
     public HttpWriter field(String name, long value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
-    /** The head alone: the body follows in chunks, or there is none. */
-    public byte[] bytes() {
+    /** Returns the head only, for a message without a body or with a chunked one. */
+    public byte[] headBytes() {
         return (head + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** The head, its length, and the body. */
-    public byte[] with(byte[] body) {
+    /** Returns the complete message; adds the Content-Length. */
+    public byte[] withBody(byte[] body) {
         field("Content-Length", body.length);
-        byte[] h = bytes();
-        byte[] all = java.util.Arrays.copyOf(h, h.length + body.length);
-        System.arraycopy(body, 0, all, h.length, body.length);
-        return all;
+        byte[] headBytes = headBytes();
+        byte[] message = java.util.Arrays.copyOf(headBytes, headBytes.length + body.length);
+        System.arraycopy(body, 0, message, headBytes.length, body.length);
+        return message;
     }
 
-    /** One chunk; nothing for an empty part, since an empty chunk ends the body. */
+    /**
+     * Encodes one chunk.
+     *
+     * @param part starts with the data of the chunk
+     * @param length of the data
+     * @return the chunk; empty for no data, since an empty chunk ends the body
+     */
     public static byte[] chunk(byte[] part, int length) {
         if (length == 0) {
             return new byte[0];
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(length + 16);
-        out.writeBytes(ascii(Integer.toHexString(length) + "\r\n"));
-        out.write(part, 0, length);
-        out.write('\r');
-        out.write('\n');
-        return out.toByteArray();
+        ByteArrayOutputStream chunk = new ByteArrayOutputStream(length + 16);
+        chunk.writeBytes(ascii(Integer.toHexString(length) + "\r\n"));
+        chunk.write(part, 0, length);
+        chunk.write('\r');
+        chunk.write('\n');
+        return chunk.toByteArray();
     }
 
-    /** What ends a body in chunks. */
+    /** Returns the last chunk, which ends a chunked body. */
     public static byte[] lastChunk() {
         return LAST_CHUNK.clone();
     }
--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -27,7 +27,7 @@
     private static final Map<String, String> EXCEPT = Map.ofEntries(
             Map.entry("decision.loadview.LoadView.RESOURCE_SHARES", "private, asked only whether it holds a value"),
             Map.entry("codec.HttpWriter.LAST_CHUNK", "private, only copied from"),
-            Map.entry("codec.ContentEncoder.GZIP_HEAD", "private, only copied from"),
+            Map.entry("codec.ContentEncoder.GZIP_HEADER", "private, only copied from"),
             Map.entry("fleet.link.queue.SendQueue.MAX_PERCENT_BY_URGENCY", "private, only read by place"),
             Map.entry("fleet.verdict.wire.EvidenceCodec.TOPICS", "private, only read by place"),
             Map.entry("fleet.verdict.wire.EvidenceCodec.FINDINGS", "private, only read by place"),
