--- a/gateway/src/main/java/sandpaddle/dispatch/ActionExecutor.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/ActionExecutor.java
@@ -47,7 +47,7 @@
         this.attempts = attempts;
     }
 
-    /** Carries out one action. A request for the endpoint list needs none, since the watcher delivers it anyway. */
+    /** Carries out one action. A request for the endpoint list is ignored: the watcher delivers the list anyway. */
     void execute(Action action) {
         if (action instanceof SendAttempt send) {
             attempts.start(send);
--- a/gateway/src/main/java/sandpaddle/dispatch/ActiveRequest.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/ActiveRequest.java
@@ -12,7 +12,7 @@
 
 /**
  * State of one accepted request, from its arrival until its final answer has been given and none of its attempts is in
- * flight. The callback to the client is dropped with the first answer, so that a second one cannot be sent.
+ * flight. The callback to the client is dropped with the first answer, so that no second answer can be sent.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -39,11 +39,11 @@
     /**
      * Creates a request that is not queued yet.
      *
-     * @param id its name towards the decision module, unique in this process
+     * @param id its id in the decision module, unique in this process
      * @param query the query, with the time that its client still waits
      * @param classIndex position of its request class in the settings
      * @param receivedAt when it was accepted; its deadline counts from here
-     * @param trackedQuery its entry in the overload control, null where that is switched off
+     * @param trackedQuery its entry in the overload controller; null while that is disabled
      * @param client the client that waits for the answer
      */
     ActiveRequest(
@@ -67,7 +67,7 @@
      * The client of a request.
      *
      * @param connectionCheck reads the client's connection and returns whether the client is still connected; may
-     *     report a disconnect of this request meanwhile
+     *     report a disconnect of this request during the call
      * @param callback receives the final answer, once
      */
     record Client(BooleanSupplier connectionCheck, Consumer<Answer> callback) {}
@@ -93,12 +93,12 @@
         return Duration.between(receivedAt, now);
     }
 
-    /** Its entry in the overload control, null where that is switched off. */
+    /** Its entry in the overload controller; null while that is disabled. */
     OverloadController.TrackedQuery trackedQuery() {
         return trackedQuery;
     }
 
-    /** Sets the timer that answers the request should the decision module fail to. */
+    /** Sets the timer that answers the request if the decision module does not. */
     void setDecisionTimeout(TimerQueue.Timer timer) {
         decisionTimeout = timer;
     }
@@ -124,7 +124,7 @@
         return attemptInFlight != null;
     }
 
-    /** Names the engine of the attempt that is about to start. */
+    /** Sets the engine of the attempt that is about to start. */
     void setEngine(String next) {
         engine = next;
     }
@@ -149,12 +149,12 @@
         }
     }
 
-    /** Records an attempt that its end does not prove unstarted. */
+    /** Records an attempt whose end does not prove that it never ran. */
     void setMayHaveRun() {
         mayHaveRun = true;
     }
 
-    /** Whether an engine may have run it or may be running it. */
+    /** Whether an engine may have run the request or may be running it. */
     boolean mayHaveRun() {
         return mayHaveRun || attemptInFlight != null;
     }
@@ -168,19 +168,19 @@
         memoryMb = nextMemoryMb;
     }
 
-    /** From 0 to 3. */
+    /** Priority of the following attempts, 0 to 3. */
     int priority() {
         return priority;
     }
 
-    /** Memory grant in MB; 0 leaves the choice to the engine. */
+    /** Memory grant of the following attempts in MB; 0 leaves the choice to the engine. */
     double memoryMb() {
         return memoryMb;
     }
 
     // ---- Queueing and the answer.
 
-    /** Marks whether it waits for an engine without an attempt in flight; returns whether that changed. */
+    /** Sets whether it waits for an engine without an attempt in flight; returns whether that changed. */
     boolean setQueued(boolean next) {
         boolean changed = queued != next;
         queued = next;
@@ -189,15 +189,15 @@
 
     /** Whether the client still waits for an answer, checked on its connection. */
     boolean isClientWaiting() {
-        return callback != null && connectionCheck.getAsBoolean() && callback != null; // the check may close it
+        return callback != null && connectionCheck.getAsBoolean() && callback != null; // the check may call close()
     }
 
-    /** Whether no answer is owed any more: it was given, or the client has disconnected. */
+    /** Whether no answer is due: it was given, or the client has disconnected. */
     boolean isAnswered() {
         return callback == null;
     }
 
-    /** Gives the final answer, if it is still owed. */
+    /** Gives the final answer, if it is still due. */
     void answer(Answer answer) {
         Consumer<Answer> receiver = callback;
         close();
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Drops the client: no answer is owed any more. */
+    /** Drops the client: no answer is due any more. */
     void close() {
         callback = null;
         if (decisionTimeout != null) {
--- a/gateway/src/main/java/sandpaddle/dispatch/ActiveRequests.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/ActiveRequests.java
@@ -23,8 +23,8 @@
  */
 final class ActiveRequests {
     /**
-     * How long after its deadline a request is answered without the decision module, should that not have answered it.
-     * Well under the 20 ms by which an answer may be late.
+     * How long after its deadline a request is answered without the decision module if that has not answered it. Less
+     * than the 20 ms by which an answer may be late.
      */
     private static final Duration DECISION_GRACE = Duration.ofMillis(8);
 
@@ -51,7 +51,11 @@
         this.fleet = fleet;
     }
 
-    /** Whether the gateway is at its limit; {@code pendingElsewhere} requests that count as well are not in here. */
+    /**
+     * Whether the gateway is at its limit of requests.
+     *
+     * @param pendingElsewhere number of requests that count towards the limit and are not active
+     */
     boolean isFull(int pendingElsewhere) {
         return requests.size() + pendingElsewhere >= settings.limits().maxQueued();
     }
@@ -60,12 +64,12 @@
         return requests.isEmpty();
     }
 
-    /** Returns null where the request is no longer active. */
+    /** Returns the request; null if it is no longer active. */
     ActiveRequest get(String id) {
         return requests.get(id);
     }
 
-    /** Those with an attempt in flight. */
+    /** The requests with an attempt in flight. */
     List<ActiveRequest> withAttemptInFlight() {
         return requests.values().stream()
                 .filter(ActiveRequest::hasAttemptInFlight)
@@ -80,7 +84,7 @@
     /**
      * Accepts a query.
      *
-     * @return null where its trace id is that of an active request, since engines tell queries apart by it alone
+     * @return null if its trace id is that of an active request, since engines identify queries by it alone
      */
     ActiveRequest open(Query query, int classIndex, ActiveRequest.Client client) {
         if (!traceIds.add(query.traceId())) {
@@ -103,7 +107,7 @@
         return request;
     }
 
-    /** Tells the fleet when a request begins or ends to wait for an engine without an attempt in flight. */
+    /** Notifies the fleet when a request starts or stops to wait for an engine without an attempt in flight. */
     void setQueued(ActiveRequest request, boolean queued) {
         if (request.setQueued(queued)) {
             fleet.queuedRequestsChanged(request.classIndex(), request.query().tenant(), queued ? 1 : -1);
@@ -121,7 +125,7 @@
         }
     }
 
-    /** Gives the final answer that the module decided on; no effect where the request is no longer active. */
+    /** Gives the final answer that the module decided on; no effect if the request is no longer active. */
     void answer(String id, Answer answer) {
         ActiveRequest request = requests.get(id);
         if (request != null) {
@@ -130,7 +134,7 @@
         }
     }
 
-    /** Gives the final answer if it is still owed. All final answers pass here. */
+    /** Gives the final answer if it is still due. All final answers pass here. */
     void finish(ActiveRequest request, Answer answer) {
         if (!request.isAnswered()) {
             Answer adjusted = admission.requestAnswered(request, answer);
@@ -154,7 +158,7 @@
         abandon(request);
     }
 
-    /** Rejects where a client may safely retry, else reports a failure. */
+    /** Returns a rejection if the client may safely retry, otherwise a failure. */
     private Answer defaultAnswer(ActiveRequest request) {
         boolean idempotent = settings.classes().get(request.classIndex()).idempotency() == Idempotency.IDEMPOTENT;
         return idempotent || !request.mayHaveRun() ? new Answer.Rejected(Duration.ZERO) : new Answer.Failed("given up");
--- a/gateway/src/main/java/sandpaddle/dispatch/AdmissionControl.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/AdmissionControl.java
@@ -23,32 +23,40 @@
 /**
  * Admission control against retry storms: connects the dispatcher to {@link OverloadController}, which has neither
  * clock nor sockets. Reports arrivals, attempts and answers to it, puts its Retry-After on rejections, and logs its
- * phases. Does nothing while the operator has it switched off.
+ * phases. Does nothing while the operator has it disabled.
  *
  * <p>Confined to the event loop's thread.
  */
 final class AdmissionControl {
     private final Scheduler loop;
-    private final DecisionSettings site;
+    private final DecisionSettings decisionSettings;
     private final long seed;
-    private final Map<String, EngineEntry> availableEngines = new LinkedHashMap<>(); // to start while serving
-    private OverloadController overload; // null while switched off
-
-    /** {@code seed} is for the fingerprints of statements and for the jitter of pauses. */
-    AdmissionControl(Scheduler loop, DecisionSettings site, long seed) {
+    /** Passed to a controller that is enabled while serving. */
+    private final Map<String, EngineEntry> availableEngines = new LinkedHashMap<>();
+
+    private OverloadController overload; // null while disabled
+
+    /**
+     * Creates an admission control that is disabled until {@link #applySettings}.
+     *
+     * @param loop the event loop
+     * @param decisionSettings the settings of the decision module
+     * @param seed for the fingerprints of statements and for the jitter of Retry-After
+     */
+    AdmissionControl(Scheduler loop, DecisionSettings decisionSettings, long seed) {
         this.loop = loop;
-        this.site = site;
+        this.decisionSettings = decisionSettings;
         this.seed = seed;
     }
 
-    /** Applies the operator's settings, at the start or while serving. */
+    /** Applies the operator's settings, at startup or while serving. */
     void applySettings(OverloadSettings settings) {
         if (!settings.enabled()) {
             overload = null;
         } else if (overload != null) {
             overload.updateSettings(settings);
         } else {
-            overload = new OverloadController(site, settings, seed, nowUs());
+            overload = new OverloadController(decisionSettings, settings, seed, nowUs());
             overload.endpointListReceived(nowUs(), EngineListKind.FULL, List.copyOf(availableEngines.values()));
             tick(overload);
         }
@@ -58,20 +66,20 @@
         return Micros.of(loop.now());
     }
 
-    /** Runs every {@link OverloadController#TICK_INTERVAL_US} until this overload control is switched off. */
+    /** Runs every {@link OverloadController#TICK_INTERVAL_US} until this overload controller is disabled. */
     private void tick(OverloadController ticking) {
         if (ticking != overload) {
             return;
         }
         OverloadController.PhaseChange change = ticking.tick(nowUs());
         if (change != null) {
-            StormLog.phaseChanged(change);
+            RetryStormLog.phaseChanged(change);
         }
         loop.scheduleAfter(Micros.span(OverloadController.TICK_INTERVAL_US), () -> tick(ticking));
     }
 
     /** Whether a retry storm is in progress or being recovered from. */
-    boolean isStormActive() {
+    boolean isRetryStormActive() {
         return overload != null && overload.phase() != OverloadPhase.CALM;
     }
 
@@ -91,7 +99,7 @@
         }
     }
 
-    /** Records an arrival; returns its entry, null while switched off. */
+    /** Records an arrival; returns its entry, null while disabled. */
     OverloadController.TrackedQuery requestReceived(Query query, int classIndex) {
         return overload == null
                 ? null
@@ -116,20 +124,20 @@
         }
     }
 
-    /** Records a final answer; returns it as the client should get it, a rejection with its Retry-After. */
+    /** Records a final answer; returns it as sent to the client, a rejection with its Retry-After. */
     Answer requestAnswered(ActiveRequest request, Answer answer) {
         OverloadController.TrackedQuery tracked = request.trackedQuery();
         if (overload == null || tracked == null) {
             return answer;
         }
         if (answer instanceof Answer.Rejected rejected) {
-            long advisedUs = Micros.of(rejected.retryAfter());
-            long pauseUs = overload.queryEnded(nowUs(), tracked, OverloadController.Outcome.REJECTED, advisedUs);
-            return new Answer.Rejected(Micros.span(pauseUs));
+            long requestedUs = Micros.of(rejected.retryAfter());
+            long retryAfterUs = overload.queryEnded(nowUs(), tracked, OverloadController.Outcome.REJECTED, requestedUs);
+            return new Answer.Rejected(Micros.span(retryAfterUs));
         }
-        OverloadController.Outcome ending =
+        OverloadController.Outcome outcome =
                 answer instanceof Answer.Served ? OverloadController.Outcome.SERVED : OverloadController.Outcome.FAILED;
-        overload.queryEnded(nowUs(), tracked, ending, 0);
+        overload.queryEnded(nowUs(), tracked, outcome, 0);
         return answer;
     }
 
@@ -140,13 +148,13 @@
         }
     }
 
-    /** Records a new connection; returns Retry-After where it is to be rejected, else empty. */
+    /** Records a new connection; returns Retry-After if it is to be rejected, otherwise empty. */
     Optional<Duration> connectionOpened() {
-        long pauseUs = overload == null ? 0 : overload.connectionOpened(nowUs());
-        return pauseUs == 0 ? Optional.empty() : Optional.of(Micros.span(pauseUs));
+        long retryAfterUs = overload == null ? 0 : overload.connectionOpened(nowUs());
+        return retryAfterUs == 0 ? Optional.empty() : Optional.of(Micros.span(retryAfterUs));
     }
 
-    /** Retry-After for a client or request beyond the gateway's limit; zero for no advice. */
+    /** Retry-After for a client or request beyond the gateway's limit; zero for none. */
     Duration retryAfterWhenFull() {
         return overload == null ? Duration.ZERO : Micros.span(overload.retryAfterWhenFull(nowUs()));
     }
--- a/gateway/src/main/java/sandpaddle/dispatch/AttemptRunner.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/AttemptRunner.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Starts an attempt. One that must not start any more, since its request or its engine changed in the turn in which
-     * the module decided on it, ends at once as cancelled before its start.
+     * Starts an attempt. If its request or its engine changed in the turn in which the module decided on it, it is not
+     * started and ends at once with {@link AttemptResult#CANCELLED_BEFORE_START}.
      */
     void start(SendAttempt action) {
         ActiveRequest request = requests.get(action.id());
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The fleet is asked last: it counts the attempt where it allows it. */
+    /** Checks the fleet's quotas last: an attempt that they cover is counted. */
     private boolean mayStart(ActiveRequest request, int number, String engine) {
         return request.isClientWaiting()
                 && !request.hasAttemptInFlight()
@@ -163,7 +163,7 @@
                     !isReportedBeforeItStopped(end)));
         }
 
-        /** Where no retry follows, the end of an attempt is reported while its engine is still told to stop. */
+        /** Whether no retry follows, so that the end was reported before the engine confirmed the cancel. */
         private boolean isReportedBeforeItStopped(AttemptEnd end) {
             return end instanceof AttemptEnd.Cancelled && request.isAnswered()
                     || end instanceof AttemptEnd.TimedOut && isFinal;
--- a/gateway/src/main/java/sandpaddle/dispatch/CoalescedRuns.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/CoalescedRuns.java
@@ -20,7 +20,7 @@
 /**
  * Request coalescing for non-idempotent requests that name their run: all requests with the same name share one run and
  * its result, each within its own timeout. The run continues when its clients disconnect. {@link LoadDeduplicator}
- * decides what becomes of each request, and bounds the runs and the results that are cached.
+ * decides how each request is handled, and bounds the number of runs and of cached results.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -29,7 +29,12 @@
 
     /** Starts a run. */
     interface Starter {
-        /** Starts it with the run's own timeout; {@code callback} receives its answer, once. */
+        /**
+         * Starts the run.
+         *
+         * @param query the query, with the timeout of the run
+         * @param callback receives the answer, once
+         */
         void start(Query query, Consumer<Answer> callback);
     }
 
@@ -89,9 +94,10 @@
     }
 
     /**
-     * Takes a query that names its run.
+     * Handles a query that names its run.
      *
-     * @param fingerprint of its statement: a name stands for one statement
+     * @param query the query
+     * @param fingerprint hash of its statement: a name stands for one statement
      * @param runTimeout how long a run may take
      * @param callback receives the final answer, once
      * @param starter starts the run if this is the first request for it
--- a/gateway/src/main/java/sandpaddle/dispatch/Dispatcher.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/Dispatcher.java
@@ -33,7 +33,7 @@
  * the event belongs to; the others are not affected.
  */
 public final class Dispatcher implements QueryService {
-    /** A client may state a timeout of up to so many times the deadline of its class. */
+    /** Limit on the timeout that a client may state, as a multiple of the deadline of its class. */
     private static final long MAX_TIMEOUT_FACTOR = 2;
 
     private static final PendingQuery ANSWERED = () -> {};
@@ -46,14 +46,14 @@
     private final AdmissionControl admission;
     private final EventQueue events;
     private final ActiveRequests requests;
-    private final EnginelessAnswers enginelessAnswers;
+    private final StoredAnswerLookups storedAnswerLookups;
     private final EndpointListHandler endpointList;
     private final ActionExecutor executor;
-    private CoalescedRuns coalescedRuns; // null until named runs are enabled for the first time
+    private CoalescedRuns coalescedRuns; // null until named runs are first enabled
     private boolean namedRunsEnabled;
     private boolean stopping;
 
-    /** Creates a dispatcher of a gateway that shares nothing with others. */
+    /** Creates a dispatcher of a gateway that shares no state with others. */
     public Dispatcher(
             Scheduler loop,
             DecisionModule module,
@@ -70,9 +70,9 @@
      * @param loop gives the time and runs timers
      * @param module decides on requests
      * @param settings the settings that the module was created with
-     * @param names names of the settings' request classes and report fields
+     * @param names names of the request classes and load report fields in the settings
      * @param engines runs attempts
-     * @param fleet what is shared with other gateways
+     * @param fleet state shared with other gateways
      * @param seed for random draws outside the module
      */
     public Dispatcher(
@@ -91,13 +91,13 @@
         admission = new AdmissionControl(loop, settings, seed);
         events = new EventQueue(loop, names.loadReportFields());
         requests = new ActiveRequests(loop, settings, admission, events, fleet);
-        enginelessAnswers = new EnginelessAnswers(fleet);
+        storedAnswerLookups = new StoredAnswerLookups(fleet);
         endpointList = new EndpointListHandler(engines, admission, fleet, events);
         AttemptRunner attempts = new AttemptRunner(loop, engines, fleet, admission, requests, events);
         executor = new ActionExecutor(loop, engines, fleet, requests, events, attempts);
     }
 
-    /** Applies the operator's settings. Named runs stay known while the feature is switched off. */
+    /** Applies the operator's settings. Named runs are retained while the feature is disabled. */
     public void applySettings(OverloadSettings next) {
         admission.applySettings(next);
         namedRunsEnabled = next.loadDeduplication().enabled();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Applies an event of the endpoint list. From here on nothing is sent that it forbids. */
+    /** Applies an event of the endpoint list. On return no attempt is started that the list forbids. */
     public void endpointListReceived(EndpointListEvent event) {
         endpointList.eventReceived(event);
     }
@@ -151,7 +151,7 @@
         return admit(query, classIndex, connectionCheck, callback);
     }
 
-    /** Returns the answer to a query that cannot be accepted, null where it can. */
+    /** Returns the answer to a query that cannot be accepted; null if it can. */
     private Answer validate(Query query, Duration statedTimeout, int classIndex) {
         if (classIndex < 0) {
             return new Answer.Invalid("unknown route '" + query.route() + "'");
@@ -176,13 +176,13 @@
 
     private PendingQuery admit(
             Query query, int classIndex, BooleanSupplier connectionCheck, Consumer<Answer> callback) {
-        if (requests.isFull(enginelessAnswers.size())) {
+        if (requests.isFull(storedAnswerLookups.size())) {
             callback.accept(new Answer.Rejected(admission.retryAfterWhenFull()));
             return ANSWERED;
         }
         int tenant = fleet.requestReceived(classIndex, query);
         ActiveRequest.Client client = new ActiveRequest.Client(connectionCheck, callback);
-        return enginelessAnswers.findOrElse(
+        return storedAnswerLookups.findOrElse(
                 classIndex, query, callback, () -> openRequest(query, classIndex, tenant, client));
     }
 
@@ -209,25 +209,25 @@
     /** Gives every request its final answer now, and rejects those that follow: the process is about to end. */
     public void answerAllAndStop() {
         stopping = true;
-        enginelessAnswers.rejectAll();
+        storedAnswerLookups.rejectAll();
         requests.answerAll();
     }
 
     /** Whether no request waits for its answer and no attempt is in flight. */
     public boolean isIdle() {
-        return requests.isEmpty() && enginelessAnswers.size() == 0;
+        return requests.isEmpty() && storedAnswerLookups.size() == 0;
     }
 
     // ---- The end of a turn.
 
-    /** Has the next turn poll the fleet's events without waiting. */
+    /** Requests a turn of the event loop that polls the fleet's events. */
     public void requestFleetPoll() {
         loop.requestTurn();
     }
 
     /** Passes the queued events to the module and carries out its actions. Called at the end of each turn. */
     public void processEvents() {
-        fleet.retryStormChanged(admission.isStormActive());
+        fleet.retryStormChanged(admission.isRetryStormActive());
         List<Event> fleetEvents = fleet.pollEvents();
         if (fleet.hasAttemptsOverQuota()) {
             cancelAttemptsOverQuota();
@@ -238,7 +238,7 @@
         }
         List<Action> actions = new ArrayList<>();
         long nowUs = Micros.of(loop.now());
-        fleetEvents.forEach(event -> handle(nowUs, event, actions)); // quotas first: no attempt starts on a lapsed one
+        fleetEvents.forEach(event -> handle(nowUs, event, actions)); // first: no attempt starts on a lapsed quota
         queued.forEach(event -> handle(nowUs, event, actions));
         actions.forEach(executor::execute);
         requests.cancelAbandoned();
@@ -248,7 +248,7 @@
         try {
             module.handle(nowUs, event, actions::add);
         } catch (RuntimeException fault) {
-            Logger.error(fault, "the module failed on {}", event);
+            Logger.error(fault, "decision module failed on event {}", event);
             if (event instanceof RequestReceived received) {
                 requests.answer(received.id(), new Answer.Failed("internal error"));
             }
--- a/gateway/src/main/java/sandpaddle/dispatch/EndpointListHandler.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/EndpointListHandler.java
@@ -18,7 +18,7 @@
  * module. Confined to the event loop's thread.
  */
 final class EndpointListHandler {
-    /** Lines that one event may write to the log. */
+    /** Limit on the errors of one event that are logged. */
     private static final int MAX_LOGGED_ERRORS = 8;
 
     private final EngineClient engines;
@@ -34,16 +34,16 @@
         this.events = events;
     }
 
-    /** Whether a complete list has been received, from the configuration or from the watch. */
+    /** Whether a complete list was received, from the configuration or from the control feed. */
     boolean hasFullList() {
         return fullListReceived;
     }
 
-    /** Applies an event. From here on nothing is sent that it forbids. */
+    /** Applies an event. On return no attempt is started that the list forbids. */
     void eventReceived(EndpointListEvent event) {
         event.errors().stream()
                 .limit(MAX_LOGGED_ERRORS)
-                .forEach(error -> Logger.warn("engine list, event {}: {}", event.version(), error));
+                .forEach(error -> Logger.warn("endpoint list event {}: {}", event.version(), error));
         List<EngineEntry> entries = updateEngines(event);
         EngineListReceived list = new EngineListReceived(kind(event), entries);
         fullListReceived |= event.fullList();
@@ -70,7 +70,7 @@
         return entries;
     }
 
-    /** The first complete list counts as cached: it is the one that the configuration knows, if it knows one. */
+    /** The first complete list counts as cached: it may be the one in the configuration. */
     private EngineListKind kind(EndpointListEvent event) {
         if (!event.fullList()) {
             return EngineListKind.CHANGES;
--- a/gateway/src/main/java/sandpaddle/dispatch/EventQueue.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/EventQueue.java
@@ -11,27 +11,42 @@
 import sandpaddle.eventloop.Scheduler;
 
 /**
- * The events that the decision module has still to handle, in their order. Confined to the event loop's thread; emptied
- * at the end of each turn.
+ * The events that the decision module has yet to handle, in order of arrival. Drained at the end of each turn.
+ *
+ * <p>Confined to the event loop's thread.
  */
 final class EventQueue {
     private final Scheduler loop;
     private final List<String> reportFields;
     private List<Event> events = new ArrayList<>();
 
-    /** {@code reportFields}: the names that an engine's load report has for the module's values, in their order. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param loop the event loop
+     * @param reportFields names of the fields of an engine's load report, in the order of the module's values
+     */
     EventQueue(Scheduler loop, List<String> reportFields) {
         this.loop = loop;
         this.reportFields = reportFields;
     }
 
-    /** Adds an event, which the module handles at the end of this turn, or of the next if this one is at its end. */
+    /** Adds an event. The module handles it at the end of this turn, or of the next one if this one has drained. */
     void add(Event event) {
         events.add(event);
         loop.requestTurn();
     }
 
-    /** Adds the end of an attempt; {@code stats} is the engine's statistics line, null where none arrived. */
+    /**
+     * Adds the end of an attempt.
+     *
+     * @param request the request of the attempt
+     * @param attempt number of the attempt, from 0
+     * @param engine where it ran
+     * @param result how it ended
+     * @param elapsed time since it was started
+     * @param stats the engine's statistics line, null if none arrived
+     */
     void addAttemptEnded(
             ActiveRequest request, int attempt, String engine, AttemptResult result, Duration elapsed, String stats) {
         add(new AttemptEnded(
@@ -46,7 +61,14 @@
                 LoadReportParser.parse(stats, reportFields)));
     }
 
-    /** Adds the end of a health check; {@code stats} is the engine's statistics line, null where none arrived. */
+    /**
+     * Adds the end of a health check.
+     *
+     * @param engine the engine checked
+     * @param result how it ended
+     * @param elapsed time since it was started
+     * @param stats the engine's statistics line, null if none arrived
+     */
     void addHealthCheckEnded(String engine, AttemptResult result, Duration elapsed, String stats) {
         add(new HealthCheckEnded(engine, result, Micros.of(elapsed), LoadReportParser.parse(stats, reportFields)));
     }
--- a/gateway/src/main/java/sandpaddle/dispatch/LoadReportParser.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/LoadReportParser.java
@@ -8,9 +8,12 @@
     private LoadReportParser() {}
 
     /**
-     * Returns the values of the named fields in their order, NaN for one that is missing or not a number.
+     * Parses a load report.
      *
-     * @return null where {@code text} is null or no field is named: an empty report would read as an idle engine
+     * @param text the report, null if none arrived
+     * @param fields names of the fields to return
+     * @return the values in the order of {@code fields}, NaN for one that is missing or not a number; null if {@code
+     *     text} is null or {@code fields} is empty, since an empty report would be taken for an idle engine
      */
     static double[] parse(String text, List<String> fields) {
         if (text == null || fields.isEmpty()) {
--- a/gateway/src/main/java/sandpaddle/dispatch/RequestLog.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/RequestLog.java
@@ -9,8 +9,8 @@
 import sandpaddle.query.AttemptEnd;
 
 /**
- * Debug log of the steps of each request, with its trace id on each line. Costs the check of a flag where debug lines
- * are off. The keys and the messages are read by scripts; docs/operators/rare-moments.md explains them.
+ * Debug log of the steps of each request, with its trace id on each line. Costs only the check of a flag while debug
+ * lines are off. The keys and the messages are read by scripts; docs/operators/rare-moments.md explains them.
  */
 final class RequestLog {
     private static final long US_PER_MS = 1000;
@@ -27,13 +27,18 @@
         return line(request, step).with("attempt", attempt).with("engine", engine);
     }
 
-    /** A request was accepted; {@code requestClass} gives its weight and latency objective. */
+    /**
+     * Logs that a request was accepted.
+     *
+     * @param request the request
+     * @param requestClass its class, with the priority weight and the latency objective
+     */
     static void received(ActiveRequest request, RequestClass requestClass) {
         if (!LogEvent.isDebugOn()) {
             return;
         }
-        long unsharedUs = Micros.of(request.query().estimatedWork()) / requestClass.threads();
-        long objectiveUs = requestClass.latencyObjectiveUs() + (long) (requestClass.objectiveStretch() * unsharedUs);
+        long uncontendedUs = Micros.of(request.query().estimatedWork()) / requestClass.threads();
+        long objectiveUs = requestClass.latencyObjectiveUs() + (long) (requestClass.objectiveStretch() * uncontendedUs);
         LogEvent event = line(request, "taken")
                 .with("patience_ms", request.query().timeout().toMillis())
                 .with("work_ms", request.query().estimatedWork().toMillis())
@@ -98,7 +103,7 @@
         }
     }
 
-    /** The request was answered without the decision module, which had not answered it in time. */
+    /** Logs that a request was answered without the decision module, which had not answered it in time. */
     static void decisionTimedOut(ActiveRequest request) {
         line(request, "no decision in time")
                 .with("attempts", request.attempts())
--- a/gateway/src/main/java/sandpaddle/dispatch/ResultMapping.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/ResultMapping.java
@@ -31,7 +31,7 @@
         return AttemptResult.CANCELLED;
     }
 
-    /** The engine's statistics line that came with the end of an attempt, null where none did. */
+    /** The engine's statistics line that arrived with the end of an attempt; null if none did. */
     static String stats(AttemptEnd end) {
         if (end instanceof AttemptEnd.Completed completed) {
             return completed.stats();
@@ -54,7 +54,7 @@
         };
     }
 
-    /** The topic of a progress report by its name on the wire; null for one that the module does not know. */
+    /** The topic of a progress report by its name on the wire; null if the module does not know it. */
     static ProgressTopic topic(String name) {
         return switch (name) {
             case "frac" -> ProgressTopic.DONE_PART;
--- a/gateway/src/main/java/sandpaddle/dispatch/StormLog.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/RetryStormLog.java
@@ -4,11 +4,11 @@
 import sandpaddle.overload.OverloadController;
 import sandpaddle.overload.OverloadPhase;
 
-/** Logs the phases of a retry storm. Messages and keys are listed in docs/operators/retry-storms.md. */
-final class StormLog {
+/** Logs phase changes of the overload controller. Messages and keys are listed in docs/operators/retry-storms.md. */
+final class RetryStormLog {
     private static final double US_PER_S = 1e6;
 
-    private StormLog() {}
+    private RetryStormLog() {}
 
     static void phaseChanged(OverloadController.PhaseChange change) {
         LogEvent event = LogEvent.of(message(change.to()))
--- a/gateway/src/main/java/sandpaddle/dispatch/EnginelessAnswers.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/StoredAnswerLookups.java
@@ -13,17 +13,17 @@
 import sandpaddle.query.QueryService;
 
 /**
- * Queries for which the fleet looks for an answer without an engine, such as a stored one while the zone is cut off.
- * Each counts towards the gateway's limit of requests, so that there is capacity for it should it need an engine after
- * all, and gets its final answer also where the process ends first.
+ * Queries for which the fleet looks up an answer that needs no engine, such as a stored result while the zone is
+ * isolated. Each counts towards the gateway's limit of requests, so that there is capacity if it needs an engine after
+ * all, and gets its final answer also if the process ends first.
  *
  * <p>Confined to the event loop's thread.
  */
-final class EnginelessAnswers {
+final class StoredAnswerLookups {
     private final FleetCoordination fleet;
     private final Set<Lookup> lookups = new LinkedHashSet<>();
 
-    EnginelessAnswers(FleetCoordination fleet) {
+    StoredAnswerLookups(FleetCoordination fleet) {
         this.fleet = fleet;
     }
 
@@ -37,7 +37,7 @@
             this.submitToEngines = submitToEngines;
         }
 
-        /** Has no effect where the client has disconnected or was answered meanwhile. */
+        /** Has no effect if the client has disconnected or was answered meanwhile. */
         void complete(Optional<Answer> answer) {
             if (!lookups.remove(this)) {
                 return;
@@ -63,7 +63,7 @@
         return lookups.size();
     }
 
-    /** Looks for an answer; where there is none, calls {@code submitToEngines}, at once or in a later turn. */
+    /** Looks up an answer; if there is none, calls {@code submitToEngines}, at once or in a later turn. */
     QueryService.PendingQuery findOrElse(
             int classIndex,
             Query query,
@@ -77,7 +77,7 @@
         return lookup;
     }
 
-    /** Rejects all of them now: the process is about to end. */
+    /** Rejects all pending lookups: the process is about to end. */
     void rejectAll() {
         for (Lookup lookup : List.copyOf(lookups)) {
             lookups.remove(lookup);
--- a/gateway/src/test/java/sandpaddle/dispatch/DispatcherFixture.java
+++ b/gateway/src/test/java/sandpaddle/dispatch/DispatcherFixture.java
@@ -36,7 +36,7 @@
 import sandpaddle.query.HealthCheckResult;
 import sandpaddle.query.Query;
 
-/** A dispatcher between a scripted module, scripted engines and a scripted fleet; {@link #advance} moves time. */
+/** A dispatcher with a scripted decision module, scripted engines and a scripted fleet, in virtual time. */
 final class DispatcherFixture implements Scheduler, DecisionModule, EngineClient {
     static final int MAX_QUEUED = 6;
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /** An attempt in flight, with an entry for each call of its cancel. */
+    /** An attempt in flight; {@code cancels} has the argument of each call to {@link AttemptHandle#cancel}. */
     record FakeAttempt(AttemptSpec spec, AttemptListener listener, List<Boolean> cancels) {}
 
     final FakeFleet fleet = new FakeFleet();
@@ -181,7 +181,7 @@
         return dispatcher.submit(query, answers.get(trace)::add);
     }
 
-    /** Ends a turn, in which the module returns these actions. */
+    /** Runs the end of a turn in which the module returns these actions. */
     void turn(Action... actions) {
         nextActions.addAll(List.of(actions));
         fleet.pendingEvents.add(new TimerFired("turn"));
@@ -198,7 +198,7 @@
         return handled.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** The id under which the module knows a request. */
+    /** The id of a request in the decision module. */
     String id(String trace) {
         return handled(RequestReceived.class).stream()
                 .map(RequestReceived::id)
@@ -227,7 +227,7 @@
 
     @Override
     public void requestTurn() {
-        // turns are run by the test
+        // the test runs the turns
     }
 
     @Override
@@ -258,7 +258,7 @@
 
             @Override
             public void setPriority(int priority) {
-                // nothing runs
+                // no query is running
             }
         };
     }
--- a/gateway/src/test/java/sandpaddle/dispatch/DispatcherFleetTest.java
+++ b/gateway/src/test/java/sandpaddle/dispatch/DispatcherFleetTest.java
@@ -27,7 +27,7 @@
 import sandpaddle.query.QueryService;
 import sandpaddle.query.ResultSet;
 
-/** The dispatcher between a decision module and a fleet that limits it. */
+/** The dispatcher with a fleet whose quotas limit it. */
 class DispatcherFleetTest {
     private static final AttemptEnd COMPLETED = new AttemptEnd.Completed(new ResultSet(List.of()), null);
     private static final Answer STORED = new Answer.Served(new ResultSet(List.of()), "stored");
@@ -36,7 +36,7 @@
         return new SendAttempt(fixture.id(trace), "e", 0, false);
     }
 
-    /** Guards the fleet's limits where a quota lapses in the turn in which the module decides. */
+    /** Guards the fleet's limits when a quota lapses in the turn in which the module decides. */
     @Test
     void attemptWithoutQuotaIsNotStartedAndItsRequestStaysOpen() {
         DispatcherFixture fixture = new DispatcherFixture();
@@ -50,7 +50,7 @@
         AttemptEnded unstarted = fixture.handled(AttemptEnded.class).get(0);
         assertEquals(AttemptResult.CANCELLED_BEFORE_START, unstarted.result());
         assertFalse(unstarted.settled());
-        assertEquals(List.of(), fixture.fleet.endedAttempts, "an attempt that was not counted does not end");
+        assertEquals(List.of(), fixture.fleet.endedAttempts, "the end of an attempt that was not started was reported");
         fixture.fleet.allowsAttempts = true;
         fixture.turn(send(fixture, "q"));
         fixture.inFlight.get("q").listener().onEnd(COMPLETED);
@@ -59,7 +59,7 @@
         assertInstanceOf(Answer.Served.class, fixture.answers.get("q").get(0));
     }
 
-    /** Also checks that the fleet learns whether the engine has confirmed the cancel. */
+    /** Also checks that the fleet is told whether the engine has confirmed the cancel. */
     @Test
     void attemptsOverQuotaAreCancelledById() {
         DispatcherFixture fixture = new DispatcherFixture();
@@ -68,7 +68,7 @@
             fixture.turn();
             fixture.turn(send(fixture, trace));
         }
-        fixture.fleet.overQuota = List.of(fixture.id("b"), "nobody-1");
+        fixture.fleet.overQuota = List.of(fixture.id("b"), "unknown-1");
         fixture.turn();
         assertEquals(
                 List.of(
@@ -78,9 +78,9 @@
                         .sorted(java.util.Comparator.comparing(FleetCoordination.InFlightAttempt::id))
                         .toList());
         assertEquals(List.of(), fixture.inFlight.get("a").cancels());
-        assertEquals(List.of(false), fixture.inFlight.get("b").cancels(), "its request still waits for an answer");
+        assertEquals(List.of(false), fixture.inFlight.get("b").cancels(), "the request still waits for an answer");
         fixture.inFlight.get("b").listener().onEnd(new AttemptEnd.Cancelled());
-        assertTrue(fixture.fleet.endedAttempts.get(0).stopped(), "its engine has confirmed it");
+        assertTrue(fixture.fleet.endedAttempts.get(0).stopped(), "the engine has confirmed the cancel");
         fixture.fleet.endedAttempts.clear();
         fixture.submit("c", 0, "").clientDisconnected();
         fixture.turn();
@@ -90,7 +90,7 @@
         fixture.advance(Duration.ofSeconds(3));
         fixture.turn();
         fixture.inFlight.get("d").listener().onEnd(new AttemptEnd.Cancelled());
-        assertFalse(fixture.fleet.endedAttempts.get(0).stopped(), "nobody waited for the engine to stop");
+        assertFalse(fixture.fleet.endedAttempts.get(0).stopped(), "the engine's confirmation was not awaited");
     }
 
     @Test
@@ -117,7 +117,7 @@
         assertTrue(fixture.dispatcher.isIdle());
     }
 
-    /** Guards the limit on pending requests, and one answer for each where the process ends. */
+    /** Guards the limit on pending requests, and exactly one answer to each when the process ends. */
     @Test
     void lookupsCountTowardsTheLimitAndAreAnsweredAtTheEnd() {
         DispatcherFixture fixture = new DispatcherFixture();
@@ -151,10 +151,10 @@
             lifecycles.finish(seed % 8 == 0);
             started += lifecycles.fixture.fleet.startedAttempts;
         }
-        assertTrue(started > 500, "too few attempts were drawn: " + started);
+        assertTrue(started > 500, started + " attempts were started; expected more than 500");
     }
 
-    /** Requests whose events are drawn at random. */
+    /** Drives requests through random sequences of events. */
     private static final class RandomLifecycles {
         private final SplittableRandom random;
         private final DispatcherFixture fixture = new DispatcherFixture();
@@ -176,7 +176,11 @@
             return active.isEmpty() ? "" : active.get(random.nextInt(active.size()));
         }
 
-        /** One turn; {@code newTrace} is for a request that it may submit. */
+        /**
+         * Runs one turn.
+         *
+         * @param newTrace trace id of the request that it may submit
+         */
         void step(String newTrace) {
             String trace = drawTrace();
             switch (random.nextInt(8)) {
@@ -240,7 +244,7 @@
             assertEquals(expected, actual);
         }
 
-        /** Ends all requests, at their deadlines or as the process ends, and checks that nothing is left. */
+        /** Ends all requests, at their deadlines or at the end of the process, and checks that none is left. */
         void finish(boolean atDeadlines) {
             if (atDeadlines) {
                 fixture.advance(Duration.ofSeconds(3));
