--- a/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
+++ b/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.Test;
 import sandpaddle.config.EndpointListEvent;
 import sandpaddle.config.PlatformNames;
-import sandpaddle.crossing.HandClock;
 import sandpaddle.eventloop.EventLoop;
+import sandpaddle.interleaving.ManualClock;
 import sandpaddle.story.ScriptedFeed;
 
 /** Control feeds that fail, move or fall silent at the wrong instant; the clock is the test's, the sockets are real. */
@@ -35,7 +35,7 @@
     private static final int READ_MS = 2000;
     private static final int MANY = 16_384;
 
-    private final HandClock clock = new HandClock();
+    private final ManualClock clock = new ManualClock();
     private final List<EndpointListEvent> events = new ArrayList<>();
     private EventLoop loop;
     private ScriptedFeed server;
@@ -78,7 +78,7 @@
 
     private void pass(Duration span) throws IOException {
         for (Duration passed = Duration.ZERO; passed.compareTo(span) < 0; passed = passed.plus(STEP)) {
-            clock.pass(STEP);
+            clock.advance(STEP);
             turn();
         }
     }
@@ -298,7 +298,7 @@
                 next.join().line("9");
                 next = acceptLater();
             }
-            clock.pass(STEP);
+            clock.advance(STEP);
         }
         assertTrue(connections >= 2 && connections <= 8, connections + " connections in a second");
     }
--- a/gateway/src/test/java/sandpaddle/engineclient/AttemptFixture.java
+++ b/gateway/src/test/java/sandpaddle/engineclient/AttemptFixture.java
@@ -16,13 +16,13 @@
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
-import sandpaddle.crossing.HandClock;
 import sandpaddle.eventloop.EventLoop;
+import sandpaddle.interleaving.ManualClock;
 import sandpaddle.query.AttemptEnd;
 import sandpaddle.query.AttemptSpec;
 import sandpaddle.query.EngineClient;
 
-/** Runs attempts on an engine whose bytes the test writes; the clock is the test's, the sockets are real. */
+/** Runs attempts on a scripted engine: the test writes its bytes. The sockets are real, the clock is manual. */
 abstract class AttemptFixture {
     static final String OK = "HTTP/1.1 200 -\r\nResult-Pages: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
     static final String DECLINED = "HTTP/1.1 503 -\r\nX-Declined: 1\r\nContent-Length: 0\r\n\r\n";
@@ -46,18 +46,18 @@
         }
     }
 
-    final HandClock clock = new HandClock();
+    final ManualClock clock = new ManualClock();
     final List<SocketChannel> accepted = new ArrayList<>();
-    final StringBuilder read = new StringBuilder();
+    final StringBuilder received = new StringBuilder();
     ServerSocketChannel listening;
     EventLoop loop;
     HttpEngineClient engines;
-    int nextTrace;
+    int nextTraceId;
 
     @BeforeMethod
     public void listen() throws IOException {
         accepted.clear();
-        read.setLength(0);
+        received.setLength(0);
         listening = ServerSocketChannel.open();
         listening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         listening.configureBlocking(false);
@@ -69,50 +69,50 @@
     @AfterMethod
     public void close() throws IOException {
         listening.close();
-        for (SocketChannel c : accepted) {
-            c.close();
+        for (SocketChannel channel : accepted) {
+            channel.close();
         }
     }
 
-    static boolean hasEnded(SocketChannel c) {
+    static boolean hasEnded(SocketChannel channel) {
         try {
-            return c.read(ByteBuffer.allocate(16)) < 0;
+            return channel.read(ByteBuffer.allocate(16)) < 0;
         } catch (IOException e) {
             return true;
         }
     }
 
-    /** Runs turns until a condition holds, for 5 s at most. */
-    void until(BooleanSupplier condition) throws IOException {
+    /** Runs turns until a condition holds; fails after 5 s. */
+    void runUntil(BooleanSupplier condition) throws IOException {
         long deadlineNs = System.nanoTime() + Duration.ofSeconds(5).toNanos();
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNs, "it did not come to that");
-            turn();
+            assertTrue(System.nanoTime() < deadlineNs, "condition not met within 5 s");
+            runTurn();
         }
     }
 
-    void turn() throws IOException {
+    void runTurn() throws IOException {
         loop.runTurn(() -> {}, Duration.ofMillis(1));
         SocketChannel next = listening.isOpen() ? listening.accept() : null;
         if (next != null) {
             next.configureBlocking(false);
             accepted.add(next);
         }
-        for (SocketChannel c : accepted) {
+        for (SocketChannel channel : accepted) {
             ByteBuffer bytes = ByteBuffer.allocate(4096);
-            if (c.isOpen() && c.read(bytes) > 0) {
-                read.append(StandardCharsets.ISO_8859_1.decode(bytes.flip()));
+            if (channel.isOpen() && channel.read(bytes) > 0) {
+                received.append(StandardCharsets.ISO_8859_1.decode(bytes.flip()));
             }
         }
     }
 
-    /** Advances the clock in steps of 10 ms, with some turns in each for events of the kernel. */
-    void pass(Duration span) throws IOException {
+    /** Advances the clock in steps of 10 ms, each followed by two turns that handle socket events. */
+    void advance(Duration span) throws IOException {
         Instant end = clock.instant().plus(span);
         while (clock.instant().isBefore(end)) {
-            clock.pass(Duration.ofMillis(10));
-            turn();
-            turn();
+            clock.advance(Duration.ofMillis(10));
+            runTurn();
+            runTurn();
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     EngineClient.AttemptHandle start(RecordingListener listener, boolean trial) {
-        String trace = "00000000000000%02d".formatted(nextTrace++);
+        String trace = "00000000000000%02d".formatted(nextTraceId++);
         return engines.startAttempt(
                 "e",
                 new AttemptSpec(
@@ -129,20 +129,20 @@
                 listener);
     }
 
-    int posts() {
-        return calls("POST ");
+    int postCount() {
+        return callCount("POST ");
     }
 
-    void answer(int connection) throws IOException {
-        answer(connection, OK);
+    void respond(int connection) throws IOException {
+        respond(connection, OK);
     }
 
-    void answer(int connection, String bytes) throws IOException {
+    void respond(int connection, String bytes) throws IOException {
         accepted.get(connection).write(StandardCharsets.ISO_8859_1.encode(bytes));
     }
 
-    /** How many calls that start with a prefix have been read, on all connections. */
-    int calls(String prefix) {
-        return read.toString().split(prefix, -1).length - 1;
+    /** Number of calls that start with a prefix, received on all connections. */
+    int callCount(String prefix) {
+        return received.toString().split(prefix, -1).length - 1;
     }
 }
--- a/gateway/src/test/java/sandpaddle/engineclient/HttpEngineClientTest.java
+++ b/gateway/src/test/java/sandpaddle/engineclient/HttpEngineClientTest.java
@@ -26,7 +26,7 @@
 import sandpaddle.query.AttemptSpec;
 import sandpaddle.query.EngineClient;
 
-/** The engine client on real sockets: decoding, limits, and what a failed connection proves. */
+/** The engine client on real sockets: response decoding, limits, and what a failed connection proves. */
 public class HttpEngineClientTest {
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -40,9 +40,9 @@
         ResponseDecoder decoder = new ResponseDecoder();
         List<Response> read = new ArrayList<>();
         for (char c : (first + chunked + "HTTP/1.1 204 -\r\n\r\n").toCharArray()) {
-            Response r = decoder.decode(bytes(String.valueOf(c)));
-            if (r != null) {
-                read.add(r);
+            Response response = decoder.decode(bytes(String.valueOf(c)));
+            if (response != null) {
+                read.add(response);
             }
         }
         assertEquals(read.stream().map(Response::status).toList(), List.of(200, 202, 204));
@@ -51,7 +51,7 @@
         assertEquals(new String(read.get(1).body(), StandardCharsets.UTF_8), "def");
     }
 
-    /** Guards the memory limit, and responses against other bytes. */
+    /** Guards the memory limit and the rejection of bytes that are not a response. */
     @Test
     public void malformedOrOversizedResponsesAreRejected() {
         for (String s : List.of(
@@ -85,8 +85,8 @@
         }
 
         AttemptEnd await(EventLoop loop) throws IOException {
-            Instant until = Instant.now().plusSeconds(5);
-            while (ends.isEmpty() && Instant.now().isBefore(until)) {
+            Instant deadline = Instant.now().plusSeconds(5);
+            while (ends.isEmpty() && Instant.now().isBefore(deadline)) {
                 loop.runTurn(() -> {}, Duration.ofMillis(50));
             }
             assertEquals(ends.size(), 1);
@@ -99,7 +99,7 @@
                 "00000000000000a1", "load", new byte[] {'x'}, 0, 1, loop.now().plusSeconds(4), true, false);
     }
 
-    /** Guards the drain rule: an engine that drains while a connection is established is sent nothing. */
+    /** Guards the drain rule: an engine that starts to drain during the handshake receives no query. */
     @Test
     public void drainWhileConnectingPreventsTheWrite() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -117,19 +117,19 @@
     /** A refused connection proves that nothing was written. */
     @Test
     public void refusedConnectionProvesThatNothingRan() throws Exception {
-        InetSocketAddress nobody;
-        try (ServerSocket s = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            nobody = (InetSocketAddress) s.getLocalSocketAddress();
+        InetSocketAddress closedPort;
+        try (ServerSocket socket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            closedPort = (InetSocketAddress) socket.getLocalSocketAddress();
         }
         EventLoop loop = new EventLoop(Clock.systemUTC());
         HttpEngineClient engines = new HttpEngineClient(loop, Duration.ofMillis(250), Duration.ofSeconds(15), 10);
-        engines.updateEngine("e", nobody, Instant.EPOCH, true, false);
+        engines.updateEngine("e", closedPort, Instant.EPOCH, true, false);
         RecordingListener listener = new RecordingListener();
         engines.startAttempt("e", spec(loop), listener);
         assertEquals(listener.await(loop).getClass(), AttemptEnd.NotConnected.class);
     }
 
-    /** Guards the limit on descriptors. */
+    /** Guards the limit on file descriptors. */
     @Test
     public void connectionsAreLimitedByDescriptors() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Guards the fleet's budget: it is not exceeded, and a connection that ended is released. */
+    /** Guards the fleet's connection budget: it is not exceeded, and connections that ended are released. */
     @Test
     public void connectionsAreLimitedByTheBudget() throws Exception {
         int[] counts = new int[2]; // open now, released
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Guards memory, since ids are never used again; a successor at the same address has a pool of its own. */
+    /** Guards against a memory leak, as ids are not reused; a successor at the same address gets its own pool. */
     @Test
     public void removedEngineIsForgotten() throws Exception {
         Instant[] time = {Instant.parse("2026-01-01T00:00:00Z")};
@@ -209,7 +209,7 @@
             time[0] = time[0].plusSeconds(4);
             loop.runTurn(() -> {}, Duration.ZERO);
         }
-        assertTrue(engines.size() <= 3, engines.size() + " are remembered");
+        assertTrue(engines.size() <= 3, engines.size() + " engines are retained; expected at most 3");
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/engineclient/RecordedRequestsTest.java
+++ b/gateway/src/test/java/sandpaddle/engineclient/RecordedRequestsTest.java
@@ -10,7 +10,7 @@
 import sandpaddle.query.Query;
 import sandpaddle.recorded.RecordedFile;
 
-/** Calls to an engine have the bytes that an earlier version wrote. */
+/** Compares the encoded calls to engines with recorded ones. */
 class RecordedRequestsTest {
     private static AttemptSpec spec(double memoryMb, int priority, String operation, String entity) {
         Query query = new Query(
--- a/gateway/src/test/java/sandpaddle/crossing/HandClock.java
+++ b/gateway/src/test/java/sandpaddle/interleaving/ManualClock.java
@@ -1,4 +1,4 @@
-package sandpaddle.crossing;
+package sandpaddle.interleaving;
 
 import java.time.Clock;
 import java.time.Duration;
@@ -6,13 +6,14 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** A clock that stands still until the test moves it. */
-public final class HandClock extends Clock {
+/** A clock whose time changes only when the test advances it. */
+public final class ManualClock extends Clock {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     private Instant now = START;
 
-    public void pass(Duration span) {
+    /** Advances the time. */
+    public void advance(Duration span) {
         now = now.plus(span);
     }
 
