--- a/gateway/src/main/java/sandpaddle/engineclient/Attempt.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/Attempt.java
@@ -59,7 +59,7 @@
     @Override
     public void onConnection(EngineConnection connection) {
         String obstacle = phase == Phase.CONNECTING ? obstacle() : null;
-        if (phase != Phase.CONNECTING) { // the check of the client may have cancelled it
+        if (phase != Phase.CONNECTING) { // isClientWaiting() may have cancelled the attempt
             pool.release(connection);
         } else if (obstacle != null) {
             pool.release(connection);
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Why the query must not be written, null where it may be. */
+    /** Returns why the query must not be written; null if it may be written. */
     private String obstacle() {
         if (!spec.isClientWaiting().getAsBoolean()) {
             return "client disconnected";
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Tells the engine to stop. The end is reported once the DELETE was delivered, since a request has one attempt in
-     * flight at most; at once where no retry follows.
+     * Tells the engine to stop. The end is reported once the DELETE was delivered, since a request has at most one
+     * attempt in flight; it is reported immediately if no retry follows.
      */
     private void cancel(AttemptEnd end, boolean requestOver) {
         if (phase == Phase.CONNECTING) {
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectFailure.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectFailure.java
@@ -7,12 +7,17 @@
 enum ConnectFailure {
     REFUSED,
     UNREACHABLE,
-    /** Not connected in time though another connection to the engine is alive: only this one is late. */
+    /** The connect timeout passed although the engine responded on another connection: only this one is late. */
     LATE,
-    /** This process or the engine has no connection to spare. */
+    /** A limit on connections is reached, in this process or at the engine. */
     NO_CAPACITY;
 
-    /** Classifies the exception of a failed connect; {@code fallback} is for exceptions that do not say. */
+    /**
+     * Classifies the exception of a failed connect.
+     *
+     * @param cause the exception
+     * @param fallback the result for an exception whose type does not tell the cause
+     */
     static ConnectFailure of(Exception cause, ConnectFailure fallback) {
         if (cause instanceof ConnectException) {
             return REFUSED;
@@ -20,7 +25,7 @@
         return cause instanceof NoRouteToHostException ? UNREACHABLE : fallback;
     }
 
-    /** Whether it is evidence against the engine, not only against one connection or this process. */
+    /** Whether it indicates a fault of the engine, not only of one connection or of this process. */
     boolean isEngineFault() {
         return this == REFUSED || this == UNREACHABLE;
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionBudget.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionBudget.java
@@ -5,21 +5,21 @@
  * opened until it has ended. All calls come from the event loop's thread.
  */
 public interface ConnectionBudget {
-    /** No limit but that on descriptors. */
+    /** No limit apart from that on file descriptors. */
     ConnectionBudget NONE = new ConnectionBudget() {};
 
     /**
      * Counts a connection that is about to be opened, if the budget allows it.
      *
      * @param engine the engine's id
-     * @param control whether it is for a call that cancels or changes another, for which a part is reserved
+     * @param control whether it is for a call that cancels or changes a query, for which a share is reserved
      * @return whether it was counted and may be opened
      */
     default boolean tryAcquire(String engine, boolean control) {
         return true;
     }
 
-    /** A connection that was counted has ended, or was never established. */
+    /** Releases a connection that was counted and has ended, or was never established. */
     default void release(String engine) {}
 
     /** Whether there are more connections to this engine than the budget allows, so that idle ones should be closed. */
@@ -27,6 +27,6 @@
         return false;
     }
 
-    /** Registers what closes idle connections; to be run whenever the budget was reduced. */
+    /** Registers the task that closes idle connections; it is run after each reduction of the budget. */
     default void onReduced(Runnable trim) {}
 }
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionLimiter.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionLimiter.java
@@ -1,12 +1,12 @@
 package sandpaddle.engineclient;
 
 /**
- * Counts the connections to all engines against the process's limit on descriptors and against the fleet's {@link
- * ConnectionBudget}; closes idle ones to make room. Confined to the event loop's thread.
+ * Counts the connections to all engines against the process's limit on file descriptors and against the fleet's {@link
+ * ConnectionBudget}; closes idle ones to stay within them. Confined to the event loop's thread.
  */
 final class ConnectionLimiter {
-    /** Connections reserved for calls that cancel an attempt: without one it would run beside its retry. */
-    private static final int RESERVED = 8;
+    /** Reserved for calls that cancel an attempt: without a connection it would run concurrently with its retry. */
+    private static final int RESERVED_CONNECTIONS = 8;
 
     private final int maxUnreserved;
     private final Iterable<ConnectionPool> pools;
@@ -17,10 +17,10 @@
      * Creates a limiter.
      *
      * @param maxConnections limit on all connections, the reserved ones included
-     * @param pools the pools whose idle connections may be closed to make room
+     * @param pools the pools whose idle connections may be closed to stay within the limit
      */
     ConnectionLimiter(int maxConnections, Iterable<ConnectionPool> pools) {
-        maxUnreserved = Math.max(1, maxConnections - RESERVED);
+        maxUnreserved = Math.max(1, maxConnections - RESERVED_CONNECTIONS);
         this.pools = pools;
     }
 
@@ -30,16 +30,16 @@
         budget.onReduced(this::closeExceeding);
     }
 
-    /** Whether a descriptor is left, after idle connections were closed if that is needed. */
+    /** Whether a file descriptor is available; closes idle connections if there is none. */
     boolean hasDescriptor(boolean reserved) {
-        int max = maxUnreserved + (reserved ? RESERVED : 0);
+        int max = maxUnreserved + (reserved ? RESERVED_CONNECTIONS : 0);
         if (connections >= max) {
             pools.forEach(ConnectionPool::closeUnused);
         }
         return connections < max;
     }
 
-    /** Takes one connection of the budget; closes idle ones for it, those of the same pool first. */
+    /** Acquires one connection of the budget; if none is left, closes idle ones, those of the same pool first. */
     boolean tryAcquire(ConnectionPool pool, boolean reserved) {
         boolean acquired = budget.tryAcquire(pool.id(), reserved);
         while (!acquired && pool.closeOldest()) {
@@ -59,17 +59,17 @@
         return false;
     }
 
-    /** Takes one connection of the budget only if that and a descriptor are free without closing any. */
+    /** Acquires one connection of the budget if one and a file descriptor are available without closing any. */
     boolean tryAcquireSpare(ConnectionPool pool) {
         return connections < maxUnreserved && budget.tryAcquire(pool.id(), false);
     }
 
-    /** Counts the descriptor of a connection that the budget has counted. */
+    /** Counts the file descriptor of a connection that the budget has counted. */
     void opened() {
         connections++;
     }
 
-    /** A connection that was counted has ended, or was never established. */
+    /** Releases a connection that was counted and has ended, or was never established. */
     void closed(ConnectionPool pool) {
         connections--;
         budget.release(pool.id());
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionPool.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionPool.java
@@ -14,14 +14,16 @@
  * <p>Confined to the event loop's thread. Bounded by {@link ConnectionLimiter}.
  */
 final class ConnectionPool {
-    /** Receives a connection or the reason why there is none; one method is called once, maybe at once. */
+    /** Receives the outcome of a request: one of the methods is called, once, possibly before the request returns. */
     interface Callback {
+        /** A connection is available; the callee sends a call on it or releases it. */
         void onConnection(EngineConnection connection);
 
+        /** There is no connection; {@code reason} is for logs. */
         void onFailure(ConnectFailure failure, String reason);
     }
 
-    /** Connections that may go on connecting without a request that waits for them. */
+    /** Limit on pending connections whose request is done. */
     private static final int MAX_SPARE_PENDING = 2;
 
     private final EventLoop loop;
@@ -30,8 +32,8 @@
     private final String id;
     private final InetSocketAddress address;
     private final IdleConnections idle;
-    private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>(); // for any connection, oldest first
-    private final ArrayDeque<PendingConnection> sparePending = new ArrayDeque<>(); // their requests are over
+    private final ArrayDeque<ConnectionRequest> waiting = new ArrayDeque<>(); // oldest first
+    private final ArrayDeque<PendingConnection> sparePending = new ArrayDeque<>(); // their requests are done
     private Instant lastReceivedAt = Instant.MIN;
     private boolean retired;
 
@@ -81,15 +83,15 @@
         acquire(callback, false);
     }
 
-    /** The same for a call that cancels or changes another; it may use the reserved connections. */
+    /** Like {@link #acquire(Callback)}, for a call that cancels or changes a query: may use reserved connections. */
     void acquireReserved(Callback callback) {
         acquire(callback, true);
     }
 
     /**
-     * Waiting for a connection that was just used costs at most {@link IdleConnections#QUIET_PERIOD}, less than a
-     * handshake costs the engine. With many gateways it is the common case: each has few queries on an engine, and
-     * sends the next to where one has just ended.
+     * Waits for a connection that was just used rather than opening one: the wait is at most {@link
+     * IdleConnections#QUIET_PERIOD}, which costs less than a handshake costs the engine. With many gateways this is the
+     * common case: each has few queries on an engine and sends the next to an engine on which one has just ended.
      */
     private void acquire(Callback callback, boolean reserved) {
         EngineConnection quiet = idle.takeQuiet();
@@ -114,7 +116,7 @@
         }
     }
 
-    /** Connects; a connection that is released first serves the request as well, since a new one may be late. */
+    /** Connects; a connection released meanwhile serves the request as well, since the new one may be late. */
     private void connectOrReuse(Callback callback, boolean reserved) {
         ConnectionRequest request = new ConnectionRequest(loop, this, callback, reserved);
         request.start();
@@ -123,15 +125,16 @@
         }
     }
 
-    /** Requests a new connection, whatever is idle. */
+    /** Requests a new connection even if an idle one is available. */
     void connect(Callback callback) {
         new ConnectionRequest(loop, this, callback, false).start();
     }
 
     /**
-     * Requests a connection that proves the engine reachable, for a trial: idle ones may lead to a machine that is cut
-     * off, and would deliver the call when it is back. They are closed first, since the idle connections of many
-     * gateways would fill the engine's connection table. One that was established just now needs no handshake.
+     * Requests a connection for a trial, which has to prove that the engine is reachable. An idle connection is not
+     * used: its host may be unreachable and would receive the call once the network recovers. Idle connections are
+     * closed first, since those of many gateways would fill the engine's connection table. A connection that was
+     * established recently and has carried no call is used without another handshake.
      */
     void acquireForTrial(Callback callback) {
         EngineConnection justConnected = idle.takeJustConnected();
@@ -150,7 +153,7 @@
 
     // ---- Connections that are being established.
 
-    /** The request of a pending connection is done: it is left to connect for the next call. */
+    /** Keeps a pending connection whose request is done, for the next call. */
     void addSparePending(PendingConnection pending) {
         sparePending.addLast(pending);
         if (sparePending.size() > MAX_SPARE_PENDING) {
@@ -158,7 +161,7 @@
         }
     }
 
-    /** A connection is established; it goes to the longest waiting request if its own is done. */
+    /** Hands over an established connection; if its own request is done, the longest waiting one receives it. */
     void connected(PendingConnection pending, EngineConnection connection, ConnectionRequest request) {
         sparePending.remove(pending);
         bytesReceived();
@@ -178,12 +181,12 @@
 
     // ---- Established connections.
 
-    /** Records that the engine is alive: bytes arrived on one of its connections, or one was established. */
+    /** Records a sign of life of the engine: bytes were received or a connection was established. */
     void bytesReceived() {
         lastReceivedAt = loop.now();
     }
 
-    /** Whether the engine was alive at {@code from} or later. */
+    /** Whether the engine gave a sign of life at {@code from} or later. */
     boolean hasReceivedSince(Instant from) {
         return !lastReceivedAt.isBefore(from);
     }
@@ -225,18 +228,18 @@
         idle.closeAll();
     }
 
-    /** Closes idle connections, and uses none that is waited for: their machine may be cut off. */
+    /** Closes the idle connections, and those awaiting their quiet period: their host may be unreachable. */
     void invalidateIdle() {
         idle.invalidate();
     }
 
-    /** The engine's process was restarted: connections to the earlier one are not used any more. */
+    /** Closes the connections to an earlier process of the engine, which was restarted. */
     void invalidateUnused() {
         idle.invalidate();
         abandonSparePending();
     }
 
-    /** Closes all connections without a call or a request that waits for them. */
+    /** Closes all connections that neither carry a call nor serve a waiting request. */
     void closeUnused() {
         idle.closeAll();
         abandonSparePending();
@@ -257,7 +260,7 @@
         return idle.closeOldest();
     }
 
-    /** The engine was removed: calls in flight may end, and their connections are closed then. */
+    /** Retires the pool of a removed engine: calls in flight may complete, then their connections are closed. */
     void retire() {
         retired = true;
         invalidateUnused();
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionRequest.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionRequest.java
@@ -9,15 +9,15 @@
 import sandpaddle.eventloop.TimerQueue;
 
 /**
- * A call's request for a connection. A SYN may be lost though the engine is fine, so a second connection is opened
- * after a while; the first to be established, or to be released by another call, serves the request. It waits for the
- * connect timeout at most, since a retry counts in its budget only for that long.
+ * A call's request for a connection. The SYN to a healthy engine may be lost, so a second connection is opened after a
+ * delay; the first to be established, or to be released by another call, serves the request. It waits at most for the
+ * connect timeout, since the retry budget accounts for a retry only for that long.
  *
  * <p>Confined to the event loop's thread.
  */
 final class ConnectionRequest {
-    /** The second connection is opened after this part of the connect timeout; few that succeed take as long. */
-    private static final int SECOND_AFTER_PART = 3;
+    /** The second connection is opened after the connect timeout divided by this; few connects take as long. */
+    private static final int SECOND_CONNECT_DIVISOR = 3;
 
     private final EventLoop loop;
     private final ConnectionPool pool;
@@ -29,7 +29,14 @@
     private TimerQueue.Timer timeout;
     private boolean done;
 
-    /** {@code reserved}: whether it may use the connections reserved for calls that cancel or change another. */
+    /**
+     * Creates a request that has not started.
+     *
+     * @param loop the event loop
+     * @param pool the pool of the engine
+     * @param callback receives the outcome, once
+     * @param reserved whether it may use the connections reserved for calls that cancel or change a query
+     */
     ConnectionRequest(EventLoop loop, ConnectionPool pool, ConnectionPool.Callback callback, boolean reserved) {
         this.loop = loop;
         this.pool = pool;
@@ -41,12 +48,12 @@
     /** Starts to connect; call it once. */
     void start() {
         if (!pool.limiter().hasDescriptor(reserved)) {
-            fail(ConnectFailure.NO_CAPACITY, "no descriptor to spare");
+            fail(ConnectFailure.NO_CAPACITY, "limit on file descriptors reached");
         } else if (!pool.limiter().tryAcquire(pool, reserved)) {
-            fail(ConnectFailure.NO_CAPACITY, "no connection in the fleet's budget");
+            fail(ConnectFailure.NO_CAPACITY, "fleet's connection budget exhausted");
         } else if (open()) {
             Duration max = pool.connectTimeout();
-            secondTimer = loop.scheduleAfter(max.dividedBy(SECOND_AFTER_PART), this::openSecond);
+            secondTimer = loop.scheduleAfter(max.dividedBy(SECOND_CONNECT_DIVISOR), this::openSecond);
             timeout = loop.scheduleAfter(max, this::timedOut);
         }
     }
@@ -70,7 +77,7 @@
         }
     }
 
-    /** Opens one more at most, and closes none for it, so that a slow engine is not flooded with connections. */
+    /** Opens at most one more, without closing idle ones, so that a slow engine is not flooded with connections. */
     private void openSecond() {
         if (!pool.isRetired() && pool.limiter().tryAcquireSpare(pool)) {
             open();
@@ -78,11 +85,11 @@
     }
 
     private void timedOut() {
-        String reason = "no connection in " + pool.connectTimeout().toMillis() + " ms";
+        String reason = "not connected within " + pool.connectTimeout().toMillis() + " ms";
         if (pool.hasReceivedSince(startedAt)) {
             fail(ConnectFailure.LATE, reason);
         } else {
-            pool.invalidateIdle(); // a machine that is cut off leaves them open and silent
+            pool.invalidateIdle(); // they stay open and silent if the host is unreachable
             fail(ConnectFailure.UNREACHABLE, reason);
         }
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/ControlCall.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ControlCall.java
@@ -5,8 +5,8 @@
 import sandpaddle.eventloop.EventLoop;
 
 /**
- * A DELETE or PUT that cancels or changes a running query, on a connection beside that of its long poll. Repeated until
- * it was delivered or its deadline has passed. Its response says nothing but that it was read.
+ * A DELETE or PUT that cancels or changes a running query, on a connection other than that of its long poll. Repeated
+ * until it was delivered or its deadline has passed. Its response proves only that it was read.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -14,7 +14,7 @@
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(20);
     private static final Duration UNREACHABLE_RETRY_INTERVAL = Duration.ofMillis(100);
 
-    /** A reset that discards a written call shows within this time. */
+    /** A reset that discards a written call is received within this time. */
     private static final Duration DELIVERY_CONFIRMATION = Duration.ofMillis(40);
 
     private final EventLoop loop;
@@ -46,8 +46,8 @@
     /**
      * Sends a call.
      *
-     * @param deadline when the engine has dropped a query that is not polled. That an engine is unreachable does not
-     *     prove that it stopped.
+     * @param deadline when the engine has dropped a query that is not polled; that it is unreachable before does not
+     *     prove that it has stopped
      * @param callback runs once, now or in a later turn: when the call was delivered, or at the deadline
      */
     static void send(
@@ -94,7 +94,7 @@
         retryAfter(failure == ConnectFailure.NO_CAPACITY ? RETRY_INTERVAL : UNREACHABLE_RETRY_INTERVAL);
     }
 
-    /** Counts as delivered after a while without a reset, on a new connection: an older one may lead nowhere. */
+    /** Counts as delivered without a reset for a while, on a new connection: an older one may be half-open. */
     @Override
     public void onWritten() {
         int sent = sendCount;
--- a/gateway/src/main/java/sandpaddle/engineclient/EngineConnection.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/EngineConnection.java
@@ -26,10 +26,21 @@
         /** All bytes of the call were passed to the socket. */
         default void onWritten() {}
 
-        /** {@code connection} is the callee's to use again or release; null where it has ended. */
+        /**
+         * The response is complete.
+         *
+         * @param response the response
+         * @param connection the connection, which the callee has to reuse or release; null if it has ended
+         */
         void onResponse(Response response, EngineConnection connection);
 
-        /** There is no response; {@code maybeSent}: whether any byte of the call may have been sent. */
+        /**
+         * There is no response.
+         *
+         * @param failure what failed
+         * @param reason for logs
+         * @param maybeSent whether any byte of the call may have been sent
+         */
         void onFailure(Failure failure, String reason, boolean maybeSent);
     }
 
@@ -49,14 +60,14 @@
         this.pool = pool;
     }
 
-    /** Takes the connection over once it is established. */
+    /** Takes over the established connection. */
     void attach(Connection established) {
         connection = established;
         connectedAt = loop.now();
         established.setListener(this);
     }
 
-    /** Whether it was established at {@code from} or later, which proves that its machine was reachable then. */
+    /** Whether it was established at {@code from} or later, which proves that the host was reachable then. */
     boolean isConnectedSince(Instant from) {
         return !connectedAt.isBefore(from);
     }
@@ -66,7 +77,7 @@
         return used;
     }
 
-    /** Marks that a response on it may have been a duplicate: the real one must not be read as another query's. */
+    /** Marks that a response on it may be a duplicate: the real one must not be read as that of another query. */
     void suspectDuplicateResponse() {
         maybeDuplicateResponse = true;
     }
@@ -75,7 +86,7 @@
         return maybeDuplicateResponse;
     }
 
-    /** Whether it has ended, or received bytes that belong to no call. */
+    /** Whether it has ended, or received bytes outside a call. */
     boolean isStale() {
         return ended || connection.isStale();
     }
@@ -86,7 +97,7 @@
         used = true;
         connection.clearStartedSending();
         timeout = loop.scheduleAfter(
-                maxWait, () -> fail(Failure.TIMED_OUT, "no answer in " + maxWait.toMillis() + " ms"));
+                maxWait, () -> fail(Failure.TIMED_OUT, "no response within " + maxWait.toMillis() + " ms"));
         connection.write(request);
         if (call == next && connection.unsentBytes() == 0) {
             next.onWritten();
@@ -104,7 +115,7 @@
     public void onReceived(ByteBuffer bytes) {
         pool.bytesReceived();
         if (call == null) {
-            fail(Failure.MALFORMED, "bytes that belong to no call");
+            fail(Failure.MALFORMED, "bytes received outside a call");
             return;
         }
         try {
@@ -113,11 +124,11 @@
                 responseReceived(response, bytes.hasRemaining());
             }
         } catch (MalformedHttpException e) {
-            fail(Failure.MALFORMED, "malformed answer: " + e.getMessage());
+            fail(Failure.MALFORMED, "malformed response: " + e.getMessage());
         }
     }
 
-    /** The connection ends if more bytes follow, or if the response came before the call was written. */
+    /** Closes the connection if more bytes follow, or if the response came before the call was written. */
     private void responseReceived(Response response, boolean moreBytes) {
         Call answered = endCall();
         boolean closing = moreBytes || !response.keepAlive() || connection.unsentBytes() > 0;
@@ -138,14 +149,14 @@
         boolean maybeSent = connection.startedSending();
         close();
         if (failure == Failure.TIMED_OUT && call != null) {
-            pool.closeIdle(); // its machine may be cut off, and the other connections with it
+            pool.closeIdle(); // the host may be unreachable, through other connections too
         }
         if (call != null) {
             endCall().onFailure(failure, reason, maybeSent);
         }
     }
 
-    /** Closes the connection; a call in flight gets no event any more. */
+    /** Closes the connection; a call in flight gets no further event. */
     void abandon() {
         if (call != null) {
             endCall();
@@ -161,7 +172,7 @@
         }
     }
 
-    /** Whether it can carry no call any more. */
+    /** Whether it has ended and can carry no further call. */
     boolean isEnded() {
         return ended;
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/EngineReachability.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/EngineReachability.java
@@ -4,63 +4,63 @@
 import java.time.Instant;
 
 /**
- * When the engine of one query was last reached, and what follows from that: its process has died, or it has dropped
- * the query because nobody polled it. A pure state machine: the time is an argument.
+ * Records when the engine of one query was last reached, and tells from it whether its process has died or it has
+ * dropped the query for lack of polls. A pure state machine: the time is an argument.
  */
 final class EngineReachability {
-    /** An engine drops a query 2 s after its last poll, which it may have delayed by 250 ms; with 50 ms of margin. */
+    /** An engine drops a query 2 s after its last poll, which it may delay by 250 ms; plus a margin of 50 ms. */
     static final Duration DROPPED_AFTER = Duration.ofMillis(2300);
 
-    /** Connections that may break one after the other without a response between them. */
+    /** Limit on consecutive broken connections, without a response between them. */
     private static final int MAX_CONSECUTIVE_BREAKS = 3;
 
     private Instant lastReachedAt;
     private int consecutiveBreaks;
-    private boolean closedByEngine; // the latest connection ended so
+    private boolean closedByEngine; // how the latest connection ended
     private boolean unreachableReported;
 
-    /** A call starts: the first counts as reached until it proves otherwise. */
+    /** A call starts. The engine counts as reached when the first call starts, until that proves otherwise. */
     void callStarted(Instant now) {
         lastReachedAt = lastReachedAt == null ? now : lastReachedAt;
     }
 
-    /** A response arrived, maybe one that says nothing about the query. */
+    /** A response arrived, possibly one that does not refer to the query. */
     void responseReceived() {
         unreachableReported = false;
     }
 
-    /** The engine responded for the query. */
+    /** A response arrived that refers to the query. */
     void queryAnswered(Instant now) {
         consecutiveBreaks = 0;
         lastReachedAt = now;
     }
 
-    /** A call on a connection established for it has failed: the engine was reached when it started. */
+    /** A call failed on a connection established for it: the engine was reached when the call started. */
     void newConnectionFailed(Instant callStartedAt) {
         lastReachedAt = callStartedAt;
     }
 
-    /** A call ended without a response that can be read. */
+    /** A call ended without a readable response. */
     void callFailed(EngineConnection.Failure failure) {
         closedByEngine = failure == EngineConnection.Failure.CONNECTION_CLOSED;
     }
 
-    /** Before a call: whether the connection that was reserved for it has ended meanwhile. */
+    /** Records, before a call, whether the connection reserved for it has ended meanwhile. */
     void setReservedConnectionStale(boolean stale) {
         closedByEngine = stale;
     }
 
-    /** Counts a broken connection; returns whether it was one too many. */
+    /** Counts a broken connection; returns whether there were more in a row than the limit. */
     boolean isBrokenTooOften(EngineConnection.Failure failure) {
         return failure == EngineConnection.Failure.CONNECTION_CLOSED && ++consecutiveBreaks > MAX_CONSECUTIVE_BREAKS;
     }
 
-    /** A refusal after a break proves that the process died; any other may only be for lack of connections. */
+    /** Whether the process died: refused after a closed connection. Other refusals may be for lack of connections. */
     boolean hasDied(ConnectFailure failure) {
         return failure == ConnectFailure.REFUSED && closedByEngine;
     }
 
-    /** Whether the engine must have dropped the query, since it was not polled for so long. */
+    /** Whether the engine must have dropped the query for lack of polls. */
     boolean hasDroppedQuery(Instant now) {
         return lastReachedAt.plus(DROPPED_AFTER).isBefore(now);
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/HealthCheck.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/HealthCheck.java
@@ -15,7 +15,14 @@
     private final Consumer<HealthCheckResult> callback;
     private boolean ended;
 
-    /** {@code timeout} counts from when it has a connection; {@code callback} receives the result, once. */
+    /**
+     * Creates a health check that has not started.
+     *
+     * @param loop the event loop
+     * @param pool the pool of the engine
+     * @param timeout for the response, from when there is a connection
+     * @param callback receives the result, once
+     */
     HealthCheck(EventLoop loop, ConnectionPool pool, Duration timeout, Consumer<HealthCheckResult> callback) {
         this.loop = loop;
         this.pool = pool;
@@ -27,7 +34,7 @@
         pool.acquire(this);
     }
 
-    /** Goes on to read a response that is late, so that the connection can be used again. */
+    /** Keeps reading a late response after the timeout, so that the connection can be reused. */
     @Override
     public void onConnection(EngineConnection connection) {
         loop.scheduleAfter(timeout, () -> end(HealthCheckResult.Kind.TIMED_OUT, null));
--- a/gateway/src/main/java/sandpaddle/engineclient/HttpEngineClient.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/HttpEngineClient.java
@@ -13,18 +13,18 @@
 import sandpaddle.query.HealthCheckResult;
 
 /**
- * Client of engines that speak HTTP/1.1 with long polls. Knows the engines of the endpoint list, and for some seconds
- * those that were removed, each with its connection pool.
+ * Client of engines that speak HTTP/1.1 with long polls. Holds a connection pool for each engine of the endpoint list,
+ * and for some seconds for each that was removed.
  *
  * <p>Confined to the event loop's thread. Bounded by the endpoint list and by {@link ConnectionLimiter}.
  */
 public final class HttpEngineClient implements EngineClient {
-    /** Part of the engines' idle timeout after which this side closes an idle connection. */
-    private static final double MAX_IDLE_PART = 0.85;
+    /** Fraction of the engines' idle timeout after which this side closes an idle connection. */
+    private static final double MAX_IDLE_FRACTION = 0.85;
 
     private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
 
-    /** How long a removed engine is remembered, so that an action of the same turn still finds it. */
+    /** How long a removed engine is retained, so that an action of the same turn still finds it. */
     private static final Duration REMOVED_RETENTION = Duration.ofSeconds(5);
 
     private static final class Entry {
@@ -50,7 +50,7 @@
      */
     public HttpEngineClient(EventLoop loop, Duration connectTimeout, Duration engineIdleTimeout, int maxConnections) {
         this.loop = loop;
-        Duration maxIdle = Duration.ofMillis((long) (engineIdleTimeout.toMillis() * MAX_IDLE_PART));
+        Duration maxIdle = Duration.ofMillis((long) (engineIdleTimeout.toMillis() * MAX_IDLE_FRACTION));
         timeouts = new ConnectionTimeouts(connectTimeout, maxIdle);
         limiter = new ConnectionLimiter(
                 maxConnections,
@@ -63,7 +63,7 @@
         limiter.setBudget(budget);
     }
 
-    /** Closes expired connections and forgets removed engines, since ids are not used again. */
+    /** Closes expired connections and drops removed engines, whose ids are not reused. */
     private void sweep() {
         entries.values().forEach(entry -> entry.pool.closeExpired());
         Instant oldest = loop.now().minus(REMOVED_RETENTION);
@@ -81,7 +81,7 @@
     public void updateEngine(
             String id, InetSocketAddress address, Instant startedAt, boolean available, boolean removed) {
         if (address == null && !entries.containsKey(id)) {
-            return; // it cannot be reached and never could
+            return; // no address, and no pool of an earlier one
         }
         Entry entry = entries.computeIfAbsent(id, unknown -> new Entry());
         if (address != null) {
@@ -130,7 +130,7 @@
         return entry != null && entry.available;
     }
 
-    /** Number of engines, the removed ones included that are still remembered. */
+    /** Number of engines, including removed ones that are still retained. */
     int size() {
         return entries.size();
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/IdleConnections.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/IdleConnections.java
@@ -11,10 +11,10 @@
  * has been quiet for {@link #QUIET_PERIOD}. Confined to the event loop's thread.
  */
 final class IdleConnections {
-    /** A duplicate or stray response that arrives late must not be read as the response to the next call. */
+    /** Within this time a late duplicate response is detected and not read as the response to the next call. */
     static final Duration QUIET_PERIOD = Duration.ofMillis(50);
 
-    /** A connection that was established so recently proves that the engine was reachable then. */
+    /** A connection established within this time proves that the engine was reachable. */
     private static final Duration PROOF_PERIOD = Duration.ofSeconds(2);
 
     /**
@@ -55,7 +55,7 @@
         return entry.generation == generation && !entry.connection.isStale();
     }
 
-    /** Takes the most recently used connection that is quiet and reusable; null where there is none. */
+    /** Takes the most recently used connection that is quiet and reusable; null if there is none. */
     EngineConnection takeQuiet() {
         closeExpired();
         Instant latest = loop.now().minus(QUIET_PERIOD);
@@ -68,20 +68,20 @@
             if (isReusable(entry)) {
                 return entry.connection;
             }
-            entry.connection.abandon(); // no longer in the queue, which the iterator therefore survives
+            entry.connection.abandon(); // already removed: does not modify the queue during the iteration
         }
         return null;
     }
 
     /**
-     * Takes the connection that will be quiet first; null where there is none, or where engines close idle connections
-     * before they are quiet: then a call could cross the close.
+     * Takes the connection that will be quiet first; null if there is none, or if connections expire before they are
+     * quiet: the engine could then close the connection while a call is written to it.
      */
     Idle takeQuietSoon() {
         return QUIET_PERIOD.compareTo(maxIdle) < 0 ? idle.pollFirst() : null;
     }
 
-    /** Takes a connection that was established just now and has carried no call; null where there is none. */
+    /** Takes a recently established connection that has carried no call; null if there is none. */
     EngineConnection takeJustConnected() {
         Instant earliest = loop.now().minus(PROOF_PERIOD);
         for (Idle entry : idle) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Closes all, and makes those unusable that were taken to wait until they are quiet. */
+    /** Closes all; connections that were taken to await their quiet period must not be used either. */
     void invalidate() {
         generation++;
         closeAll();
--- a/gateway/src/main/java/sandpaddle/engineclient/PendingConnection.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/PendingConnection.java
@@ -8,11 +8,11 @@
 import sandpaddle.eventloop.TimerQueue;
 
 /**
- * A connection that is being established for a request, which may be done before. The caller has counted it in the
- * {@link ConnectionLimiter}. Confined to the event loop's thread.
+ * A connection that is being established for a request, which may complete earlier through another connection. The
+ * caller has counted it in the {@link ConnectionLimiter}. Confined to the event loop's thread.
  */
 final class PendingConnection implements Connection.Listener {
-    /** Minimum after which connecting is given up; a repeated SYN gets through within it. */
+    /** Lower bound on the connect timeout, long enough for a retransmitted SYN. */
     private static final Duration MIN_TIMEOUT = Duration.ofSeconds(2);
 
     private final ConnectionPool pool;
@@ -35,14 +35,13 @@
         timeout = loop.scheduleAfter(requested.compareTo(MIN_TIMEOUT) > 0 ? requested : MIN_TIMEOUT, this::abandon);
     }
 
-    /** Its request is done: goes on connecting for the next call. */
+    /** Its request is done: keeps connecting for the next call. */
     void requestDone() {
         if (!connection.isConnected()) {
             pool.addSparePending(this);
         }
     }
 
-    /** Closes it. */
     void abandon() {
         timeout.cancel();
         connection.close();
@@ -59,7 +58,7 @@
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        throw new IllegalStateException("read before connected");
+        throw new IllegalStateException("bytes received before the connection was established");
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/engineclient/ProgressReports.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ProgressReports.java
@@ -14,7 +14,7 @@
         this.listener = listener;
     }
 
-    /** Whether a response reports the same as the one before; remembers it. */
+    /** Whether a response repeats the report of the previous one; remembers its report. */
     boolean isSameAsLast(Response response) {
         String report = response.header(TOPIC_HEADER) + " " + response.header(VALUE_HEADER);
         boolean same = report.equals(lastReport);
@@ -27,7 +27,7 @@
         return response.header(TOPIC_HEADER) != null;
     }
 
-    /** Passes a report on to the listener; ignores one that cannot be read. */
+    /** Passes a report on to the listener; ignores an incomplete or malformed one. */
     void publish(Response response) {
         String topic = response.header(TOPIC_HEADER);
         String value = response.header(VALUE_HEADER);
--- a/gateway/src/main/java/sandpaddle/engineclient/QueryCalls.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/QueryCalls.java
@@ -19,19 +19,32 @@
 
     /** Receives what the engine responds. */
     interface Listener {
-        /** Whether responses are still of use; no call is started otherwise. */
+        /** Whether responses are still needed; otherwise no call is started. */
         boolean isActive();
 
-        /** {@code newConnection}: whether the connection was established for this call. Only called while active. */
+        /**
+         * A response arrived. Only called while active.
+         *
+         * @param response the response
+         * @param page the page that was polled; 0 for the end of the query
+         * @param newConnection whether the connection was established for this call
+         */
         void onResponse(Response response, int page, boolean newConnection);
 
-        /** Called also while not active. {@code maybeSent}: whether any byte of the call may have been sent. */
+        /**
+         * A call failed. Called also while not active.
+         *
+         * @param failure what failed
+         * @param reason for logs
+         * @param maybeSent whether any byte of the call may have been sent
+         * @param page the page that was polled; 0 for the end of the query
+         */
         void onCallFailed(EngineConnection.Failure failure, String reason, boolean maybeSent, int page);
 
-        /** The engine became unreachable; called once until it responds again. */
+        /** The engine became unreachable; not called again before it responds. */
         void onUnreachable();
 
-        /** The engine has died or has dropped the query: there is nothing to poll any more. */
+        /** The engine has died or has dropped the query: polling has ended. */
         void onQueryLost(String reason);
     }
 
@@ -41,7 +54,7 @@
     private final Listener listener;
     private final EngineReachability reachability = new EngineReachability();
     private EngineConnection calling; // null while no call is in flight
-    private EngineConnection reserved; // that of the last response, for the next call
+    private EngineConnection reserved; // connection of the last response, for the next call
     private Instant callStartedAt;
 
     QueryCalls(EventLoop loop, ConnectionPool pool, String traceId, Listener listener) {
@@ -73,7 +86,7 @@
 
     // ---- The connection of the last response.
 
-    /** Gives it back to the pool. */
+    /** Releases it to the pool. */
     void release() {
         if (reserved != null) {
             pool.release(reserved);
@@ -89,7 +102,7 @@
         }
     }
 
-    /** Lets only this query use it on, since its last response may have been a duplicate. */
+    /** Bars other queries from using it, since its last response may have been a duplicate. */
     void suspectDuplicateResponse() {
         if (reserved != null) {
             reserved.suspectDuplicateResponse();
@@ -98,7 +111,7 @@
 
     // ---- Polls.
 
-    /** Polls on the connection of the last response, else on one of the pool. */
+    /** Polls on the connection of the last response, or on one of the pool if that has ended. */
     void poll(int page) {
         EngineConnection last = reserved;
         reserved = null;
@@ -208,7 +221,7 @@
         @Override
         public void onFailure(EngineConnection.Failure failure, String reason, boolean maybeSent) {
             calling = null;
-            if (newConnection) { // a machine that is cut off establishes none
+            if (newConnection) { // it was established, so the host was reachable then
                 reachability.newConnectionFailed(callStartedAt);
             }
             reachability.callFailed(failure);
@@ -216,12 +229,12 @@
         }
     }
 
-    /** Records that the engine responded for the query, not only for a connection. */
+    /** Records a response that refers to the query, not only to the connection. */
     void queryAnswered() {
         reachability.queryAnswered(loop.now());
     }
 
-    /** Counts a broken connection; returns whether it was one too many. */
+    /** Counts a broken connection; returns whether there were more in a row than the limit. */
     boolean isBrokenTooOften(EngineConnection.Failure failure) {
         return reachability.isBrokenTooOften(failure);
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/QueryPoller.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/QueryPoller.java
@@ -10,8 +10,8 @@
 
 /**
  * Runs one query at its engine: the POST, long polls until its end, and the further pages. A response that is lost or
- * cannot be read is polled again on another connection; polling does not run the query again. What each response proves
- * is {@link ResponseClassification}'s to say.
+ * malformed is polled again on another connection; polling does not run the query again. {@link ResponseClassification}
+ * defines what each response proves.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -19,10 +19,10 @@
     /** Header with the engine's statistics line. */
     static final String STATS_HEADER = "x-stats";
 
-    /** A response that comes sooner was not delayed by the engine, as a long poll is. */
+    /** A response within this time was not delayed by the engine as that of a long poll is. */
     private static final Duration MIN_POLL_INTERVAL = Duration.ofMillis(50);
 
-    /** Responses of one query that may be malformed. */
+    /** Limit on malformed responses of one query. */
     private static final int MAX_MALFORMED_RESPONSES = 6;
 
     /** The attempt that the query is run for. */
@@ -49,7 +49,7 @@
     private int malformedResponses;
     private boolean postMaybeSent;
     private boolean knownToEngine; // a response has shown that the engine accepted the query
-    private boolean responseLost; // that of an earlier call
+    private boolean responseLost; // to an earlier call
     private String stats; // the latest statistics line, null before the first
 
     QueryPoller(
@@ -85,7 +85,7 @@
         return calls.stop();
     }
 
-    /** Gives the connection of the last response back. */
+    /** Releases the connection of the last response to the pool. */
     void release() {
         calls.release();
     }
@@ -105,7 +105,7 @@
         owner.end(new AttemptEnd.ConnectionLost(reason));
     }
 
-    // ---- Calls without a response that can be read.
+    // ---- Calls without a readable response.
 
     @Override
     public void onCallFailed(EngineConnection.Failure failure, String reason, boolean maybeSent, int page) {
@@ -116,7 +116,7 @@
         if (!maybeSent && !postMaybeSent) {
             owner.end(new AttemptEnd.NotConnected(reason));
         } else if (failure == EngineConnection.Failure.MALFORMED) {
-            knownToEngine |= !postMaybeSent; // a response to the POST: the engine has read it
+            knownToEngine |= !postMaybeSent; // the malformed bytes respond to the POST: the engine has read it
             onMalformedResponse(reason, page);
         } else if (calls.isBrokenTooOften(failure)) {
             owner.endAfterCancel(new AttemptEnd.ConnectionLost(reason));
@@ -127,7 +127,7 @@
         }
     }
 
-    /** The query has run and its engine keeps the result: polls again, on another connection. */
+    /** Polls again on another connection: the query has run and the engine keeps its result. */
     private void onMalformedResponse(String reason, int page) {
         postMaybeSent = true;
         responseLost = true;
@@ -172,7 +172,7 @@
 
     private void onPage(Response response, int page) {
         if (!pages.add(response, page)) {
-            onMalformedResponse("malformed page " + page, page);
+            onMalformedResponse("malformed result page " + page, page);
         } else if (pages.isComplete()) {
             owner.end(new AttemptEnd.Completed(pages.rows(), stats));
         } else {
@@ -181,8 +181,8 @@
     }
 
     /**
-     * A response that came at once and repeats the last report may be a duplicate of it, with the response to this call
-     * still to come: the connection is then not used for another query, which could read rows that are not its own.
+     * An undelayed response that repeats the last report may be a duplicate of it, with the response to this call still
+     * outstanding. The connection is then not used for another query, which could receive the rows of this one.
      */
     private void onProgress(Response response, boolean newConnection) {
         boolean repeated = progress.isSameAsLast(response);
@@ -202,7 +202,7 @@
         return !calls.callStartedAt().plus(MIN_POLL_INTERVAL).isBefore(loop.now());
     }
 
-    /** Guards the CPU against an engine that does not delay its responses to long polls. */
+    /** Bounds the poll rate if an engine does not delay its responses to long polls. */
     private void pollAfterInterval() {
         loop.scheduleAfter(MIN_POLL_INTERVAL, () -> {
             if (owner.isInFlight()) {
@@ -211,7 +211,7 @@
         });
     }
 
-    /** The connection is closed: a late duplicate of the decline must not be read as the response to another POST. */
+    /** Closes the connection: a late duplicate of the decline must not be read as the response to another POST. */
     private void endDeclined(AttemptEnd end) {
         calls.closeReserved();
         owner.end(end);
@@ -220,7 +220,7 @@
     private void onConnectionDeclined(int page) {
         calls.closeReserved();
         responseLost = true;
-        calls.pollLater(page, ConnectFailure.NO_CAPACITY, "its connections are all taken");
+        calls.pollLater(page, ConnectFailure.NO_CAPACITY, "engine declined the connection: none free");
     }
 
     // ---- Log.
--- a/gateway/src/main/java/sandpaddle/engineclient/RequestEncoder.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/RequestEncoder.java
@@ -5,14 +5,20 @@
 import java.util.Arrays;
 import sandpaddle.query.AttemptSpec;
 
-/** Encodes the calls that engines understand. Their bytes are fixed by the engines' protocol. */
+/** Encodes the calls of the engines' HTTP protocol, which fixes their bytes. */
 final class RequestEncoder {
     private static final int INITIAL_HEAD_CHARS = 256;
     private static final int TENTHS = 10;
 
     private RequestEncoder() {}
 
-    /** The POST that starts a query; {@code remaining} is the time that its client still waits. */
+    /**
+     * The POST that starts a query.
+     *
+     * @param host value of the Host header
+     * @param spec the attempt
+     * @param remaining how long the client still waits
+     */
     static byte[] startQuery(String host, AttemptSpec spec, Duration remaining) {
         StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS)
                 .append("POST /x HTTP/1.1\r\nHost: ")
--- a/gateway/src/main/java/sandpaddle/engineclient/ResponseClassification.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ResponseClassification.java
@@ -1,29 +1,29 @@
 package sandpaddle.engineclient;
 
 /**
- * What an engine's response to a call says about the query. The only class that interprets it;
+ * What an engine's response to a call proves about the query. The only class that interprets responses;
  * docs/design/ends-of-attempts.md has the table and its reasons.
  *
  * <p>Only the response to the POST may prove that a query never ran. Later calls are mostly sent because a response was
- * lost, and an engine without a free connection declines new ones without reading what they ask: to take that for the
+ * lost, and an engine without a free connection declines new connections without reading the call: to treat that as the
  * end of the query would run non-idempotent work twice.
  */
 enum ResponseClassification {
-    /** A page of the result; it has run. */
+    /** A page of the result; the query has run. */
     RESULT,
-    /** Accepted and not finished. */
+    /** The query was accepted and has not finished. */
     IN_PROGRESS,
     /** The engine has no capacity for the query; it never ran. */
     DECLINED,
     /** The query's time was over before it began; it never ran. */
     EXPIRED,
-    /** The engine declined the connection unread; says nothing about the query. */
+    /** The engine declined the connection without reading the call; proves nothing about the query. */
     CONNECTION_DECLINED,
-    /** An error, or a query that the engine no longer knows; it may have run and no longer does. */
+    /** An error, or a query that the engine no longer knows; the query may have run and is not running. */
     FAILED,
-    /** It may have run and may still be running. */
+    /** The query may have run and may still be running. */
     UNCERTAIN,
-    /** Not a response of the protocol, or not one to this call; it may be running. */
+    /** Not a response of the protocol, or not to this call; the query may be running. */
     UNREADABLE;
 
     private static final int STATUS_OK = 200;
--- a/gateway/src/main/java/sandpaddle/engineclient/ResponseDecoder.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ResponseDecoder.java
@@ -7,8 +7,8 @@
 import sandpaddle.codec.MalformedHttpException;
 
 /**
- * Decodes the responses on one connection from bytes that may be split anywhere. Rejects a response whose headers
- * contradict each other. Memory is bounded by the limits below.
+ * Decodes the responses on one connection from bytes that may be split anywhere. Rejects a response with a header that
+ * has two different values. Memory is bounded by the limits below.
  */
 final class ResponseDecoder implements HttpParser.Handler {
     /** Limit on a response's head. */
@@ -29,8 +29,8 @@
     /**
      * Consumes bytes up to the end of a response.
      *
-     * @return the response, null while it is incomplete
-     * @throws MalformedHttpException if the bytes are no response, or one beyond the limits
+     * @return the response; null while it is incomplete
+     * @throws MalformedHttpException if the bytes are not a response, or the response exceeds a limit
      */
     Response decode(ByteBuffer bytes) throws MalformedHttpException {
         if (!parser.feed(bytes)) {
--- a/gateway/src/main/java/sandpaddle/engineclient/ResultPages.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ResultPages.java
@@ -13,7 +13,7 @@
     private int totalPages = 1; // stated by page 0
     private int bytes;
 
-    /** Adds the page of that number; returns false, and changes nothing, where the response is not that page. */
+    /** Adds the page of that number; returns false and changes nothing if the response is not that page. */
     boolean add(Response response, int page) {
         int statedTotal = page == 0 ? response.number("result-pages", -1) : totalPages;
         boolean isThatPage =
