--- a/gateway/src/main/java/sandpaddle/dispatch/CoalescedRuns.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/CoalescedRuns.java
@@ -98,26 +98,26 @@
      */
     QueryService.PendingQuery submit(
             Query query, long fingerprint, Duration runTimeout, Consumer<Answer> callback, Starter starter) {
-        LoadDeduplicator.Verdict verdict =
+        LoadDeduplicator.ClaimResult claimResult =
                 runs.claim(Micros.of(loop.now()), query.runName(), fingerprint, query.mayHaveRun());
-        logVerdict(query, verdict);
-        switch (verdict) {
+        logClaim(query, claimResult);
+        switch (claimResult) {
             case RUN:
                 return start(query, runTimeout, callback, starter);
             case JOIN:
                 return new Waiter(running.get(query.runName()), query, callback);
             default:
-                callback.accept(immediateAnswer(verdict, query.runName()));
+                callback.accept(immediateAnswer(claimResult, query.runName()));
                 return ANSWERED;
         }
     }
 
-    private static void logVerdict(Query query, LoadDeduplicator.Verdict verdict) {
+    private static void logClaim(Query query, LoadDeduplicator.ClaimResult claimResult) {
         if (LogEvent.isDebugOn()) {
             LogEvent.of("named run")
                     .trace(query.traceId())
                     .with("once", query.runName())
-                    .with("verdict", verdict.name())
+                    .with("verdict", claimResult.name())
                     .debug();
         }
     }
@@ -131,8 +131,8 @@
     }
 
     /** The answer to a request that neither starts a run nor joins one. */
-    private Answer immediateAnswer(LoadDeduplicator.Verdict verdict, String name) {
-        return switch (verdict) {
+    private Answer immediateAnswer(LoadDeduplicator.ClaimResult claimResult, String name) {
+        return switch (claimResult) {
             case SERVED -> new Answer.Served(runs.result(name));
             case SERVED_RESULT_DROPPED ->
                 new Answer.Failed("once=" + name + " was served; its rows are no longer kept");
--- a/gateway/src/main/java/sandpaddle/dispatch/StormLog.java
+++ b/gateway/src/main/java/sandpaddle/dispatch/StormLog.java
@@ -13,17 +13,17 @@
     static void phaseChanged(OverloadController.PhaseChange change) {
         LogEvent event = LogEvent.of(message(change.to()))
                 .with("from", change.from().name())
-                .with("firsts_per_s", change.signals().firsts())
-                .with("returns_per_s", change.signals().returns())
-                .with("usual_per_s", change.signals().usualFirsts())
-                .with("good_per_s", change.signals().good())
-                .with("bad_per_s", change.signals().bad())
-                .with("connections_per_s", change.signals().connections())
-                .with("answering_part", change.signals().answeringPart())
+                .with("firsts_per_s", change.signals().firstArrivalsPerS())
+                .with("returns_per_s", change.signals().retriesPerS())
+                .with("usual_per_s", change.signals().usualFirstArrivalsPerS())
+                .with("good_per_s", change.signals().successesPerS())
+                .with("bad_per_s", change.signals().failuresPerS())
+                .with("connections_per_s", change.signals().connectionsPerS())
+                .with("answering_part", change.signals().reachableShare())
                 .with("capacity_cores", change.capacityCores())
                 .with("admitted_cores", change.admittedWorkUsPerS() / US_PER_S)
                 .with("honours", change.complianceShare())
-                .with("returns", change.returnShare());
+                .with("returns", change.rejectedReturnShare());
         if (change.to() == OverloadPhase.STORM) {
             event.warn();
         } else {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/recovery/ReturnScheduler.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/ReturnScheduler.java
@@ -35,7 +35,7 @@
 
     /** What refreshes may take now: the work of clients due in this slot goes before them. */
     public Allowance refresh(long now, double warmCapacity, boolean isHeld) {
-        double due = calendar.expected(now) * 1e6 / settings.slotUs(); // us of work a second
+        double due = calendar.expectedWorkUs(now) * 1e6 / settings.slotUs(); // us of work a second
         double left = Math.min(
                 settings.refreshShare() * warmCapacity,
                 (settings.clientShare() + settings.refreshShare()) * warmCapacity - due);
--- a/gateway/src/main/java/sandpaddle/overload/LoadDeduplicator.java
+++ b/gateway/src/main/java/sandpaddle/overload/LoadDeduplicator.java
@@ -26,7 +26,7 @@
  */
 public final class LoadDeduplicator<R> {
     /** What a request with a key has to do. */
-    public enum Verdict {
+    public enum ClaimResult {
         /** It is the first: run it, then call {@link #ended}. */
         RUN,
         /** A run with its key is in flight: wait for its end. */
@@ -87,27 +87,27 @@
     }
 
     /** What a request with this key has to do; {@code fingerprint} identifies its statement. */
-    public Verdict claim(long nowUs, String key, long fingerprint, boolean isRepeat) {
+    public ClaimResult claim(long nowUs, String key, long fingerprint, boolean isRepeat) {
         removeExpired(nowUs);
         Entry<R> entry = running.containsKey(key) ? running.get(key) : ended.get(key);
         if (entry == null) {
             if (isRepeat) {
-                return Verdict.UNKNOWN_KEY;
+                return ClaimResult.UNKNOWN_KEY;
             }
             if (running.size() + ended.size() >= settings.maxEntries()) {
-                return Verdict.CAPACITY_EXHAUSTED;
+                return ClaimResult.CAPACITY_EXHAUSTED;
             }
             running.put(key, new Entry<>(fingerprint));
-            return Verdict.RUN;
+            return ClaimResult.RUN;
         }
         if (entry.fingerprint != fingerprint) {
-            return Verdict.OTHER_STATEMENT;
+            return ClaimResult.OTHER_STATEMENT;
         }
         return switch (entry.state) {
-            case RUNNING -> Verdict.JOIN;
-            case SERVED -> Verdict.SERVED;
-            case RESULT_DROPPED -> Verdict.SERVED_RESULT_DROPPED;
-            case UNKNOWN -> Verdict.MAY_HAVE_RUN;
+            case RUNNING -> ClaimResult.JOIN;
+            case SERVED -> ClaimResult.SERVED;
+            case RESULT_DROPPED -> ClaimResult.SERVED_RESULT_DROPPED;
+            case UNKNOWN -> ClaimResult.MAY_HAVE_RUN;
         };
     }
 
--- a/gateway/src/main/java/sandpaddle/overload/OverloadController.java
+++ b/gateway/src/main/java/sandpaddle/overload/OverloadController.java
@@ -72,7 +72,7 @@
             double capacityCores,
             double admittedWorkUsPerS,
             double complianceShare,
-            double returnShare) {}
+            double rejectedReturnShare) {}
 
     private final DecisionSettings decisionSettings;
     private final SplittableRandom random;
@@ -320,12 +320,12 @@
             OverloadSignals signals,
             double capacityCores,
             double admittedWorkUsPerS,
-            double waitingWorkUs,
+            double queuedWorkUs,
             long rejectedQueries,
             long rejectedConnections,
             int rememberedStatements,
             int maxRememberedStatements,
             long evictedStatements,
             double complianceShare,
-            double returnShare) {}
+            double rejectedReturnShare) {}
 }
--- a/gateway/src/main/java/sandpaddle/overload/OverloadPhase.java
+++ b/gateway/src/main/java/sandpaddle/overload/OverloadPhase.java
@@ -16,7 +16,7 @@
         OverloadPhase next(OverloadSignals signals, OverloadSettings.Detection detection) {
             boolean distress = signals.badShare() >= detection.failureShare();
             boolean returning = signals.returnShare() >= detection.returnShare() && signals.returnsMakeTheExcess();
-            boolean outage = signals.answeringPart() <= MAX_ANSWERING_SHARE_IN_OUTAGE
+            boolean outage = signals.reachableShare() <= MAX_ANSWERING_SHARE_IN_OUTAGE
                     && signals.badShare() >= MIN_FAILURE_SHARE_IN_OUTAGE;
             return distress && returning || outage ? STORM : CALM;
         }
@@ -26,17 +26,17 @@
         /** Recovery begins once engines answer again; without traffic there is nothing to damp. */
         @Override
         OverloadPhase next(OverloadSignals signals, OverloadSettings.Detection detection) {
-            if (signals.answeringPart() > 0 && signals.goodShare() >= MIN_SUCCESS_SHARE_TO_RECOVER) {
+            if (signals.reachableShare() > 0 && signals.goodShare() >= MIN_SUCCESS_SHARE_TO_RECOVER) {
                 return RECOVERING;
             }
-            return signals.isQuiet() && signals.answeringPart() > MAX_ANSWERING_SHARE_IN_OUTAGE ? CALM : STORM;
+            return signals.isQuiet() && signals.reachableShare() > MAX_ANSWERING_SHARE_IN_OUTAGE ? CALM : STORM;
         }
     },
     /** Recovery ramp: engines answer, and the admitted rate grows with their capacity. */
     RECOVERING {
         @Override
         OverloadPhase next(OverloadSignals signals, OverloadSettings.Detection detection) {
-            if (signals.answeringPart() == 0
+            if (signals.reachableShare() == 0
                     || signals.goodShare() < MAX_SUCCESS_SHARE_OF_RELAPSE && !signals.isQuiet()) {
                 return STORM; // a second outage
             }
--- a/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
+++ b/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
@@ -101,7 +101,7 @@
     }
 
     /** Work expected to return in the slot of a time (us). */
-    public double expected(long timeUs) {
+    public double expectedWorkUs(long timeUs) {
         long slot = timeUs / slotUs;
         int index = (int) Math.floorMod(slot, (long) scheduledWorkUs.length);
         return slotNumbers[index] == slot ? scheduledWorkUs[index] : 0;
--- a/gateway/src/main/java/sandpaddle/overload/RetryStormDetector.java
+++ b/gateway/src/main/java/sandpaddle/overload/RetryStormDetector.java
@@ -107,8 +107,8 @@
         if (phase == OverloadPhase.CALM && elapsedUs > 0) {
             calmObservedUs += elapsedUs;
             double weight = elapsedUs / Math.min(USUAL_TIME_CONSTANT_US, calmObservedUs);
-            usualFirsts += weight * (signals.firsts() - usualFirsts);
-            usualConnections += weight * (signals.connections() - usualConnections);
+            usualFirsts += weight * (signals.firstArrivalsPerS() - usualFirsts);
+            usualConnections += weight * (signals.connectionsPerS() - usualConnections);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/LoadDeduplicatorProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/LoadDeduplicatorProperties.java
@@ -40,8 +40,8 @@
                 }
                 continue;
             }
-            LoadDeduplicator.Verdict v = drawn.claim(now, key, key.hashCode(), step % 5 == 0);
-            if (v == LoadDeduplicator.Verdict.RUN) {
+            LoadDeduplicator.ClaimResult v = drawn.claim(now, key, key.hashCode(), step % 5 == 0);
+            if (v == LoadDeduplicator.ClaimResult.RUN) {
                 assertFalse(running.contains(key), "two runs at once");
                 Long ended = mayHaveRunAt.get(key);
                 assertTrue(ended == null || now >= ended + SETTINGS.retentionUs(), "ran again");
@@ -49,7 +49,8 @@
                 running.add(key);
             }
             assertEquals(
-                    running.contains(key) && v != LoadDeduplicator.Verdict.RUN, v == LoadDeduplicator.Verdict.JOIN);
+                    running.contains(key) && v != LoadDeduplicator.ClaimResult.RUN,
+                    v == LoadDeduplicator.ClaimResult.JOIN);
             assertTrue(drawn.size() <= SETTINGS.maxEntries());
             assertTrue(drawn.cachedBytes() >= 0 && drawn.cachedBytes() <= SETTINGS.maxResultBytes());
         }
@@ -57,11 +58,11 @@
 
     @Test
     void aRepeatJoinsOrLearnsTheEnd() {
-        assertEquals(LoadDeduplicator.Verdict.RUN, runs.claim(0, "a", 1, false));
-        assertEquals(LoadDeduplicator.Verdict.JOIN, runs.claim(1, "a", 1, true));
-        assertEquals(LoadDeduplicator.Verdict.OTHER_STATEMENT, runs.claim(2, "a", 2, false));
+        assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(0, "a", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.JOIN, runs.claim(1, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.OTHER_STATEMENT, runs.claim(2, "a", 2, false));
         runs.ended(3, "a", LoadDeduplicator.End.SERVED, "rows", 60);
-        assertEquals(LoadDeduplicator.Verdict.SERVED, runs.claim(4, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED, runs.claim(4, "a", 1, true));
         assertEquals("rows", runs.result("a"));
     }
 
@@ -72,29 +73,29 @@
         runs.ended(1, "a", LoadDeduplicator.End.SERVED, "rows", 60);
         runs.claim(2, "b", 1, false);
         runs.ended(3, "b", LoadDeduplicator.End.SERVED, "more", 60);
-        assertEquals(LoadDeduplicator.Verdict.SERVED_RESULT_DROPPED, runs.claim(4, "a", 1, true));
-        assertEquals(LoadDeduplicator.Verdict.SERVED, runs.claim(4, "b", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED_RESULT_DROPPED, runs.claim(4, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED, runs.claim(4, "b", 1, true));
         assertEquals(60, runs.cachedBytes());
     }
 
     @Test
     void whatIsNotKnownIsNeverGuessed() {
-        assertEquals(LoadDeduplicator.Verdict.UNKNOWN_KEY, runs.claim(0, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.UNKNOWN_KEY, runs.claim(0, "a", 1, true));
         runs.claim(1, "a", 1, false);
         runs.ended(2, "a", LoadDeduplicator.End.MAY_HAVE_RUN, null, 0);
-        assertEquals(LoadDeduplicator.Verdict.MAY_HAVE_RUN, runs.claim(3, "a", 1, false));
-        assertEquals(LoadDeduplicator.Verdict.UNKNOWN_KEY, runs.claim(2 + SETTINGS.retentionUs(), "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.MAY_HAVE_RUN, runs.claim(3, "a", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.UNKNOWN_KEY, runs.claim(2 + SETTINGS.retentionUs(), "a", 1, true));
     }
 
     /** Guards against forgetting a run for want of room: new keys are turned away instead, which is harmless. */
     @Test
     void aFullTableTurnsNewKeysAwayAndKeepsTheOld() {
         for (int i = 0; i < SETTINGS.maxEntries(); i++) {
-            assertEquals(LoadDeduplicator.Verdict.RUN, runs.claim(0, "k" + i, 1, false));
+            assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(0, "k" + i, 1, false));
         }
-        assertEquals(LoadDeduplicator.Verdict.CAPACITY_EXHAUSTED, runs.claim(1, "new", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.CAPACITY_EXHAUSTED, runs.claim(1, "new", 1, false));
         runs.ended(2, "k0", LoadDeduplicator.End.NEVER_RAN, null, 0);
-        assertEquals(LoadDeduplicator.Verdict.RUN, runs.claim(3, "new", 1, false));
-        assertEquals(LoadDeduplicator.Verdict.JOIN, runs.claim(4, "k1", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(3, "new", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.JOIN, runs.claim(4, "k1", 1, false));
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/OverloadControllerProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/OverloadControllerProperties.java
@@ -88,8 +88,11 @@
 
     private static void check(OverloadController.Stats f) {
         assertTrue(f.rememberedStatements() <= f.maxRememberedStatements());
-        assertTrue(f.capacityCores() >= 0 && f.admittedWorkUsPerS() >= 0 && f.waitingWorkUs() >= 0);
-        assertTrue(f.complianceShare() > 0 && f.complianceShare() <= 1 && f.returnShare() > 0 && f.returnShare() <= 1);
+        assertTrue(f.capacityCores() >= 0 && f.admittedWorkUsPerS() >= 0 && f.queuedWorkUs() >= 0);
+        assertTrue(f.complianceShare() > 0
+                && f.complianceShare() <= 1
+                && f.rejectedReturnShare() > 0
+                && f.rejectedReturnShare() <= 1);
     }
 
     /** In calm nothing is turned away, and a refusal says what the decision module advises. */
--- a/gateway/src/test/java/sandpaddle/overload/RetryAfterSchedulerProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/RetryAfterSchedulerProperties.java
@@ -46,7 +46,7 @@
         }
         for (long t = 0; t < MAX_PAUSE_US; t += SLOT) {
             boolean taken = t >= MIN_PAUSE_US && t < MIN_PAUSE_US + clients * SLOT;
-            assertEquals(taken ? 100_000 : 0, calendar.expected(t), "slot at " + t);
+            assertEquals(taken ? 100_000 : 0, calendar.expectedWorkUs(t), "slot at " + t);
         }
     }
 
@@ -63,7 +63,7 @@
             assertTrue(p >= middle - 2 * SLOT && p <= MAX_PAUSE_US, "pause " + p);
         }
         double[] filled = IntStream.range(0, (int) (MAX_PAUSE_US / SLOT))
-                .mapToDouble(i -> calendar.expected(i * SLOT))
+                .mapToDouble(i -> calendar.expectedWorkUs(i * SLOT))
                 .filter(x -> x > 0)
                 .toArray();
         double mean = IntStream.range(0, filled.length)
