--- a/gateway/src/main/java/sandpaddle/overload/ConnectionRateLimiter.java
+++ b/gateway/src/main/java/sandpaddle/overload/ConnectionRateLimiter.java
@@ -1,11 +1,11 @@
 package sandpaddle.overload;
 
 /**
- * Limits the rate of new connections during a retry storm and the recovery from it: a token bucket of one second's
- * burst. Guards the loop thread against a flood of reconnects, each of which costs a handshake and a login before any
- * query is read. The rate is a multiple of the usual rate, and never under a minimum that the process handles easily.
+ * Limits the rate of new connections during a retry storm and the recovery from it, by a token bucket that holds the
+ * tokens of one second. Protects the event loop from a flood of reconnects, each of which costs a handshake and a login
+ * before a query is read. The rate is a multiple of the usual rate, with a lower bound that the process can handle.
  *
- * <p>Called from the loop thread alone; holds two numbers. Times are in microseconds and never decrease.
+ * <p>Confined to the event loop's thread; uses constant memory. Times are in microseconds and never decrease.
  */
 final class ConnectionRateLimiter {
     private static final double US_PER_S = 1e6;
@@ -25,10 +25,10 @@
         settings = newSettings;
     }
 
-    /** Whether to accept one more connection now, which takes a token; all are accepted in the phase CALM. */
-    boolean takes(long nowUs, OverloadPhase phase, double usualPerSecond) {
-        double rate = Math.max(settings.minPerS(), settings.usualMultiple() * usualPerSecond);
-        tokens = Math.min(tokens + rate * Math.max(0, nowUs - refilledAtUs) / US_PER_S, rate * BURST_S);
+    /** Whether to accept a connection, which takes a token; all connections are accepted in the phase CALM. */
+    boolean tryAccept(long nowUs, OverloadPhase phase, double usualPerS) {
+        double ratePerS = Math.max(settings.minPerS(), settings.usualMultiple() * usualPerS);
+        tokens = Math.min(tokens + ratePerS * Math.max(0, nowUs - refilledAtUs) / US_PER_S, ratePerS * BURST_S);
         refilledAtUs = Math.max(refilledAtUs, nowUs);
         if (phase == OverloadPhase.CALM) {
             return true;
--- a/gateway/src/main/java/sandpaddle/overload/DecayingRate.java
+++ b/gateway/src/main/java/sandpaddle/overload/DecayingRate.java
@@ -1,9 +1,9 @@
 package sandpaddle.overload;
 
 /**
- * An exponentially decaying rate: the weight of each addition falls with a time constant. Unbiased from the first
- * addition on, since the sum is divided by the total weight of the time observed so far. Times are in microseconds and
- * never decrease. Not thread-safe.
+ * A rate with exponential decay: the weight of each added amount falls with a time constant. The sum is divided by the
+ * total weight of the time observed so far, so the estimate is unbiased from the first amount on. Times are in
+ * microseconds and never decrease. Not thread-safe.
  */
 final class DecayingRate {
     private static final double US_PER_S = 1e6;
@@ -13,7 +13,7 @@
     private long updatedAtUs;
     private final long startedAtUs;
 
-    /** Starts to count at {@code nowUs}. */
+    /** Creates a rate whose observation begins at {@code nowUs}. */
     DecayingRate(long timeConstantUs, long nowUs) {
         this.timeConstantUs = timeConstantUs;
         updatedAtUs = nowUs;
@@ -29,21 +29,22 @@
         return nowUs <= updatedAtUs ? sum : sum * Math.exp(-(nowUs - updatedAtUs) / timeConstantUs);
     }
 
-    /** The decayed sum of all additions. */
+    /** The decayed sum of all amounts. */
     double sum(long nowUs) {
         return decayed(nowUs);
     }
 
     /**
-     * Additions per second; at the start as if a tenth of the time constant had passed, which limits the first spike.
+     * The amount per second. At least a tenth of the time constant counts as observed, so that the first amounts do not
+     * give an extreme rate.
      */
     double perSecond(long nowUs) {
         double observedUs = Math.max(nowUs - startedAtUs, timeConstantUs / 10);
         return decayed(nowUs) * US_PER_S / (timeConstantUs * (1 - Math.exp(-observedUs / timeConstantUs)));
     }
 
-    /** Time since the start of counting (us). */
-    long seenFor(long nowUs) {
+    /** The time since observation began (us). */
+    long observedUs(long nowUs) {
         return nowUs - startedAtUs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/overload/EngineCapacityEstimator.java
+++ b/gateway/src/main/java/sandpaddle/overload/EngineCapacityEstimator.java
@@ -11,23 +11,23 @@
 import sandpaddle.decision.settings.PlatformRules;
 
 /**
- * Estimates the capacity of the fleet in cores, as this gateway knows it: the listed engines without those that refuse
- * or reset connections, and engines in slow start at the share that the platform's rules allow by then. Guards against
- * a stale endpoint list: an engine that was unreachable {@value #DEAD_AFTER} times in a row does not count until it
- * answers or the list shows a new start.
+ * Estimates the capacity of the fleet in cores from this gateway's endpoint list and its own attempts. An engine in
+ * slow start counts at the share that the platform's rules allow at that time. Since the endpoint list may be stale, an
+ * engine that was unreachable {@value #UNREACHABLE_THRESHOLD} times in a row does not count until it responds or the
+ * list shows that it was restarted.
  *
- * <p>Called from the loop thread alone; bounded by the endpoint list. Times are in microseconds.
+ * <p>Confined to the event loop's thread; memory is bounded by the endpoint list. Times are in microseconds.
  */
 final class EngineCapacityEstimator {
-    static final int DEAD_AFTER = 2;
-    private static final double USUAL_TIME_CONSTANT_US =
-            300e6; // a fleet that shrank becomes the usual one in this time
+    static final int UNREACHABLE_THRESHOLD = 2;
+    /** Time constant with which the usual capacity falls to that of a smaller fleet. */
+    private static final double USUAL_TIME_CONSTANT_US = 300e6;
 
     private static final class ListedEngine {
         private double cores;
         private long startedAtUs;
         private boolean up;
-        private int unreachable; // attempts in a row that could not connect or were reset
+        private int consecutiveUnreachable; // attempts that could not connect or were reset
     }
 
     private final DecisionSettings settings;
@@ -40,7 +40,7 @@
         updatedAtUs = nowUs;
     }
 
-    void listed(EngineListKind kind, List<EngineEntry> entries) {
+    void endpointListReceived(EngineListKind kind, List<EngineEntry> entries) {
         if (kind == EngineListKind.FAILED) {
             return;
         }
@@ -50,12 +50,12 @@
         for (EngineEntry entry : entries) {
             ListedEngine engine = engines.computeIfAbsent(entry.id(), k -> new ListedEngine());
             boolean startedAnew = engine.startedAtUs != entry.startedUs();
-            engine.unreachable = startedAnew ? 0 : engine.unreachable;
+            engine.consecutiveUnreachable = startedAnew ? 0 : engine.consecutiveUnreachable;
             engine.startedAtUs = entry.startedUs();
             engine.up = entry.status() == EngineStatus.UP;
             engine.cores = cores(entry);
         }
-        engines.values().removeIf(engine -> !engine.up); // engines come and go under new ids
+        engines.values().removeIf(engine -> !engine.up); // bounds the map: new engines have new ids
     }
 
     private double cores(EngineEntry entry) {
@@ -65,37 +65,37 @@
         return cores > 0 ? cores : Math.max(1, entry.rating());
     }
 
-    void attempt(String engineId, AttemptResult result) {
+    void attemptEnded(String engineId, AttemptResult result) {
         ListedEngine engine = engines.get(engineId);
         if (engine == null) {
             return;
         }
         switch (result) {
-            case CONNECT_FAILED, RESET -> engine.unreachable++;
-            case OK, QUEUE_FULL, ERROR -> engine.unreachable = 0;
-            default -> {} // no evidence either way
+            case CONNECT_FAILED, RESET -> engine.consecutiveUnreachable++;
+            case OK, QUEUE_FULL, ERROR -> engine.consecutiveUnreachable = 0;
+            default -> {} // says nothing about reachability
         }
     }
 
-    private static boolean isAnswering(ListedEngine engine) {
-        return engine.up && engine.unreachable < DEAD_AFTER;
+    private static boolean isReachable(ListedEngine engine) {
+        return engine.up && engine.consecutiveUnreachable < UNREACHABLE_THRESHOLD;
     }
 
-    /** Cores of answering engines, scaled by their slow start at a time, which may be in the future. */
-    double capacity(long timeUs) {
+    /** The cores of reachable engines, scaled by their slow start at a time that may be in the future. */
+    double capacityCores(long timeUs) {
         double cores = 0;
         for (ListedEngine engine : engines.values()) {
-            cores += isAnswering(engine) ? engine.cores * warmth(engine, timeUs) : 0;
+            cores += isReachable(engine) ? engine.cores * slowStartShare(engine, timeUs) : 0;
         }
         return cores;
     }
 
-    private double warmth(ListedEngine engine, long timeUs) {
-        return engine.startedAtUs <= 0 ? 1 : warmthAfter(timeUs - engine.startedAtUs);
+    private double slowStartShare(ListedEngine engine, long timeUs) {
+        return engine.startedAtUs <= 0 ? 1 : slowStartShareAfter(timeUs - engine.startedAtUs);
     }
 
-    /** The share of its capacity that an engine has at least by the rules, by the time since its start. */
-    private double warmthAfter(long sinceStartUs) {
+    /** The least share of its capacity that an engine has by the rules, by the time since its start. */
+    private double slowStartShareAfter(long sinceStartUs) {
         PlatformRules rules = settings.rules();
         long ageUs = Math.max(0, sinceStartUs);
         return ageUs >= rules.slowStartUs()
@@ -104,19 +104,19 @@
     }
 
     /** The capacity at a time, or that of the usual fleet if it restarted now, whichever is larger (cores). */
-    double capacityOrReturn(long nowUs, long timeUs) {
-        return Math.max(capacity(timeUs), usualCores * warmthAfter(timeUs - nowUs));
+    double capacityAssumingRestart(long nowUs, long timeUs) {
+        return Math.max(capacityCores(timeUs), usualCores * slowStartShareAfter(timeUs - nowUs));
     }
 
-    /** The share of the usual fleet's cores that answers now; 1 before any engine was listed. */
-    double answeringPart(long nowUs) {
-        double answeringCores = 0;
+    /** Updates the usual cores; returns the share of them that is reachable now, 1 before any engine was listed. */
+    double reachableShare(long nowUs) {
+        double reachableCores = 0;
         for (ListedEngine engine : engines.values()) {
-            answeringCores += isAnswering(engine) ? engine.cores : 0;
+            reachableCores += isReachable(engine) ? engine.cores : 0;
         }
-        usualCores = Math.max(answeringCores, usualCores * Math.exp(-(nowUs - updatedAtUs) / USUAL_TIME_CONSTANT_US));
+        usualCores = Math.max(reachableCores, usualCores * Math.exp(-(nowUs - updatedAtUs) / USUAL_TIME_CONSTANT_US));
         updatedAtUs = nowUs;
-        return usualCores > 0 ? answeringCores / usualCores : 1;
+        return usualCores > 0 ? reachableCores / usualCores : 1;
     }
 
     int size() {
--- a/gateway/src/main/java/sandpaddle/overload/LoadDeduplicator.java
+++ b/gateway/src/main/java/sandpaddle/overload/LoadDeduplicator.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Deduplicates requests that must not run twice, by a key that the client chose: a repeat joins the run in flight or
- * gets its known outcome, and never starts a second run. Each key goes through
+ * Deduplicates loads, which must not run twice, by a key that the client chooses: a repeat joins the run in flight or
+ * gets its known outcome, and never starts a second run. The states of a key:
  *
  * <pre>
  *   (unknown) --claim--> RUNNING --+-- served -------> SERVED --bytes needed--> RESULT_DROPPED
@@ -15,40 +15,42 @@
  *                           +-- claim: joined
  * </pre>
  *
- * and expires a fixed time after its end, never earlier: if all entries are in use, new keys are rejected, which is
- * safe; if results use too many bytes, the oldest are dropped but not their outcomes. A client marks a repeat; a
- * marked repeat of an unknown key is answered as unknown, since its first run may have been on another gateway, or
- * before a restart.
+ * <p>A key expires a fixed time after its run has ended, never earlier. If all entries are in use, new keys are
+ * rejected, which is safe; if the results use too many bytes, the oldest are dropped, but their outcomes are kept. A
+ * client marks a repeat; a marked repeat of an unknown key is answered as unknown, since the first run may have been on
+ * another gateway or before a restart.
  *
- * <p>Called from the loop thread alone. Times are in microseconds and never decrease.
+ * <p>Confined to the event loop's thread. Times are in microseconds and never decrease.
  *
- * @param <R> a result, which is stored and returned as it is
+ * @param <R> type of a result, which is stored and returned as it is
  */
 public final class LoadDeduplicator<R> {
-    /** What a request with a key has to do. */
+    /** The result of {@link #claim}: how a request with a key proceeds. */
     public enum ClaimResult {
-        /** It is the first: run it, then call {@link #ended}. */
+        /** The first request with its key: run it, then call {@link #ended}. */
         RUN,
-        /** A run with its key is in flight: wait for its end. */
+        /** A run with its key is in flight: wait until it ends. */
         JOIN,
-        /** It was served; the result is cached. */
+        /** The run succeeded; its result is cached. */
         SERVED,
-        /** It was served; the result is no longer cached. */
+        /** The run succeeded; its result is no longer cached. */
         SERVED_RESULT_DROPPED,
-        /** It may have run; its outcome is unknown. */
+        /** The request may have run; its outcome is unknown. */
         MAY_HAVE_RUN,
         /** A marked repeat of a key that this gateway does not know. */
         UNKNOWN_KEY,
         /** The key was used for another statement. */
         OTHER_STATEMENT,
-        /** The limit on keys is reached: it has not run. */
+        /** The limit on entries is reached; the request has not run. */
         CAPACITY_EXHAUSTED
     }
 
     /** How a run ended. */
     public enum End {
         SERVED,
+        /** The request has certainly not run, so its key may be used as if new. */
         NEVER_RAN,
+        /** It is not known whether the request ran. */
         MAY_HAVE_RUN
     }
 
@@ -72,21 +74,31 @@
 
     private OverloadSettings.LoadDeduplication settings;
     private final Map<String, Entry<R>> running = new LinkedHashMap<>();
-    private final Map<String, Entry<R>> ended =
-            new LinkedHashMap<>(); // in the order of their ends, which is that of their expiry
+    /** In the order in which the runs ended; also the order of expiry while the retention time is the same. */
+    private final Map<String, Entry<R>> ended = new LinkedHashMap<>();
+
     private long cachedBytes;
 
+    /** Creates a deduplicator without entries. */
     public LoadDeduplicator(OverloadSettings.LoadDeduplication settings) {
         this.settings = settings;
     }
 
-    /** Applies other limits; entries keep the expiry that they got at their end. */
+    /** Applies new settings; entries of ended runs keep their time of expiry. */
     public void updateSettings(OverloadSettings.LoadDeduplication newSettings) {
         settings = newSettings;
         dropOldestResults();
     }
 
-    /** What a request with this key has to do; {@code fingerprint} identifies its statement. */
+    /**
+     * Claims a key for a request.
+     *
+     * @param nowUs the time
+     * @param key the client's name for the run
+     * @param fingerprint identifies the statement
+     * @param isRepeat whether the client marked the request as a repeat
+     * @return how the request proceeds
+     */
     public ClaimResult claim(long nowUs, String key, long fingerprint, boolean isRepeat) {
         removeExpired(nowUs);
         Entry<R> entry = running.containsKey(key) ? running.get(key) : ended.get(key);
@@ -111,16 +123,25 @@
         };
     }
 
-    /** The cached result of a key whose verdict was SERVED. */
+    /** Returns the cached result of a key, right after {@link #claim} returned {@link ClaimResult#SERVED} for it. */
     public R result(String key) {
         return ended.get(key).result;
     }
 
-    /** Ends the run of a key whose verdict was RUN; to be called once. {@code result} is used only if it was served. */
+    /**
+     * Records that the run of a key has ended; to be called once for each {@link ClaimResult#RUN}.
+     *
+     * @param nowUs the time
+     * @param key the key
+     * @param end how the run ended
+     * @param result the result, used only for {@link End#SERVED}
+     * @param bytes size of the result
+     * @throws IllegalStateException if no run with this key is in flight
+     */
     public void ended(long nowUs, String key, End end, R result, long bytes) {
         Entry<R> entry = running.remove(key);
         if (entry == null) {
-            throw new IllegalStateException("no run of " + key + " is going on");
+            throw new IllegalStateException("no run in flight with key " + key);
         }
         if (end == End.NEVER_RAN) {
             return;
@@ -136,7 +157,7 @@
         }
     }
 
-    /** Drops the oldest results until the rest is within its limit. */
+    /** Drops the oldest results until the others are within the limit on bytes. */
     private void dropOldestResults() {
         Iterator<Entry<R>> entries = ended.values().iterator();
         while (cachedBytes > settings.maxResultBytes() && entries.hasNext()) {
@@ -166,12 +187,12 @@
         }
     }
 
-    /** Known keys, running and ended. */
+    /** The number of known keys, of runs in flight and ended. */
     public int size() {
         return running.size() + ended.size();
     }
 
-    /** Size of the cached results (bytes). */
+    /** The size of the cached results (bytes). */
     public long cachedBytes() {
         return cachedBytes;
     }
--- a/gateway/src/main/java/sandpaddle/overload/OverloadController.java
+++ b/gateway/src/main/java/sandpaddle/overload/OverloadController.java
@@ -9,26 +9,28 @@
 import sandpaddle.decision.settings.RequestClass;
 
 /**
- * Overload control: detects retry storms, damps them, and ramps up load on a fleet that restarts. It has no sockets
- * and no clock: every call carries the time in microseconds, which never decreases, and all calls come from the loop
- * thread. It only advises: which engine runs a request, whether it is retried and what is rejected remain decisions of
- * the decision module, which gets the advice with the request. In normal operation it costs a hash of the statement
- * and a table lookup for each query. See docs/design/retry-storms.md.
+ * Overload control: detects retry storms, limits what is admitted during them, and ramps the load up on a fleet that
+ * recovers. It only advises: which engine runs a request, whether it is retried and what is rejected are decided by the
+ * decision module, which gets the advice with the request. In normal operation its cost for each query is a hash of the
+ * statement and a table lookup. See docs/design/retry-storms.md.
  *
  * <p>{@link RetryStormDetector} holds the phase; {@link AdmissionController} decides what is admitted outside normal
- * operation; {@link RetryAfterScheduler} spreads the returns of rejected clients; {@link ConnectionRateLimiter} limits
+ * operation; {@link RetryAfterScheduler} spreads the retries of rejected clients; {@link ConnectionRateLimiter} limits
  * reconnects. All state is bounded by the settings, the number of request classes and the endpoint list.
+ *
+ * <p>Confined to the event loop's thread. It has no sockets and no clock: each call passes the time in microseconds,
+ * which never decreases.
  */
 public final class OverloadController {
     /** Interval between calls of {@link #tick} (us). */
     public static final long TICK_INTERVAL_US = 100_000;
 
-    private static final long UNPLANNED_TIME_CONSTANT_US = 3_000_000; // of the rate of unplanned work
-    private static final double MAX_AGE_OF_TIMELY_RETRY = 0.6; // share of the latency objective since its first arrival
-
-    private static final double MIN_PLANNED_SHARE = 0.1; // of the admitted rate: returns are planned in any case
+    private static final long UNPLANNED_TIME_CONSTANT_US = 3_000_000;
+    private static final double MAX_AGE_OF_TIMELY_RETRY = 0.6; // of the latency objective, since its first arrival
+    /** Share of the admitted rate in which retries are planned however much unplanned work there is. */
+    private static final double MIN_PLANNED_SHARE = 0.1;
 
-    /** How a query ended, as far as the client's next step depends on it. */
+    /** How a query ended, as far as a retry by the client depends on it. */
     public enum Outcome {
         SERVED,
         REJECTED,
@@ -36,35 +38,45 @@
         CLIENT_DISCONNECTED
     }
 
-    /** A query in flight; the caller holds it from its arrival to its end. */
+    /** A query in flight; the caller holds it from its arrival until it ends. */
     public static final class TrackedQuery {
         private final long fingerprint, firstArrivalUs;
-        private final int attempts;
+        private final int arrivals;
         private final double workUs;
         private final boolean isSheddable;
-        private AdmissionController.Waiting waiting; // null if it is not queued
+        private AdmissionController.QueuedRequest queuedRequest; // null if it is not queued
         private boolean sent;
 
-        private TrackedQuery(long fingerprint, long firstArrivalUs, int attempts, double workUs, boolean isSheddable) {
+        private TrackedQuery(long fingerprint, long firstArrivalUs, int arrivals, double workUs, boolean isSheddable) {
             this.fingerprint = fingerprint;
             this.firstArrivalUs = firstArrivalUs;
-            this.attempts = attempts;
+            this.arrivals = arrivals;
             this.workUs = workUs;
             this.isSheddable = isSheddable;
         }
 
-        /** Whether its statement was rejected recently, so that this is probably a retry. */
+        /** Whether its statement was rejected or failed recently, so that this is probably a client's retry. */
         public boolean isFromReturningClient() {
-            return attempts > 1;
+            return arrivals > 1;
         }
 
-        /** Whether overload control advises to shed it. */
+        /** Whether overload control advises the decision module to reject it. */
         public boolean isSheddable() {
             return isSheddable;
         }
     }
 
-    /** A change of phase, with the signals that caused it and figures for the log. */
+    /**
+     * A change of phase, for the log.
+     *
+     * @param from the phase before
+     * @param to the phase entered
+     * @param signals the signals that caused it
+     * @param capacityCores cores of reachable engines, scaled by slow start
+     * @param admittedWorkUsPerS expected rate of work sent to engines, in microseconds per second
+     * @param complianceShare of the clients that retry after a Retry-After, the share that waits as long as advised
+     * @param rejectedReturnShare of the rejected clients, the share that retries
+     */
     public record PhaseChange(
             OverloadPhase from,
             OverloadPhase to,
@@ -82,11 +94,19 @@
     private final AdmissionController admission;
     private final ConnectionRateLimiter connectionLimiter;
     private final RetryAfterComplianceEstimator compliance;
-    private final DecayingRate unplannedWork; // of first attempts and early returns (us)
+    private final DecayingRate unplannedWork; // of first arrivals, and of retries without or before an advised time
     private OverloadSettings settings;
     private RetryAfterScheduler retryAfterScheduler;
     private long tickedAtUs, rejectedQueries, rejectedConnections;
 
+    /**
+     * Creates overload control in the phase CALM.
+     *
+     * @param decisionSettings request classes, engine kinds and platform limits
+     * @param settings the operator's settings
+     * @param seed seed of the jitter of Retry-After
+     * @param nowUs the time
+     */
     public OverloadController(DecisionSettings decisionSettings, OverloadSettings settings, long seed, long nowUs) {
         this.decisionSettings = decisionSettings;
         this.settings = settings;
@@ -114,7 +134,10 @@
                 random.split());
     }
 
-    /** Applies new settings; estimates remain. The table of rejected statements keeps its size until the next start. */
+    /**
+     * Applies new settings. Estimates are kept and scheduled retries are forgotten. The table of rejected statements
+     * keeps its size and its retention until overload control is created anew.
+     */
     public void updateSettings(OverloadSettings next) {
         settings = next;
         detector.settings(next.detection());
@@ -125,37 +148,45 @@
 
     // ---- Clients.
 
-    /** A query has arrived; {@code workUs} is its estimated work, 0 if unknown. */
+    /**
+     * Records the arrival of a query, and decides on its admission.
+     *
+     * @param nowUs the time
+     * @param fingerprint {@link StatementFingerprint} of the query
+     * @param classIndex position of its request class in the settings
+     * @param workUs its estimated work, 0 if unknown
+     * @return the query with the advice on it
+     */
     public TrackedQuery queryArrived(long nowUs, long fingerprint, int classIndex, long workUs) {
         if (workUs > 0) {
-            admission.learnWork(classIndex, workUs);
+            admission.updateUsualWork(classIndex, workUs);
         }
         double countedWorkUs = admission.countedWorkUs(classIndex, workUs);
         RejectedStatementTable.ReturningClient returningClient = rejectedStatements.claim(nowUs, fingerprint);
-        detector.arrival(nowUs, returningClient != null);
+        detector.recordArrival(nowUs, returningClient != null);
         if (returningClient != null) {
-            compliance.returned(nowUs, returningClient);
+            compliance.clientReturned(nowUs, returningClient);
         }
         if (returningClient == null
-                || returningClient.backAt() == 0
+                || returningClient.returnAtUs() == 0
                 || RetryAfterComplianceEstimator.isEarly(nowUs, returningClient)) {
             unplannedWork.add(nowUs, countedWorkUs);
         }
         boolean isSheddable = false;
         if (detector.phase() != OverloadPhase.CALM) {
-            admission.fill(nowUs, timeUs -> capacityEstimator.capacityOrReturn(nowUs, timeUs));
-            isSheddable = !admission.admits(
+            admission.refill(nowUs, timeUs -> capacityEstimator.capacityAssumingRestart(nowUs, timeUs));
+            isSheddable = !admission.tryAdmit(
                     classIndex, kind(nowUs, classIndex, countedWorkUs, returningClient), countedWorkUs);
             rejectedQueries += isSheddable ? 1 : 0;
         }
         TrackedQuery query = new TrackedQuery(
                 fingerprint,
-                returningClient == null ? nowUs : returningClient.firstAt(),
-                returningClient == null ? 1 : returningClient.tries() + 1,
+                returningClient == null ? nowUs : returningClient.firstArrivalUs(),
+                returningClient == null ? 1 : returningClient.arrivals() + 1,
                 countedWorkUs,
                 isSheddable);
         if (!isSheddable) {
-            query.waiting = admission.enqueued(classIndex, countedWorkUs);
+            query.queuedRequest = admission.enqueued(classIndex, countedWorkUs);
         }
         return query;
     }
@@ -163,36 +194,39 @@
     private AdmissionController.Kind kind(
             long nowUs, int classIndex, double countedWorkUs, RejectedStatementTable.ReturningClient returningClient) {
         if (returningClient == null) {
-            return AdmissionController.Kind.FIRST;
+            return AdmissionController.Kind.FIRST_ARRIVAL;
         }
         RequestClass requestClass = decisionSettings.classes().get(classIndex);
         double objectiveUs = requestClass.latencyObjectiveUs()
                 + requestClass.objectiveStretch() * countedWorkUs / requestClass.threads();
-        return nowUs - returningClient.firstAt() <= MAX_AGE_OF_TIMELY_RETRY * objectiveUs
-                ? AdmissionController.Kind.RETURN
-                : AdmissionController.Kind.LATE_RETURN;
+        return nowUs - returningClient.firstArrivalUs() <= MAX_AGE_OF_TIMELY_RETRY * objectiveUs
+                ? AdmissionController.Kind.RETRY
+                : AdmissionController.Kind.LATE_RETRY;
     }
 
-    /** An attempt of the query has started; only the first call has an effect. */
+    /** Records that an attempt of the query has started; only the first call has an effect. */
     public void attemptStarted(long nowUs, TrackedQuery query) {
         if (!query.sent) {
             query.sent = true;
-            admission.sent(nowUs, query.workUs, query.waiting);
-            query.waiting = null;
+            admission.sent(nowUs, query.workUs, query.queuedRequest);
+            query.queuedRequest = null;
         }
     }
 
     /**
-     * The query has its final answer, or its client has disconnected.
+     * Records that the query has its final answer or that its client has disconnected.
      *
+     * @param nowUs the time
+     * @param query the query
+     * @param outcome how it ended
      * @param moduleRetryAfterUs the Retry-After that the decision module advises with a rejection, 0 for none
-     * @return the Retry-After for the client (us), 0 for none; never over the platform's maximum
+     * @return the Retry-After for the client (us), 0 for none; at most the platform's maximum
      */
     public long queryEnded(long nowUs, TrackedQuery query, Outcome outcome, long moduleRetryAfterUs) {
-        detector.answer(nowUs, outcome == Outcome.SERVED);
-        if (query.waiting != null) {
-            admission.removed(query.waiting);
-            query.waiting = null;
+        detector.recordAnswer(nowUs, outcome == Outcome.SERVED);
+        if (query.queuedRequest != null) {
+            admission.removed(query.queuedRequest);
+            query.queuedRequest = null;
         }
         if (outcome == Outcome.SERVED) {
             return 0;
@@ -202,9 +236,9 @@
                 nowUs,
                 query.fingerprint,
                 query.firstArrivalUs,
-                query.attempts,
+                query.arrivals,
                 retryAfterUs > 0 ? nowUs + retryAfterUs : 0);
-        compliance.rejected(nowUs);
+        compliance.clientRejected(nowUs);
         return retryAfterUs;
     }
 
@@ -215,61 +249,66 @@
         if (detector.phase() == OverloadPhase.CALM) {
             return moduleRetryAfterUs;
         }
-        return retryAfterScheduler.schedule(nowUs, workUs * compliance.returns(nowUs) * compliance.honours(nowUs));
+        return retryAfterScheduler.schedule(
+                nowUs, workUs * compliance.returnShare(nowUs) * compliance.complianceShare(nowUs));
     }
 
-    /** A connection was opened: 0 to accept it, else the Retry-After to reject it with (us). */
+    /** Records a new connection; returns 0 to accept it, else the Retry-After to reject it with (us). */
     public long connectionOpened(long nowUs) {
-        detector.connection(nowUs);
-        if (connectionLimiter.takes(nowUs, detector.phase(), detector.usualConnections())) {
+        detector.recordConnection(nowUs);
+        if (connectionLimiter.tryAccept(nowUs, detector.phase(), detector.usualConnectionsPerS())) {
             return 0;
         }
         rejectedConnections++;
         return Math.max(1, retryAfter(nowUs, meanWorkUs(), 0));
     }
 
-    /** The Retry-After for a connection that exceeds the limit on connections (us). */
+    /** Returns the Retry-After for a connection that exceeds the limit on open connections (us). */
     public long retryAfterWhenFull(long nowUs) {
         long maxUs = decisionSettings.limits().maxRetryAfterUs();
         return retryAfter(nowUs, meanWorkUs(), maxUs > 1 ? maxUs / 2 + random.nextLong(maxUs / 2) : 0);
     }
 
-    /** Expected work of a connection's first query, before it is read: the mean over the classes. */
+    /** The expected work of a connection's first query, which is not known yet: the mean over the classes. */
     private double meanWorkUs() {
         double sumUs = 0;
         for (int i = 0; i < decisionSettings.classes().size(); i++) {
-            sumUs += admission.usualWork(i);
+            sumUs += admission.usualWorkUs(i);
         }
         return sumUs / decisionSettings.classes().size();
     }
 
     // ---- Engines.
 
-    /** The decision module has received an endpoint list. */
+    /** Records an endpoint list that the decision module has received. */
     public void endpointListReceived(long nowUs, EngineListKind kind, List<EngineEntry> entries) {
-        capacityEstimator.listed(kind, entries);
+        capacityEstimator.endpointListReceived(kind, entries);
     }
 
-    /** An attempt has ended. */
+    /** Records how an attempt on an engine has ended. */
     public void attemptEnded(String engine, AttemptResult result) {
-        capacityEstimator.attempt(engine, result);
+        capacityEstimator.attemptEnded(engine, result);
     }
 
     // ---- Time.
 
-    /** To be called each {@link #TICK_INTERVAL_US}; null if the phase stays. */
+    /**
+     * Updates the estimates and the phase; to be called every {@link #TICK_INTERVAL_US}.
+     *
+     * @return the change of phase, null if there is none
+     */
     public PhaseChange tick(long nowUs) {
-        double capacityCores = capacityEstimator.capacity(nowUs);
-        admission.fill(nowUs, timeUs -> capacityEstimator.capacityOrReturn(nowUs, timeUs));
+        double capacityCores = capacityEstimator.capacityCores(nowUs);
+        admission.refill(nowUs, timeUs -> capacityEstimator.capacityAssumingRestart(nowUs, timeUs));
         if (detector.phase() == OverloadPhase.CALM) {
-            admission.learnRate(nowUs, nowUs - tickedAtUs, capacityCores);
+            admission.updateUsualRate(nowUs, nowUs - tickedAtUs, capacityCores);
         }
         tickedAtUs = nowUs;
-        RetryStormDetector.Change change = detector.evaluate(nowUs, capacityEstimator.answeringPart(nowUs));
+        RetryStormDetector.Change change = detector.evaluate(nowUs, capacityEstimator.reachableShare(nowUs));
         if (detector.phase() != OverloadPhase.CALM) {
             double unplannedUsPerS = unplannedWork.perSecond(nowUs);
             retryAfterScheduler.forecast(nowUs, timeUs -> {
-                double admittedUsPerS = admission.rate(nowUs, timeUs);
+                double admittedUsPerS = admission.expectedSendRateUsPerS(nowUs, timeUs);
                 return Math.max(
                         admittedUsPerS * (1 - settings.retryAfterSchedule().unplannedShare()) - unplannedUsPerS,
                         admittedUsPerS * MIN_PLANNED_SHARE);
@@ -280,40 +319,52 @@
                 : new PhaseChange(
                         change.from(),
                         change.to(),
-                        change.signs(),
+                        change.signals(),
                         capacityCores,
-                        admission.rate(),
-                        compliance.honours(nowUs),
-                        compliance.returns(nowUs));
+                        admission.sendRateUsPerS(),
+                        compliance.complianceShare(nowUs),
+                        compliance.returnShare(nowUs));
     }
 
-    // ---- Observation.
+    // ---- Statistics.
 
-    /** The present phase. */
+    /** The current phase. */
     public OverloadPhase phase() {
         return detector.phase();
     }
 
-    /** Present figures, for logs and metrics. */
+    /** Returns the current statistics, for logs and metrics. */
     public Stats stats(long nowUs) {
         return new Stats(
                 detector.phase(),
-                detector.signs(nowUs, capacityEstimator.answeringPart(nowUs)),
-                capacityEstimator.capacity(nowUs),
-                admission.rate(),
+                detector.signals(nowUs, capacityEstimator.reachableShare(nowUs)),
+                capacityEstimator.capacityCores(nowUs),
+                admission.sendRateUsPerS(),
                 admission.queuedWorkUs(),
                 rejectedQueries,
                 rejectedConnections,
-                rejectedStatements.used(),
+                rejectedStatements.usedEntries(),
                 rejectedStatements.capacity(),
-                rejectedStatements.evicted(),
-                compliance.honours(nowUs),
-                compliance.returns(nowUs));
+                rejectedStatements.evictions(),
+                compliance.complianceShare(nowUs),
+                compliance.returnShare(nowUs));
     }
 
     /**
-     * Figures of overload control; counts are since the start, {@code admittedWorkUsPerS} is in microseconds per
-     * second.
+     * Statistics of overload control; counts are since it was created.
+     *
+     * @param phase the current phase
+     * @param signals the current signals
+     * @param capacityCores cores of reachable engines, scaled by slow start
+     * @param admittedWorkUsPerS expected rate of work sent to engines, in microseconds per second
+     * @param queuedWorkUs admitted work that is queued for engines
+     * @param rejectedQueries queries that were advised to be rejected
+     * @param rejectedConnections connections rejected by the rate limit
+     * @param rememberedStatements entries in use in the table of rejected statements
+     * @param maxRememberedStatements size of that table
+     * @param evictedStatements entries evicted from that table before they expired
+     * @param complianceShare of the clients that retry after a Retry-After, the share that waits as long as advised
+     * @param rejectedReturnShare of the rejected clients, the share that retries
      */
     public record Stats(
             OverloadPhase phase,
--- a/gateway/src/main/java/sandpaddle/overload/RejectedStatementTable.java
+++ b/gateway/src/main/java/sandpaddle/overload/RejectedStatementTable.java
@@ -3,37 +3,42 @@
 import java.util.Arrays;
 
 /**
- * Remembers the statements of recently rejected queries, to recognise the clients when they return: a retry has a new
- * trace, so only the statement identifies it. A set-associative hash table of fixed size with {@value #WAYS} entries
- * to a set: an operation costs {@value #WAYS} comparisons, and a full set evicts the entry that was rejected longest
- * ago. Each rejection predicts one return, so a statement is claimed as often as it was rejected and no more.
+ * Remembers the statements of recently rejected queries, so that a client's retry is recognized: it has a new trace id,
+ * and only its statement identifies it. A set-associative hash table of fixed size with {@value #WAYS} entries per set:
+ * an operation costs {@value #WAYS} comparisons, and a full set evicts the entry with the oldest rejection. Each
+ * rejection predicts one return, so a statement can be claimed at most as often as it was rejected. Queries that failed
+ * or whose client disconnected count as rejected.
  *
- * <p>Called from the loop thread alone. Times are in microseconds and never decrease.
+ * <p>Confined to the event loop's thread. Times are in microseconds and never decrease.
  */
 final class RejectedStatementTable {
     static final int WAYS = 4;
     private static final long EMPTY = 0; // fingerprint of a free entry
-    private static final int MAX_COUNT = Short.MAX_VALUE; // limit on awaited returns and attempts of a statement
+    private static final int MAX_COUNT = Short.MAX_VALUE; // of awaited returns and of arrivals of a statement
 
     /**
-     * A client that has returned with a rejected statement.
+     * A client that retries a rejected statement.
      *
-     * @param tries how often the statement had arrived before
-     * @param firstAt when it arrived first (us)
-     * @param backAt the latest advised time of return (us); 0 without a Retry-After
-     * @param alone whether no other client with this statement was awaited, so that the times are this client's own
+     * @param arrivals how often the statement had arrived before
+     * @param firstArrivalUs when it arrived first
+     * @param returnAtUs the latest advised time of return; 0 without a Retry-After
+     * @param isOnlyAwaited whether no other client with this statement was awaited, so that the times belong to this
+     *     client
      */
-    record ReturningClient(int tries, long firstAt, long backAt, boolean alone) {}
+    record ReturningClient(int arrivals, long firstArrivalUs, long returnAtUs, boolean isOnlyAwaited) {}
 
     private final int mask;
     private final long rememberUs;
     private final long[] fingerprints, firstArrivalsUs, rejectedAtUs, returnsAtUs;
-    private final short[] awaitedCounts, attemptCounts;
+    private final short[] awaitedCounts, arrivalCounts;
     private long evictions;
     private int usedEntries;
 
     /**
-     * {@code entries} is rounded up to a power of two; an entry expires {@code rememberUs} after the advised return.
+     * Creates an empty table.
+     *
+     * @param entries minimum number of entries; rounded up to a power of two
+     * @param rememberUs how long an entry is kept after its rejection or the advised return, whichever is later
      */
     RejectedStatementTable(int entries, long rememberUs) {
         int sets = 1;
@@ -47,25 +52,33 @@
         rejectedAtUs = new long[sets * WAYS];
         returnsAtUs = new long[sets * WAYS];
         awaitedCounts = new short[sets * WAYS];
-        attemptCounts = new short[sets * WAYS];
+        arrivalCounts = new short[sets * WAYS];
     }
 
-    /** Claims one awaited return of a statement; null if none is awaited. */
+    /** Claims an awaited return of a statement; returns null if none is awaited. */
     ReturningClient claim(long nowUs, long fingerprint) {
         int index = find(nowUs, nonZero(fingerprint));
         if (index < 0) {
             return null;
         }
         ReturningClient client = new ReturningClient(
-                attemptCounts[index], firstArrivalsUs[index], returnsAtUs[index], awaitedCounts[index] == 1);
+                arrivalCounts[index], firstArrivalsUs[index], returnsAtUs[index], awaitedCounts[index] == 1);
         if (--awaitedCounts[index] == 0) {
             clear(index);
         }
         return client;
     }
 
-    /** Records a rejection at the {@code attemptsSoFar}th arrival; {@code returnAtUs} is 0 without a Retry-After. */
-    void rejected(long nowUs, long statement, long firstArrivalUs, int attemptsSoFar, long returnAtUs) {
+    /**
+     * Records a rejection.
+     *
+     * @param nowUs the time
+     * @param statement fingerprint of the statement
+     * @param firstArrivalUs when this client's statement arrived first
+     * @param arrivals how often it has arrived
+     * @param returnAtUs the advised time of return; 0 without a Retry-After
+     */
+    void rejected(long nowUs, long statement, long firstArrivalUs, int arrivals, long returnAtUs) {
         long fingerprint = nonZero(statement);
         int index = find(nowUs, fingerprint);
         if (index < 0) {
@@ -76,8 +89,7 @@
         }
         boolean isNew = awaitedCounts[index] == 0;
         awaitedCounts[index] = (short) Math.min(MAX_COUNT, awaitedCounts[index] + 1);
-        attemptCounts[index] =
-                (short) Math.min(MAX_COUNT, isNew ? attemptsSoFar : Math.max(attemptCounts[index], attemptsSoFar));
+        arrivalCounts[index] = (short) Math.min(MAX_COUNT, isNew ? arrivals : Math.max(arrivalCounts[index], arrivals));
         firstArrivalsUs[index] = isNew ? firstArrivalUs : Math.min(firstArrivalsUs[index], firstArrivalUs);
         rejectedAtUs[index] = nowUs;
         returnsAtUs[index] = Math.max(isNew ? 0 : returnsAtUs[index], returnAtUs);
@@ -108,7 +120,7 @@
         return nowUs > Math.max(rejectedAtUs[index], returnsAtUs[index]) + rememberUs;
     }
 
-    /** The index of a free entry of the set, after evicting one if there is none. */
+    /** Returns the index of a free entry of the set, after an eviction if the set is full. */
     private int freeIndex(long nowUs, long fingerprint) {
         int firstIndex = firstIndexOfSet(fingerprint);
         int oldestIndex = firstIndex;
@@ -133,12 +145,12 @@
         usedEntries--;
     }
 
-    /** Entries evicted since the start. */
-    long evicted() {
+    /** The number of entries evicted since the start. */
+    long evictions() {
         return evictions;
     }
 
-    int used() {
+    int usedEntries() {
         return usedEntries;
     }
 
--- a/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
+++ b/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
@@ -4,28 +4,35 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Chooses the Retry-After of each rejected client, so that returns arrive spread out at the rate that the fleet can
- * serve: a ring of time slots up to the longest Retry-After, each filled with the work that returns in it are expected
- * to bring, the earliest with spare capacity first. If no slot has any, as in an outage longer than the longest
- * Retry-After, the emptiest of the later half is taken: a client that returns early without success only spends one of
- * its few attempts, and if all were sent to the last slot they would return as one wave.
+ * Chooses the Retry-After of each rejected client, so that retries arrive at the rate that the fleet can serve. A ring
+ * of time slots extends to the longest Retry-After; each slot counts the work that its retries are expected to bring,
+ * and a client gets the earliest slot with spare capacity. If no slot has any, as in an outage longer than the longest
+ * Retry-After, it gets the slot with the least excess in the later half: a retry that comes too early only wastes one
+ * of the client's few attempts, and the last slot for all would synchronize their retries.
  *
- * <p>Costs at most one pass over the slots, a few microseconds for a minute of them. Called from one thread; times are
- * in microseconds and never decrease.
+ * <p>A call passes over the slots at most once, which takes a few microseconds for a minute of slots. Not thread-safe;
+ * times are in microseconds and never decrease.
  */
 public final class RetryAfterScheduler {
     private static final double US_PER_S = 1e6;
 
     private final long slotUs, minUs;
     private final int slotCount;
-    private final double[] scheduledWorkUs; // expected work by slot number modulo the ring
+    private final double[] scheduledWorkUs; // by slot number modulo the size of the ring
     private final double[] capacityUs;
-    private final long[] slotNumbers; // the slot that each place of the ring holds
+    private final long[] slotNumbers; // the slot that each index of the ring holds
     private final SplittableRandom random;
-    private long firstFreeSlot; // no slot before it has spare capacity
-    private double defaultCapacityUs; // of slots beyond the forecast
+    private long firstFreeSlot; // earlier slots are full
+    private double defaultCapacityUs; // for slots beyond the forecast
 
-    /** Slots of {@code slotUs} up to {@code maxUs} ahead; no Retry-After is under {@code minUs}, apart from jitter. */
+    /**
+     * Creates a scheduler without scheduled retries and without capacity.
+     *
+     * @param slotUs length of a slot
+     * @param minUs shortest Retry-After, apart from the jitter
+     * @param maxUs longest Retry-After
+     * @param random source of the jitter within a slot
+     */
     public RetryAfterScheduler(long slotUs, long minUs, long maxUs, SplittableRandom random) {
         this.slotUs = slotUs;
         this.minUs = Math.min(minUs, maxUs);
@@ -36,7 +43,7 @@
         this.random = random;
     }
 
-    /** Updates the work per second (us/s) that returns may bring, by time. Call it several times a second. */
+    /** Updates the work that retries may bring, in microseconds per second by time. Call it several times a second. */
     public void forecast(long nowUs, LongToDoubleFunction workPerSecond) {
         long firstSlot = nowUs / slotUs;
         for (long slot = firstSlot; slot <= firstSlot + slotCount; slot++) {
@@ -47,7 +54,7 @@
         firstFreeSlot = firstSlot;
     }
 
-    /** The place of a slot in the ring, cleared if it held an earlier slot. */
+    /** Returns the index of a slot in the ring, and clears it if it held an earlier slot. */
     private int indexOf(long slot) {
         int index = (int) Math.floorMod(slot, (long) scheduledWorkUs.length);
         if (slotNumbers[index] != slot) {
@@ -58,7 +65,13 @@
         return index;
     }
 
-    /** Schedules a return that is expected to bring so much work; its Retry-After (us), never over the longest. */
+    /**
+     * Schedules the retry of a rejected client.
+     *
+     * @param nowUs the time
+     * @param workUs work that the retry is expected to bring
+     * @return its Retry-After, at most the longest
+     */
     public long schedule(long nowUs, double workUs) {
         long firstSlot = (nowUs + minUs + slotUs - 1) / slotUs;
         long lastSlot = Math.max(firstSlot, nowUs / slotUs + slotCount - 1);
@@ -67,7 +80,7 @@
             int index = indexOf(slot);
             if (scheduledWorkUs[index] + workUs <= capacityUs[index]) {
                 chosenSlot = slot;
-            } else if (slot == firstFreeSlot && scheduledWorkUs[index] + minWork(workUs) > capacityUs[index]) {
+            } else if (slot == firstFreeSlot && scheduledWorkUs[index] + minSpareWorkUs(workUs) > capacityUs[index]) {
                 firstFreeSlot++;
             }
         }
@@ -78,12 +91,12 @@
         return Math.max(0, Math.min(chosenSlot * slotUs + random.nextLong(slotUs), nowUs + slotCount * slotUs) - nowUs);
     }
 
-    /** A slot without capacity for a tenth of this work counts as full. */
-    private static double minWork(double workUs) {
+    /** The spare capacity below which a slot counts as full: a tenth of this work. */
+    private static double minSpareWorkUs(double workUs) {
         return workUs / 10;
     }
 
-    /** The slot with the least excess, ties at random: a fixed choice would attract all of a burst. */
+    /** Returns the slot with the least excess. Ties are broken at random, since a fixed order would fill one slot. */
     private long emptiestSlotOf(long firstSlot, long lastSlot) {
         long emptiestSlot = firstSlot;
         double minExcessUs = Double.POSITIVE_INFINITY;
@@ -100,7 +113,7 @@
         return emptiestSlot;
     }
 
-    /** Work expected to return in the slot of a time (us). */
+    /** The work that retries are expected to bring in the slot of a time (us). */
     public double expectedWorkUs(long timeUs) {
         long slot = timeUs / slotUs;
         int index = (int) Math.floorMod(slot, (long) scheduledWorkUs.length);
--- a/gateway/src/main/java/sandpaddle/overload/RetryStormDetector.java
+++ b/gateway/src/main/java/sandpaddle/overload/RetryStormDetector.java
@@ -2,35 +2,34 @@
 
 /**
  * Detects retry storms from this gateway's own traffic, and holds the {@link OverloadPhase}. A phase is entered only
- * after the signals have indicated it for a time: {@code enterUs} for a storm, a third of that for recovery,
- * {@code exitUs} for normal operation. This guards against flapping. After a pause of the process the signals must
- * hold anew.
+ * after the signals have indicated it for a minimum time, which prevents flapping: {@code enterUs} for a storm, a third
+ * of that for recovery, {@code exitUs} for normal operation. After a pause of the process the minimum time starts over.
  *
- * <p>Called from the loop thread alone. Times are in microseconds and never decrease.
+ * <p>Confined to the event loop's thread. Times are in microseconds and never decrease.
  */
 final class RetryStormDetector {
-    private static final long SIGNAL_TIME_CONSTANT_US = 1_000_000; // of the rates in the signals
-    private static final double USUAL_TIME_CONSTANT_US = 60e6; // of the usual rates
-    private static final long MIN_CALM_OBSERVED_US = 5_000_000; // before the usual rates count
-    private static final long MAX_TICK_GAP_US = 1_000_000; // longer gaps mean that the process was paused
-    private static final int RECOVERY_SPEEDUP = 3; // recovery is entered this many times faster than a storm
+    private static final long SIGNAL_TIME_CONSTANT_US = 1_000_000;
+    private static final double USUAL_TIME_CONSTANT_US = 60e6;
+    private static final long MIN_CALM_OBSERVED_US = 5_000_000; // before the usual rate of first arrivals is used
+    private static final long MAX_TICK_GAP_US = 1_000_000; // after a longer gap the process was paused
+    private static final int RECOVERY_SPEEDUP = 3; // recovery needs a third of the time that a storm needs
 
     /** A change of phase, with the signals that caused it. */
-    record Change(OverloadPhase from, OverloadPhase to, OverloadSignals signs) {}
+    record Change(OverloadPhase from, OverloadPhase to, OverloadSignals signals) {}
 
     private OverloadSettings.Detection settings;
-    private final DecayingRate firsts, returns, good, bad, connections;
+    private final DecayingRate firstArrivals, retries, successes, failures, connections;
     private OverloadPhase phase = OverloadPhase.CALM;
-    private OverloadPhase indicatedPhase = OverloadPhase.CALM; // by the latest signals
+    private OverloadPhase indicatedPhase = OverloadPhase.CALM; // by the latest evaluation
     private long indicatedSinceUs, evaluatedAtUs, calmObservedUs;
-    private double usualFirsts, usualConnections;
+    private double usualFirstArrivalsPerS, usualConnectionsPerS;
 
     RetryStormDetector(OverloadSettings.Detection settings, long nowUs) {
         this.settings = settings;
-        firsts = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
-        returns = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
-        good = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
-        bad = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
+        firstArrivals = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
+        retries = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
+        successes = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
+        failures = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
         connections = new DecayingRate(SIGNAL_TIME_CONSTANT_US, nowUs);
         evaluatedAtUs = nowUs;
         indicatedSinceUs = nowUs;
@@ -40,15 +39,15 @@
         settings = newSettings;
     }
 
-    void arrival(long nowUs, boolean isReturning) {
-        (isReturning ? returns : firsts).add(nowUs, 1);
+    void recordArrival(long nowUs, boolean isRetry) {
+        (isRetry ? retries : firstArrivals).add(nowUs, 1);
     }
 
-    void answer(long nowUs, boolean isGood) {
-        (isGood ? good : bad).add(nowUs, 1);
+    void recordAnswer(long nowUs, boolean isSuccess) {
+        (isSuccess ? successes : failures).add(nowUs, 1);
     }
 
-    void connection(long nowUs) {
+    void recordConnection(long nowUs) {
         connections.add(nowUs, 1);
     }
 
@@ -56,27 +55,27 @@
         return phase;
     }
 
-    /** Usual rate of new connections in the phase CALM (1/s). */
-    double usualConnections() {
-        return usualConnections;
+    /** The usual rate of new connections, observed in the phase CALM. */
+    double usualConnectionsPerS() {
+        return usualConnectionsPerS;
     }
 
-    OverloadSignals signs(long nowUs, double answeringPart) {
+    OverloadSignals signals(long nowUs, double reachableShare) {
         return new OverloadSignals(
-                firsts.perSecond(nowUs),
-                returns.perSecond(nowUs),
-                good.perSecond(nowUs),
-                bad.perSecond(nowUs),
+                firstArrivals.perSecond(nowUs),
+                retries.perSecond(nowUs),
+                successes.perSecond(nowUs),
+                failures.perSecond(nowUs),
                 connections.perSecond(nowUs),
-                calmObservedUs >= MIN_CALM_OBSERVED_US ? usualFirsts : Double.NaN,
-                answeringPart);
+                calmObservedUs >= MIN_CALM_OBSERVED_US ? usualFirstArrivalsPerS : Double.NaN,
+                reachableShare);
     }
 
-    /** Evaluates the signals; null if the phase stays. Call it several times a second. */
-    Change evaluate(long nowUs, double answeringPart) {
+    /** Evaluates the signals; returns null if the phase does not change. Call it several times a second. */
+    Change evaluate(long nowUs, double reachableShare) {
         long elapsedUs = nowUs - evaluatedAtUs;
         evaluatedAtUs = nowUs;
-        OverloadSignals signals = signs(nowUs, answeringPart);
+        OverloadSignals signals = signals(nowUs, reachableShare);
         OverloadPhase next = phase.next(signals, settings);
         if (next != indicatedPhase || elapsedUs > MAX_TICK_GAP_US) {
             indicatedPhase = next;
@@ -102,13 +101,13 @@
         };
     }
 
-    /** Usual rates follow the signals in the phase CALM, and are frozen otherwise. */
+    /** Updates the usual rates in the phase CALM; they are frozen in the others. */
     private void updateUsualRates(OverloadSignals signals, long elapsedUs) {
         if (phase == OverloadPhase.CALM && elapsedUs > 0) {
             calmObservedUs += elapsedUs;
             double weight = elapsedUs / Math.min(USUAL_TIME_CONSTANT_US, calmObservedUs);
-            usualFirsts += weight * (signals.firstArrivalsPerS() - usualFirsts);
-            usualConnections += weight * (signals.connectionsPerS() - usualConnections);
+            usualFirstArrivalsPerS += weight * (signals.firstArrivalsPerS() - usualFirstArrivalsPerS);
+            usualConnectionsPerS += weight * (signals.connectionsPerS() - usualConnectionsPerS);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/overload/StatementFingerprint.java
+++ b/gateway/src/main/java/sandpaddle/overload/StatementFingerprint.java
@@ -1,8 +1,8 @@
 package sandpaddle.overload;
 
 /**
- * A 64-bit hash of a statement and its request class: FNV-1a over the bytes, one multiplication each, then the final
- * mix of MurmurHash3. Seeded, so that clients cannot choose statements that collide in {@link RejectedStatementTable}.
+ * A 64-bit hash of a statement and its request class: FNV-1a over the bytes, then the finalizer of MurmurHash3. It is
+ * seeded, so that clients cannot choose statements that collide in {@link RejectedStatementTable}.
  */
 public final class StatementFingerprint {
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -10,7 +10,13 @@
 
     private StatementFingerprint() {}
 
-    /** The hash of a statement; {@code seed} is the process's own. */
+    /**
+     * Returns the hash of a statement.
+     *
+     * @param seed the seed of this process
+     * @param classIndex position of its request class in the settings
+     * @param statement the bytes of the statement
+     */
     public static long of(long seed, int classIndex, byte[] statement) {
         long hash = (FNV_OFFSET_BASIS ^ seed) * FNV_PRIME + classIndex;
         for (byte octet : statement) {
--- a/gateway/src/test/java/sandpaddle/overload/AdmissionControllerTest.java
+++ b/gateway/src/test/java/sandpaddle/overload/AdmissionControllerTest.java
@@ -18,135 +18,137 @@
     private static final int REPORT = 1;
     private static final double CORES = 24;
 
-    private final AdmissionController door =
+    private final AdmissionController controller =
             new AdmissionController(OverloadFixture.SETTINGS, OverloadSettings.OFF.admissionLimits(), 0);
-    private long now;
+    private long nowUs;
 
-    private boolean admits(int cls, AdmissionController.Kind kind) {
-        return door.admits(cls, kind, door.usualWork(cls));
+    private boolean tryAdmit(int classIndex, AdmissionController.Kind kind) {
+        return controller.tryAdmit(classIndex, kind, controller.usualWorkUs(classIndex));
     }
 
-    private void fill(long span, double cores) {
-        now += span;
-        door.fill(now, t -> cores);
+    private void refill(long elapsedUs, double cores) {
+        nowUs += elapsedUs;
+        controller.refill(nowUs, timeUs -> cores);
     }
 
-    private int enter(int cls, AdmissionController.Kind kind, int times) {
-        int in = 0;
+    private int admitAll(int classIndex, AdmissionController.Kind kind, int times) {
+        int admitted = 0;
         for (int i = 0; i < times; i++) {
-            if (admits(cls, kind)) {
-                door.enqueued(cls, door.usualWork(cls));
-                in++;
+            if (tryAdmit(classIndex, kind)) {
+                controller.enqueued(classIndex, controller.usualWorkUs(classIndex));
+                admitted++;
             }
         }
-        return in;
+        return admitted;
     }
 
     @Test
-    void whatWouldWaitTooLongIsTurnedAwayLateReturnsFirst() {
-        fill(1000, CORES);
-        int firsts = enter(LOOKUP, AdmissionController.Kind.FIRST, 10_000);
-        assertTrue(firsts > 5 && firsts < 1000, "entered " + firsts);
-        assertFalse(admits(LOOKUP, AdmissionController.Kind.FIRST));
-        AdmissionController another =
+    void rejectsWhenExpectedWaitIsTooLongLateRetriesEarlier() {
+        refill(1000, CORES);
+        int firstArrivals = admitAll(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL, 10_000);
+        assertTrue(firstArrivals > 5 && firstArrivals < 1000, "admitted " + firstArrivals);
+        assertFalse(tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL));
+        AdmissionController lateController =
                 new AdmissionController(OverloadFixture.SETTINGS, OverloadSettings.OFF.admissionLimits(), 0);
-        another.fill(1000, t -> CORES);
-        int late = 0;
-        while (another.admits(LOOKUP, AdmissionController.Kind.LATE_RETURN, another.usualWork(LOOKUP))) {
-            another.enqueued(LOOKUP, another.usualWork(LOOKUP));
-            late++;
+        lateController.refill(1000, timeUs -> CORES);
+        int lateRetries = 0;
+        while (lateController.tryAdmit(
+                LOOKUP, AdmissionController.Kind.LATE_RETRY, lateController.usualWorkUs(LOOKUP))) {
+            lateController.enqueued(LOOKUP, lateController.usualWorkUs(LOOKUP));
+            lateRetries++;
         }
-        assertTrue(late < firsts / 4, "late returns " + late + " beside " + firsts);
+        assertTrue(
+                lateRetries < firstArrivals / 4, "late retries " + lateRetries + ", first arrivals " + firstArrivals);
     }
 
     @Test
-    void moreCoresLetMoreIn() {
-        fill(1000, CORES);
-        int few = enter(LOOKUP, AdmissionController.Kind.FIRST, 10_000);
-        AdmissionController wide =
+    void admitsTwiceAsMuchWithTwiceTheCores() {
+        refill(1000, CORES);
+        int admitted = admitAll(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL, 10_000);
+        AdmissionController largerFleet =
                 new AdmissionController(OverloadFixture.SETTINGS, OverloadSettings.OFF.admissionLimits(), 0);
-        wide.fill(1000, t -> 2 * CORES);
-        int many = 0;
-        while (wide.admits(LOOKUP, AdmissionController.Kind.FIRST, wide.usualWork(LOOKUP))) {
-            wide.enqueued(LOOKUP, wide.usualWork(LOOKUP));
-            many++;
+        largerFleet.refill(1000, timeUs -> 2 * CORES);
+        int admittedByLargerFleet = 0;
+        while (largerFleet.tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL, largerFleet.usualWorkUs(LOOKUP))) {
+            largerFleet.enqueued(LOOKUP, largerFleet.usualWorkUs(LOOKUP));
+            admittedByLargerFleet++;
         }
-        assertEquals(2.0, (double) many / few, 0.2);
+        assertEquals(2.0, (double) admittedByLargerFleet / admitted, 0.2);
     }
 
-    /** Reports that stand waiting do not keep lookups out, which leave before them. */
+    /** Lookups have the shorter objective and are sent before queued reports, so reports must not delay them. */
     @Test
-    void aClassWaitsOnlyForThoseThatLeaveBeforeIt() {
-        fill(1000, CORES);
-        assertTrue(enter(REPORT, AdmissionController.Kind.FIRST, 1000) < 1000);
-        assertTrue(admits(LOOKUP, AdmissionController.Kind.FIRST));
+    void admitsClassWithShorterObjectiveBesideLongQueue() {
+        refill(1000, CORES);
+        assertTrue(admitAll(REPORT, AdmissionController.Kind.FIRST_ARRIVAL, 1000) < 1000);
+        assertTrue(tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL));
     }
 
-    /** One that was overtaken is held for its size: it must not keep all others out. */
+    /** A request that was overtaken is held back by its size, so it must not keep all others out. */
     @Test
-    void whatWasOvertakenCountsNoMore() {
-        fill(1000, CORES);
-        AdmissionController.Waiting heavy = door.enqueued(LOOKUP, 50e6);
-        for (int reserve = 0; admits(LOOKUP, AdmissionController.Kind.FIRST); reserve++) {
-            assertTrue(reserve < 5, "more than its reserve");
+    void requestStopsCountingOnceOvertaken() {
+        refill(1000, CORES);
+        AdmissionController.QueuedRequest heavy = controller.enqueued(LOOKUP, 50e6);
+        for (int reserveAdmissions = 0; tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL); reserveAdmissions++) {
+            assertTrue(reserveAdmissions < 5, "admitted more than the reserve");
         }
-        AdmissionController.Waiting light = door.enqueued(LOOKUP, 1000);
-        door.sent(now, 1000, light);
-        assertEquals(0, door.queuedWorkUs());
-        assertTrue(admits(LOOKUP, AdmissionController.Kind.FIRST));
-        door.removed(heavy);
-        assertEquals(0, door.queuedWorkUs());
+        AdmissionController.QueuedRequest light = controller.enqueued(LOOKUP, 1000);
+        controller.sent(nowUs, 1000, light);
+        assertEquals(0, controller.queuedWorkUs());
+        assertTrue(tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL));
+        controller.removed(heavy);
+        assertEquals(0, controller.queuedWorkUs());
     }
 
-    /** However long the line, each kind of work gets its small share. */
+    /** Guards against starvation: each kind is admitted at its reserved share, however long the queue is. */
     @Test
-    void noKindStarves() {
-        fill(1000, CORES);
-        enter(LOOKUP, AdmissionController.Kind.FIRST, 10_000);
-        enter(REPORT, AdmissionController.Kind.FIRST, 10_000);
-        int[] entered = new int[2];
+    void admitsLateRetriesAtReservedShareWhileQueueIsFull() {
+        refill(1000, CORES);
+        admitAll(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL, 10_000);
+        admitAll(REPORT, AdmissionController.Kind.FIRST_ARRIVAL, 10_000);
+        int[] reserveAdmissions = new int[2];
         for (int i = 0; i < 200; i++) {
-            fill(100_000, CORES);
-            entered[0] += admits(LOOKUP, AdmissionController.Kind.LATE_RETURN) ? 1 : 0;
-            entered[1] += admits(REPORT, AdmissionController.Kind.LATE_RETURN) ? 1 : 0;
+            refill(100_000, CORES);
+            reserveAdmissions[0] += tryAdmit(LOOKUP, AdmissionController.Kind.LATE_RETRY) ? 1 : 0;
+            reserveAdmissions[1] += tryAdmit(REPORT, AdmissionController.Kind.LATE_RETRY) ? 1 : 0;
         }
-        double share = OverloadSettings.OFF.admissionLimits().reserveShare() * door.rate() * 20;
-        assertEquals(share / door.usualWork(LOOKUP), entered[0], 3);
-        assertEquals(share / door.usualWork(REPORT), entered[1], 2);
+        double share = OverloadSettings.OFF.admissionLimits().reserveShare() * controller.sendRateUsPerS() * 20;
+        assertEquals(share / controller.usualWorkUs(LOOKUP), reserveAdmissions[0], 3);
+        assertEquals(share / controller.usualWorkUs(REPORT), reserveAdmissions[1], 2);
     }
 
     @Test
-    void nothingEntersBeforeAnyEngineWasSeen() {
-        fill(1000, 0);
-        assertFalse(admits(LOOKUP, AdmissionController.Kind.FIRST));
+    void rejectsEverythingBeforeFirstEngineIsListed() {
+        refill(1000, 0);
+        assertFalse(tryAdmit(LOOKUP, AdmissionController.Kind.FIRST_ARRIVAL));
     }
 
     @Property(seed = "14", tries = 300)
-    void whatStandsWaitingIsCountedOnceAndNeverBelowZero(
+    void queuedWorkCountsEachRequestOnceAndIsNeverNegative(
             @ForAll @Size(max = 300) List<@IntRange(max = 999) Integer> steps) {
-        AdmissionController a =
+        AdmissionController drawn =
                 new AdmissionController(OverloadFixture.SETTINGS, OverloadSettings.OFF.admissionLimits(), 0);
-        ArrayDeque<AdmissionController.Waiting> inside = new ArrayDeque<>();
-        List<AdmissionController.Waiting> gone = new ArrayList<>();
-        long at = 0;
+        ArrayDeque<AdmissionController.QueuedRequest> queued = new ArrayDeque<>();
+        List<AdmissionController.QueuedRequest> left = new ArrayList<>();
+        long atUs = 0;
         for (int step : steps) {
-            at += step * 100L;
-            a.fill(at, t -> CORES);
+            atUs += step * 100L;
+            drawn.refill(atUs, timeUs -> CORES);
             if (step % 3 == 0) {
-                inside.add(a.enqueued(step % 2, 1000 + step));
-            } else if (!inside.isEmpty()) {
-                AdmissionController.Waiting w = step % 2 == 0 ? inside.pollFirst() : inside.pollLast();
+                queued.add(drawn.enqueued(step % 2, 1000 + step));
+            } else if (!queued.isEmpty()) {
+                AdmissionController.QueuedRequest request = step % 2 == 0 ? queued.pollFirst() : queued.pollLast();
                 if (step % 3 == 1) {
-                    a.sent(at, 1000, w);
+                    drawn.sent(atUs, 1000, request);
                 } else {
-                    a.removed(w);
+                    drawn.removed(request);
                 }
-                gone.add(w);
+                left.add(request);
             }
-            gone.forEach(a::removed); // told twice: counted once
-            assertTrue(a.queuedWorkUs() >= 0);
+            left.forEach(drawn::removed); // a repeated removal has no effect
+            assertTrue(drawn.queuedWorkUs() >= 0);
         }
-        inside.forEach(a::removed);
-        assertEquals(0, a.queuedWorkUs(), 1e-6);
+        queued.forEach(drawn::removed);
+        assertEquals(0, drawn.queuedWorkUs(), 1e-6);
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/EngineCapacityEstimatorTest.java
+++ b/gateway/src/test/java/sandpaddle/overload/EngineCapacityEstimatorTest.java
@@ -12,48 +12,49 @@
 import sandpaddle.decision.settings.PlatformRules;
 
 public class EngineCapacityEstimatorTest {
-    private static final long NOW = 1_000_000_000L;
+    private static final long NOW_US = 1_000_000_000L;
 
-    private static DecisionSettings site(long coldUs) {
-        DecisionSettings s = OverloadFixture.SETTINGS;
-        PlatformRules r = s.rules();
+    private static DecisionSettings settings(long slowStartUs) {
+        DecisionSettings settings = OverloadFixture.SETTINGS;
+        PlatformRules rules = settings.rules();
         return new DecisionSettings(
-                s.gateways(),
-                s.gatewayIndex(),
-                s.zone(),
-                s.subscribe(),
-                s.classes(),
+                settings.gateways(),
+                settings.gatewayIndex(),
+                settings.zone(),
+                settings.subscribe(),
+                settings.classes(),
                 List.of(new EngineKind(8, 0)),
-                s.reportFields(),
-                s.reportsInAnswers(),
-                s.limits(),
+                settings.reportFields(),
+                settings.reportsInAnswers(),
+                settings.limits(),
                 new PlatformRules(
-                        r.answerSlackUs(),
-                        r.drainGraceUs(),
-                        r.pollWithinUs(),
+                        rules.answerSlackUs(),
+                        rules.drainGraceUs(),
+                        rules.pollWithinUs(),
                         0.25,
-                        coldUs,
-                        r.overloadMultiple(),
-                        r.overloadSpanUs(),
-                        r.orderingPauseUs(),
-                        r.retryBudgetSpanUs(),
-                        r.retryBudgetFloor(),
-                        r.retryBudgetRatio()),
-                s.features(),
-                s.costs());
+                        slowStartUs,
+                        rules.overloadMultiple(),
+                        rules.overloadSpanUs(),
+                        rules.orderingPauseUs(),
+                        rules.retryBudgetSpanUs(),
+                        rules.retryBudgetFloor(),
+                        rules.retryBudgetRatio()),
+                settings.features(),
+                settings.costs());
     }
 
-    private static double capacity(long coldUs, long startedUs) {
-        EngineCapacityEstimator view = new EngineCapacityEstimator(site(coldUs), NOW);
-        view.listed(EngineListKind.FULL, List.of(new EngineEntry("e", 0, 0, 0, EngineStatus.UP, 1, startedUs)));
-        return view.capacity(NOW);
+    private static double capacityCores(long slowStartUs, long startedUs) {
+        EngineCapacityEstimator estimator = new EngineCapacityEstimator(settings(slowStartUs), NOW_US);
+        estimator.endpointListReceived(
+                EngineListKind.FULL, List.of(new EngineEntry("e", 0, 0, 0, EngineStatus.UP, 1, startedUs)));
+        return estimator.capacityCores(NOW_US);
     }
 
-    /** Another machine's clock may be ahead: where engines are never cold, one that starts later is none either. */
+    /** An engine's clock may be ahead of the gateway's: without slow start such an engine counts in full. */
     @Test
-    public void anEngineThatStartsAheadOfTheClockHasACapacity() {
-        assertEquals(capacity(0, NOW + 5_000), 8.0);
-        assertEquals(capacity(1_000_000, NOW + 5_000), 2.0);
-        assertEquals(capacity(1_000_000, NOW - 500_000), 5.0);
+    public void capacityOfEngineWithStartTimeInFutureIsThatOfNewEngine() {
+        assertEquals(capacityCores(0, NOW_US + 5_000), 8.0);
+        assertEquals(capacityCores(1_000_000, NOW_US + 5_000), 2.0);
+        assertEquals(capacityCores(1_000_000, NOW_US - 500_000), 5.0);
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/LoadDeduplicatorProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/LoadDeduplicatorProperties.java
@@ -19,83 +19,86 @@
     private static final OverloadSettings.LoadDeduplication SETTINGS =
             new OverloadSettings.LoadDeduplication(true, 10_000_000, 4, 100);
 
-    private final LoadDeduplicator<String> runs = new LoadDeduplicator<>(SETTINGS);
+    private final LoadDeduplicator<String> deduplicator = new LoadDeduplicator<>(SETTINGS);
 
-    /** No key runs again unless its run is known never to have run, or the time for which it is known is over. */
+    /** A key must not run again unless its run has certainly not run, or its retention time is over. */
     @Property(seed = "15", tries = 500)
-    void noRunIsStartedTwice(@ForAll @Size(max = 200) List<@IntRange(max = 999) Integer> steps) {
+    void neverStartsSecondRunOfKnownKey(@ForAll @Size(max = 200) List<@IntRange(max = 999) Integer> steps) {
         LoadDeduplicator<String> drawn = new LoadDeduplicator<>(SETTINGS);
         Set<String> running = new HashSet<>();
-        Map<String, Long> mayHaveRunAt = new HashMap<>();
-        long now = 0;
+        Map<String, Long> mayHaveRunAtUs = new HashMap<>();
+        long nowUs = 0;
         for (int step : steps) {
-            now += step * 5000L;
+            nowUs += step * 5000L;
             String key = "k" + step % 7;
             if (running.contains(key) && step >= 500) {
                 LoadDeduplicator.End end = LoadDeduplicator.End.values()[step % 3];
-                drawn.ended(now, key, end, end == LoadDeduplicator.End.SERVED ? "rows" : null, step % 60);
+                drawn.ended(nowUs, key, end, end == LoadDeduplicator.End.SERVED ? "rows" : null, step % 60);
                 running.remove(key);
                 if (end != LoadDeduplicator.End.NEVER_RAN) {
-                    mayHaveRunAt.put(key, now);
+                    mayHaveRunAtUs.put(key, nowUs);
                 }
                 continue;
             }
-            LoadDeduplicator.ClaimResult v = drawn.claim(now, key, key.hashCode(), step % 5 == 0);
-            if (v == LoadDeduplicator.ClaimResult.RUN) {
-                assertFalse(running.contains(key), "two runs at once");
-                Long ended = mayHaveRunAt.get(key);
-                assertTrue(ended == null || now >= ended + SETTINGS.retentionUs(), "ran again");
-                assertTrue(step % 5 != 0, "a marked repeat ran as new");
+            LoadDeduplicator.ClaimResult result = drawn.claim(nowUs, key, key.hashCode(), step % 5 == 0);
+            if (result == LoadDeduplicator.ClaimResult.RUN) {
+                assertFalse(running.contains(key), "two runs in flight");
+                Long endedAtUs = mayHaveRunAtUs.get(key);
+                assertTrue(
+                        endedAtUs == null || nowUs >= endedAtUs + SETTINGS.retentionUs(),
+                        "ran again within the retention time");
+                assertTrue(step % 5 != 0, "a marked repeat started a run");
                 running.add(key);
             }
             assertEquals(
-                    running.contains(key) && v != LoadDeduplicator.ClaimResult.RUN,
-                    v == LoadDeduplicator.ClaimResult.JOIN);
+                    running.contains(key) && result != LoadDeduplicator.ClaimResult.RUN,
+                    result == LoadDeduplicator.ClaimResult.JOIN);
             assertTrue(drawn.size() <= SETTINGS.maxEntries());
             assertTrue(drawn.cachedBytes() >= 0 && drawn.cachedBytes() <= SETTINGS.maxResultBytes());
         }
     }
 
     @Test
-    void aRepeatJoinsOrLearnsTheEnd() {
-        assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(0, "a", 1, false));
-        assertEquals(LoadDeduplicator.ClaimResult.JOIN, runs.claim(1, "a", 1, true));
-        assertEquals(LoadDeduplicator.ClaimResult.OTHER_STATEMENT, runs.claim(2, "a", 2, false));
-        runs.ended(3, "a", LoadDeduplicator.End.SERVED, "rows", 60);
-        assertEquals(LoadDeduplicator.ClaimResult.SERVED, runs.claim(4, "a", 1, true));
-        assertEquals("rows", runs.result("a"));
+    void repeatJoinsRunInFlightAndGetsResultAfterwards() {
+        assertEquals(LoadDeduplicator.ClaimResult.RUN, deduplicator.claim(0, "a", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.JOIN, deduplicator.claim(1, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.OTHER_STATEMENT, deduplicator.claim(2, "a", 2, false));
+        deduplicator.ended(3, "a", LoadDeduplicator.End.SERVED, "rows", 60);
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED, deduplicator.claim(4, "a", 1, true));
+        assertEquals("rows", deduplicator.result("a"));
     }
 
-    /** Its rows make room for others', but that it was served is known for the whole time. */
+    /** A result may be dropped for want of memory, but its outcome is remembered for the whole retention time. */
     @Test
-    void theEndOutlivesTheRows() {
-        runs.claim(0, "a", 1, false);
-        runs.ended(1, "a", LoadDeduplicator.End.SERVED, "rows", 60);
-        runs.claim(2, "b", 1, false);
-        runs.ended(3, "b", LoadDeduplicator.End.SERVED, "more", 60);
-        assertEquals(LoadDeduplicator.ClaimResult.SERVED_RESULT_DROPPED, runs.claim(4, "a", 1, true));
-        assertEquals(LoadDeduplicator.ClaimResult.SERVED, runs.claim(4, "b", 1, true));
-        assertEquals(60, runs.cachedBytes());
+    void outcomeIsRememberedAfterResultIsDropped() {
+        deduplicator.claim(0, "a", 1, false);
+        deduplicator.ended(1, "a", LoadDeduplicator.End.SERVED, "rows", 60);
+        deduplicator.claim(2, "b", 1, false);
+        deduplicator.ended(3, "b", LoadDeduplicator.End.SERVED, "more", 60);
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED_RESULT_DROPPED, deduplicator.claim(4, "a", 1, true));
+        assertEquals(LoadDeduplicator.ClaimResult.SERVED, deduplicator.claim(4, "b", 1, true));
+        assertEquals(60, deduplicator.cachedBytes());
     }
 
     @Test
-    void whatIsNotKnownIsNeverGuessed() {
-        assertEquals(LoadDeduplicator.ClaimResult.UNKNOWN_KEY, runs.claim(0, "a", 1, true));
-        runs.claim(1, "a", 1, false);
-        runs.ended(2, "a", LoadDeduplicator.End.MAY_HAVE_RUN, null, 0);
-        assertEquals(LoadDeduplicator.ClaimResult.MAY_HAVE_RUN, runs.claim(3, "a", 1, false));
-        assertEquals(LoadDeduplicator.ClaimResult.UNKNOWN_KEY, runs.claim(2 + SETTINGS.retentionUs(), "a", 1, true));
+    void repeatWithUnknownOutcomeDoesNotRun() {
+        assertEquals(LoadDeduplicator.ClaimResult.UNKNOWN_KEY, deduplicator.claim(0, "a", 1, true));
+        deduplicator.claim(1, "a", 1, false);
+        deduplicator.ended(2, "a", LoadDeduplicator.End.MAY_HAVE_RUN, null, 0);
+        assertEquals(LoadDeduplicator.ClaimResult.MAY_HAVE_RUN, deduplicator.claim(3, "a", 1, false));
+        assertEquals(
+                LoadDeduplicator.ClaimResult.UNKNOWN_KEY, deduplicator.claim(2 + SETTINGS.retentionUs(), "a", 1, true));
     }
 
-    /** Guards against forgetting a run for want of room: new keys are turned away instead, which is harmless. */
+    /** Guards against forgetting a run when all entries are in use: new keys are rejected, which is harmless. */
     @Test
-    void aFullTableTurnsNewKeysAwayAndKeepsTheOld() {
+    void rejectsNewKeysAndKeepsOldOnesWhenFull() {
         for (int i = 0; i < SETTINGS.maxEntries(); i++) {
-            assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(0, "k" + i, 1, false));
+            assertEquals(LoadDeduplicator.ClaimResult.RUN, deduplicator.claim(0, "k" + i, 1, false));
         }
-        assertEquals(LoadDeduplicator.ClaimResult.CAPACITY_EXHAUSTED, runs.claim(1, "new", 1, false));
-        runs.ended(2, "k0", LoadDeduplicator.End.NEVER_RAN, null, 0);
-        assertEquals(LoadDeduplicator.ClaimResult.RUN, runs.claim(3, "new", 1, false));
-        assertEquals(LoadDeduplicator.ClaimResult.JOIN, runs.claim(4, "k1", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.CAPACITY_EXHAUSTED, deduplicator.claim(1, "new", 1, false));
+        deduplicator.ended(2, "k0", LoadDeduplicator.End.NEVER_RAN, null, 0);
+        assertEquals(LoadDeduplicator.ClaimResult.RUN, deduplicator.claim(3, "new", 1, false));
+        assertEquals(LoadDeduplicator.ClaimResult.JOIN, deduplicator.claim(4, "k1", 1, false));
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/OverloadControllerProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/OverloadControllerProperties.java
@@ -19,149 +19,153 @@
     private static final OverloadSettings ON = OverloadSettings.OFF.withEnabled(true);
     private static final AttemptResult[] RESULTS = AttemptResult.values();
 
-    private static OverloadController storm(long seed) {
-        OverloadController s = new OverloadController(OverloadFixture.SETTINGS, ON, seed, 0);
-        s.endpointListReceived(
+    private static OverloadController controller(long seed) {
+        OverloadController controller = new OverloadController(OverloadFixture.SETTINGS, ON, seed, 0);
+        controller.endpointListReceived(
                 0,
                 EngineListKind.CACHED,
                 List.of(
                         OverloadFixture.engine("a", EngineStatus.UP, 0),
                         OverloadFixture.engine("b", EngineStatus.UP, 0)));
-        return s;
+        return controller;
     }
 
-    /** Whatever happens in whatever order: advice stays within its bounds, and nothing is counted below zero. */
+    /** Random events in random order: Retry-After stays within its bounds, and no statistic is negative. */
     @Property(seed = "16", tries = 150)
-    void adviceStaysWithinItsBounds(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
-        OverloadController storm = storm(seed);
-        SplittableRandom r = new SplittableRandom(seed);
+    void retryAfterAndStatisticsStayWithinBounds(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
+        OverloadController controller = controller(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         List<OverloadController.TrackedQuery> open = new ArrayList<>();
-        long now = 0;
-        double bad = r.nextDouble();
+        long nowUs = 0;
+        double failureShare = random.nextDouble();
         for (int i = 0; i < 3000; i++) {
-            now += r.nextInt(10) == 0 ? r.nextInt(300_000) : r.nextInt(5000);
-            switch (r.nextInt(8)) {
-                case 0, 1, 2 -> open.add(storm.queryArrived(now, r.nextInt(200), r.nextInt(3), r.nextInt(1_000_000)));
-                case 3, 4 -> end(storm, now, open, r, bad);
+            nowUs += random.nextInt(10) == 0 ? random.nextInt(300_000) : random.nextInt(5000);
+            switch (random.nextInt(8)) {
+                case 0, 1, 2 ->
+                    open.add(controller.queryArrived(
+                            nowUs, random.nextInt(200), random.nextInt(3), random.nextInt(1_000_000)));
+                case 3, 4 -> end(controller, nowUs, open, random, failureShare);
                 case 5 -> {
-                    storm.attemptEnded(r.nextBoolean() ? "a" : "b", RESULTS[r.nextInt(RESULTS.length)]);
-                    long pause = storm.connectionOpened(now);
-                    assertTrue(pause >= 0
-                            && pause <= OverloadFixture.SETTINGS.limits().maxRetryAfterUs());
+                    controller.attemptEnded(random.nextBoolean() ? "a" : "b", RESULTS[random.nextInt(RESULTS.length)]);
+                    long retryAfterUs = controller.connectionOpened(nowUs);
+                    assertTrue(retryAfterUs >= 0
+                            && retryAfterUs <= OverloadFixture.SETTINGS.limits().maxRetryAfterUs());
                 }
                 case 6 ->
-                    storm.endpointListReceived(
-                            now,
+                    controller.endpointListReceived(
+                            nowUs,
                             EngineListKind.CHANGES,
                             List.of(OverloadFixture.engine(
-                                    r.nextBoolean() ? "a" : "e" + r.nextInt(1000),
-                                    EngineStatus.values()[r.nextInt(3)],
-                                    r.nextBoolean() ? 0 : now)));
-                default -> storm.tick(now);
+                                    random.nextBoolean() ? "a" : "e" + random.nextInt(1000),
+                                    EngineStatus.values()[random.nextInt(3)],
+                                    random.nextBoolean() ? 0 : nowUs)));
+                default -> controller.tick(nowUs);
             }
-            check(storm.stats(now));
+            check(controller.stats(nowUs));
         }
     }
 
     private static void end(
-            OverloadController storm,
-            long now,
+            OverloadController controller,
+            long nowUs,
             List<OverloadController.TrackedQuery> open,
-            SplittableRandom r,
-            double bad) {
+            SplittableRandom random,
+            double failureShare) {
         if (open.isEmpty()) {
             return;
         }
-        OverloadController.TrackedQuery a = open.remove(r.nextInt(open.size()));
-        if (r.nextBoolean()) {
-            storm.attemptStarted(now, a);
+        OverloadController.TrackedQuery query = open.remove(random.nextInt(open.size()));
+        if (random.nextBoolean()) {
+            controller.attemptStarted(nowUs, query);
         }
-        OverloadController.Outcome ending = r.nextDouble() < bad
-                ? OverloadController.Outcome.values()[1 + r.nextInt(3)]
+        OverloadController.Outcome outcome = random.nextDouble() < failureShare
+                ? OverloadController.Outcome.values()[1 + random.nextInt(3)]
                 : OverloadController.Outcome.SERVED;
-        long pause = storm.queryEnded(now, a, ending, 500_000);
-        assertTrue(pause >= 0 && pause <= OverloadFixture.SETTINGS.limits().maxRetryAfterUs(), "pause " + pause);
+        long retryAfterUs = controller.queryEnded(nowUs, query, outcome, 500_000);
         assertTrue(
-                ending == OverloadController.Outcome.REJECTED || pause == 0,
-                "only refusals are told when to come back");
+                retryAfterUs >= 0
+                        && retryAfterUs <= OverloadFixture.SETTINGS.limits().maxRetryAfterUs(),
+                "Retry-After " + retryAfterUs);
+        assertTrue(
+                outcome == OverloadController.Outcome.REJECTED || retryAfterUs == 0, "Retry-After without a rejection");
     }
 
-    private static void check(OverloadController.Stats f) {
-        assertTrue(f.rememberedStatements() <= f.maxRememberedStatements());
-        assertTrue(f.capacityCores() >= 0 && f.admittedWorkUsPerS() >= 0 && f.queuedWorkUs() >= 0);
-        assertTrue(f.complianceShare() > 0
-                && f.complianceShare() <= 1
-                && f.rejectedReturnShare() > 0
-                && f.rejectedReturnShare() <= 1);
+    private static void check(OverloadController.Stats stats) {
+        assertTrue(stats.rememberedStatements() <= stats.maxRememberedStatements());
+        assertTrue(stats.capacityCores() >= 0 && stats.admittedWorkUsPerS() >= 0 && stats.queuedWorkUs() >= 0);
+        assertTrue(stats.complianceShare() > 0
+                && stats.complianceShare() <= 1
+                && stats.rejectedReturnShare() > 0
+                && stats.rejectedReturnShare() <= 1);
     }
 
-    /** In calm nothing is turned away, and a refusal says what the decision module advises. */
+    /** In normal operation everything is admitted, and a rejection has the decision module's Retry-After. */
     @Test
-    void inCalmNothingIsTurnedAway() {
-        OverloadController storm = storm(1);
-        for (long now = 0; now < 30_000_000; now += 20_000) {
-            OverloadController.TrackedQuery a = storm.queryArrived(now, now, 0, 200_000);
-            assertFalse(a.isSheddable());
-            storm.attemptStarted(now, a);
-            assertEquals(0, storm.connectionOpened(now));
-            boolean refuse = now % 1_000_000 == 0;
+    void admitsEverythingInNormalOperation() {
+        OverloadController controller = controller(1);
+        for (long nowUs = 0; nowUs < 30_000_000; nowUs += 20_000) {
+            OverloadController.TrackedQuery query = controller.queryArrived(nowUs, nowUs, 0, 200_000);
+            assertFalse(query.isSheddable());
+            controller.attemptStarted(nowUs, query);
+            assertEquals(0, controller.connectionOpened(nowUs));
+            boolean isRejected = nowUs % 1_000_000 == 0;
             assertEquals(
-                    refuse ? 500_000 : 0,
-                    storm.queryEnded(
-                            now,
-                            a,
-                            refuse ? OverloadController.Outcome.REJECTED : OverloadController.Outcome.SERVED,
+                    isRejected ? 500_000 : 0,
+                    controller.queryEnded(
+                            nowUs,
+                            query,
+                            isRejected ? OverloadController.Outcome.REJECTED : OverloadController.Outcome.SERVED,
                             500_000));
-            storm.tick(now);
+            controller.tick(nowUs);
         }
-        assertEquals(OverloadPhase.CALM, storm.phase());
+        assertEquals(OverloadPhase.CALM, controller.phase());
     }
 
-    /** A flood of connections without a query, in a storm: those over the bound are sent away with a pause. */
+    /** A flood of connections without queries during a storm: those over the rate limit are rejected. */
     @Test
-    void aConnectionFloodInAStormIsBounded() {
-        OverloadController storm = storm(2);
-        long now = stormy(storm);
-        int taken = 0;
+    void limitsRateOfNewConnectionsDuringStorm() {
+        OverloadController controller = controller(2);
+        long nowUs = enterStorm(controller);
+        int accepted = 0;
         for (int i = 0; i < 5000; i++) {
-            now += 200;
-            taken += storm.connectionOpened(now) == 0 ? 1 : 0;
+            nowUs += 200;
+            accepted += controller.connectionOpened(nowUs) == 0 ? 1 : 0;
         }
-        assertTrue(taken <= 2 * ON.connectionLimits().minPerS() + 1, "taken in a second: " + taken);
-        assertTrue(taken >= ON.connectionLimits().minPerS() / 2, "taken in a second: " + taken);
+        assertTrue(accepted <= 2 * ON.connectionLimits().minPerS() + 1, "accepted in a second: " + accepted);
+        assertTrue(accepted >= ON.connectionLimits().minPerS() / 2, "accepted in a second: " + accepted);
     }
 
-    /** All engines refuse connections though the list names them; what is refused comes back. Returns the time. */
-    private static long stormy(OverloadController storm) {
-        long now = 0;
+    /** Enters a storm: all listed engines refuse connections, and all queries are rejected. Returns the time. */
+    private static long enterStorm(OverloadController controller) {
+        long nowUs = 0;
         for (int i = 0; i < 1000; i++) {
-            now += 10_000;
-            OverloadController.TrackedQuery a = storm.queryArrived(now, i, 0, 200_000);
-            storm.attemptEnded("a", AttemptResult.CONNECT_FAILED);
-            storm.attemptEnded("b", AttemptResult.CONNECT_FAILED);
-            storm.queryEnded(now, a, OverloadController.Outcome.REJECTED, 500_000);
-            storm.tick(now);
+            nowUs += 10_000;
+            OverloadController.TrackedQuery query = controller.queryArrived(nowUs, i, 0, 200_000);
+            controller.attemptEnded("a", AttemptResult.CONNECT_FAILED);
+            controller.attemptEnded("b", AttemptResult.CONNECT_FAILED);
+            controller.queryEnded(nowUs, query, OverloadController.Outcome.REJECTED, 500_000);
+            controller.tick(nowUs);
         }
-        assertEquals(OverloadPhase.STORM, storm.phase());
-        return now;
+        assertEquals(OverloadPhase.STORM, controller.phase());
+        return nowUs;
     }
 
-    /** Clients that all wait as told, and clients of which none does: what is learnt follows. */
+    /** The estimated compliance follows clients that all wait as advised, and clients that never do. */
     @Test
-    void theShareThatHonoursAdviceIsLearnt() {
-        for (boolean honours : new boolean[] {true, false}) {
-            OverloadController storm = storm(3);
-            long now = stormy(storm);
+    void learnsShareOfClientsThatComplyWithRetryAfter() {
+        for (boolean complies : new boolean[] {true, false}) {
+            OverloadController controller = controller(3);
+            long nowUs = enterStorm(controller);
             for (int i = 0; i < 400; i++) {
-                now += 20_000;
-                OverloadController.TrackedQuery a = storm.queryArrived(now, 100_000 + i, 0, 200_000);
-                long pause = storm.queryEnded(now, a, OverloadController.Outcome.REJECTED, 500_000);
-                assertTrue(pause > 0);
-                storm.queryArrived(now + (honours ? pause : pause / 2), 100_000 + i, 0, 200_000);
-                storm.tick(now);
+                nowUs += 20_000;
+                OverloadController.TrackedQuery query = controller.queryArrived(nowUs, 100_000 + i, 0, 200_000);
+                long retryAfterUs = controller.queryEnded(nowUs, query, OverloadController.Outcome.REJECTED, 500_000);
+                assertTrue(retryAfterUs > 0);
+                controller.queryArrived(nowUs + (complies ? retryAfterUs : retryAfterUs / 2), 100_000 + i, 0, 200_000);
+                controller.tick(nowUs);
             }
-            double learnt = storm.stats(now).complianceShare();
-            assertTrue(honours ? learnt > 0.9 : learnt < 0.2, "learnt " + learnt);
+            double estimate = controller.stats(nowUs).complianceShare();
+            assertTrue(complies ? estimate > 0.9 : estimate < 0.2, "compliance share " + estimate);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/OverloadFixture.java
+++ b/gateway/src/test/java/sandpaddle/overload/OverloadFixture.java
@@ -14,7 +14,7 @@
 import sandpaddle.decision.settings.RequestClass;
 import sandpaddle.decision.settings.ServiceCosts;
 
-/** A small site for the tests: a class of lookups, one of reports, one of loads; engines of 8 cores, three gateways. */
+/** Settings of a small site: classes of lookups, reports and loads, engines with 8 cores, and three gateways. */
 final class OverloadFixture {
     static final DecisionSettings SETTINGS = new DecisionSettings(
             3,
@@ -22,9 +22,9 @@
             0,
             false,
             List.of(
-                    cls(1_500_000, 1.5, 7_500_000, 1, 0.1, Idempotency.IDEMPOTENT, 1),
-                    cls(3_000_000, 2.5, 25_000_000, 4, 0.4, Idempotency.IDEMPOTENT, 3),
-                    cls(4_000_000, 2.5, 20_000_000, 3, 0.6, Idempotency.NOT_IDEMPOTENT, 2)),
+                    requestClass(1_500_000, 1.5, 7_500_000, 1, 0.1, Idempotency.IDEMPOTENT, 1),
+                    requestClass(3_000_000, 2.5, 25_000_000, 4, 0.4, Idempotency.IDEMPOTENT, 3),
+                    requestClass(4_000_000, 2.5, 20_000_000, 3, 0.6, Idempotency.NOT_IDEMPOTENT, 2)),
             List.of(new EngineKind(8, 16_384)),
             List.of(LoadField.UTILIZATION, LoadField.QUEUED),
             true,
@@ -35,21 +35,27 @@
 
     private OverloadFixture() {}
 
-    private static RequestClass cls(
-            long aim, double stretch, long limit, double worth, double late, Idempotency effect, int threads) {
+    private static RequestClass requestClass(
+            long latencyObjectiveUs,
+            double objectiveStretch,
+            long deadlineUs,
+            double priorityWeight,
+            double latePriorityWeight,
+            Idempotency idempotency,
+            int threads) {
         return new RequestClass(
-                aim,
-                stretch,
-                limit,
-                worth,
-                late,
-                effect,
+                latencyObjectiveUs,
+                objectiveStretch,
+                deadlineUs,
+                priorityWeight,
+                latePriorityWeight,
+                idempotency,
                 DeduplicationScope.ALL,
                 0,
                 false,
                 false,
                 threads,
-                effect == Idempotency.NOT_IDEMPOTENT,
+                idempotency == Idempotency.NOT_IDEMPOTENT,
                 false,
                 null,
                 null);
--- a/gateway/src/test/java/sandpaddle/overload/RetryAfterSchedulerProperties.java
+++ b/gateway/src/test/java/sandpaddle/overload/RetryAfterSchedulerProperties.java
@@ -11,77 +11,82 @@
 import org.junit.jupiter.api.Test;
 
 class RetryAfterSchedulerProperties {
-    private static final long SLOT = 50_000;
-    private static final long MIN_PAUSE_US = 100_000;
-    private static final long MAX_PAUSE_US = 1_000_000;
+    private static final long SLOT_US = 50_000;
+    private static final long MIN_RETRY_AFTER_US = 100_000;
+    private static final long MAX_RETRY_AFTER_US = 1_000_000;
 
-    private static RetryAfterScheduler calendar(long seed) {
-        return new RetryAfterScheduler(SLOT, MIN_PAUSE_US, MAX_PAUSE_US, new SplittableRandom(seed));
+    private static RetryAfterScheduler scheduler(long seed) {
+        return new RetryAfterScheduler(SLOT_US, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US, new SplittableRandom(seed));
     }
 
     @Property(seed = "12", tries = 200)
-    void aPauseIsNeverShorterThanTheLeastNorLongerThanTheMost(
+    void retryAfterStaysWithinBounds(
             @ForAll @IntRange(min = 1, max = 300) int clients,
-            @ForAll @IntRange(max = 5_000_000) int rate,
-            @ForAll @IntRange(max = 40_000) int gap) {
-        RetryAfterScheduler calendar = calendar(clients);
-        long now = 1_700_000_000_000_000L;
+            @ForAll @IntRange(max = 5_000_000) int workUsPerS,
+            @ForAll @IntRange(max = 40_000) int gapUs) {
+        RetryAfterScheduler scheduler = scheduler(clients);
+        long nowUs = 1_700_000_000_000_000L;
         for (int i = 0; i < clients; i++) {
             if (i % 7 == 0) {
-                calendar.forecast(now, t -> rate);
+                scheduler.forecast(nowUs, timeUs -> workUsPerS);
             }
-            long pause = calendar.schedule(now, 100_000);
-            assertTrue(pause >= MIN_PAUSE_US && pause <= MAX_PAUSE_US, "pause " + pause);
-            now += gap;
+            long retryAfterUs = scheduler.schedule(nowUs, 100_000);
+            assertTrue(
+                    retryAfterUs >= MIN_RETRY_AFTER_US && retryAfterUs <= MAX_RETRY_AFTER_US,
+                    "Retry-After " + retryAfterUs);
+            nowUs += gapUs;
         }
     }
 
-    /** While slots have room, none is filled over it, and no client waits for a later one than it must. */
+    /** While slots have spare capacity, none is overfilled, and clients get the earliest ones. */
     @Property(seed = "13", tries = 100)
-    void returnsArriveAtTheRateThatCanBeTaken(@ForAll @IntRange(min = 1, max = 18) int clients) {
-        RetryAfterScheduler calendar = calendar(clients);
-        calendar.forecast(0, t -> 2_000_000); // room for one client of 100 ms of work in each slot
+    void fillsEarliestSlotsUpToTheirCapacity(@ForAll @IntRange(min = 1, max = 18) int clients) {
+        RetryAfterScheduler scheduler = scheduler(clients);
+        scheduler.forecast(0, timeUs -> 2_000_000); // each slot has capacity for one client with 100 ms of work
         for (int i = 0; i < clients; i++) {
-            calendar.schedule(0, 100_000);
+            scheduler.schedule(0, 100_000);
         }
-        for (long t = 0; t < MAX_PAUSE_US; t += SLOT) {
-            boolean taken = t >= MIN_PAUSE_US && t < MIN_PAUSE_US + clients * SLOT;
-            assertEquals(taken ? 100_000 : 0, calendar.expectedWorkUs(t), "slot at " + t);
+        for (long slotStartUs = 0; slotStartUs < MAX_RETRY_AFTER_US; slotStartUs += SLOT_US) {
+            boolean isScheduled =
+                    slotStartUs >= MIN_RETRY_AFTER_US && slotStartUs < MIN_RETRY_AFTER_US + clients * SLOT_US;
+            assertEquals(isScheduled ? 100_000 : 0, scheduler.expectedWorkUs(slotStartUs), "slot at " + slotStartUs);
         }
     }
 
-    /** The most is shorter than the calendar would be: nobody comes early into nothing, and there is no one wave. */
+    /** An outage longer than the longest Retry-After: no early retries, and no synchronized ones in the last slot. */
     @Test
-    void anOutageLongerThanTheMostSpreadsReturnsOverTheLaterHalf() {
-        RetryAfterScheduler calendar = calendar(5);
-        calendar.forecast(0, t -> 0);
-        long[] pauses = IntStream.range(0, 1000)
-                .mapToLong(i -> calendar.schedule(0, 100_000))
+    void spreadsRetriesOverLaterHalfWithoutCapacity() {
+        RetryAfterScheduler scheduler = scheduler(5);
+        scheduler.forecast(0, timeUs -> 0);
+        long[] retryAftersUs = IntStream.range(0, 1000)
+                .mapToLong(i -> scheduler.schedule(0, 100_000))
                 .toArray();
-        double middle = (MIN_PAUSE_US + MAX_PAUSE_US) / 2.0;
-        for (long p : pauses) {
-            assertTrue(p >= middle - 2 * SLOT && p <= MAX_PAUSE_US, "pause " + p);
+        double middleUs = (MIN_RETRY_AFTER_US + MAX_RETRY_AFTER_US) / 2.0;
+        for (long retryAfterUs : retryAftersUs) {
+            assertTrue(
+                    retryAfterUs >= middleUs - 2 * SLOT_US && retryAfterUs <= MAX_RETRY_AFTER_US,
+                    "Retry-After " + retryAfterUs);
         }
-        double[] filled = IntStream.range(0, (int) (MAX_PAUSE_US / SLOT))
-                .mapToDouble(i -> calendar.expectedWorkUs(i * SLOT))
+        double[] workPerSlotUs = IntStream.range(0, (int) (MAX_RETRY_AFTER_US / SLOT_US))
+                .mapToDouble(i -> scheduler.expectedWorkUs(i * SLOT_US))
                 .filter(x -> x > 0)
                 .toArray();
-        double mean = IntStream.range(0, filled.length)
-                .mapToDouble(i -> filled[i])
+        double meanUs = IntStream.range(0, workPerSlotUs.length)
+                .mapToDouble(i -> workPerSlotUs[i])
                 .average()
                 .orElseThrow();
-        assertTrue(filled.length >= 9, "slots used: " + filled.length);
-        for (double f : filled) {
-            assertEquals(mean, f, 0.05 * mean);
+        assertTrue(workPerSlotUs.length >= 9, "slots used: " + workPerSlotUs.length);
+        for (double workUs : workPerSlotUs) {
+            assertEquals(meanUs, workUs, 0.05 * meanUs);
         }
     }
 
     @Test
-    void whatTheFleetCanTakeLaterIsPlannedForLater() {
-        RetryAfterScheduler calendar = calendar(6);
-        calendar.forecast(0, t -> t < 500_000 ? 0 : 2_000_000);
+    void schedulesRetriesForWhenCapacityIsForecast() {
+        RetryAfterScheduler scheduler = scheduler(6);
+        scheduler.forecast(0, timeUs -> timeUs < 500_000 ? 0 : 2_000_000);
         for (int i = 0; i < 8; i++) {
-            assertTrue(calendar.schedule(0, 100_000) >= 500_000);
+            assertTrue(scheduler.schedule(0, 100_000) >= 500_000);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/overload/RetryStormDetectorTest.java
+++ b/gateway/src/test/java/sandpaddle/overload/RetryStormDetectorTest.java
@@ -9,84 +9,92 @@
 
 class RetryStormDetectorTest {
     private static final OverloadSettings.Detection SETTINGS = OverloadSettings.OFF.detection();
-    private static final long TICK = 100_000;
+    private static final long TICK_US = 100_000;
 
     private final RetryStormDetector detector = new RetryStormDetector(SETTINGS, 0);
     private final List<OverloadPhase> changes = new ArrayList<>();
-    private long now;
-
-    /** So many a second, for so long: first tries, returns, good and bad answers. */
-    private void run(double seconds, double firsts, double returns, double good, double bad, double answering) {
-        double[] owed = new double[4];
-        double[] rates = {firsts, returns, good, bad};
-        for (int i = 0; i < Math.round(seconds * 1e6 / TICK); i++) {
-            now += TICK;
-            for (int k = 0; k < rates.length; k++) {
-                for (owed[k] += rates[k] * TICK / 1e6; owed[k] >= 1; owed[k]--) {
-                    tell(k);
+    private long nowUs;
+
+    /** Runs the detector on constant rates of arrivals and answers. */
+    private void run(
+            double seconds,
+            double firstArrivalsPerS,
+            double retriesPerS,
+            double successesPerS,
+            double failuresPerS,
+            double reachableShare) {
+        double[] pendingEvents = new double[4];
+        double[] ratesPerS = {firstArrivalsPerS, retriesPerS, successesPerS, failuresPerS};
+        for (int i = 0; i < Math.round(seconds * 1e6 / TICK_US); i++) {
+            nowUs += TICK_US;
+            for (int kind = 0; kind < ratesPerS.length; kind++) {
+                for (pendingEvents[kind] += ratesPerS[kind] * TICK_US / 1e6;
+                        pendingEvents[kind] >= 1;
+                        pendingEvents[kind]--) {
+                    record(kind);
                 }
             }
-            RetryStormDetector.Change c = detector.evaluate(now, answering);
-            if (c != null) {
-                changes.add(c.to());
+            RetryStormDetector.Change change = detector.evaluate(nowUs, reachableShare);
+            if (change != null) {
+                changes.add(change.to());
             }
         }
     }
 
-    private void tell(int kind) {
+    private void record(int kind) {
         switch (kind) {
-            case 0 -> detector.arrival(now, false);
-            case 1 -> detector.arrival(now, true);
-            case 2 -> detector.answer(now, true);
-            default -> detector.answer(now, false);
+            case 0 -> detector.recordArrival(nowUs, false);
+            case 1 -> detector.recordArrival(nowUs, true);
+            case 2 -> detector.recordAnswer(nowUs, true);
+            default -> detector.recordAnswer(nowUs, false);
         }
     }
 
     @Test
-    void refusalsThatComeBackAreAStorm() {
+    void retriesOfRejectedQueriesAreStorm() {
         run(20, 30, 0, 30, 0, 1);
         run(2, 30, 40, 20, 50, 1);
         assertEquals(List.of(OverloadPhase.STORM), changes.subList(0, 1));
     }
 
-    /** Three times the usual in a sale, served as far as it goes: no storm, though a fifth is refused and returns. */
+    /** A surge to three times the usual demand is no storm, though a fifth of the queries is rejected and retried. */
     @Test
-    void aTrueRushIsNoStorm() {
+    void surgeOfFirstArrivalsIsNoStorm() {
         run(20, 30, 0, 30, 0, 1);
         run(30, 90, 0, 90, 0, 1);
         run(30, 90, 18, 86, 22, 1);
         assertEquals(List.of(), changes);
     }
 
-    /** Even where most of a rush is refused and comes back once, first tries still make up most of the excess. */
+    /** Even if most of a surge is rejected and retried once, first arrivals make up most of the excess. */
     @Test
-    void aRushBeyondTheFleetIsNoStormWhileFirstTriesMakeTheExcess() {
+    void surgeBeyondCapacityIsNoStormWhileFirstArrivalsDominate() {
         run(20, 30, 0, 30, 0, 1);
         run(20, 150, 55, 90, 115, 1);
         assertEquals(List.of(), changes);
     }
 
     @Test
-    void anOutageIsSeenBeforeTheFirstReturns() {
+    void outageIsStormBeforeFirstRetries() {
         run(20, 30, 0, 30, 0, 1);
         run(2, 30, 0, 0, 30, 0);
         assertEquals(List.of(OverloadPhase.STORM), changes);
     }
 
     @Test
-    void itRecoversWhenEnginesAnswerAndIsCalmOnceNothingComesBack() {
+    void recoversOnceEnginesRespondAndEndsOnceRetriesStop() {
         run(20, 30, 0, 30, 0, 1);
         run(5, 30, 50, 0, 80, 0);
         run(3, 30, 50, 20, 60, 1);
         assertEquals(List.of(OverloadPhase.STORM, OverloadPhase.RECOVERING), changes);
         run(4, 30, 0, 30, 0, 1);
-        assertEquals(2, changes.size(), "calm needs its time");
+        assertEquals(2, changes.size(), "normal operation is entered only after exitUs");
         run(4, 30, 0, 30, 0, 1);
         assertEquals(List.of(OverloadPhase.STORM, OverloadPhase.RECOVERING, OverloadPhase.CALM), changes);
     }
 
     @Test
-    void aSecondOutageInMidRecoveryIsAStormAgain() {
+    void secondOutageDuringRecoveryIsStorm() {
         run(20, 30, 0, 30, 0, 1);
         run(5, 30, 50, 0, 80, 0);
         run(3, 30, 50, 20, 60, 1);
@@ -96,9 +104,9 @@
         assertEquals(OverloadPhase.RECOVERING, detector.phase());
     }
 
-    /** Hysteresis: shares between the two bounds change nothing, in either state. */
+    /** Hysteresis: shares between the bounds for entry and exit change neither phase. */
     @Test
-    void sharesBetweenTheBoundsChangeNothing() {
+    void phaseStaysWhileSharesAreBetweenBounds() {
         run(20, 30, 0, 30, 0, 1);
         run(20, 30, 7, 28, 9, 1);
         assertEquals(List.of(), changes);
@@ -108,29 +116,29 @@
         assertEquals(OverloadPhase.RECOVERING, detector.phase());
     }
 
-    /** The process stood still for 2 s: what is seen in the first turn after it is no sign that held. */
+    /** The process was paused for 2 s: the signals of the first evaluation after it have not held for long enough. */
     @Test
-    void aClockThatStandsStillProvesNothing() {
+    void pauseOfProcessDoesNotCountAsDurationOfSignals() {
         run(20, 30, 0, 30, 0, 1);
-        now += 2_000_000;
+        nowUs += 2_000_000;
         for (int i = 0; i < 100; i++) {
-            detector.answer(now, false);
-            detector.arrival(now, i % 2 == 0);
+            detector.recordAnswer(nowUs, false);
+            detector.recordArrival(nowUs, i % 2 == 0);
         }
-        assertNull(detector.evaluate(now, 1));
+        assertNull(detector.evaluate(nowUs, 1));
         run(0.3, 30, 0, 30, 0, 1);
         assertEquals(List.of(), changes);
     }
 
-    /** A gateway that was restarted in the storm knows no usual rate: returns alone must do. */
+    /** A gateway that was restarted during a storm has no usual rate yet: the share of retries must suffice. */
     @Test
-    void aFreshGatewaySeesTheStormItStartsIn() {
+    void detectsStormWithoutUsualRate() {
         run(3, 30, 40, 0, 70, 1);
         assertEquals(OverloadPhase.STORM, detector.phase());
     }
 
     @Test
-    void withoutTrafficThereIsNothingToDamp() {
+    void stormEndsWithoutTraffic() {
         run(20, 30, 0, 30, 0, 1);
         run(5, 30, 50, 0, 80, 0);
         run(15, 0, 0, 0, 0, 1);
