--- a/gateway/src/main/java/sandpaddle/discovery/EndpointWatcher.java
+++ b/gateway/src/main/java/sandpaddle/discovery/EndpointWatcher.java
@@ -15,9 +15,9 @@
 import sandpaddle.eventloop.TimerQueue;
 
 /**
- * Watches the control feed for the endpoint list and delivers each event once, in the order of versions, over as many
- * connections as that takes. A connection that is silent, malformed or misses an event is replaced by one that
- * subscribes from the last version, after a backoff of 10 to 400 ms.
+ * Watches the control feed for changes of the endpoint list, and delivers each event once, in the order of versions. A
+ * connection that times out, sends a malformed line or misses an event is replaced by one that subscribes from the last
+ * version, with an exponential backoff of 10 to 400 ms.
  *
  * <p>Confined to the event loop's thread.
  */
@@ -25,18 +25,18 @@
     private static final Duration MIN_BACKOFF = Duration.ofMillis(10);
     private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
-    /** A heartbeat is a line with the feed's version alone. */
+    /** A heartbeat is a line that contains only the version of the feed. */
     private static final Pattern HEARTBEAT = Pattern.compile("\\d{1,18}");
 
     private final EventLoop loop;
     private final PlatformNames names;
     private final Consumer<EndpointListEvent> listener;
-    private final WatchConnection.Listener lineHandler = new LineHandler();
+    private final WatchConnection.Listener lineListener = new LineListener();
     private InetSocketAddress address;
     private long lastVersion;
-    private long repeatedVersion; // latest event that was requested again because of errors in it
+    private long refetchedVersion; // latest event that was requested again because of errors in it
     private WatchConnection current;
-    private WatchConnection previous; // to the address before, null where that is closed
+    private WatchConnection previous; // to the previous address, null if closed
     private TimerQueue.Timer retryTimer;
     private Duration backoff = MIN_BACKOFF;
 
@@ -45,8 +45,8 @@
      *
      * @param loop the event loop
      * @param address where the control feed listens
-     * @param names names of zones and machine kinds, to parse events
-     * @param lastVersion version of the last event that {@code listener} has received otherwise
+     * @param names names of zones and machine kinds, for parsing events
+     * @param lastVersion version of the last event that {@code listener} has received from another source
      * @param listener receives the events
      */
     public EndpointWatcher(
@@ -62,22 +62,23 @@
         this.listener = listener;
     }
 
-    /** Connects and subscribes. */
+    /** Opens a connection and subscribes. */
     public void start() {
-        current = new WatchConnection(loop, lineHandler);
+        current = new WatchConnection(loop, lineListener);
         current.open(address);
     }
 
     /**
-     * Moves the watch to another address, at once. The previous connection stays open for a while after the first line
-     * on the new one, so that no event is missed that only the previous feed delivers; an event that comes on both is
-     * applied once. Of several moves in a row, the connection is kept that has received a line.
+     * Switches to another address at once. The previous connection stays open until 1.6 s after the first line on the
+     * new one, so that an event which only the previous feed delivers is not missed; an event that arrives on both is
+     * applied once. If the address changes again before the new connection has received a line, the previous one is
+     * kept.
      */
     public void setAddress(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
-        Logger.info("control feed: now at {}, from {}", next, lastVersion);
+        Logger.info("control feed: address changed to {}, last version {}", next, lastVersion);
         address = next;
         backoff = MIN_BACKOFF;
         if (retryTimer != null) {
@@ -93,7 +94,7 @@
         start();
     }
 
-    /** Reads first what has arrived on it. */
+    /** Closes the previous connection, after reading the bytes that have arrived on it. */
     private void closePrevious() {
         WatchConnection closing = previous;
         if (closing != null) {
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Reads what has arrived since the turn began. Called in a turn that takes long, so that no request is sent to an
-     * engine whose drain has been announced meanwhile.
+     * Reads the bytes that have arrived since the turn began. Called during a long turn, so that no request is sent to
+     * an engine whose drain was announced in the meantime.
      */
     public void readAvailable() {
         if (previous != null) {
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Applies an event that is the next one or a complete list; ignores an old one.
+     * Applies an event that is the next one or a complete list; ignores an outdated one.
      *
-     * @return false, and nothing is applied, where an event between is missing
+     * @return false if an event in between is missing, so that this one was not applied
      */
     public boolean apply(EndpointListEvent event) {
         if (event.version() > lastVersion + 1 && !event.fullList()) {
@@ -131,14 +132,14 @@
     }
 
     private void reconnectLater(String reason) {
-        Logger.info("control feed: {}; once more from {}", reason, lastVersion);
+        Logger.info("control feed: {}; reconnecting from version {}", reason, lastVersion);
         retryTimer = loop.scheduleAfter(backoff, this::start);
         Duration doubled = backoff.multipliedBy(2);
         backoff = doubled.compareTo(MAX_BACKOFF) < 0 ? doubled : MAX_BACKOFF;
     }
 
-    /** Handles the lines of the connections. */
-    private final class LineHandler implements WatchConnection.Listener {
+    /** Handles the lines of both connections. */
+    private final class LineListener implements WatchConnection.Listener {
         @Override
         public long lastVersion() {
             return lastVersion;
@@ -167,22 +168,23 @@
 
         private void onHeartbeat(WatchConnection connection, long version) {
             if (version > lastVersion) {
-                connection.fail("events up to " + version + " were missed");
+                connection.fail("heartbeat has version " + version + "; expected at most " + lastVersion);
             } else {
                 backoff = MIN_BACKOFF;
             }
         }
 
-        /** An event with errors is requested again once, in case it was garbled; then it is applied as it is. */
+        /** An event with errors is requested again once, in case it was corrupted; then it is applied as it is. */
         private void onEvent(WatchConnection connection, EndpointListEvent event) {
-            if (!event.errors().isEmpty() && event.version() > repeatedVersion) {
-                repeatedVersion = event.version();
+            if (!event.errors().isEmpty() && event.version() > refetchedVersion) {
+                refetchedVersion = event.version();
                 connection.fail(
                         "event " + event.version() + ": " + event.errors().get(0));
             } else if (apply(event)) {
                 backoff = MIN_BACKOFF;
             } else {
-                connection.fail("event " + event.version() + " came too early");
+                connection.fail(
+                        "event " + event.version() + " follows " + lastVersion + "; expected " + (lastVersion + 1));
             }
         }
 
--- a/gateway/src/main/java/sandpaddle/discovery/LineDecoder.java
+++ b/gateway/src/main/java/sandpaddle/discovery/LineDecoder.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Splits a stream of bytes into lines. Its memory is bounded by {@link #MAX_LINE_BYTES}. */
+/** Splits a stream of bytes into lines. Buffers at most {@link #MAX_LINE_BYTES}. */
 final class LineDecoder {
-    /** A list of 16,384 engines of a kilobyte each, with names as long as operators may make them. */
+    /** A list of 16,384 engines with a kilobyte each, which allows for long names. */
     static final int MAX_LINE_BYTES = 16_384 * 1024;
 
     private static final int INITIAL_BYTES = 1024;
@@ -14,7 +14,7 @@
     private int length;
     private boolean tooLong;
 
-    /** Consumes bytes up to the end of a line; returns the line without its line feed, null while it is incomplete. */
+    /** Consumes bytes up to a line feed; returns the line without it, null while the line is incomplete. */
     byte[] decode(ByteBuffer bytes) {
         while (bytes.hasRemaining() && !tooLong) {
             byte next = bytes.get();
@@ -30,7 +30,7 @@
         byte[] complete = Arrays.copyOf(line, length);
         length = 0;
         if (line.length > INITIAL_BYTES) {
-            line = new byte[INITIAL_BYTES]; // a complete list is rare, and parsing it needs the memory
+            line = new byte[INITIAL_BYTES]; // frees the memory of a complete list for parsing it
         }
         return complete;
     }
@@ -46,12 +46,12 @@
         line[length++] = next;
     }
 
-    /** Whether a line is incomplete. */
+    /** Whether a line has begun and is incomplete. */
     boolean isWithinLine() {
         return length > 0;
     }
 
-    /** Whether a line exceeded the limit; nothing is decoded any more then. */
+    /** Whether a line exceeded the limit; nothing more is decoded after that. */
     boolean isTooLong() {
         return tooLong;
     }
--- a/gateway/src/main/java/sandpaddle/discovery/WatchConnection.java
+++ b/gateway/src/main/java/sandpaddle/discovery/WatchConnection.java
@@ -12,28 +12,28 @@
 import sandpaddle.eventloop.TimerQueue;
 
 /**
- * One connection to the control feed: subscribes, splits the stream into lines, and fails when it falls silent.
+ * A connection to the control feed: subscribes, splits the stream into lines, and detects by timeouts that it failed.
  *
  * <p>Confined to the event loop's thread.
  */
 final class WatchConnection implements Connection.Listener {
-    /** A feed sends a line every second; without one for so long the connection has failed. */
+    /** The feed sends a heartbeat every second; without bytes for this long the connection has failed. */
     static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1600);
 
-    /** From the first byte of a line to its end: a list of thousands of engines may come slowly. */
+    /** Limit from the first byte of a line to its end: a list of thousands of engines may arrive slowly. */
     private static final Duration LINE_TIMEOUT = Duration.ofSeconds(5);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(800);
 
     /** Receives the lines. */
     interface Listener {
-        /** The version of the last event that was applied, to subscribe from. */
+        /** The version of the last applied event, from which the connection subscribes. */
         long lastVersion();
 
-        /** A complete line; the connection fails if this throws. */
+        /** Called for each complete line; the connection fails if this throws. */
         void onLine(WatchConnection connection, byte[] line) throws IOException, InvalidFieldException;
 
-        /** The connection failed; called once, and not after {@link #close}. */
+        /** Called once if the connection has failed, but not after {@link #close}. */
         void onFailed(WatchConnection connection, String reason);
     }
 
@@ -51,9 +51,10 @@
         this.listener = listener;
     }
 
-    /** Starts to connect; a failure is reported within this call or in a later turn. */
+    /** Starts to connect; a failure is reported during this call or in a later turn. */
     void open(InetSocketAddress address) {
-        timeout = loop.scheduleAfter(CONNECT_TIMEOUT, () -> fail("no connection"));
+        timeout = loop.scheduleAfter(
+                CONNECT_TIMEOUT, () -> fail("not connected within " + CONNECT_TIMEOUT.toMillis() + " ms"));
         try {
             connection = Connection.open(loop, EventLoop.HandlerPriority.ENDPOINT_LIST, address, this);
         } catch (IOException e) {
@@ -65,19 +66,22 @@
         return closed;
     }
 
-    /** Whether a complete line has been received on it. */
+    /** Whether a complete line has been received and handled. */
     boolean hasReceivedLine() {
         return lineReceived;
     }
 
-    /** Reads what has arrived, without waiting for the next turn. Must not be called within a read of a connection. */
+    /**
+     * Reads the bytes that have arrived, without waiting for the next turn. Must not be called while a connection is
+     * being read.
+     */
     void readAvailable() {
         if (!closed && connection != null) {
             connection.readAvailable();
         }
     }
 
-    /** Closes it; nothing more is reported. */
+    /** Closes the connection without notifying the listener. */
     void close() {
         closed = true;
         timeout.cancel();
@@ -86,7 +90,7 @@
         }
     }
 
-    /** Closes it and reports that. */
+    /** Closes the connection and notifies the listener, unless it is closed already. */
     void fail(String reason) {
         if (!closed) {
             close();
@@ -102,7 +106,7 @@
 
     private void restartSilenceTimeout() {
         timeout.cancel();
-        timeout = loop.scheduleAfter(SILENCE_TIMEOUT, () -> fail("silent"));
+        timeout = loop.scheduleAfter(SILENCE_TIMEOUT, () -> fail("no bytes for " + SILENCE_TIMEOUT.toMillis() + " ms"));
     }
 
     @Override
@@ -117,13 +121,13 @@
             fail("malformed line: " + e.getMessage());
         }
         if (lines.isTooLong()) {
-            fail("line too long");
+            fail("line longer than " + LineDecoder.MAX_LINE_BYTES + " bytes");
         } else if (!closed) {
             checkLineTimeout();
         }
     }
 
-    /** Bytes end a silence even if no line is complete; a line must be complete in its time. */
+    /** Any byte restarts the silence timeout; a line that is incomplete for too long fails the connection. */
     private void checkLineTimeout() {
         if (!lines.isWithinLine()) {
             lineStartedAt = null;
@@ -131,7 +135,7 @@
             lineStartedAt = loop.now();
         }
         if (lineStartedAt != null && !loop.now().isBefore(lineStartedAt.plus(LINE_TIMEOUT))) {
-            fail("a line that does not end");
+            fail("line incomplete after " + LINE_TIMEOUT.toSeconds() + " s");
         } else {
             restartSilenceTimeout();
         }
@@ -139,6 +143,6 @@
 
     @Override
     public void onClosed(Exception cause) {
-        fail(cause == null ? "closed" : cause.toString());
+        fail(cause == null ? "closed by the feed" : cause.toString());
     }
 }
--- a/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
+++ b/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
@@ -23,89 +23,90 @@
 import sandpaddle.eventloop.EventLoop;
 import sandpaddle.story.ScriptedFeed;
 
-/** Control feeds that fail, move or fall silent at the wrong instant; the clock is the test's, the sockets are real. */
+/** Control feeds that fail, change their address or stop sending. The clock is virtual, the sockets are real. */
 public class EndpointWatcherTest {
     private static final PlatformNames NAMES =
             new PlatformNames(List.of("lookup"), List.of("east"), List.of("std"), List.of());
     private static final Duration HEARTBEAT = Duration.ofSeconds(1);
-    private static final Duration SILENCE = Duration.ofMillis(1600); // README, Guards worth knowing
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1600); // as documented in README.md
     private static final Duration STEP = Duration.ofMillis(10);
-    private static final Duration RETRY = STEP.multipliedBy(6); // of its first retries
-    private static final Duration MAX_BACKOFF = Duration.ofMillis(400); // docs/operators/rare-moments.md
-    private static final int READ_MS = 2000;
-    private static final int MANY = 16_384;
+    private static final Duration FIRST_BACKOFFS = STEP.multipliedBy(6); // covers the backoff of the first retries
+    private static final Duration MAX_BACKOFF =
+            Duration.ofMillis(400); // as documented in docs/operators/rare-moments.md
+    private static final int READ_TIMEOUT_MS = 2000;
+    private static final int LARGE_LIST_ENGINES = 16_384;
 
     private final HandClock clock = new HandClock();
     private final List<EndpointListEvent> events = new ArrayList<>();
     private EventLoop loop;
-    private ScriptedFeed server;
-    private ScriptedFeed nextServer;
+    private ScriptedFeed feed;
+    private ScriptedFeed nextFeed;
     private EndpointWatcher watcher;
 
     @BeforeMethod
     public void open() throws IOException {
         events.clear();
         loop = new EventLoop(clock);
-        server = new ScriptedFeed();
-        nextServer = new ScriptedFeed();
-        watcher = new EndpointWatcher(loop, address(server), NAMES, 1, events::add);
+        feed = new ScriptedFeed();
+        nextFeed = new ScriptedFeed();
+        watcher = new EndpointWatcher(loop, address(feed), NAMES, 1, events::add);
         watcher.start();
     }
 
     @AfterMethod
     public void close() throws IOException {
-        server.close();
-        nextServer.close();
+        feed.close();
+        nextFeed.close();
         loop.stop();
         loop.run(() -> {});
     }
 
-    private static InetSocketAddress address(ScriptedFeed of) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), of.port());
+    private static InetSocketAddress address(ScriptedFeed feed) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), feed.port());
     }
 
-    private void turn() throws IOException {
+    private void runTurn() throws IOException {
         loop.runTurn(() -> {}, Duration.ofMillis(1));
     }
 
-    private void until(BooleanSupplier condition) throws IOException {
+    private void await(BooleanSupplier condition) throws IOException {
         long end = System.nanoTime() + Duration.ofSeconds(5).toNanos();
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "the condition did not hold within 5 s");
-            turn();
+            runTurn();
         }
     }
 
-    private void pass(Duration span) throws IOException {
-        for (Duration passed = Duration.ZERO; passed.compareTo(span) < 0; passed = passed.plus(STEP)) {
+    private void advance(Duration total) throws IOException {
+        for (Duration passed = Duration.ZERO; passed.compareTo(total) < 0; passed = passed.plus(STEP)) {
             clock.pass(STEP);
-            turn();
+            runTurn();
         }
     }
 
-    /** The next connection, whose subscription has come. */
-    private ScriptedFeed.Link accept(ScriptedFeed from) throws IOException {
+    /** Accepts the next connection and reads its subscription. */
+    private ScriptedFeed.Link accept(ScriptedFeed feed) throws IOException {
         CompletableFuture<ScriptedFeed.Link> link = CompletableFuture.supplyAsync(() -> {
             try {
-                return from.accept();
+                return feed.accept();
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
-        until(link::isDone);
-        link.join().socket().setSoTimeout(READ_MS);
+        await(link::isDone);
+        link.join().socket().setSoTimeout(READ_TIMEOUT_MS);
         return link.join();
     }
 
-    private static String host(String id, String health, long bornMs) {
-        String form = """
+    private static String host(String id, String health, long startedMs) {
+        String template = """
                 {"host":"%s","dial":"127.0.0.1:9","site":"east","class":"std","health":"%s","born_ms":%d}""";
-        return form.formatted(id, health, bornMs);
+        return template.formatted(id, health, startedMs);
     }
 
-    private static String event(int number, boolean whole, String... hosts) {
+    private static String event(int number, boolean isComplete, String... hosts) {
         return "{\"n\":%d,\"members\":{\"seq\":%d,\"whole\":%b,\"hosts\":[%s]}}"
-                .formatted(number, number, whole, String.join(",", hosts));
+                .formatted(number, number, isComplete, String.join(",", hosts));
     }
 
     private static String drain(int number) {
@@ -116,71 +117,71 @@
         return events.stream().map(EndpointListEvent::version).toList();
     }
 
-    /** An announced drain counts even if only the previous feed sends it, after the first line of the next. */
+    /** A drain must be applied even if only the previous feed announces it, after the first line of the next one. */
     @Test
-    public void drainOnThePreviousFeedAfterTheFirstLineOfTheNextIsApplied() throws Exception {
-        var previous = accept(server);
-        watcher.setAddress(address(nextServer));
-        var next = accept(nextServer);
+    public void appliesDrainFromPreviousFeedAfterFirstLineOfNext() throws Exception {
+        var previous = accept(feed);
+        watcher.setAddress(address(nextFeed));
+        var next = accept(nextFeed);
         assertEquals(next.subscription(), "SUB 1");
         next.line("1");
-        pass(HEARTBEAT.minus(STEP));
+        advance(HEARTBEAT.minus(STEP));
         previous.line(drain(2));
-        until(() -> versions().equals(List.of(2L)));
+        await(() -> versions().equals(List.of(2L)));
         next.line(drain(2));
         next.line(event(3, false, host("f", "Ready", 0)));
-        until(() -> events.size() == 2);
-        assertEquals(versions(), List.of(2L, 3L)); // an event of both feeds is applied once
+        await(() -> events.size() == 2);
+        assertEquals(versions(), List.of(2L, 3L)); // an event from both feeds is applied once
     }
 
-    /** Guards descriptors: a previous feed that goes on sending is closed in the end. */
+    /** Guards against a leak of descriptors: the previous connection is closed even if its feed keeps sending. */
     @Test
-    public void previousFeedIsClosedAWhileAfterTheFirstLineOfTheNext() throws Exception {
-        var previous = accept(server);
-        watcher.setAddress(address(nextServer));
-        var next = accept(nextServer);
+    public void closesPreviousFeedAfterSilenceTimeoutFromFirstLineOfNext() throws Exception {
+        var previous = accept(feed);
+        watcher.setAddress(address(nextFeed));
+        var next = accept(nextFeed);
         next.line("1");
-        pass(HEARTBEAT);
+        advance(HEARTBEAT);
         next.line("1");
         previous.line("1");
-        pass(SILENCE.minus(HEARTBEAT).plus(STEP));
+        advance(SILENCE_TIMEOUT.minus(HEARTBEAT).plus(STEP));
         assertTrue(previous.isLeft());
     }
 
-    /** Guards a drain that only the previous feed can announce while the next refuses or is silent. */
+    /** A drain that only the previous feed can announce must not be missed while the next one sends nothing. */
     @Test
-    public void previousFeedIsReadWhileTheNextIsSilent() throws Exception {
-        var previous = accept(server);
-        watcher.setAddress(address(nextServer));
-        accept(nextServer);
-        pass(HEARTBEAT);
+    public void readsPreviousFeedWhileNextIsSilent() throws Exception {
+        var previous = accept(feed);
+        watcher.setAddress(address(nextFeed));
+        accept(nextFeed);
+        advance(HEARTBEAT);
         previous.line(drain(2));
-        until(() -> versions().equals(List.of(2L)));
-        pass(SILENCE.minus(HEARTBEAT).plus(RETRY));
-        assertEquals(accept(nextServer).subscription(), "SUB 2");
+        await(() -> versions().equals(List.of(2L)));
+        advance(SILENCE_TIMEOUT.minus(HEARTBEAT).plus(FIRST_BACKOFFS));
+        assertEquals(accept(nextFeed).subscription(), "SUB 2");
     }
 
-    /** The next feed's version may be behind: no event is reverted. */
+    /** The version of the next feed may be behind; its outdated events must not be applied. */
     @Test
-    public void nextFeedThatIsBehindRevertsNothingAndIsFollowed() throws Exception {
-        var previous = accept(server);
+    public void ignoresOutdatedEventsOfNextFeedAndAppliesNewOnes() throws Exception {
+        var previous = accept(feed);
         previous.line(drain(2));
-        until(() -> events.size() == 1);
-        watcher.setAddress(address(nextServer));
-        var next = accept(nextServer);
+        await(() -> events.size() == 1);
+        watcher.setAddress(address(nextFeed));
+        var next = accept(nextFeed);
         next.line("1");
         next.line(event(2, false, host("e", "Ready", 0)));
         next.line(event(3, false, host("f", "Terminating", 0)));
-        until(() -> events.size() == 2);
+        await(() -> events.size() == 2);
         assertEquals(versions(), List.of(2L, 3L));
     }
 
-    /** An event that arrives after the turn has begun is applied before anything is sent. */
+    /** An event that arrives during a turn is applied by {@code readAvailable}, before anything is sent. */
     @Test
-    public void drainWithinTheTurnIsAppliedByReadAvailable() throws Exception {
-        var previous = accept(server);
-        watcher.setAddress(address(nextServer));
-        var next = accept(nextServer);
+    public void readAvailableAppliesDrainThatArrivesDuringTurn() throws Exception {
+        var previous = accept(feed);
+        watcher.setAddress(address(nextFeed));
+        var next = accept(nextFeed);
         for (var link : List.of(previous, next)) {
             events.clear();
             boolean[] applied = new boolean[1];
@@ -200,57 +201,57 @@
         }
     }
 
-    /** A connection that falls silent is replaced 1.6 s after its last line, and so is the next. */
+    /** A silent connection is replaced 1.6 s after its last line, and so is its successor. */
     @Test
-    public void silentWatchIsReplacedAndSoIsItsSilentSuccessor() throws Exception {
-        var link = accept(server);
+    public void replacesSilentConnectionAndItsSilentSuccessor() throws Exception {
+        var link = accept(feed);
         for (int second = 0; second < 13; second++) {
             link.line("1");
-            pass(HEARTBEAT);
+            advance(HEARTBEAT);
         }
         link.line("1");
-        pass(SILENCE.minus(STEP));
-        assertFalse(isLeft(link));
-        pass(RETRY);
+        advance(SILENCE_TIMEOUT.minus(STEP));
+        assertFalse(isClosed(link));
+        advance(FIRST_BACKOFFS);
         assertTrue(link.isLeft());
-        var silent = accept(server);
+        var silent = accept(feed);
         assertEquals(silent.subscription(), "SUB 1");
-        pass(SILENCE.plus(RETRY));
+        advance(SILENCE_TIMEOUT.plus(FIRST_BACKOFFS));
         assertTrue(silent.isLeft());
-        var good = accept(server);
-        assertEquals(good.subscription(), "SUB 1");
-        good.line(drain(2));
-        until(() -> versions().equals(List.of(2L)));
+        var healthy = accept(feed);
+        assertEquals(healthy.subscription(), "SUB 1");
+        healthy.line(drain(2));
+        await(() -> versions().equals(List.of(2L)));
     }
 
-    private static boolean isLeft(ScriptedFeed.Link link) throws IOException {
+    private static boolean isClosed(ScriptedFeed.Link link) throws IOException {
         link.socket().setSoTimeout(1);
         try {
             return link.isLeft();
         } catch (java.net.SocketTimeoutException e) {
             return false;
         } finally {
-            link.socket().setSoTimeout(READ_MS);
+            link.socket().setSoTimeout(READ_TIMEOUT_MS);
         }
     }
 
-    /** Half a line does not keep a connection open. */
+    /** An incomplete line must not keep a silent connection open. */
     @Test
-    public void silenceAfterHalfALineReconnects() throws Exception {
-        var link = accept(server);
+    public void reconnectsAfterSilenceWithinLine() throws Exception {
+        var link = accept(feed);
         byte[] half = drain(2).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         link.socket().getOutputStream().write(half, 0, half.length / 2);
-        pass(SILENCE.plus(RETRY));
+        advance(SILENCE_TIMEOUT.plus(FIRST_BACKOFFS));
         assertTrue(link.isLeft());
-        accept(server).line(drain(2));
-        until(() -> versions().equals(List.of(2L)));
+        accept(feed).line(drain(2));
+        await(() -> versions().equals(List.of(2L)));
     }
 
-    /** Guards a complete list whose line takes longer than the silence timeout. */
+    /** A complete list must be received even if its line takes longer than the silence timeout. */
     @Test
-    public void bytesOfALongLineAreNoSilence() throws Exception {
-        var link = accept(server);
-        String whole = event(
+    public void bytesOfIncompleteLineRestartSilenceTimeout() throws Exception {
+        var link = accept(feed);
+        String completeList = event(
                         2,
                         true,
                         IntStream.range(0, 80)
@@ -259,39 +260,40 @@
                 + "\n";
         int parts = 4;
         for (int i = 0; i < parts; i++) {
-            int from = whole.length() * i / parts;
+            int offset = completeList.length() * i / parts;
             link.socket()
                     .getOutputStream()
-                    .write(whole.substring(from, whole.length() * (i + 1) / parts)
+                    .write(completeList
+                            .substring(offset, completeList.length() * (i + 1) / parts)
                             .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            pass(HEARTBEAT);
+            advance(HEARTBEAT);
         }
-        until(() -> versions().equals(List.of(2L)));
+        await(() -> versions().equals(List.of(2L)));
         assertEquals(events.get(0).engines().size(), 80);
     }
 
-    /** Guards against a feed that never ends a line. */
+    /** A feed that sends bytes but never ends the line must not keep the connection open. */
     @Test
-    public void lineWithoutEndFailsTheConnection() throws Exception {
-        var link = accept(server);
+    public void reconnectsIfLineIsNotCompletedInTime() throws Exception {
+        var link = accept(feed);
         int seconds = 0;
-        while (!isLeft(link)) {
+        while (!isClosed(link)) {
             assertTrue(seconds++ < 6, "the connection is still open");
             link.socket().getOutputStream().write('[');
-            pass(HEARTBEAT);
+            advance(HEARTBEAT);
         }
-        pass(RETRY);
-        assertEquals(accept(server).subscription(), "SUB 1");
+        advance(FIRST_BACKOFFS);
+        assertEquals(accept(feed).subscription(), "SUB 1");
     }
 
-    /** Guards the feed against all gateways at once, if its heartbeats are ahead of its events. */
+    /** A feed whose heartbeats are ahead of its events must not be flooded with reconnects of all gateways. */
     @Test
-    public void feedAheadOfItsEventsIsRetriedWithBackoff() throws Exception {
+    public void reconnectsWithBackoffIfHeartbeatIsAheadOfEvents() throws Exception {
         int connections = 0;
         CompletableFuture<ScriptedFeed.Link> next = acceptLater();
         for (Duration passed = Duration.ZERO; passed.compareTo(HEARTBEAT) < 0; passed = passed.plus(STEP)) {
             for (int i = 0; i < 3; i++) {
-                turn();
+                runTurn();
             }
             if (next.isDone()) {
                 connections++;
@@ -306,65 +308,65 @@
     private CompletableFuture<ScriptedFeed.Link> acceptLater() {
         return CompletableFuture.supplyAsync(() -> {
             try {
-                return server.accept();
+                return feed.accept();
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
     }
 
-    /** Lists of 16,384 engines are accepted, with names as long as an operator may make them. */
+    /** Lists of 16,384 engines are accepted, with long names. */
     @Test
-    public void listOfManyThousandEnginesIsApplied() throws Exception {
-        var link = accept(server);
+    public void appliesListOfManyEnginesWithLongNames() throws Exception {
+        var link = accept(feed);
         String name = "x".repeat(220);
-        String whole = event(
+        String completeList = event(
                 2,
                 true,
-                IntStream.range(0, MANY)
+                IntStream.range(0, LARGE_LIST_ENGINES)
                         .mapToObj(i -> host(name + i, "Ready", 0))
                         .toArray(String[]::new));
         CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
             try {
-                link.line(whole);
+                link.line(completeList);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
-        until(() -> events.size() == 1);
-        assertEquals(events.get(0).engines().size(), MANY);
+        await(() -> events.size() == 1);
+        assertEquals(events.get(0).engines().size(), LARGE_LIST_ENGINES);
         written.join();
     }
 
-    /** Guards gateways without a list, or with an old one: a feed that is back is reconnected within the backoff. */
+    /** Guards against a gateway that has no list, or an outdated one, although the feed is available again. */
     @Test
-    public void feedIsReconnectedSoonAfterItsReturn() throws Exception {
-        int port = server.port();
-        accept(server).socket().close();
-        server.close();
-        pass(Duration.ofSeconds(8));
-        server = new ScriptedFeed(port);
-        pass(MAX_BACKOFF.plus(STEP.multipliedBy(2)));
-        var link = accept(server);
+    public void reconnectsWithinMaxBackoffAfterFeedRestarts() throws Exception {
+        int port = feed.port();
+        accept(feed).socket().close();
+        feed.close();
+        advance(Duration.ofSeconds(8));
+        feed = new ScriptedFeed(port);
+        advance(MAX_BACKOFF.plus(STEP.multipliedBy(2)));
+        var link = accept(feed);
         assertEquals(link.subscription(), "SUB 1");
         link.line(drain(2));
-        until(() -> versions().equals(List.of(2L)));
+        await(() -> versions().equals(List.of(2L)));
     }
 
-    /** Of two moves in a row, the feed between them never sent a line. */
+    /** The address changes twice, and the feed at the intermediate address never sends a line. */
     @Test
-    public void ofTwoMovesInARowTheConnectionWithALineStays() throws Exception {
-        var previous = accept(server);
+    public void keepsConnectionWithLineWhenAddressChangesTwice() throws Exception {
+        var previous = accept(feed);
         previous.line("1");
-        turn();
-        try (var between = new ScriptedFeed()) {
-            watcher.setAddress(address(between));
-            var silent = accept(between);
-            watcher.setAddress(address(nextServer));
-            assertEquals(accept(nextServer).subscription(), "SUB 1");
+        runTurn();
+        try (var intermediate = new ScriptedFeed()) {
+            watcher.setAddress(address(intermediate));
+            var silent = accept(intermediate);
+            watcher.setAddress(address(nextFeed));
+            assertEquals(accept(nextFeed).subscription(), "SUB 1");
             assertTrue(silent.isLeft());
             previous.line(drain(2));
-            until(() -> versions().equals(List.of(2L)));
+            await(() -> versions().equals(List.of(2L)));
         }
     }
 }
