--- a/gateway/src/main/java/sandpaddle/eventloop/Acceptor.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/Acceptor.java
@@ -10,14 +10,14 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** A listening socket that passes each accepted connection on. Confined to the event loop's thread. */
+/** A listening socket that passes accepted connections to a handler. Confined to the event loop's thread. */
 public final class Acceptor implements EventLoop.ChannelHandler {
     private static final int BACKLOG = 512;
 
-    /** Pause after a failed accept: the process may be out of descriptors, and the loop must not spin. */
-    private static final Duration FAILURE_PAUSE = Duration.ofMillis(20);
+    /** Backoff after a failed accept: the process may be out of descriptors, and the loop must not spin. */
+    private static final Duration ACCEPT_BACKOFF = Duration.ofMillis(20);
 
-    /** Connections accepted in one turn, so that a flood of them does not delay the other channels. */
+    /** Limit on connections accepted in one turn, so that a flood of them does not delay the other channels. */
     private static final int MAX_ACCEPTS_PER_TURN = 64;
 
     private final EventLoop loop;
@@ -25,7 +25,14 @@
     private final SelectionKey key;
     private final Consumer<Connection> connectionHandler;
 
-    /** Listens on an address; {@code connectionHandler} must set the listener of each connection that it receives. */
+    /**
+     * Listens on an address.
+     *
+     * @param loop the event loop
+     * @param address the address; port 0 stands for any free port
+     * @param connectionHandler receives each accepted connection and must set its listener
+     * @throws IOException if the address cannot be bound
+     */
     public Acceptor(EventLoop loop, InetSocketAddress address, Consumer<Connection> connectionHandler)
             throws IOException {
         this.loop = loop;
@@ -36,7 +43,7 @@
         key = loop.register(channel, SelectionKey.OP_ACCEPT, this);
     }
 
-    /** The address on which it listens, with the port that was assigned if it was zero. */
+    /** The address on which it listens, with the assigned port if port 0 was requested. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
@@ -59,19 +66,19 @@
         }
     }
 
-    /** A connection that was reset meanwhile is dropped, and those behind it are accepted. */
+    /** A connection that was reset already is dropped; those behind it in the backlog are accepted. */
     private void register(SocketChannel accepted) {
         Connection connection;
         try {
             connection = Connection.accepted(loop, accepted);
         } catch (IOException e) {
-            Logger.debug("a client left at once: {}", e.toString());
+            Logger.debug("connection closed before it was registered: {}", e.toString());
             return;
         }
         connectionHandler.accept(connection);
     }
 
-    /** Accepts the connections that wait, without waiting for the next turn. */
+    /** Accepts pending connections, without waiting for the next turn. */
     public void acceptWaiting() {
         if (channel.isOpen()) {
             try {
@@ -82,13 +89,13 @@
         }
     }
 
-    /** Pauses accepting. */
+    /** Stops accepting for {@link #ACCEPT_BACKOFF}. */
     @Override
     public void onFailure(Exception cause) {
-        Logger.warn("cannot accept: {}", cause.toString());
+        Logger.warn("cannot accept a connection: {}", cause.toString());
         if (key.isValid()) {
             key.interestOps(0);
-            loop.scheduleAfter(FAILURE_PAUSE, () -> {
+            loop.scheduleAfter(ACCEPT_BACKOFF, () -> {
                 if (key.isValid()) {
                     key.interestOps(SelectionKey.OP_ACCEPT);
                 }
@@ -96,12 +103,12 @@
         }
     }
 
-    /** Stops listening. Accepts all connections of the backlog first, since the close would reset them. */
+    /** Stops listening. Accepts the connections in the backlog first, since closing the socket would reset them. */
     public void close() {
         try {
             accept(BACKLOG);
         } catch (IOException e) {
-            Logger.warn("cannot accept: {}", e.toString());
+            Logger.warn("cannot accept a connection: {}", e.toString());
         }
         try {
             channel.close();
--- a/gateway/src/main/java/sandpaddle/eventloop/Connection.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/Connection.java
@@ -9,28 +9,35 @@
 import java.util.ArrayDeque;
 
 /**
- * A TCP connection of the event loop, accepted or opened. Bytes that the socket does not take at once are queued;
- * {@link #unsentBytes()} lets the owner bound the queue.
+ * A non-blocking TCP connection, accepted or opened. Bytes that the socket does not accept at once are queued; the
+ * owner bounds the queue by means of {@link #unsentBytes()}.
  *
  * <p>Confined to the event loop's thread.
  */
 public final class Connection implements EventLoop.ChannelHandler {
-    /** Receives the events of a connection; none follows {@link #onClosed}. */
+    /** Receives the events of a connection. {@link #onClosed} is the last one. */
     public interface Listener {
-        /** An opened connection is established. */
+        /** The connection that was opened is established. */
         default void onConnected() {}
 
-        /** Bytes arrived; they must be consumed before this returns. */
+        /** Bytes were received; the listener must consume them before it returns. */
         void onReceived(ByteBuffer bytes);
 
-        /** All bytes that were queued have been passed to the socket. */
+        /** All queued bytes have been passed to the socket. */
         default void onFlushed() {}
 
-        /** The peer closed the connection ({@code cause} is null), or it broke. Not called after {@link #close}. */
+        /**
+         * The connection was closed by the peer or failed. Not called after {@link Connection#close}.
+         *
+         * @param cause the failure, null if the peer closed the connection
+         */
         void onClosed(Exception cause);
     }
 
-    /** Reads in one turn, so that a peer that floods does not delay the others; an end behind few bytes is read. */
+    /**
+     * Limit on reads in one turn, so that a peer that floods does not delay the others. Several are allowed, so that a
+     * close behind a few bytes is noticed in the same turn.
+     */
     private static final int MAX_READS_PER_TURN = 4;
 
     private final EventLoop loop;
@@ -63,20 +70,25 @@
         key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
     }
 
-    /** Wraps an accepted connection; its listener must be set before the first read. */
+    /** Wraps an accepted channel; the listener must be set before the first read. */
     static Connection accepted(EventLoop loop, SocketChannel channel) throws IOException {
         try {
             return new Connection(loop, EventLoop.HandlerPriority.CLIENT, channel, null, true);
         } catch (IOException | RuntimeException e) {
-            channel.close(); // the client has disconnected already: frees the descriptor
+            channel.close(); // the client has disconnected already; frees the descriptor
             throw e;
         }
     }
 
     /**
-     * Starts to connect; the listener is notified of the outcome in a later turn.
+     * Opens a connection; the listener is notified of the outcome in a later turn.
+     *
+     * @param loop the event loop
+     * @param priority when its events are handled in a turn
+     * @param address the peer
+     * @param listener receives its events
      *
-     * @throws IOException if it fails at once
+     * @throws IOException if connecting fails at once
      */
     public static Connection open(
             EventLoop loop, EventLoop.HandlerPriority priority, InetSocketAddress address, Listener listener)
@@ -97,7 +109,7 @@
         listener = next;
     }
 
-    /** Whether it is established and not closed. */
+    /** Whether the connection is established and not closed. */
     public boolean isConnected() {
         return connected && !closed;
     }
@@ -109,7 +121,7 @@
 
     @Override
     public void onReady(SelectionKey ready) throws IOException {
-        if (ready.isConnectable() && !connected) { // may be reported twice
+        if (ready.isConnectable() && !connected) { // the selector may report it twice
             channel.finishConnect();
             connected = true;
             updateInterest();
@@ -135,7 +147,7 @@
 
     // ---- Reading.
 
-    /** Turns reading on or off; off, the peer's writes block once the buffers of the sockets are full. */
+    /** Turns reading on or off. While it is off, the peer's writes block once the buffers of both sockets are full. */
     public void setReading(boolean on) {
         reading = on;
         updateInterest();
@@ -148,7 +160,7 @@
         }
     }
 
-    /** Reads once; returns whether there may be more to read. */
+    /** Reads once; returns whether more bytes may be available. */
     private boolean read(ByteBuffer buffer) throws IOException {
         int bytes = closed ? 0 : channel.read(buffer);
         if (bytes > 0) {
@@ -160,9 +172,9 @@
     }
 
     /**
-     * Reads all that has arrived, the peer's close included, without waiting for the next turn: before work is started
-     * for the peer, or the connection is closed. Bounded by what the listener accepts before it closes the connection
-     * or stops reading.
+     * Reads all bytes that have arrived, and the peer's close, without waiting for the next turn. Called before work is
+     * started for the peer and before the connection is closed. The amount is bounded only by the listener, which may
+     * close the connection or turn reading off.
      */
     public void readAvailable() {
         boolean more = true;
@@ -175,7 +187,7 @@
         }
     }
 
-    /** For an idle connection: whether the peer has closed it or has sent bytes, which are discarded. */
+    /** Whether the peer of an idle connection has closed it or has sent bytes, which are discarded. */
     public boolean isStale() {
         if (closed) {
             return true;
@@ -189,12 +201,12 @@
 
     // ---- Writing.
 
-    /** Bytes that are queued, since the socket has not taken them yet. */
+    /** The number of queued bytes, which the socket has not accepted yet. */
     public long unsentBytes() {
         return unsentBytes;
     }
 
-    /** Whether a write was tried since {@link #clearStartedSending}, so that a byte may have been sent. */
+    /** Whether a write was attempted since {@link #clearStartedSending}, so that a byte may have been sent. */
     public boolean startedSending() {
         return sendingStarted;
     }
@@ -204,7 +216,7 @@
         sendingStarted = false;
     }
 
-    /** Writes bytes, or queues them; no effect on a closed connection. The array must not be changed afterwards. */
+    /** Writes or queues bytes; no effect on a closed connection. The array must not be modified afterwards. */
     public void write(byte[] bytes) {
         if (closed) {
             return;
@@ -225,7 +237,7 @@
         boolean hadUnsent = unsentBytes > 0;
         while (!outbound.isEmpty()) {
             ByteBuffer first = outbound.peek();
-            sendingStarted = true; // before the write: a byte may be sent though it throws
+            sendingStarted = true; // before the write, since a byte may be sent even if it throws
             unsentBytes -= channel.write(first);
             if (first.hasRemaining()) {
                 break;
@@ -241,7 +253,7 @@
         }
     }
 
-    /** Writes the last bytes and shuts the output down once they are passed to the socket; goes on reading. */
+    /** Writes the last bytes, and shuts the output down once they are passed to the socket. Reading continues. */
     void writeAndShutdownOutput(byte[] lastBytes) {
         shutdownWhenFlushed = true;
         if (lastBytes.length > 0) {
@@ -265,7 +277,7 @@
 
     // ---- Closing.
 
-    /** Closes the connection and notifies the listener; {@code cause} is null where the peer closed it. */
+    /** Closes the connection and notifies the listener; {@code cause} is null if the peer closed it. */
     @Override
     public void onFailure(Exception cause) {
         if (!closed) {
@@ -274,7 +286,7 @@
         }
     }
 
-    /** Closes the connection and drops queued bytes; the listener is not notified. */
+    /** Closes the connection and drops queued bytes, without notifying the listener. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -283,7 +295,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // the descriptor is freed all the same
+                // the descriptor is freed even so
             }
             loop.channelClosed();
         }
--- a/gateway/src/main/java/sandpaddle/eventloop/EventLoop.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/EventLoop.java
@@ -14,16 +14,17 @@
 import org.tinylog.Logger;
 
 /**
- * The event loop of the process: one thread, one selector. Each turn waits until a channel is ready or a timer is due,
- * runs the handlers of ready channels in the order of their {@link HandlerPriority}, then tasks and due timers, and at
- * last the task given to {@link #run}. An exception of one handler or task is logged and does not affect the others.
+ * A single-threaded event loop around one selector. Each iteration, called a turn, waits until a channel is ready or a
+ * timer is due, runs the handlers of ready channels in the order of their {@link HandlerPriority}, then the tasks and
+ * due timers, and finally the task given to {@link #run}. An exception thrown by a handler or task is logged and does
+ * not affect the others.
  *
- * <p>All methods but {@link #wakeup} are confined to the loop's thread. Time stands still within a turn.
+ * <p>All methods except {@link #wakeup} are confined to the loop's thread. {@link #now} is constant during a turn.
  */
 public final class EventLoop implements Scheduler {
     /**
-     * The order of handlers in a turn. Whatever forbids or cancels an attempt (the endpoint list, then a disconnect or
-     * a cancel by a client) is handled before a connection to an engine is established and carries the attempt.
+     * The order of handlers in a turn. Events that forbid or cancel an attempt (the endpoint list, then a disconnect or
+     * a cancel by a client) are handled before a connection to an engine is established and the attempt is written.
      */
     public enum HandlerPriority {
         ENDPOINT_LIST,
@@ -34,26 +35,29 @@
 
     /** Handles the readiness of one channel. */
     public interface ChannelHandler {
-        /** When it runs among the handlers of a turn. */
+        /** The position among the handlers of a turn. */
         HandlerPriority priority();
 
-        /** The channel is ready for an operation that it is registered for. */
+        /** Called when the channel is ready for an operation that it is registered for. */
         void onReady(SelectionKey key) throws IOException;
 
-        /** {@link #onReady} threw this; only this channel should be closed. */
+        /** Called with an exception that {@link #onReady} threw; must not affect other channels. */
         void onFailure(Exception cause);
     }
 
     private static final int READ_BUFFER_BYTES = 64 * 1024;
     private static final int READ_AVAILABLE_BUFFER_BYTES = 16 * 1024;
 
-    /** A closed channel keeps its descriptor until the next select: selects once so many are closed. */
+    /** Number of closed channels that triggers a select, since a closed channel keeps its descriptor until then. */
     private static final int MAX_CLOSED_CHANNELS = 6;
 
     private static final Duration MAX_WAIT = Duration.ofSeconds(1);
 
-    /** Bound on how early bytes count as readable that a turn finds at once, since the true time is not known. */
-    private static final Duration MAX_UNSEEN = Duration.ofMillis(100);
+    /**
+     * Limit on how far {@link #readableSince} is before {@link #now}. Bytes that are readable when a turn begins
+     * arrived since the last turn began, at a time that is not known.
+     */
+    private static final Duration MAX_READABLE_AGE = Duration.ofMillis(100);
 
     private static final long NS_PER_US = 1000;
     private static final long US_PER_MS = 1000;
@@ -70,10 +74,10 @@
     private boolean stopped;
     private int closedChannels; // since the last select
 
-    /** Opens the selector; {@code system} gives the time. */
-    public EventLoop(Clock system) throws IOException {
+    /** Opens the selector; the time is read from {@code systemClock}. */
+    public EventLoop(Clock systemClock) throws IOException {
         selector = Selector.open();
-        clock = new MonotonicUnixClock(system);
+        clock = new MonotonicUnixClock(systemClock);
         now = clock.now();
         readableSince = now;
     }
@@ -85,14 +89,14 @@
         return now;
     }
 
-    /** The time by the clock, which goes on within a turn. */
+    /** The current time of the clock, which advances during a turn. */
     public Instant currentTime() {
         return clock.now();
     }
 
     /**
-     * The earliest time from which the bytes that are read in this turn may have been readable. After a long turn this
-     * is before {@link #now()}; the timeout of a request counts from its arrival.
+     * The earliest time at which the bytes that are read in this turn may have been readable. The timeout of a request
+     * counts from its arrival, which after a long turn may be before {@link #now()}.
      */
     public Instant readableSince() {
         return readableSince;
@@ -105,7 +109,7 @@
 
     // ---- Turns.
 
-    /** Runs a task in the next turn, which does not wait. */
+    /** Runs a task in the next turn, which starts without waiting. */
     public void runNextTurn(Runnable task) {
         nextTurnTasks.add(task);
         turnRequested = true;
@@ -116,7 +120,7 @@
         turnRequested = true;
     }
 
-    /** Ends {@link #run} after this turn. */
+    /** Makes {@link #run} return after this turn. */
     public void stop() {
         stopped = true;
     }
@@ -134,7 +138,7 @@
         selector.close();
     }
 
-    /** Runs one turn, which waits for {@code maxWait} at most. */
+    /** Runs one turn, which waits for at most {@code maxWait}; {@code endOfTurn} runs at its end. */
     public void runTurn(Runnable endOfTurn, Duration maxWait) throws IOException {
         awaitReady(maxWait);
         closedChannels = 0;
@@ -159,7 +163,7 @@
             selector.select((waitUs + US_PER_MS - 1) / US_PER_MS); // rounded up, so that no timer runs early
         }
         now = clock.now();
-        readableSince = readyAtOnce ? later(lastTurn, now.minus(MAX_UNSEEN)) : now;
+        readableSince = readyAtOnce ? later(lastTurn, now.minus(MAX_READABLE_AGE)) : now;
     }
 
     private static Instant later(Instant one, Instant other) {
@@ -179,7 +183,7 @@
 
     private static void handleFailure(ChannelHandler handler, Exception cause) {
         if (cause instanceof RuntimeException) {
-            Logger.error(cause, "a connection failed unexpectedly");
+            Logger.error(cause, "unexpected exception in a channel handler");
         }
         runGuarded(() -> handler.onFailure(cause));
     }
@@ -188,7 +192,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            Logger.error(e, "a task of the loop failed");
+            Logger.error(e, "unexpected exception in a task of the event loop");
         }
     }
 
@@ -199,32 +203,32 @@
         return channel.register(selector, operations, handler);
     }
 
-    /** The buffer of all reads, cleared: a handler must consume what was read before it returns. */
+    /** The shared read buffer, cleared. A handler must consume what was read before it returns. */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
-    /** The buffer of {@link Connection#readAvailable()}, which may run while the other buffer is in use; cleared. */
+    /** The buffer of {@link Connection#readAvailable()}, which may run while the read buffer is in use; cleared. */
     ByteBuffer readAvailableBuffer() {
         return readAvailableBuffer.clear();
     }
 
-    /** A channel of this loop was closed. */
+    /** Counts a channel of this loop that was closed. */
     void channelClosed() {
         if (++closedChannels >= MAX_CLOSED_CHANNELS) {
             releaseClosedChannels();
         }
     }
 
-    /** Frees the descriptors of closed channels now, before the turn that closed them needs one. */
+    /** Frees the descriptors of closed channels at once, for a turn that needs descriptors after closing channels. */
     public void releaseClosedChannels() {
         if (closedChannels > 0) {
             closedChannels = 0;
-            turnRequested = true; // channels that this select finds ready are handled in the next turn
+            turnRequested = true; // which handles the channels that this select finds ready
             try {
                 selector.selectNow();
             } catch (IOException e) {
-                Logger.warn("cannot let closed connections go: {}", e.toString());
+                Logger.warn("cannot release closed channels: {}", e.toString());
             }
         }
     }
--- a/gateway/src/main/java/sandpaddle/eventloop/LingeringClose.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/LingeringClose.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 
 /**
- * Closes a connection so that its peer can still read the last bytes written to it: shuts the output down, then reads
- * and discards input until the peer closes too, for a bounded time and amount. To close with unread input would reset
- * the connection, and the peer could lose what was written before (RFC 9112, section 9.6).
+ * Closes a connection so that the peer can still read the last bytes written to it: shuts the output down, then reads
+ * and discards input until the peer closes, for a bounded time and amount. Closing with unread input would reset the
+ * connection, and the peer could lose the bytes written before (RFC 9112, section 9.6).
  *
  * <p>Confined to the event loop's thread.
  */
@@ -27,8 +27,12 @@
     }
 
     /**
-     * Takes a connection over and writes the last bytes to it; {@code callback} runs once it is closed, in a later turn
-     * or in {@link #close()}.
+     * Starts to close a connection, whose listener it replaces.
+     *
+     * @param loop the event loop
+     * @param connection the connection
+     * @param lastBytes written before the output is shut down; may be empty
+     * @param callback runs once the connection is closed, during this call, in a later turn or in {@link #close()}
      */
     public static LingeringClose start(EventLoop loop, Connection connection, byte[] lastBytes, Runnable callback) {
         LingeringClose lingering = new LingeringClose(loop, connection, callback);
@@ -39,7 +43,7 @@
         return lingering;
     }
 
-    /** Closes the connection now, after discarding what has arrived. */
+    /** Closes the connection now, after discarding the bytes that have arrived. */
     public void close() {
         connection.readAvailable();
         finish();
--- a/gateway/src/main/java/sandpaddle/eventloop/MonotonicUnixClock.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/MonotonicUnixClock.java
@@ -3,19 +3,19 @@
 import java.time.Clock;
 import java.time.Instant;
 
-/** The system's Unix time, except that it never goes back: it stands still until the system's clock catches up. */
+/** Unix time that never decreases: when the system clock is set back, it is constant until that clock catches up. */
 public final class MonotonicUnixClock {
-    private final Clock system;
+    private final Clock systemClock;
     private Instant last = Instant.EPOCH;
 
-    /** Reads the system's clock through {@code system}. */
-    public MonotonicUnixClock(Clock system) {
-        this.system = system;
+    /** Reads the time from {@code systemClock}. */
+    public MonotonicUnixClock(Clock systemClock) {
+        this.systemClock = systemClock;
     }
 
-    /** The latest time that the system's clock has shown. */
+    /** The latest time that the system clock has returned. */
     public Instant now() {
-        Instant now = system.instant();
+        Instant now = systemClock.instant();
         if (now.isAfter(last)) {
             last = now;
         }
--- a/gateway/src/main/java/sandpaddle/eventloop/TimerQueue.java
+++ b/gateway/src/main/java/sandpaddle/eventloop/TimerQueue.java
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Timers in the order of their times; those of the same time run in the order in which they were scheduled. Not
- * thread-safe. A cancelled timer keeps its entry, without its task, until its time.
+ * A priority queue of timers. Timers with the same time run in the order in which they were scheduled. A cancelled
+ * timer keeps its entry, without its task, until its time. Not thread-safe.
  */
 public final class TimerQueue {
     /** A scheduled task. */
@@ -21,7 +21,7 @@
             this.task = task;
         }
 
-        /** Prevents the task from running; no effect once it ran. */
+        /** Prevents the task from running; no effect once it has run. */
         public void cancel() {
             task = null;
         }
@@ -43,7 +43,7 @@
         return timer;
     }
 
-    /** Runs the tasks whose time has come, those included that they schedule for now. */
+    /** Runs the tasks that are due, including those that are scheduled for {@code now} by these tasks. */
     public void runDue(Instant now) {
         while (!timers.isEmpty() && !timers.peek().at.isAfter(now)) {
             Runnable task = timers.poll().task;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The time until the next timer is due, from zero to {@code max}. */
+    /** The time until the next timer is due; at least zero, at most {@code max}. */
     public Duration untilNext(Instant now, Duration max) {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
--- a/gateway/src/test/java/sandpaddle/eventloop/ClockTest.java
+++ b/gateway/src/test/java/sandpaddle/eventloop/ClockTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The event loop's clock and timers. */
+/** Tests of the event loop's clock and timers. */
 public class ClockTest {
-    /** Guards the decision module, whose time must not go back, against a system clock that is set back. */
+    /** The time of the decision module must not decrease when the system clock is set back. */
     @Test
-    public void timeNeverGoesBack() {
-        Instant[] system = {Instant.ofEpochSecond(100)};
+    public void timeDoesNotDecreaseWhenSystemClockIsSetBack() {
+        Instant[] systemTime = {Instant.ofEpochSecond(100)};
         MonotonicUnixClock clock = new MonotonicUnixClock(new Clock() {
             @Override
             public ZoneOffset getZone() {
@@ -29,16 +29,16 @@
 
             @Override
             public Instant instant() {
-                return system[0];
+                return systemTime[0];
             }
         });
         assertEquals(clock.now(), Instant.ofEpochSecond(100));
-        system[0] = Instant.ofEpochSecond(90);
+        systemTime[0] = Instant.ofEpochSecond(90);
         assertEquals(clock.now(), Instant.ofEpochSecond(100));
     }
 
     @Test
-    public void timersRunInOrderAndNotOnceCancelled() {
+    public void dueTimersRunInOrderUnlessCancelled() {
         TimerQueue timers = new TimerQueue();
         List<String> ran = new ArrayList<>();
         Instant start = Instant.ofEpochSecond(1);
