--- a/gateway/src/main/java/sandpaddle/query/Answer.java
+++ b/gateway/src/main/java/sandpaddle/query/Answer.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** The one final answer to a query; each frontend encodes it in its own protocol. */
+/** The final answer to a query; there is exactly one. Each frontend encodes it in its own protocol. */
 public sealed interface Answer {
     /**
      * The complete result.
      *
      * @param rows all rows
-     * @param note what the client should know about the result, such as that it was stored earlier; empty for nothing
+     * @param note a remark on the result for the client, such as that it is a stored one; empty for none
      */
     record Served(ResultSet rows, String note) implements Answer {
         /** A result without a note. */
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Rejected; the query may be sent again without harm.
+     * Rejected; it is safe to send the query again.
      *
-     * @param retryAfter how long to wait before a retry, zero where no advice is given
+     * @param retryAfter how long to wait before a retry, zero without advice
      */
     record Rejected(Duration retryAfter) implements Answer {}
 
--- a/gateway/src/main/java/sandpaddle/query/AttemptEnd.java
+++ b/gateway/src/main/java/sandpaddle/query/AttemptEnd.java
@@ -1,20 +1,20 @@
 package sandpaddle.query;
 
 /**
- * How an attempt ended, and so whether it may have run: docs/design/ends-of-attempts.md lists the proof of each.
- * {@code stats} is the engine's statistics line, null where none arrived; {@code reason} is for logs.
+ * How an attempt ended, which determines whether it may have run; docs/design/ends-of-attempts.md gives the reasons.
+ * {@code stats} is the engine's statistics line, null if none was received; {@code reason} is for logs.
  */
 public sealed interface AttemptEnd {
-    /** All pages of the result have arrived. */
+    /** All pages of the result were received. */
     record Completed(ResultSet rows, String stats) implements AttemptEnd {}
 
-    /** The engine had no capacity; it never ran. */
+    /** Rejected by the engine for lack of capacity; it never ran. */
     record Rejected(String stats) implements AttemptEnd {}
 
-    /** The request's time was over before the engine began it; it never ran. */
+    /** The request's deadline passed before the engine started it; it never ran. */
     record Expired(String stats) implements AttemptEnd {}
 
-    /** No connection to the engine, so nothing was written; it never ran. */
+    /** No connection to the engine was established, so nothing was written; it never ran. */
     record NotConnected(String reason) implements AttemptEnd {}
 
     /** Not written, for a reason that says nothing about the engine; it never ran. */
@@ -23,12 +23,12 @@
     /** The engine reported an error, or its response could not be read; it may have run. */
     record Failed(String reason, String stats) implements AttemptEnd {}
 
-    /** The connection broke and the engine could not be polled any more; it may have run. */
+    /** The connection was lost and the engine could no longer be polled; it may have run. */
     record ConnectionLost(String reason) implements AttemptEnd {}
 
-    /** Its deadline passed and its engine was told to stop; it may have run. */
+    /** Its deadline passed and the engine was told to stop it; it may have run. */
     record TimedOut() implements AttemptEnd {}
 
-    /** Cancelled by the gateway and its engine was told to stop; it may have run. */
+    /** The gateway cancelled it and the engine was told to stop it; it may have run. */
     record Cancelled() implements AttemptEnd {}
 }
--- a/gateway/src/main/java/sandpaddle/query/AttemptSpec.java
+++ b/gateway/src/main/java/sandpaddle/query/AttemptSpec.java
@@ -5,15 +5,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The order to run a query on an engine once.
+ * Specification of one attempt to run a query on an engine.
  *
  * @param query the query to run
  * @param memoryMb memory grant in MB; 0 leaves the choice to the engine
- * @param priority from 0 to 3
+ * @param priority priority on the engine, from 0 to 3
  * @param deadline when the attempt times out
- * @param isFinal whether the request ends at the deadline too, so that its end may be reported at once
- * @param isTrial whether the engine may be unreachable, so that the attempt needs a new connection
- * @param writeDeadline the attempt must not be written from this time on
+ * @param isFinal whether the request ends at the deadline too, so that a timeout may be reported at once
+ * @param isTrial whether it probes an engine that may be unreachable, for which it needs a new connection
+ * @param writeDeadline time from which on the attempt must not be written any more
  * @param isClientWaiting checked right before the attempt is written; if false, it is not written
  */
 public record AttemptSpec(
@@ -26,7 +26,7 @@
         Instant writeDeadline,
         BooleanSupplier isClientWaiting) {
 
-    /** One that may be written until its deadline, for a client that stays connected. */
+    /** Specifies an attempt that may be written until its deadline, for a client that stays connected. */
     public AttemptSpec(
             String traceId,
             String route,
--- a/gateway/src/main/java/sandpaddle/query/FleetCoordination.java
+++ b/gateway/src/main/java/sandpaddle/query/FleetCoordination.java
@@ -9,12 +9,12 @@
 import sandpaddle.decision.event.Event;
 
 /**
- * The fleet's part in serving requests: quotas, verdicts on engines and stored answers that gateways share. All calls
- * come from the event loop's thread and return at once: they read an immutable view and write counters, without a lock.
- * Where gateways share nothing it is {@link #NONE}.
+ * The state that gateways share for serving requests: quotas, verdicts on engines and stored answers. Confined to the
+ * event loop's thread. No call blocks: each reads an immutable view and writes counters without a lock. {@link #NONE}
+ * is for gateways that share nothing.
  */
 public interface FleetCoordination {
-    /** Gateways share nothing: everything is allowed, and there are no events. */
+    /** For gateways that share nothing: every attempt is allowed, and there are no events. */
     FleetCoordination NONE = new FleetCoordination() {};
 
     /** Returns the quotas and verdicts that changed since the last call, as events for the decision module. */
@@ -23,39 +23,39 @@
     }
 
     /**
-     * Counts a query that was accepted.
+     * Counts an accepted query.
      *
-     * @return its tenant's number in the decision module, -1 where tenants are not distinguished
+     * @return its tenant's index in the decision module, -1 if tenants are not distinguished
      */
     default int requestReceived(int classIndex, Query query) {
         return -1;
     }
 
-    /** A request began ({@code delta} 1) or ended (-1) to wait without an attempt in flight. */
+    /** Counts requests that wait without an attempt in flight; {@code delta} is 1 for a new one, -1 if one ended. */
     default void queuedRequestsChanged(int classIndex, String tenant, int delta) {}
 
     /**
-     * Takes quota for an attempt that is about to be written; checks leases by the monotonic clock.
+     * Acquires quota for an attempt that is about to be written. Leases are checked against the monotonic clock.
      *
-     * @return whether the quotas cover it; if not, it is not counted
+     * @return whether the quotas suffice; if not, the attempt is not counted
      */
     default boolean tryStartAttempt(Query query, int classIndex, String engine) {
         return true;
     }
 
-    /** An attempt that {@link #tryStartAttempt} counted has ended. */
+    /** Records that an attempt which {@link #tryStartAttempt} counted has ended. */
     default void attemptEnded(EndedAttempt end) {}
 
     /**
      * The end of an attempt.
      *
      * @param classIndex position of its request class in the settings
-     * @param query the query it ran
-     * @param engine where it ran
+     * @param query the query that it ran
+     * @param engine id of the engine
      * @param result how it ended
-     * @param elapsed time since it was started
-     * @param rows its result, null where it has none
-     * @param stopped whether its engine certainly runs it no more; if not, the engine is still being told to stop
+     * @param elapsed time since its start
+     * @param rows its result, null if it has none
+     * @param stopped whether the engine has certainly stopped it; if not, the engine is still being told to stop
      */
     record EndedAttempt(
             int classIndex,
@@ -66,35 +66,35 @@
             ResultSet rows,
             boolean stopped) {}
 
-    /** A health check has ended. */
+    /** Records that a health check has ended. */
     default void healthCheckEnded(String engine, AttemptResult result) {}
 
-    /** The endpoint list changed; the decision module gets the same event. */
+    /** Records a change of the endpoint list; the decision module receives the same event. */
     default void engineListReceived(EngineListReceived list) {}
 
     /**
-     * Looks for an answer without an engine while the zone is cut off: a stored result, or a rejection until its uplink
-     * is back.
+     * Looks for an answer without an engine while the zone is isolated: a stored result, or a rejection until the
+     * uplink is restored.
      *
-     * @param callback receives the answer in a later turn, empty if the query needs an engine after all
+     * @param callback receives the answer in a later turn, empty if the query needs an engine
      * @return whether a lookup was started; if not, {@code callback} is not called and the query needs an engine
      */
     default boolean tryAnswerWithoutEngine(int classIndex, Query query, Consumer<Optional<Answer>> callback) {
         return false;
     }
 
-    /** Reports whether a retry storm is active, during which nothing is prefetched. */
+    /** Reports whether a retry storm is active; nothing is prefetched during one. */
     default void retryStormChanged(boolean active) {}
 
     /** An attempt in flight, by the id of its request. */
     record InFlightAttempt(String id, int classIndex, String tenant, String engine) {}
 
-    /** Whether a quota lapsed or shrank, so that {@link #attemptsOverQuota} should be called. */
+    /** Whether a quota has lapsed or shrunk, so that {@link #attemptsOverQuota} should be called. */
     default boolean hasAttemptsOverQuota() {
         return false;
     }
 
-    /** Returns the ids of the attempts to cancel: their quota has lapsed, and they may be retried. */
+    /** Returns the ids of the attempts to cancel, whose quota has lapsed. They may be retried. */
     default List<String> attemptsOverQuota(List<InFlightAttempt> inFlight) {
         return List.of();
     }
--- a/gateway/src/main/java/sandpaddle/query/QueryService.java
+++ b/gateway/src/main/java/sandpaddle/query/QueryService.java
@@ -7,30 +7,30 @@
 
 /** Accepts queries from the frontends. Confined to the event loop's thread. */
 public interface QueryService {
-    /** A query that was submitted. */
+    /** A submitted query. */
     interface PendingQuery {
-        /** The client no longer waits: no answer follows. No effect once the query was answered. */
+        /** Reports that the client no longer waits; no answer follows. No effect once the query is answered. */
         void clientDisconnected();
     }
 
-    /** Whether it knows engines to send to; until then a frontend should not accept queries. */
+    /** Whether a complete endpoint list is known; until then a frontend should not accept queries. */
     boolean isReady();
 
     /**
-     * Reports a new connection. Called once for each, before anything is read from it.
+     * Reports a new connection. Called once for each connection, before anything is read from it.
      *
-     * @return Retry-After where the connection is to be rejected, empty where it is to be served
+     * @return the Retry-After with which to reject the connection, empty if it is to be served
      */
     default Optional<Duration> connectionOpened() {
         return Optional.empty();
     }
 
-    /** Retry-After for a client that is rejected for lack of capacity; zero for no advice. */
+    /** The Retry-After for a client that is rejected for lack of capacity; zero without advice. */
     default Duration retryAfterWhenFull() {
         return Duration.ZERO;
     }
 
-    /** Submits a query that has just arrived, of a client that stays connected until it reports otherwise. */
+    /** Submits a query that has just arrived, from a client whose disconnect is reported only by the frontend. */
     default PendingQuery submit(Query query, Consumer<Answer> callback) {
         return submit(query, () -> true, callback);
     }
@@ -44,10 +44,10 @@
      * Submits a query.
      *
      * @param query the query
-     * @param waited the part of its timeout that has passed since it arrived
-     * @param connectionCheck checks right before an attempt is written whether the client is still connected; if it
-     *     finds a disconnect, it also reports it by {@link PendingQuery#clientDisconnected}
-     * @param callback receives the answer once, within this call or in a later turn of the event loop
+     * @param waited how much of its timeout has passed since it arrived
+     * @param connectionCheck returns, right before an attempt is written, whether the client is still connected; also
+     *     reports a disconnect that it detects by {@link PendingQuery#clientDisconnected}
+     * @param callback receives the answer once, during this call or in a later turn of the event loop
      */
     PendingQuery submit(Query query, Duration waited, BooleanSupplier connectionCheck, Consumer<Answer> callback);
 }
--- a/gateway/src/main/java/sandpaddle/query/ResultSet.java
+++ b/gateway/src/main/java/sandpaddle/query/ResultSet.java
@@ -2,18 +2,22 @@
 
 import java.util.List;
 
-/** Pages of complete rows as text: {@value #COLUMNS} cells separated by a tab, each row terminated by a line feed. */
+/**
+ * A result as text: rows of {@value #COLUMNS} cells that are separated by tabs, each row terminated by a line feed.
+ *
+ * @param pages the result in parts of complete rows
+ */
 public record ResultSet(List<byte[]> pages) {
-    /** Number of cells of each row. */
+    /** Number of cells in a row. */
     public static final int COLUMNS = 3;
 
     /** Whether a page consists of complete rows of {@value #COLUMNS} cells. */
     public static boolean hasCompleteRows(byte[] page) {
         int tabs = 0;
-        for (byte b : page) {
-            if (b == '\t') {
+        for (byte octet : page) {
+            if (octet == '\t') {
                 tabs++;
-            } else if (b == '\n') {
+            } else if (octet == '\n') {
                 if (tabs != COLUMNS - 1) {
                     return false;
                 }
