--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -95,11 +95,11 @@
                 incarnation,
                 self.zone(),
                 classes,
-                floors == null ? QuotaManager.unwritten(settings.limits()) : settings.limits(),
+                floors == null ? QuotaManager.withoutFloorFile(settings.limits()) : settings.limits(),
                 floors == null ? List.of() : floors.read(),
                 shared,
                 nowUs);
-        quotas.localLimits(settings.agreed().limits());
+        quotas.setLocalLimits(settings.agreed().limits());
         PoolCoordinator pools =
                 new PoolCoordinator(quotas, new PoolBudget(shared.views(), shared.connections(), clock), kinds);
         CommittedConfig committedConfig = new CommittedConfig();
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -58,7 +58,7 @@
     /** Takes over a changed operator's file. */
     void localConfigChanged(FleetConfig next) {
         localConfig = next;
-        components.quotas().localLimits(next.limits());
+        components.quotas().setLocalLimits(next.limits());
         components.committedConfig().offer(next.encode());
         updateLinks();
     }
@@ -109,7 +109,7 @@
     /** Applies a change of members, voters or file: who may open links, and which links this gateway keeps. */
     void updateLinks() {
         FleetConfig agreed = effectiveConfig();
-        components.pools().rules(agreed);
+        components.pools().applyConfig(agreed);
         memberNames = names(agreed, localConfig);
         List<String> voting = voters();
         String zone = components.self().zone();
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -72,7 +72,7 @@
 
     /** Applies quotas from the leader: publishes the view at once and wakes the event loop. */
     void grantReceived(QuotaGrant grant) {
-        components.quotas().granted(components.clock().now(), grant);
+        components.quotas().receiveGrant(components.clock().now(), grant);
         periodicTasks.publish();
         components.wake().run();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -52,7 +52,7 @@
                 components.outage().heard(event);
             }
             if (event instanceof LoopEvent.TenantSeen tenantSeen) {
-                components.quotas().met(tenantSeen.tenant());
+                components.quotas().addTenant(tenantSeen.tenant());
             } else if (event instanceof LoopEvent.EngineListChanged change) {
                 engineListChanged(change.list());
             } else if (event instanceof LoopEvent.AttemptEnded attempt
@@ -77,8 +77,8 @@
                 engines.remove(entry.id());
             }
         }
-        components.quotas().engines(engines);
-        components.pools().listed(components.clock().now(), list);
+        components.quotas().setEngines(engines);
+        components.pools().receiveEngineList(components.clock().now(), list);
     }
 
     /** Publishes the current view; counts are read only after it. */
@@ -105,7 +105,7 @@
         HeartbeatMessage message = new HeartbeatMessage(
                 topology.configVersion(),
                 topology.fileVersion(),
-                components.quotas().beat(nowUs));
+                components.quotas().nextHeartbeat(nowUs));
         byte[] bytes = message.encode();
         for (String voter : topology.linkedVoters()) {
             if (components.isSelf(voter)) {
@@ -159,7 +159,9 @@
                 .leader()
                 .tick(
                         nowUs,
-                        components.pools().state(nowUs, components.evidence().moduleVerdicts(nowUs), isolatedZones()),
+                        components
+                                .pools()
+                                .updateAllocator(nowUs, components.evidence().moduleVerdicts(nowUs), isolatedZones()),
                         grant -> {
                             if (components.isSelf(grant.member())) {
                                 dispatcher.grantReceived(grant);
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/FloorStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/FloorStore.java
@@ -14,75 +14,88 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * This gateway's floors in a file of its directory, for a restart while it is cut off. Written beside, synced and
- * renamed: it is there whole, or as it was. A file that cannot be read, or is too old, is ignored.
+ * Stores this gateway's floors in a file of its directory, for a restart during a network partition. The file is
+ * replaced atomically: a temporary file is written, synced and renamed, so after a crash the file has either its former
+ * or its new content. A file that cannot be read or is too old is ignored. Not thread-safe: read once at the start,
+ * then written by one thread.
  */
 public final class FloorStore {
-    private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
-    private static final int MAX_BYTES = 8 << 20;
-    private static final long NANOS = 1000;
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final int MAX_FILE_BYTES = 8 << 20;
+    private static final long NANOS_PER_US = 1000;
 
     private final Path file;
-    private final long keepUs;
-    private final String boot;
-    private boolean failed;
+    private final long maxAgeUs;
+    private final String bootId;
+    private boolean writeFailed;
 
-    /** {@code keepUs}: how old a file may be that is used. */
-    public FloorStore(Path directory, long keepUs) {
+    /**
+     * Creates the store of one directory; no file is read or written yet.
+     *
+     * @param maxAgeUs age from which a file is no longer used (us)
+     */
+    public FloorStore(Path directory, long maxAgeUs) {
         file = directory.resolve("floors");
-        this.keepUs = keepUs;
-        boot = boot();
+        this.maxAgeUs = maxAgeUs;
+        bootId = currentBootId();
     }
 
-    /** Monotonic clocks start anew with the host; where nothing tells its boot, no file of before is used. */
-    private static String boot() {
+    /**
+     * Identifies this boot of the host, since times of the monotonic clock cannot be compared between boots. If the
+     * host has no boot id, the result is unique to this process, so that no file of an earlier process is used.
+     */
+    private static String currentBootId() {
         try {
-            return Files.readString(BOOT).strip();
+            return Files.readString(BOOT_ID_FILE).strip();
         } catch (IOException e) {
             return "started " + System.nanoTime();
         }
     }
 
-    private static long host() {
-        return System.nanoTime() / NANOS;
+    private static long monotonicUs() {
+        return System.nanoTime() / NANOS_PER_US;
     }
 
-    /** The floors of an earlier process that may be used now. */
+    /** The floors that an earlier process stored and that may be used now; empty if there are none. */
     public List<SavedFloor> read() {
         try {
-            if (!Files.exists(file) || Files.size(file) > MAX_BYTES) {
+            if (!Files.exists(file) || Files.size(file) > MAX_FILE_BYTES) {
                 return List.of();
             }
-            return FloorFile.read(Files.readAllBytes(file)).usable(boot, host());
+            return FloorFile.read(Files.readAllBytes(file)).usable(bootId, monotonicUs());
         } catch (IOException | FaultyMessageException e) {
-            Logger.warn("fleet: {} is not used: {}", file, e.getMessage());
+            Logger.warn("fleet: floor file {} is ignored: {}", file, e.getMessage());
             return List.of();
         }
     }
 
-    /** Writes them; whether they are durable. Waits for the disk. */
+    /**
+     * Replaces the file. Blocks until the disk has synced it.
+     *
+     * @return whether the floors are durable; a failure is logged once until the next success
+     */
     public boolean write(List<SavedFloor> floors) {
-        Path beside = file.resolveSibling("floors.new");
+        Path temporaryFile = file.resolveSibling("floors.new");
         try {
             Files.createDirectories(file.getParent());
-            try (FileChannel to = FileChannel.open(
-                    beside,
+            try (FileChannel channel = FileChannel.open(
+                    temporaryFile,
                     StandardOpenOption.CREATE,
                     StandardOpenOption.WRITE,
                     StandardOpenOption.TRUNCATE_EXISTING)) {
-                ByteBuffer bytes = ByteBuffer.wrap(new FloorFile(boot, host(), keepUs, floors).write());
+                ByteBuffer bytes = ByteBuffer.wrap(new FloorFile(bootId, monotonicUs(), maxAgeUs, floors).write());
                 while (bytes.hasRemaining()) {
-                    to.write(bytes);
+                    channel.write(bytes);
                 }
-                to.force(true);
+                channel.force(true);
             }
-            Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            failed = false;
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            writeFailed = false;
             return true;
         } catch (IOException e) {
-            if (!failed) {
-                failed = true;
-                Logger.warn("fleet: floors are not kept on disk: {}", e.toString());
+            if (!writeFailed) {
+                writeFailed = true;
+                Logger.warn("fleet: floors could not be stored on disk: {}", e.toString());
             }
             return false;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
@@ -24,57 +24,74 @@
 import sandpaddle.fleet.view.FleetView;
 
 /**
- * The pool policy in one gateway, on the fleet's thread: passes it, and the engines that it covers, to the components
- * that need them.
+ * Applies the fleet's pool policy in one gateway: passes the policy, and the engines that it covers, to the components
+ * that need them. Not thread-safe: owned by the fleet's thread.
  */
 public final class PoolCoordinator {
     private final QuotaManager quotas;
     private final PoolBudget budget;
     private final PoolEngines engines;
-    private final ActivePoolPolicy ruling = new ActivePoolPolicy();
+    private final ActivePoolPolicy activePolicy = new ActivePoolPolicy();
     private final PoolAllocator allocator = new PoolAllocator();
     private Map<String, String> zones = Map.of();
 
-    /** {@code kinds}: of engines, their names by number. */
+    /**
+     * Creates a coordinator without a policy.
+     *
+     * @param quotas this gateway's quotas
+     * @param budget the pool budgets that the request path reads
+     * @param kinds names of the engine kinds, by index
+     */
     public PoolCoordinator(QuotaManager quotas, PoolBudget budget, List<String> kinds) {
         this.quotas = quotas;
         this.budget = budget;
         engines = new PoolEngines(kinds);
     }
 
+    /** Divides the budgets of pools while this gateway is the leader. */
     public PoolAllocator allocator() {
         return allocator;
     }
 
+    /** The pool budgets that the request path reads. */
     public PoolBudget budget() {
         return budget;
     }
 
-    /** What the fleet goes by now. */
-    public void rules(FleetConfig agreed) {
+    /** Applies the configuration in force: its members and its pool policy. */
+    public void applyConfig(FleetConfig agreed) {
         Map<String, String> next = new HashMap<>();
         agreed.members().forEach(member -> next.put(member.name(), member.zone()));
         zones = Map.copyOf(next);
-        if (ruling.agreed(agreed)) {
-            quotas.pool(ruling.policy(), ruling.isBehind());
+        if (activePolicy.agreed(agreed)) {
+            quotas.setPoolPolicy(activePolicy.policy(), activePolicy.isBehind());
         }
     }
 
-    public void listed(long nowUs, EngineListReceived list) {
+    /** Receives a change of the engine list. */
+    public void receiveEngineList(long nowUs, EngineListReceived list) {
         engines.listed(nowUs, list);
     }
 
-    /** What conditions are judged by, once all that is known here was handed on. */
-    public FleetState state(long nowUs, List<FleetView.Verdict> verdicts, Set<String> isolated) {
-        allocator.known(new PoolAllocator.Known(ruling.policy(), engines.all(nowUs), zones));
-        return state(engines.all(nowUs), verdicts, isolated);
+    /**
+     * Passes the policy, engines and zones to the allocator, and returns the state by which it evaluates the conditions
+     * of the policy.
+     *
+     * @param nowUs monotonic time (us)
+     * @param verdicts conditions of engines
+     * @param isolated names of the isolated zones
+     */
+    public FleetState updateAllocator(long nowUs, List<FleetView.Verdict> verdicts, Set<String> isolated) {
+        allocator.known(new PoolAllocator.Known(activePolicy.policy(), engines.all(nowUs), zones));
+        return fleetState(engines.all(nowUs), verdicts, isolated);
     }
 
-    private static FleetState state(List<PoolEngine> all, List<FleetView.Verdict> verdicts, Set<String> isolated) {
+    private static FleetState fleetState(List<PoolEngine> all, List<FleetView.Verdict> verdicts, Set<String> isolated) {
         Set<String> up = new HashSet<>();
-        all.stream().filter(PoolEngine::up).forEach(e -> up.add(e.name()));
-        long ill = verdicts.stream()
-                .filter(v -> v.condition() == EngineCondition.FAILING || v.condition() == EngineCondition.UNRESPONSIVE)
+        all.stream().filter(PoolEngine::up).forEach(engine -> up.add(engine.name()));
+        long unhealthy = verdicts.stream()
+                .filter(verdict -> verdict.condition() == EngineCondition.FAILING
+                        || verdict.condition() == EngineCondition.UNRESPONSIVE)
                 .map(FleetView.Verdict::engine)
                 .filter(up::contains)
                 .distinct()
@@ -83,32 +100,39 @@
                 Instant.now(),
                 ZoneId.systemDefault(),
                 Phase.CALM,
-                up.isEmpty() ? 0 : (double) ill / up.size(),
+                up.isEmpty() ? 0 : (double) unhealthy / up.size(),
                 isolated,
                 List.of());
     }
 
-    /** With each heartbeat, before the view is published. */
+    /** Updates the engines and the control connections; called once per heartbeat, before the view is published. */
     public void tick(long nowUs) {
         List<PoolEngine> all = engines.all(nowUs);
-        quotas.poolEngines(all);
-        Map<String, Integer> control = new HashMap<>();
-        ruling.policy().filter(p -> !ruling.isBehind() && !zones.isEmpty()).ifPresent(p -> control(p, all, control));
-        budget.control(control);
+        quotas.setPoolEngines(all);
+        Map<String, Integer> controlConnections = new HashMap<>();
+        activePolicy
+                .policy()
+                .filter(policy -> !activePolicy.isBehind() && !zones.isEmpty())
+                .ifPresent(policy -> addControlConnections(policy, all, controlConnections));
+        budget.control(controlConnections);
     }
 
-    /** Each gateway has an even part of what is kept back at an engine, rounded down. */
-    private void control(Policy policy, List<PoolEngine> all, Map<String, Integer> control) {
-        Budgets budgets = Budgets.at(policy, state(all, List.of(), Set.of()));
-        for (PoolEngine e : all) {
-            budgets.budget(Scope.ENGINE, e.name())
-                    .or(() -> budgets.budget(Scope.EACH_OF_KIND, e.kind()))
-                    .map(b -> (int) Math.min(
-                                    b.connections(),
-                                    Capacity.ofEngine(budgets, b, false).control())
+    /**
+     * Adds this gateway's control connections to each engine: an even part of those that the policy reserves, rounded
+     * down.
+     */
+    private void addControlConnections(Policy policy, List<PoolEngine> all, Map<String, Integer> controlConnections) {
+        Budgets budgets = Budgets.at(policy, fleetState(all, List.of(), Set.of()));
+        for (PoolEngine engine : all) {
+            budgets.budget(Scope.ENGINE, engine.name())
+                    .or(() -> budgets.budget(Scope.EACH_OF_KIND, engine.kind()))
+                    .map(engineBudget -> (int) Math.min(
+                                    engineBudget.connections(),
+                                    Capacity.ofEngine(budgets, engineBudget, false)
+                                            .control())
                             / zones.size())
-                    .filter(n -> n > 0)
-                    .ifPresent(n -> control.put(e.name(), n));
+                    .filter(count -> count > 0)
+                    .ifPresent(count -> controlConnections.put(engine.name(), count));
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/QuotaManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/QuotaManager.java
@@ -1,5 +1,6 @@
 package sandpaddle.fleet.node.quota;
 
+import java.lang.invoke.VarHandle;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -25,23 +26,35 @@
 import sandpaddle.fleet.view.SharedState;
 
 /**
- * This gateway's quotas on the fleet's thread: grants go into the view, the event loop's counts go into the next
- * heartbeat. The view is published before the counts are read, so that nothing starts on quota being given back.
+ * Manages this gateway's quotas: publishes granted quotas in the view, and reports the event loop's counters in
+ * heartbeats. The view is published before the counters are read, so that no attempt starts on quota that a heartbeat
+ * gives back. Not thread-safe: owned by the fleet's thread.
  */
 public final class QuotaManager {
     private final QuotaHolder holder;
     private final SlotNumbering numbering;
-    private final MeasuredUsage demand;
+    private final MeasuredUsage usage;
     private final String zone;
     private final List<String> classes;
     private final Publication<FleetView> views;
-    private final PoolSlots pools = new PoolSlots();
+    private final PoolSlots poolSlots = new PoolSlots();
     private final Set<String> engines = new HashSet<>();
     private final Set<String> tenants = new HashSet<>();
     private Collection<LimitSpec> localLimits = List.of();
-    private boolean behind; // by what this gateway could read, not by what rules
-
-    /** {@code classes}: their names, by number. */
+    private boolean policyIsBehind; // the policy in force cannot be read here, so pools are restricted to floors
+
+    /**
+     * Creates the quotas of a process that starts at {@code nowUs}.
+     *
+     * @param member name of this gateway
+     * @param incarnation the process, not 0
+     * @param zone zone of this gateway
+     * @param classes names of the request classes, by index
+     * @param settings the limits' settings; see {@link #withoutFloorFile}
+     * @param floors floors that an earlier process stored
+     * @param shared the state that is shared with the event loop
+     * @param nowUs monotonic time (us)
+     */
     public QuotaManager(
             String member,
             long incarnation,
@@ -55,139 +68,163 @@
         this.classes = classes;
         views = shared.views();
         numbering = new SlotNumbering(classes, zone);
-        demand = new MeasuredUsage(numbering, shared.usages(), shared.connections());
-        holder = new QuotaHolder(member, incarnation, nowUs, settings, demand, floors);
+        usage = new MeasuredUsage(numbering, shared.usages(), shared.connections());
+        holder = new QuotaHolder(member, incarnation, nowUs, settings, usage, floors);
     }
 
-    /** Where no file keeps floors over a restart, one that is lowered is low at once: no older copy could raise it. */
-    public static LimitSettings unwritten(LimitSettings s) {
+    /**
+     * The settings for a gateway that stores no floors. The max age of stored floors is 0, so a reduced floor counts at
+     * once: there is no file that could restore the former floor after a restart.
+     */
+    public static LimitSettings withoutFloorFile(LimitSettings settings) {
         return new LimitSettings(
-                s.heartbeatUs(),
-                s.leaseUs(),
-                s.engineForgetUs(),
-                s.nonIdempotentGraceUs(),
-                s.schedulingSlackUs(),
-                s.resendIntervalUs(),
+                settings.heartbeatUs(),
+                settings.leaseUs(),
+                settings.engineForgetUs(),
+                settings.nonIdempotentGraceUs(),
+                settings.schedulingSlackUs(),
+                settings.resendIntervalUs(),
                 0,
-                s.clockDrift(),
-                s.floorShare(),
-                s.rebalanceBand(),
-                s.guards());
+                settings.clockDrift(),
+                settings.floorShare(),
+                settings.rebalanceBand(),
+                settings.guards());
     }
 
+    /** The quotas of this process by limit and tenant. */
     public QuotaHolder holder() {
         return holder;
     }
 
-    /** The limits of this gateway's own file: they bind, with nothing given, until the fleet's are heard. */
-    public void localLimits(Collection<LimitSpec> limits) {
+    /**
+     * Sets the limits of this gateway's own file. They apply until the limits of the fleet are received; until then
+     * their quotas are 0.
+     */
+    public void setLocalLimits(Collection<LimitSpec> limits) {
         localLimits = List.copyOf(limits);
     }
 
-    /** The engines that are listed now. */
-    public void engines(Collection<String> listed) {
+    /** Sets the engines in the endpoint list. */
+    public void setEngines(Collection<String> listed) {
         engines.clear();
         engines.addAll(listed);
-        demand.engines(listed.size());
+        usage.setEngineCount(listed.size());
     }
 
-    /** The engines as budgets see them. */
-    public void poolEngines(List<PoolEngine> all) {
-        pools.engines(all);
+    /** Sets the engines that the budgets of pools apply to. */
+    public void setPoolEngines(List<PoolEngine> all) {
+        poolSlots.engines(all);
     }
 
-    /** The pool policy to go by; {@code isBehind}: another one rules, so that no more than floors may be used. */
-    public void pool(Optional<Policy> policy, boolean isBehind) {
-        pools.policy(policy);
-        behind = isBehind;
+    /**
+     * Sets the pool policy.
+     *
+     * @param policy the policy to apply; empty if there is none
+     * @param isBehind whether another policy is in force, which cannot be read here: pools are restricted to floors
+     */
+    public void setPoolPolicy(Optional<Policy> policy, boolean isBehind) {
+        poolSlots.policy(policy);
+        policyIsBehind = isBehind;
     }
 
-    /** A tenant that has a query here. */
-    public void met(String tenant) {
+    /** Records a tenant that sent a query to this gateway. */
+    public void addTenant(String tenant) {
         tenants.add(tenant);
-        pools.met(tenant);
+        poolSlots.met(tenant);
     }
 
-    private Collection<LimitSpec> inForce() {
+    private Collection<LimitSpec> limitsInForce() {
         Map<String, LimitSpec> limits = holder.limits();
         return limits.isEmpty() ? localLimits : limits.values();
     }
 
-    /** Quotas from the leader. */
-    public void granted(long nowUs, QuotaGrant grant) {
+    /** Applies a grant of the leader. */
+    public void receiveGrant(long nowUs, QuotaGrant grant) {
         holder.receiveGrant(nowUs, grant);
     }
 
-    /** What to tell the leader; {@link #publish} comes before. */
-    public Heartbeat beat(long nowUs) {
-        demand.sample(nowUs);
+    /** The next heartbeat to the leader; {@link #publish} must be called before it. */
+    public Heartbeat nextHeartbeat(long nowUs) {
+        usage.sample(nowUs);
         return holder.nextHeartbeat(nowUs);
     }
 
-    /** The limits that bind here, with one for each engine and tenant that is known, whatever was given for it yet. */
-    private Map<String, LimitSpec> all() {
-        Map<String, LimitSpec> all = new LinkedHashMap<>();
-        for (LimitSpec spec : inForce()) {
-            all.put(spec.id(), spec);
+    /**
+     * The limits in force by id. Limits with wildcards are followed by an instance for each known engine, tenant and
+     * class, whether or not it has a quota yet.
+     */
+    private Map<String, LimitSpec> limitsWithInstances() {
+        Map<String, LimitSpec> limitsById = new LinkedHashMap<>();
+        for (LimitSpec spec : limitsInForce()) {
+            limitsById.put(spec.id(), spec);
             if (spec.scope().hasWildcard()) {
-                seen(spec, all);
+                addInstances(spec, limitsById);
             }
         }
-        return all;
+        return limitsById;
     }
 
-    private void seen(LimitSpec spec, Map<String, LimitSpec> all) {
-        LimitScope s = spec.scope();
-        for (String engine : LimitScope.EACH.equals(s.engine()) ? engines : Set.of("")) {
+    private void addInstances(LimitSpec spec, Map<String, LimitSpec> limitsById) {
+        LimitScope scope = spec.scope();
+        for (String engine : LimitScope.EACH.equals(scope.engine()) ? engines : Set.of("")) {
             if (!engine.isEmpty() && !LimitScope.isName(engine)) {
-                continue; // it cannot be told, and a heartbeat with it could not be read: it stays without a quota
+                continue; // a heartbeat with this name could not be decoded, so the engine gets no quota
             }
-            for (String tenant : LimitScope.EACH.equals(s.tenant()) ? tenants : Set.of("")) {
-                for (String cls : LimitScope.EACH.equals(s.requestClass()) ? classes : List.of("")) {
+            for (String tenant : LimitScope.EACH.equals(scope.tenant()) ? tenants : Set.of("")) {
+                for (String requestClass : LimitScope.EACH.equals(scope.requestClass()) ? classes : List.of("")) {
                     holder.limitFor(
                                     spec,
                                     new LimitScope(
                                             zone,
-                                            s.requestClass() == null ? null : cls.isEmpty() ? s.requestClass() : cls,
-                                            s.tenant() == null ? null : tenant.isEmpty() ? s.tenant() : tenant,
-                                            s.engine() == null ? null : engine.isEmpty() ? s.engine() : engine))
-                            .ifPresent(made -> all.put(made.id(), made));
+                                            scope.requestClass() == null
+                                                    ? null
+                                                    : requestClass.isEmpty() ? scope.requestClass() : requestClass,
+                                            scope.tenant() == null ? null : tenant.isEmpty() ? scope.tenant() : tenant,
+                                            scope.engine() == null ? null : engine.isEmpty() ? scope.engine() : engine))
+                            .ifPresent(instance -> limitsById.put(instance.id(), instance));
                 }
             }
         }
     }
 
-    /** The view of now. */
+    /**
+     * Publishes the current view for the event loop.
+     *
+     * @param verdicts conditions of engines
+     * @param outdated data groups whose stored answers are outdated
+     * @param isolation whether this gateway's zone is isolated
+     * @return the published view
+     */
     public FleetView publish(
             List<FleetView.Verdict> verdicts, Map<String, Long> outdated, FleetView.Isolation isolation) {
-        Map<String, LimitSpec> byId = all();
-        Map<String, List<LimitSlot>> parts = pools.of(byId.keySet());
-        if (numbering.use(byId.values(), parts)) {
-            parts.values().forEach(of -> of.forEach(slot -> holder.openSlot(slot.id(), slot.sub())));
+        Map<String, LimitSpec> limitsById = limitsWithInstances();
+        Map<String, List<LimitSlot>> slotsByPool = poolSlots.of(limitsById.keySet());
+        if (numbering.update(limitsById.values(), slotsByPool)) {
+            slotsByPool.values().forEach(slots -> slots.forEach(slot -> holder.openSlot(slot.id(), slot.poolTenant())));
         }
         Quotas quotas = holder.quotas();
-        List<FleetView.SlotQuota> shares = new ArrayList<>();
+        List<FleetView.SlotQuota> slotQuotas = new ArrayList<>();
         for (LimitSlot slot : numbering.latest().slots()) {
-            Quotas.SlotCeilings pair = quotas.slotCeilings(new Quotas.Key(slot.id(), slot.sub()));
-            boolean pool = parts.containsKey(slot.id());
-            shares.add(new FleetView.SlotQuota(
-                    pool && behind ? Math.min(pair.leased(), pair.unleased()) : pair.leased(),
-                    pair.unleased(),
-                    pool ? 0 : byId.get(slot.id()).burst()));
+            Quotas.SlotCeilings ceilings = quotas.slotCeilings(new Quotas.Key(slot.id(), slot.poolTenant()));
+            boolean isPool = slotsByPool.containsKey(slot.id());
+            slotQuotas.add(new FleetView.SlotQuota(
+                    isPool && policyIsBehind ? Math.min(ceilings.leased(), ceilings.unleased()) : ceilings.leased(),
+                    ceilings.unleased(),
+                    isPool ? 0 : limitsById.get(slot.id()).burst()));
         }
         FleetView view = new FleetView(
                 numbering.latest().number(),
                 numbering.latest().slots(),
-                shares,
-                numbering.each(),
+                slotQuotas,
+                numbering.perKeySlots(),
                 holder.usableFromUs(),
                 quotas.leaseExpiresAtUs(),
                 verdicts,
                 outdated,
                 isolation);
         views.publish(view);
-        demand.published(view);
-        java.lang.invoke.VarHandle.fullFence(); // counts are read after this
+        usage.onViewPublished(view);
+        VarHandle.fullFence(); // the counters are read only after the view is published, see AttemptCounters.tryStart
         return view;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/SlotNumbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/SlotNumbering.java
@@ -16,75 +16,91 @@
 import sandpaddle.fleet.view.LimitSlot;
 
 /**
- * The slots of this gateway in their order, by the limits in force. Former orders are remembered a while, since the
- * loop goes on counting by the one that it has seen last.
+ * Numbers this gateway's slots by the limits in force. The last {@link #MAX_ORDERS} orders are kept, since the event
+ * loop counts by the order of the view that it adopted last, which may be a former one. Not thread-safe: owned by the
+ * fleet's thread.
  */
 final class SlotNumbering {
-    private static final int REMEMBERED = 8;
+    private static final int MAX_ORDERS = 8;
 
-    /** One order of slots. */
-    record Order(long number, List<LimitSlot> slots, Map<Quotas.Key, Integer> places) {}
+    /**
+     * One order of slots.
+     *
+     * @param number incremented with each new order
+     * @param slots the slots; the position of a slot is its index
+     * @param indexes the index of each slot
+     */
+    record SlotOrder(long number, List<LimitSlot> slots, Map<Quotas.Key, Integer> indexes) {}
 
     private final List<String> classes;
     private final String zone;
-    private final ArrayDeque<Order> orders = new ArrayDeque<>(); // the latest first
-    private List<LimitSlot> each = List.of();
+    private final ArrayDeque<SlotOrder> orders = new ArrayDeque<>(); // the latest first
+    private List<LimitSlot> perKeySlots = List.of();
 
     SlotNumbering(List<String> classes, String zone) {
         this.classes = classes;
         this.zone = zone;
-        orders.add(new Order(0, List.of(), Map.of()));
+        orders.add(new SlotOrder(0, List.of(), Map.of()));
     }
 
-    /** Goes by these limits, and by the slots of pools, whose limits are told apart by id; whether the order is new. */
-    boolean use(Collection<LimitSpec> limits, Map<String, List<LimitSlot>> pools) {
+    /**
+     * Numbers the slots of these limits.
+     *
+     * @param limits the limits in force, with their instances
+     * @param poolSlots this gateway's slots of limits that are divided by a pool policy, by limit id
+     * @return whether the order changed
+     */
+    boolean update(Collection<LimitSpec> limits, Map<String, List<LimitSlot>> poolSlots) {
         List<LimitSlot> slots = new ArrayList<>();
-        List<LimitSlot> open = new ArrayList<>();
-        if (!pools.isEmpty()) {
-            open.add(PoolSlots.NEEDED);
+        List<LimitSlot> wildcards = new ArrayList<>();
+        if (!poolSlots.isEmpty()) {
+            wildcards.add(PoolSlots.NEEDED);
         }
         limits.stream()
                 .sorted(Comparator.comparing(LimitSpec::id))
-                .filter(this::bindsHere)
+                .filter(this::appliesHere)
                 .forEach(spec -> {
                     if (spec.scope().hasWildcard()) {
-                        open.add(slot(spec));
-                    } else if (!pools.containsKey(spec.id())) {
+                        wildcards.add(slot(spec));
+                    } else if (!poolSlots.containsKey(spec.id())) {
                         slots.add(slot(spec));
                     }
                 });
-        pools.values().forEach(slots::addAll);
-        each = List.copyOf(open);
+        poolSlots.values().forEach(slots::addAll);
+        perKeySlots = List.copyOf(wildcards);
         if (slots.equals(latest().slots)) {
             return false;
         }
-        Map<Quotas.Key, Integer> places = new HashMap<>();
+        Map<Quotas.Key, Integer> indexes = new HashMap<>();
         for (int i = 0; i < slots.size(); i++) {
-            places.put(new Quotas.Key(slots.get(i).id(), slots.get(i).sub()), i);
+            indexes.put(new Quotas.Key(slots.get(i).id(), slots.get(i).poolTenant()), i);
         }
-        orders.addFirst(new Order(latest().number + 1, List.copyOf(slots), places));
-        if (orders.size() > REMEMBERED) {
+        orders.addFirst(new SlotOrder(latest().number + 1, List.copyOf(slots), indexes));
+        if (orders.size() > MAX_ORDERS) {
             orders.removeLast();
         }
         return true;
     }
 
-    /** A limit of a class that no query here has must not count them all. */
-    private boolean bindsHere(LimitSpec spec) {
-        String of = spec.scope().zone();
-        String cls = spec.scope().requestClass();
-        return (of == null || of.equals(zone) || of.equals(LimitScope.EACH))
-                && (cls == null || classes.contains(cls) || cls.equals(LimitScope.EACH));
+    /**
+     * Whether a limit applies to queries of this gateway. A limit for a class that is not configured here does not: its
+     * class index would be -1, which stands for any class.
+     */
+    private boolean appliesHere(LimitSpec spec) {
+        String limitZone = spec.scope().zone();
+        String requestClass = spec.scope().requestClass();
+        return (limitZone == null || limitZone.equals(zone) || limitZone.equals(LimitScope.EACH))
+                && (requestClass == null || classes.contains(requestClass) || requestClass.equals(LimitScope.EACH));
     }
 
     private LimitSlot slot(LimitSpec spec) {
-        LimitScope s = spec.scope();
+        LimitScope scope = spec.scope();
         return new LimitSlot(
                 spec.id(),
                 "",
-                s.requestClass() == null ? -1 : classes.indexOf(s.requestClass()),
-                s.tenant(),
-                s.engine(),
+                scope.requestClass() == null ? -1 : classes.indexOf(scope.requestClass()),
+                scope.tenant(),
+                scope.engine(),
                 counts(spec.unit()));
     }
 
@@ -96,17 +112,18 @@
         };
     }
 
-    Order latest() {
+    /** The order in force. */
+    SlotOrder latest() {
         return orders.peekFirst();
     }
 
-    /** Limits that have a slot for each engine or tenant. */
-    List<LimitSlot> each() {
-        return each;
+    /** Limits that have one slot for each engine or tenant. */
+    List<LimitSlot> perKeySlots() {
+        return perKeySlots;
     }
 
-    /** A former order, or the latest. */
-    Optional<Order> order(long number) {
-        return orders.stream().filter(o -> o.number == number).findFirst();
+    /** The order with this number; empty if it was dropped. */
+    Optional<SlotOrder> order(long number) {
+        return orders.stream().filter(order -> order.number == number).findFirst();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounter.java
@@ -26,13 +26,13 @@
     /** Finds the slots that cover this counter in a view. */
     void assignSlots(FleetView view) {
         int[] numbers = new int[view.slots().size()];
-        int n = 0;
+        int count = 0;
         for (int i = 0; i < numbers.length; i++) {
             if (view.slots().get(i).covers(classIndex, tenant, engine)) {
-                numbers[n++] = i;
+                numbers[count++] = i;
             }
         }
-        slots = java.util.Arrays.copyOf(numbers, n);
+        slots = java.util.Arrays.copyOf(numbers, count);
         isBlocked = false;
         for (LimitSlot each : view.perKeySlots()) {
             isBlocked |= each.covers(classIndex, tenant, engine) && !hasSlotOf(view, each);
--- a/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/AttemptCounters.java
@@ -13,7 +13,7 @@
  * counters are removed.
  */
 public final class AttemptCounters {
-    /** Number of counters past which idle ones are removed. */
+    /** Number of counters above which idle ones are removed. */
     static final int MAX_COUNTERS = 1 << 15;
 
     private final Publication<FleetView> views;
@@ -24,7 +24,7 @@
     private SlotUsage usage = new SlotUsage(0, 0);
     private int counterCount;
 
-    /** Creates counters for so many query classes. */
+    /** Creates counters for this number of query classes. */
     public AttemptCounters(Publication<FleetView> views, Publication<SlotUsage> usages, int classes) {
         this.views = views;
         this.usages = usages;
@@ -112,7 +112,7 @@
     private boolean isWithinQuota(AttemptCounter counter, long nowUs) {
         FleetView now = views.current();
         if (now.numbering() != view.numbering()) {
-            return false; // its slots are numbered differently: adopted by the next turn
+            return false; // the new view numbers its slots differently; the event loop adopts it with its next turn
         }
         for (int slot : counter.slots) {
             if (!now.slots().get(slot).counts().isRate() && usage.running(slot) > now.quota(slot, nowUs)) {
--- a/gateway/src/main/java/sandpaddle/fleet/view/FleetView.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/FleetView.java
@@ -5,11 +5,11 @@
 import sandpaddle.decision.event.EngineCondition;
 
 /**
- * All that the request path knows of the fleet. Immutable and replaced as a whole (read-copy-update) by the fleet's
- * thread; the event loop reads it with one acquire load. Times are monotonic microseconds of this gateway.
+ * The state of the fleet that the request path uses. Immutable and replaced as a whole (read-copy-update) by the
+ * fleet's thread; the event loop reads it with one acquire load. Times are monotonic microseconds of this gateway.
  *
  * @param numbering changes whenever {@code slots} change; the position in {@code slots} is the number of a slot
- * @param slots limits that bind this gateway
+ * @param slots limits that apply to this gateway, one for each part that it has a quota for
  * @param quotas quota of each slot, in the same order
  * @param perKeySlots limits with one slot for each engine or tenant; an engine or tenant without its slot may use
  *     nothing
@@ -45,6 +45,7 @@
 
     /** Whether this gateway's zone is isolated from the engines outside, and when its uplink is expected to return. */
     public record Isolation(boolean isIsolated, long sinceUs, long expectedReturnUs) {
+        /** Not isolated. */
         public static final Isolation NONE = new Isolation(false, 0, 0);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/view/LimitSlot.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/LimitSlot.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * A limit of the fleet as it binds this gateway: it determines which attempts count.
+ * A part of a limit that this gateway has a quota for: which of its attempts count, and what is counted.
  *
  * @param id id of the limit
- * @param sub part of the limit by tenant in a pool's budget, else empty
+ * @param poolTenant tenant whose part of a pool's budget this is, else empty
  * @param classIndex index of the query class, -1 for any
  * @param tenant tenant, null for any, {@link #EACH} for a per-key limit
  * @param engine engine, null for any, {@link #EACH} for a per-key limit
@@ -14,7 +14,13 @@
  * @param poolScope restriction to a part of a pool's budget, null for none
  */
 public record LimitSlot(
-        String id, String sub, int classIndex, String tenant, String engine, Counts counts, PoolScope poolScope) {
+        String id,
+        String poolTenant,
+        int classIndex,
+        String tenant,
+        String engine,
+        Counts counts,
+        PoolScope poolScope) {
     /**
      * Restriction to a tenant's part of a budget; waiting queries count too.
      *
@@ -29,8 +35,8 @@
     }
 
     /** A slot without a pool scope. */
-    public LimitSlot(String id, String sub, int classIndex, String tenant, String engine, Counts counts) {
-        this(id, sub, classIndex, tenant, engine, counts, null);
+    public LimitSlot(String id, String poolTenant, int classIndex, String tenant, String engine, Counts counts) {
+        this(id, poolTenant, classIndex, tenant, engine, counts, null);
     }
 
     /** Stands for each engine or tenant: each has a slot of its own, and may use nothing before it exists. */
@@ -47,18 +53,18 @@
         /** Rate of estimated work (ms) of attempts started. */
         WORK;
 
-        /** Whether it limits a rate, not a concurrent number. */
+        /** Whether a rate is limited, not a number at one time. */
         public boolean isRate() {
             return this == STARTS || this == WORK;
         }
     }
 
-    /** Whether it stands for all slots whose ids start with its id, not for one with a name appended. */
+    /** Whether the slots of this per-key limit have ids that start with its id; else with its id and {@code |}. */
     public boolean isPrefix() {
         return id.endsWith("/");
     }
 
-    /** Whether an attempt counts in it. */
+    /** Whether an attempt counts in this slot; the engine is empty while a query waits for one. */
     public boolean covers(int attemptClass, String attemptTenant, String attemptEngine) {
         return (classIndex < 0 || classIndex == attemptClass)
                 && covers(tenant, attemptTenant)
@@ -66,7 +72,7 @@
                 && (poolScope == null || poolScope.covers(attemptTenant, attemptEngine));
     }
 
-    private static boolean covers(String mine, String its) {
-        return mine == null || mine.equals(its) || mine.equals(EACH) && !its.isEmpty();
+    private static boolean covers(String required, String actual) {
+        return required == null || required.equals(actual) || required.equals(EACH) && !actual.isEmpty();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/view/PaddedCounters.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/PaddedCounters.java
@@ -9,14 +9,14 @@
  * write: no lock, no full fence, no allocation.
  */
 public final class PaddedCounters {
-    private static final int STRIDE = 16; // longs
+    private static final int STRIDE = 16; // longs in a pair of cache lines
     private static final VarHandle CELL = MethodHandles.arrayElementVarHandle(long[].class);
 
     private final long[] cells;
 
-    /** Creates so many counters at 0. */
+    /** Creates this number of counters at 0. */
     public PaddedCounters(int size) {
-        cells = new long[(size + 2) * STRIDE]; // a pair of lines free on both sides
+        cells = new long[(size + 2) * STRIDE]; // an unused pair of cache lines before and after the counters
     }
 
     /** Number of counters. */
@@ -24,18 +24,18 @@
         return cells.length / STRIDE - 2;
     }
 
-    private static int at(int counter) {
+    private static int cellIndex(int counter) {
         return (counter + 1) * STRIDE;
     }
 
     /** Adds to a counter; by the writing thread only. */
     public void add(int counter, long delta) {
-        int i = at(counter);
-        CELL.setRelease(cells, i, (long) CELL.get(cells, i) + delta);
+        int index = cellIndex(counter);
+        CELL.setRelease(cells, index, (long) CELL.get(cells, index) + delta);
     }
 
     /** Reads a counter; by any thread. */
     public long get(int counter) {
-        return (long) CELL.getAcquire(cells, at(counter));
+        return (long) CELL.getAcquire(cells, cellIndex(counter));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/view/SlotUsage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/view/SlotUsage.java
@@ -10,7 +10,7 @@
     private final PaddedCounters waiting;
     private final PaddedCounters received;
 
-    /** Creates the usage of so many slots at 0. */
+    /** Creates the usage of {@code slots} slots at 0. */
     public SlotUsage(long numbering, int slots) {
         this.numbering = numbering;
         running = new PaddedCounters(slots);
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolSlotsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolSlotsTest.java
@@ -37,7 +37,7 @@
         slots.values()
                 .forEach(of -> of.stream()
                         .filter(slot -> slot.covers(0, tenant, engine))
-                        .forEach(slot -> ids.add(slot.id() + " " + slot.sub())));
+                        .forEach(slot -> ids.add(slot.id() + " " + slot.poolTenant())));
         return ids;
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/StandInGateway.java
@@ -48,18 +48,18 @@
                 1 + seed,
                 "hall",
                 List.of("read"),
-                QuotaManager.unwritten(settings),
+                QuotaManager.withoutFloorFile(settings),
                 List.of(),
                 new SharedState(views, usages, connections),
                 0);
-        quotas.poolEngines(List.of(new PoolEngine(ENGINE, "std", true)));
-        quotas.engines(List.of(ENGINE));
-        tenants.forEach(quotas::met);
+        quotas.setPoolEngines(List.of(new PoolEngine(ENGINE, "std", true)));
+        quotas.setEngines(List.of(ENGINE));
+        tenants.forEach(quotas::addTenant);
         tenants.forEach(t -> cells.addWaiting(0, t, WAITING));
     }
 
     void policy(Policy policy, boolean behind) {
-        quotas.pool(Optional.of(policy), behind);
+        quotas.setPoolPolicy(Optional.of(policy), behind);
         publish();
     }
 
@@ -70,7 +70,7 @@
     }
 
     void granted(QuotaGrant grant) {
-        quotas.granted(now, grant);
+        quotas.receiveGrant(now, grant);
         publish();
     }
 
@@ -80,7 +80,7 @@
 
     Heartbeat beat() {
         publish();
-        return quotas.beat(now);
+        return quotas.nextHeartbeat(now);
     }
 
     /** What the engine has open of this gateway. */
--- a/gateway/src/test/java/sandpaddle/fleet/view/AttemptCountersProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/view/AttemptCountersProperties.java
@@ -14,94 +14,107 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** The counts against an independent recount of all that is out, over drawn starts, ends, waits and views. */
+/**
+ * Compares {@link AttemptCounters} with an independent recount of all running and waiting attempts, over random
+ * sequences of starts, ends, waits and views.
+ */
 class AttemptCountersProperties {
-    private record One(int cls, String tenant, String engine) {}
+    private record Attempt(int classIndex, String tenant, String engine) {}
 
-    private static final long FRESH = 100;
-    private static final long LAPSE = 200;
+    private static final long USABLE_FROM_US = 100;
+    private static final long LEASE_EXPIRES_US = 200;
     private static final String[] TENANTS = {"a", "b"};
     private static final String[] ENGINES = {"e", "f"};
 
     private final Publication<FleetView> views = new Publication<>(FleetView.EMPTY);
     private final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
-    private final AttemptCounters cells = new AttemptCounters(views, usages, 2);
-    private final List<One> out = new ArrayList<>();
-    private final List<One> waiting = new ArrayList<>();
-    private FleetView adopted = FleetView.EMPTY;
-    private long[] taken = new long[0];
-
-    private static <T> T any(SplittableRandom r, T[] from) {
-        return from[r.nextInt(from.length)];
+    private final AttemptCounters counters = new AttemptCounters(views, usages, 2);
+    private final List<Attempt> running = new ArrayList<>();
+    private final List<Attempt> waiting = new ArrayList<>();
+    private FleetView adoptedView = FleetView.EMPTY;
+    private long[] received = new long[0];
+
+    private static <T> T pick(SplittableRandom random, T[] from) {
+        return from[random.nextInt(from.length)];
     }
 
-    private static LimitSlot slot(String id, SplittableRandom r) {
+    private static LimitSlot slot(String id, SplittableRandom random) {
         return new LimitSlot(
                 id,
                 "",
-                r.nextInt(3) - 1,
-                r.nextBoolean() ? null : any(r, TENANTS),
-                r.nextBoolean() ? null : any(r, ENGINES),
-                r.nextInt(5) == 0 ? LimitSlot.Counts.STARTS : LimitSlot.Counts.RUNNING);
+                random.nextInt(3) - 1,
+                random.nextBoolean() ? null : pick(random, TENANTS),
+                random.nextBoolean() ? null : pick(random, ENGINES),
+                random.nextInt(5) == 0 ? LimitSlot.Counts.STARTS : LimitSlot.Counts.RUNNING);
     }
 
-    private static FleetView view(long numbering, SplittableRandom r) {
+    private static FleetView view(long numbering, SplittableRandom random) {
         List<LimitSlot> slots = new ArrayList<>();
-        List<LimitSlot> each = new ArrayList<>();
-        for (int i = r.nextInt(5); i > 0; i--) {
-            slots.add(slot("s" + i, r));
+        List<LimitSlot> perKeySlots = new ArrayList<>();
+        for (int i = random.nextInt(5); i > 0; i--) {
+            slots.add(slot("s" + i, random));
         }
-        if (r.nextInt(3) == 0) {
-            each.add(new LimitSlot("x", "", -1, LimitSlot.EACH, null, LimitSlot.Counts.RUNNING));
+        if (random.nextInt(3) == 0) {
+            perKeySlots.add(new LimitSlot("x", "", -1, LimitSlot.EACH, null, LimitSlot.Counts.RUNNING));
             Arrays.stream(TENANTS)
-                    .filter(t -> r.nextBoolean())
-                    .forEach(t -> slots.add(new LimitSlot("x|" + t, "", -1, t, null, LimitSlot.Counts.RUNNING)));
+                    .filter(tenant -> random.nextBoolean())
+                    .forEach(tenant ->
+                            slots.add(new LimitSlot("x|" + tenant, "", -1, tenant, null, LimitSlot.Counts.RUNNING)));
         }
-        return shares(
+        return withRandomQuotas(
                 new FleetView(
-                        numbering, slots, List.of(), each, FRESH, LAPSE, List.of(), Map.of(), FleetView.Isolation.NONE),
-                r);
+                        numbering,
+                        slots,
+                        List.of(),
+                        perKeySlots,
+                        USABLE_FROM_US,
+                        LEASE_EXPIRES_US,
+                        List.of(),
+                        Map.of(),
+                        FleetView.Isolation.NONE),
+                random);
     }
 
-    private static FleetView shares(FleetView v, SplittableRandom r) {
+    private static FleetView withRandomQuotas(FleetView view, SplittableRandom random) {
         return new FleetView(
-                v.numbering(),
-                v.slots(),
-                v.slots().stream()
-                        .map(s -> new FleetView.SlotQuota(r.nextInt(6), r.nextInt(3), 0))
+                view.numbering(),
+                view.slots(),
+                view.slots().stream()
+                        .map(slot -> new FleetView.SlotQuota(random.nextInt(6), random.nextInt(3), 0))
                         .toList(),
-                v.perKeySlots(),
-                FRESH,
-                LAPSE,
+                view.perKeySlots(),
+                USABLE_FROM_US,
+                LEASE_EXPIRES_US,
                 List.of(),
                 Map.of(),
                 FleetView.Isolation.NONE);
     }
 
-    /** By the words of the contract alone. */
-    private static boolean counts(LimitSlot s, One o) {
-        return (s.classIndex() == -1 || s.classIndex() == o.cls)
-                && (s.tenant() == null || s.tenant().equals(o.tenant))
-                && (s.engine() == null || s.engine().equals(o.engine));
+    /** Whether an attempt counts in a slot, by the documentation of {@link LimitSlot} alone. */
+    private static boolean counts(LimitSlot slot, Attempt attempt) {
+        return (slot.classIndex() == -1 || slot.classIndex() == attempt.classIndex)
+                && (slot.tenant() == null || slot.tenant().equals(attempt.tenant))
+                && (slot.engine() == null || slot.engine().equals(attempt.engine));
     }
 
-    private static long count(LimitSlot s, List<One> all) {
-        return all.stream().filter(o -> counts(s, o)).count();
+    private static long count(LimitSlot slot, List<Attempt> attempts) {
+        return attempts.stream().filter(attempt -> counts(slot, attempt)).count();
     }
 
-    private boolean mayBegin(One o, long nowUs) {
-        FleetView v = views.current();
-        if (v.numbering() != adopted.numbering()) {
+    private boolean mayStart(Attempt attempt, long nowUs) {
+        FleetView view = views.current();
+        if (view.numbering() != adoptedView.numbering()) {
             return false;
         }
-        if (!v.perKeySlots().isEmpty() && v.slots().stream().noneMatch(s -> s.id().equals("x|" + o.tenant))) {
+        if (!view.perKeySlots().isEmpty()
+                && view.slots().stream().noneMatch(slot -> slot.id().equals("x|" + attempt.tenant))) {
             return false;
         }
-        for (int i = 0; i < v.slots().size(); i++) {
-            LimitSlot s = v.slots().get(i);
-            FleetView.SlotQuota share = v.quotas().get(i);
-            long max = nowUs < FRESH ? 0 : nowUs < LAPSE ? share.ceiling() : share.floor();
-            if (s.counts() == LimitSlot.Counts.RUNNING && counts(s, o) && count(s, out) >= max) {
+        for (int i = 0; i < view.slots().size(); i++) {
+            LimitSlot slot = view.slots().get(i);
+            FleetView.SlotQuota quota = view.quotas().get(i);
+            long max = nowUs < USABLE_FROM_US ? 0 : nowUs < LEASE_EXPIRES_US ? quota.ceiling() : quota.floor();
+            if (slot.counts() == LimitSlot.Counts.RUNNING && counts(slot, attempt) && count(slot, running) >= max) {
                 return false;
             }
         }
@@ -110,60 +123,62 @@
 
     private void assertCounts() {
         SlotUsage usage = usages.current();
-        assertEquals(adopted.numbering(), usage.numbering());
-        for (int i = 0; i < adopted.slots().size(); i++) {
-            assertEquals(count(adopted.slots().get(i), out), usage.running(i));
-            assertEquals(usage.running(i), cells.running(i));
-            assertEquals(count(adopted.slots().get(i), waiting), usage.waiting(i));
-            assertEquals(taken[i], usage.received(i));
+        assertEquals(adoptedView.numbering(), usage.numbering());
+        for (int i = 0; i < adoptedView.slots().size(); i++) {
+            assertEquals(count(adoptedView.slots().get(i), running), usage.running(i));
+            assertEquals(usage.running(i), counters.running(i));
+            assertEquals(count(adoptedView.slots().get(i), waiting), usage.waiting(i));
+            assertEquals(received[i], usage.received(i));
         }
     }
 
-    private void taken(One o) {
-        cells.addReceived(o.cls, o.tenant);
-        for (int i = 0; i < taken.length; i++) {
-            taken[i] += counts(adopted.slots().get(i), o) ? 1 : 0;
+    private void addReceived(Attempt attempt) {
+        counters.addReceived(attempt.classIndex, attempt.tenant);
+        for (int i = 0; i < received.length; i++) {
+            received[i] += counts(adoptedView.slots().get(i), attempt) ? 1 : 0;
         }
     }
 
-    /** Guards the fleet's limits, on this gateway's side of them. */
+    /** A gateway that counted wrongly would exceed its quotas, and so the limits of the fleet. */
     @Property(seed = "5", tries = 300)
     void countsAndRejectionsMatchARecount(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int step = 0; step < 80; step++) {
-            One o = new One(r.nextInt(2), any(r, TENANTS), any(r, ENGINES));
-            One held = new One(o.cls, o.tenant, "");
-            long nowUs = r.nextInt(8) == 0 ? r.nextInt(300) : FRESH + r.nextInt(100);
-            switch (r.nextInt(10)) {
-                case 0 -> views.publish(view(views.current().numbering() + 1, r));
-                case 1 -> views.publish(shares(views.current(), r));
+            Attempt attempt = new Attempt(random.nextInt(2), pick(random, TENANTS), pick(random, ENGINES));
+            Attempt queued = new Attempt(attempt.classIndex, attempt.tenant, "");
+            long nowUs = random.nextInt(8) == 0 ? random.nextInt(300) : USABLE_FROM_US + random.nextInt(100);
+            switch (random.nextInt(10)) {
+                case 0 -> views.publish(view(views.current().numbering() + 1, random));
+                case 1 -> views.publish(withRandomQuotas(views.current(), random));
                 case 2, 3 -> {
-                    adopted = views.current().numbering() == adopted.numbering() ? adopted : views.current();
-                    taken = usages.current().numbering() == adopted.numbering()
-                            ? taken
-                            : new long[adopted.slots().size()];
-                    assertEquals(views.current(), cells.adoptView());
+                    adoptedView =
+                            views.current().numbering() == adoptedView.numbering() ? adoptedView : views.current();
+                    received = usages.current().numbering() == adoptedView.numbering()
+                            ? received
+                            : new long[adoptedView.slots().size()];
+                    assertEquals(views.current(), counters.adoptView());
                 }
                 case 4 -> {
-                    cells.addWaiting(held.cls, held.tenant, 1);
-                    waiting.add(held);
+                    counters.addWaiting(queued.classIndex, queued.tenant, 1);
+                    waiting.add(queued);
                 }
                 case 5 -> {
-                    if (waiting.remove(held)) {
-                        cells.addWaiting(held.cls, held.tenant, -1);
+                    if (waiting.remove(queued)) {
+                        counters.addWaiting(queued.classIndex, queued.tenant, -1);
                     }
                 }
-                case 6 -> taken(held);
+                case 6 -> addReceived(queued);
                 case 7 -> {
-                    if (out.remove(o)) {
-                        cells.ended(o.cls, o.tenant, o.engine);
+                    if (running.remove(attempt)) {
+                        counters.ended(attempt.classIndex, attempt.tenant, attempt.engine);
                     }
                 }
                 default -> {
-                    boolean may = mayBegin(o, nowUs);
-                    assertEquals(may, cells.tryStart(o.cls, o.tenant, o.engine, nowUs));
-                    if (may) {
-                        out.add(o);
+                    boolean mayStart = mayStart(attempt, nowUs);
+                    assertEquals(
+                            mayStart, counters.tryStart(attempt.classIndex, attempt.tenant, attempt.engine, nowUs));
+                    if (mayStart) {
+                        running.add(attempt);
                     }
                 }
             }
@@ -171,28 +186,28 @@
         }
     }
 
-    /** Guards the bound on cells: those that are idle go, those that count stay. */
+    /** Above the bound on counters idle ones are removed, and those with running attempts stay. */
     @Example
-    void idleCountersAreRemovedPastTheBound() {
+    void idleCountersAreRemovedAboveTheBound() {
         views.publish(new FleetView(
                 1,
                 List.of(new LimitSlot("s", "", -1, null, null, LimitSlot.Counts.RUNNING)),
                 List.of(new FleetView.SlotQuota(2, 1, 0)),
                 List.of(),
                 0,
-                LAPSE,
+                LEASE_EXPIRES_US,
                 List.of(),
                 Map.of(),
                 FleetView.Isolation.NONE));
-        cells.adoptView();
-        assertTrue(cells.tryStart(0, "kept", "e", 1));
+        counters.adoptView();
+        assertTrue(counters.tryStart(0, "kept", "e", 1));
         for (int i = 0; i < AttemptCounters.MAX_COUNTERS + 5; i++) {
-            assertTrue(cells.tryStart(1, "t" + i, "e", 1));
-            cells.ended(1, "t" + i, "e");
+            assertTrue(counters.tryStart(1, "t" + i, "e", 1));
+            counters.ended(1, "t" + i, "e");
         }
-        cells.ended(0, "kept", "e");
-        assertEquals(0, cells.running(0));
-        assertTrue(cells.tryStart(0, "kept", "e", 1) && cells.tryStart(0, "kept", "f", 1));
-        assertFalse(cells.tryStart(0, "other", "e", 1));
+        counters.ended(0, "kept", "e");
+        assertEquals(0, counters.running(0));
+        assertTrue(counters.tryStart(0, "kept", "e", 1) && counters.tryStart(0, "kept", "f", 1));
+        assertFalse(counters.tryStart(0, "other", "e", 1));
     }
 }
