--- a/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/Guard.java
@@ -15,11 +15,11 @@
     ENGINE_FORGETS,
     /** Renews leases only after a majority confirmed the leader. */
     MAJORITY,
-    /** Counts a lease from when the gateway sent its heartbeat, not from when the response arrived. */
+    /** Counts a lease from when the gateway sent the confirmed heartbeat, not from when the confirmation arrived. */
     FROM_SEND,
     /** Lengthens the waits of the leader by the drift of two clocks. */
     DRIFT,
-    /** Lets a new process use nothing until engines have dropped the attempts of the former process. */
+    /** Gives a new process no quota until engines have dropped the attempts of the former process. */
     FRESH_START,
     /** Applies a renewal only to quotas granted since the last reclaim. */
     SESSION,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitScope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitScope.java
@@ -6,8 +6,13 @@
 import java.util.Objects;
 
 /**
- * The queries that a limit covers. A dimension is null (any name), a name (only that one), or {@link #EACH} (each name
- * has a limit of theirs own).
+ * The queries that a limit covers, by four dimensions. A dimension is null (any name), a name (only that one), or
+ * {@link #EACH} (each name has a limit of its own).
+ *
+ * @param zone failure domain of the gateway
+ * @param requestClass class of the query
+ * @param tenant tenant of the query
+ * @param engine engine that the query is sent to
  */
 public record LimitScope(String zone, String requestClass, String tenant, String engine) {
     /** The wildcard: an instance of the limit is created for each name of the dimension. */
@@ -20,7 +25,7 @@
         return Arrays.asList(zone, requestClass, tenant, engine);
     }
 
-    /** Whether a name can be used in a scope and in a message; names of clients and engines may be any text. */
+    /** Whether a name is valid in a scope and in a message; clients and engines may have any other text as a name. */
     public static boolean isName(String name) {
         return !name.isBlank()
                 && !name.equals(EACH)
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSettings.java
@@ -10,7 +10,7 @@
  *
  * @param heartbeatUs between two heartbeats of a gateway (us)
  * @param leaseUs how long a gateway uses its quotas after sending the last confirmed heartbeat (us)
- * @param engineForgetUs how long an engine runs an attempt that nobody polls any more (us)
+ * @param engineForgetUs how long an engine runs an attempt that is no longer polled (us)
  * @param nonIdempotentGraceUs how long attempts that are not idempotent may run on after the lease expired (us)
  * @param schedulingSlackUs how late a thread may run (us)
  * @param resendIntervalUs between two sends of the same message or proposal (us)
@@ -32,24 +32,29 @@
         double floorShare,
         double rebalanceBand,
         Set<Guard> guards) {
-    private static final long MS = 1000;
+    private static final long US_PER_MS = 1000;
 
     /** Used for settings that the operator's file omits. */
     public static final LimitSettings DEFAULTS = new LimitSettings(
-            100 * MS,
-            6000 * MS,
-            2300 * MS,
+            100 * US_PER_MS,
+            6000 * US_PER_MS,
+            2300 * US_PER_MS,
             0,
-            200 * MS,
-            300 * MS,
-            30_000 * MS,
+            200 * US_PER_MS,
+            300 * US_PER_MS,
+            30_000 * US_PER_MS,
             0.005,
             0.05,
             0.05,
             EnumSet.allOf(Guard.class));
 
+    /**
+     * Checks the settings.
+     *
+     * @throws IllegalArgumentException if a setting is out of its range
+     */
     public LimitSettings {
-        guards = Collections.unmodifiableSet(new LinkedHashSet<>(guards)); // the defaults are those of the process
+        guards = Collections.unmodifiableSet(new LinkedHashSet<>(guards)); // immutable, since DEFAULTS is shared
         if (heartbeatUs <= 0
                 || leaseUs < 2 * heartbeatUs
                 || engineForgetUs < 0
@@ -57,14 +62,16 @@
                 || schedulingSlackUs < 0
                 || resendIntervalUs <= 0
                 || floorMaxAgeUs < 0) {
-            throw new IllegalArgumentException("fleet times: beat " + heartbeatUs + " and repeat " + resendIntervalUs
-                    + " must be above 0, lease " + leaseUs + " at least two beats, none below 0");
+            throw new IllegalArgumentException("fleet limits: heartbeat interval " + heartbeatUs
+                    + " us and resend interval " + resendIntervalUs + " us must be above 0, lease " + leaseUs
+                    + " us must be at least two heartbeat intervals, and no time may be negative");
         }
         if (!(clockDrift >= 0 && clockDrift < 0.5)
                 || !(floorShare >= 0 && floorShare <= 1)
                 || !(rebalanceBand >= 0 && rebalanceBand <= 1)) {
-            throw new IllegalArgumentException("fleet parts: drift " + clockDrift + " not from 0 to 0.5, floor share "
-                    + floorShare + " or band " + rebalanceBand + " not from 0 to 1");
+            throw new IllegalArgumentException(
+                    "fleet limits: clock drift " + clockDrift + " must be at least 0 and below 0.5, floor share "
+                            + floorShare + " and rebalance band " + rebalanceBand + " must be from 0 to 1");
         }
     }
 
@@ -108,7 +115,10 @@
         return reclaimDelayUs(validityUs());
     }
 
-    /** The same for a gateway that reported {@code reportedValidityUs} as its own (us). */
+    /**
+     * The same for a gateway that reported {@code reportedValidityUs} as its own lease and grace period (us). The
+     * longer of the two validities counts, as the settings of the gateway may differ from the leader's.
+     */
     public long reclaimDelayUs(long reportedValidityUs) {
         long forget = enforces(Guard.ENGINE_FORGETS) ? engineForgetUs : 0;
         return onAnyClockUs(Math.max(validityUs(), reportedValidityUs) + forget + schedulingSlackUs);
--- a/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/LimitSpec.java
@@ -8,11 +8,13 @@
  * A limit for the whole fleet.
  *
  * @param id name in the operator's file; of an instance followed by its names, separated by {@code |}
+ * @param scope the queries that the limit covers
+ * @param unit what is counted
  * @param amount a whole number for concurrent limits, thousandths per second for rates
  * @param burst what a gateway may use at once above its rate, in thousandths; 0 for concurrent limits
  */
 public record LimitSpec(String id, LimitScope scope, LimitUnit unit, long amount, long burst) {
-    /** Max length of an id, also of an instance, in bytes of UTF-8. */
+    /** Max length of the id of a limit or instance, in bytes of UTF-8. */
     public static final int MAX_ID_BYTES = 512;
     /** Max length of the name of a zone, class, tenant, engine or member, in bytes of UTF-8. */
     public static final int MAX_NAME_BYTES = 128;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/FairShares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/FairShares.java
@@ -19,29 +19,32 @@
      */
     public static final long TURN_US = 5_000_000;
 
-    private static final int BISECTIONS = 64;
+    private static final int BISECTIONS = 64; // the error of the level is at most 2^-64
 
     private FairShares() {}
 
     /**
      * The share of each slot, not rounded.
      *
+     * @param nowUs monotonic time, which decides whose turn it is (us)
+     * @param amount what is divided, in the unit of the limit
      * @param floors the floor of each slot; they sum to {@code amount} at most
+     * @param slotDemands the demand of each slot, in the order of {@code floors}
      */
     public static double[] of(long nowUs, long amount, long[] floors, List<SlotDemand> slotDemands) {
-        int n = floors.length;
+        int slotCount = floors.length;
         double[] min = guaranteedShares(nowUs, amount, floors, slotDemands);
-        double[] demands = new double[n];
+        double[] demands = new double[slotCount];
         double demandSum = 0;
         double minSum = 0;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < slotCount; i++) {
             demands[i] = Math.max(min[i], slotDemands.get(i).demand());
             demandSum += demands[i];
             minSum += min[i];
         }
         if (demandSum <= amount) {
-            for (int i = 0; i < n; i++) {
-                demands[i] += (amount - demandSum) / n;
+            for (int i = 0; i < slotCount; i++) {
+                demands[i] += (amount - demandSum) / slotCount;
             }
             return demands;
         }
@@ -49,7 +52,7 @@
             return min;
         }
         double level = level(amount, min, demands);
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < slotCount; i++) {
             demands[i] = Math.max(min[i], level * demands[i]);
         }
         return demands;
@@ -59,7 +62,7 @@
     private static double level(long amount, double[] min, double[] demands) {
         double low = 0;
         double high = 1;
-        for (int k = 0; k < BISECTIONS; k++) {
+        for (int step = 0; step < BISECTIONS; step++) {
             double level = (low + high) / 2;
             double sum = 0;
             for (int i = 0; i < min.length; i++) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
@@ -24,7 +24,7 @@
     private long leasedSession = -1;
     private long confirmedSession;
     private long confirmedSequence;
-    private int lastObserved;
+    private int lastObserved; // alive and leased, as encoded by hasChanged
     long incarnation;
     long sequence;
     long session;
@@ -63,7 +63,7 @@
         return true;
     }
 
-    /** Takes over a new process of the gateway, unless it is the former one whose heartbeats are late. */
+    /** Switches to a new process of the gateway, unless it is the former one, whose heartbeats may arrive late. */
     private boolean switchIncarnation(long nowUs, GatewayRow row, long next) {
         boolean isFormer = next == (incarnation == 0 ? row.formerIncarnation() : formerIncarnation);
         if (next == 0 || isFormer && nowUs - incarnationSinceUs < settings.leaseUs()) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
@@ -12,20 +12,28 @@
 import sandpaddle.fleet.limit.wire.SlotReport;
 
 /**
- * Moves the quotas of one limit towards their targets, reducing first. What is unallocated goes to the slots that are
+ * Moves the quotas of one limit towards their targets, reducing first. Unallocated quota goes to the slots that are
  * short. Others are requested to give up quota only if a slot is short by more than the rebalance band, so that noise
- * moves nothing; and they give up only what exceeds their own target. Owned by {@link QuotaAllocator}.
+ * moves no quota; and they give up only what exceeds their own target. Owned by {@link QuotaAllocator}.
  */
 final class LimitAllocator {
     /** Max number of slots of one limit that a leader plans. */
     static final int MAX_SLOTS = 65_536;
 
-    private static final long IDLE_INTERVAL_US =
-            2_000_000; // a quiet limit is planned this often, as turns and lost gateways change its shares
-    private static final double MIN_SHORTFALL = 0.75; // of a unit: less does not count as short
-    /** Three quarters of a unit above the target is one to give up: that leaves no slot short. */
+    /** A limit without changes is planned this often, as turns and lost gateways change its shares (us). */
+    private static final long IDLE_INTERVAL_US = 2_000_000;
+
+    /** A slot that lacks less than this part of a unit does not count as short. */
+    private static final double MIN_SHORTFALL = 0.75;
+
+    /**
+     * Added to a slot's surplus before it is rounded down: a slot that exceeds its target by three quarters of a unit
+     * gives up a whole unit, and then lacks a quarter, which does not count as short.
+     */
     private static final double ROUNDING_MARGIN = 0.25;
 
+    private static final double FLOAT_TOLERANCE = 1e-9; // absorbs floating-point errors before a share is rounded
+
     private final String limit;
     private final LimitSettings settings;
     final TreeMap<SlotName, SlotState> slotStates = new TreeMap<>();
@@ -84,7 +92,7 @@
     /**
      * The changes to propose. Requests to give up quota are left in the targets of the slots' states.
      *
-     * @param canGrow whether the gateway of each slot has a lease nowUs, in the order of {@code slotDemands}
+     * @param canGrow whether the gateway of each slot has a lease now, in the order of {@code slotDemands}
      */
     List<SlotChange> plan(
             long nowUs, LimitRow row, List<SlotDemand> slotDemands, List<Target> targets, List<Boolean> canGrow) {
@@ -158,7 +166,8 @@
         for (int i = plans.size() - 1; i >= 0 && remaining > 0; i--) {
             SlotPlan plan = plans.get(i);
             double surplus = -plan.gap();
-            long take = Math.min(remaining, (long) Math.floor(surplus + (over ? 1 - 1e-9 : ROUNDING_MARGIN)));
+            long take =
+                    Math.min(remaining, (long) Math.floor(surplus + (over ? 1 - FLOAT_TOLERANCE : ROUNDING_MARGIN)));
             take = Math.min(take, plan.slot.amount() - plan.state.targetFloor);
             if (take > 0) {
                 plan.state.targetCeiling = plan.slot.amount() - take;
@@ -168,7 +177,7 @@
             }
         }
         // a gateway with demand and no quota gets one unit, even if no slot exceeds its target by a whole unit
-        boolean starving = plans.stream().anyMatch(p -> p.slot.amount() == 0 && p.target.share() >= 1);
+        boolean starving = plans.stream().anyMatch(plan -> plan.slot.amount() == 0 && plan.target.share() >= 1);
         if (remaining > 0 && remaining >= missing && mostOver != null && starving) {
             mostOver.state.targetCeiling = mostOver.slot.amount() - 1;
         }
@@ -176,11 +185,11 @@
 
     private static long requestedShrink(List<SlotPlan> plans) {
         return plans.stream()
-                .mapToLong(p -> p.slot.amount() - p.state.targetCeiling)
+                .mapToLong(plan -> plan.slot.amount() - plan.state.targetCeiling)
                 .sum();
     }
 
-    /** The change that takes back what the gateway acknowledged not to use any more; null if there is none. */
+    /** The change that reclaims what the gateway acknowledged not to use any more; null if there is none. */
     private SlotChange lower(SlotPlan plan) {
         SlotReport report = plan.state.report;
         SlotAllocation slot = plan.slot;
@@ -201,7 +210,7 @@
         SlotAllocation slot = plan.slot;
         long more = plan.state.targetCeiling < slot.amount()
                 ? 0
-                : Math.max(0, Math.min(free, (long) Math.ceil(plan.gap() - 1e-9)));
+                : Math.max(0, Math.min(free, (long) Math.ceil(plan.gap() - FLOAT_TOLERANCE)));
         long amount = slot.amount() + more;
         long floor = Math.max(slot.floor(), Math.min(plan.target.floor(), amount));
         return amount > slot.amount() || floor > slot.floor()
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
@@ -147,7 +147,7 @@
         return slotTargets;
     }
 
-    /** The floor of each member. Limits for each engine whose floors would be below one get places on some engines. */
+    /** The floor of each member. If a limit for each engine is too small for a floor each, members get some engines. */
     private long[] floors(LimitRow row, List<String> members) {
         LimitSpec spec = row.spec();
         boolean small = Floors.even(spec.amount(), members.size(), settings.floorShare()) == 0;
@@ -157,6 +157,7 @@
         if (!small || spec.unit() == LimitUnit.RATE || !byEngine) {
             return Floors.of(spec.id(), spec.amount(), members, settings.floorShare());
         }
+        // combines all that the places depend on into one number
         long revision = table.membershipRevision() * 1_000_003 + table.limits().size() * 31L + table.epoch();
         if (revision != floorPlacesRevision) {
             floorPlacesRevision = revision;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/QuotaAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/QuotaAllocator.java
@@ -46,7 +46,13 @@
     private long termProposedAtUs = LONG_AGO;
     private long membershipRevision = -1;
 
-    /** @param targets decides how some limits are divided; the others are divided by demand */
+    /**
+     * Creates an allocator that is not the leader.
+     *
+     * @param settings the limits' settings
+     * @param table the replicated table, which the voter of this gateway applies commands to
+     * @param targets decides how some limits are divided; the others are divided by demand
+     */
     public QuotaAllocator(LimitSettings settings, QuotaTable table, TargetPolicy targets) {
         this.settings = settings;
         this.table = table;
@@ -54,8 +60,8 @@
     }
 
     /** This gateway was elected; {@code term} is greater than the terms of all former leaders. */
-    public void elected(long lead) {
-        this.term = lead;
+    public void elected(long term) {
+        this.term = term;
         isOpen = false;
         termProposedAtUs = LONG_AGO;
         gateways.clear();
@@ -69,7 +75,7 @@
         isOpen = false;
     }
 
-    /** Whether it may decide nowUs: it is elected, and its {@code BeginTerm} is committed. */
+    /** Whether this gateway may allocate now: it is elected, and its {@code BeginTerm} is committed. */
     public boolean isLeading() {
         return term != 0 && isOpen && table.term() == term;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SmoothedDemand.java
@@ -2,10 +2,10 @@
 
 /**
  * The demand of one slot, smoothed so that noise moves no quota: exponentially over {@link #SMOOTHING_US}, but a step
- * of half or more is taken over once two reports in a row have it.
+ * of half or more is adopted once two reports in a row have it.
  */
 final class SmoothedDemand {
-    /** With it, noise of 20% either way in ten reports per second stays within 4% of the mean (us). */
+    /** Time constant (us): noise of 20% either way in ten reports per second stays within 4% of the mean. */
     static final double SMOOTHING_US = 2e6;
 
     private static final double MIN_STEP_SHARE = 0.5;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/bound/LimitBounds.java
@@ -17,7 +17,12 @@
     private final LimitSettings settings;
     private final long linkUs; // max delay of a message while no fault occurs
 
-    /** {@code linkUs}: max delay of a message between gateways while no fault occurs (us). */
+    /**
+     * Creates the bounds for these settings.
+     *
+     * @param settings the limits' settings
+     * @param linkUs max delay of a message between gateways while no fault occurs (us)
+     */
     public LimitBounds(LimitSettings settings, long linkUs) {
         this.settings = settings;
         this.linkUs = linkUs;
@@ -79,19 +84,20 @@
         return Math.max(0, share - Math.max(1, settings.rebalanceBand() * share)) / spec.amount();
     }
 
-    /** One line for each bound, to be printed at the start. */
+    /** One line of text for each bound, for operators. */
     public List<String> describe(List<LimitSpec> limits, int gateways) {
         List<String> lines = new ArrayList<>();
         for (LimitSpec spec : limits) {
-            lines.add("limit " + spec.id() + " " + spec.amount() + ": over at most " + maxOvershoot(spec, gateways)
+            lines.add("limit " + spec.id() + " " + spec.amount() + ": exceeded by at most "
+                    + maxOvershoot(spec, gateways)
                     + (spec.unit() == LimitUnit.RATE ? " (" + gateways + " gateways x one burst)" : " at the engines")
                     + ", floors " + floors(spec, gateways));
         }
-        lines.add("lowered limit holds " + ms(lowerDelayConnectedUs(0))
-                + " ms after it is agreed on, and what runs ended; " + ms(lowerDelayPartitionedUs())
-                + " ms where gateways are cut off (lease, outliving, slack, engines forget)");
-        lines.add("rights of a lost gateway return after " + ms(reclaimDelayUs()) + " ms; a start uses nothing for "
-                + ms(startupDelayUs()) + " ms");
+        lines.add("reduced limit enforced " + ms(lowerDelayConnectedUs(0))
+                + " ms after its commit, plus the time of running attempts; " + ms(lowerDelayPartitionedUs())
+                + " ms for partitioned gateways (lease, grace period, scheduling slack, engine forget time)");
+        lines.add("quotas of a lost gateway reclaimed after " + ms(reclaimDelayUs())
+                + " ms; no quota after a start for " + ms(startupDelayUs()) + " ms");
         return lines;
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/FloorFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/FloorFile.java
@@ -13,6 +13,7 @@
  * @param boot id of the host's boot, as its monotonic clock restarts with it
  * @param writtenAtUs when the file was written, by the monotonic clock (us)
  * @param maxAgeUs the {@code floorMaxAgeUs} of the settings when it was written (us)
+ * @param floors the floors of all slots
  */
 public record FloorFile(String boot, long writtenAtUs, long maxAgeUs, List<SavedFloor> floors) {
     private static final long FORMAT = 1;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/Lease.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/Lease.java
@@ -11,7 +11,7 @@
  * remembered.
  */
 final class Lease {
-    /** Max number of heartbeats that may still be confirmed: at one each 100 ms, those of 25 s. */
+    /** Max number of unconfirmed heartbeats: those of 25 s at one per 100 ms. */
     static final int MAX_HEARTBEATS = 256;
 
     private static final long NO_LEASE = Long.MIN_VALUE / 2;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/QuotaHolder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/QuotaHolder.java
@@ -22,7 +22,7 @@
 /**
  * The quotas of one gateway's process: what it may use now, by its own clock and the grants that it received. With a
  * lease that is the ceiling granted last, without one the floor reserved for the gateway, and nothing while engines may
- * still run attempts of a former process. What the process reported to the leader it never exceeds, so the leader may
+ * still run attempts of a former process. The process never exceeds what it reported to the leader, so the leader may
  * allocate the rest to others. After leases (Gray and Cheriton 1989) and the demarcation protocol (Barbara and
  * Garcia-Molina 1994).
  *
@@ -51,8 +51,12 @@
     /**
      * Creates the quotas of a process that starts at {@code nowUs}.
      *
-     * @param incarnation drawn at the start, not 0, so that no two processes of one name have the same
-     * @param floors floors from the disk; empty if there are none that are young enough
+     * @param member name of the gateway
+     * @param incarnation drawn at random at the start, so that no two processes of one name have the same; not 0
+     * @param nowUs monotonic time (us)
+     * @param settings the limits' settings
+     * @param usage the usage of this gateway's slots
+     * @param floors floors from the disk; empty if none are recent enough
      */
     public QuotaHolder(
             String member,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/Quotas.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/Quotas.java
@@ -4,8 +4,9 @@
 
 /**
  * An immutable snapshot of what a gateway may use, for the request path: it detects the end of the lease by the
- * gateway's own clock, whatever was received. Any thread may read it. To use a slot, count first, then read the quotas,
- * then send; whoever reduces quotas publishes the new snapshot first and reads the counts after.
+ * gateway's own clock, without any message. Any thread may read it. To use a slot, count first, then read the quotas,
+ * then send; whoever reduces quotas publishes the new snapshot first and reads the counts after. So one of the two sees
+ * the other, and nothing starts on quota that was given back.
  */
 public final class Quotas {
     /** Identifies a slot of this gateway: a limit's id, and a tenant or an empty string. */
@@ -26,13 +27,13 @@
     private final long leaseExpiresAtUs;
     private final Map<Key, SlotCeilings> slots;
 
-    Quotas(long freshAt, long leaseUntil, Map<Key, SlotCeilings> slots) {
-        this.usableFromUs = freshAt;
-        this.leaseExpiresAtUs = leaseUntil;
+    Quotas(long usableFromUs, long leaseExpiresAtUs, Map<Key, SlotCeilings> slots) {
+        this.usableFromUs = usableFromUs;
+        this.leaseExpiresAtUs = leaseExpiresAtUs;
         this.slots = slots;
     }
 
-    /** What may be used nowUs: a count, or thousandths per second for a rate. */
+    /** What may be used at {@code nowUs}: a count, or thousandths per second for a rate. */
     public long ceiling(long nowUs, Key slot) {
         return ceiling(nowUs, slots.getOrDefault(slot, NO_QUOTA));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/SavedFloor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/SavedFloor.java
@@ -6,5 +6,6 @@
  *
  * @param limit id of the limit
  * @param tenant a tenant; empty for the gateway's own slot
+ * @param floor the floor, in the unit of the limit
  */
 public record SavedFloor(String limit, String tenant, long floor) {}
--- a/gateway/src/main/java/sandpaddle/fleet/limit/lease/SlotQuota.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/lease/SlotQuota.java
@@ -12,14 +12,14 @@
 final class SlotQuota {
     private static final long NEVER = Long.MIN_VALUE;
 
-    // heartbeats that report a change: one may be lost, and the leader takes over a step of demand with the second
+    // heartbeats that report a change: one may be lost, and the leader adopts a step of demand with the second report
     private static final int REPORTS_PER_CHANGE = 3;
 
     long version;
     private SlotReport lastReport;
     private int remainingReports;
-    private long ceiling; // is never exceeded again under this version
-    private long floor; // is never exceeded again without a lease
+    private long ceiling; // never exceeded again under this version
+    private long floor; // never exceeded again without a lease
     private long targetCeiling;
     private long targetFloor;
     private long floorWrittenAtUs = NEVER; // when the reduced floor was on disk (us)
--- a/gateway/src/main/java/sandpaddle/fleet/limit/rate/TokenBucket.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/rate/TokenBucket.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Takes {@code amount} thousandths if they are available now; takes nothing else. */
+    /** Takes {@code amount} thousandths if they are available now; otherwise takes nothing. */
     public boolean tryTake(long nowUs, long amount) {
         refill(nowUs);
         if (tokens < amount) {
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/GatewayRow.java
@@ -3,7 +3,8 @@
 /**
  * A gateway that may have quotas, as the voters agreed on it.
  *
- * @param zone the zone that the gateway stands in
+ * @param name the gateway
+ * @param zone zone of the gateway
  * @param incarnation the gateway's current process; 0 before the first
  * @param formerIncarnation the process before it; 0 for none
  * @param session incremented by each reclaim and each new process: quotas and renewals of an older one are void
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommand.java
@@ -8,6 +8,7 @@
 public sealed interface LimitCommand {
     /** A command that only the leader of {@code term} may have decided; refused once another term has begun. */
     sealed interface OfTerm extends LimitCommand {
+        /** The term that the command was decided in. */
         long term();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandCodec.java
@@ -42,9 +42,9 @@
         } else if (command instanceof LimitCommand.Leave leave) {
             out.number(LEAVE).text(leave.member());
         } else if (command instanceof LimitCommand.SetLimits setLimits) {
-            out.number(SET_LIMITS).number(setLimits.epoch()).list(setLimits.limits(), LimitCommandCodec::spec);
+            out.number(SET_LIMITS).number(setLimits.epoch()).list(setLimits.limits(), LimitCommandCodec::writeSpec);
         } else if (command instanceof LimitCommand.Instantiate instantiate) {
-            scope(out.number(INSTANTIATE).text(instantiate.limit()), instantiate.names());
+            writeScope(out.number(INSTANTIATE).text(instantiate.limit()), instantiate.names());
         } else if (command instanceof LimitCommand.BeginSession beginSession) {
             writeBeginSession(out.number(BEGIN_SESSION), beginSession);
         } else if (command instanceof LimitCommand.Reclaim reclaim) {
@@ -79,22 +79,25 @@
         CborIn in = new CborIn(bytes);
         int type = (int) in.number(BEGIN_TERM, CHANGE_SLOTS);
         LimitCommand command = switch (type) {
-            case BEGIN_TERM -> new LimitCommand.BeginTerm(count(in));
-            case JOIN -> new LimitCommand.Join(name(in), name(in));
-            case LEAVE -> new LimitCommand.Leave(name(in));
-            case SET_LIMITS -> new LimitCommand.SetLimits(count(in), in.list(MAX_LIMITS, LimitCommandCodec::spec));
-            case INSTANTIATE -> new LimitCommand.Instantiate(name(in), scope(in));
+            case BEGIN_TERM -> new LimitCommand.BeginTerm(readCount(in));
+            case JOIN -> new LimitCommand.Join(readName(in), readName(in));
+            case LEAVE -> new LimitCommand.Leave(readName(in));
+            case SET_LIMITS ->
+                new LimitCommand.SetLimits(readCount(in), in.list(MAX_LIMITS, LimitCommandCodec::readSpec));
+            case INSTANTIATE -> new LimitCommand.Instantiate(readName(in), readScope(in));
             case BEGIN_SESSION ->
-                new LimitCommand.BeginSession(count(in), name(in), count(in), incarnation(in), count(in));
-            case RECLAIM -> new LimitCommand.Reclaim(count(in), name(in), count(in));
-            default -> new LimitCommand.ChangeSlots(count(in), in.list(MAX_CHANGES, LimitCommandCodec::readChange));
+                new LimitCommand.BeginSession(
+                        readCount(in), readName(in), readCount(in), readIncarnation(in), readCount(in));
+            case RECLAIM -> new LimitCommand.Reclaim(readCount(in), readName(in), readCount(in));
+            default -> new LimitCommand.ChangeSlots(readCount(in), in.list(MAX_CHANGES, LimitCommandCodec::readChange));
         };
         in.end();
         return command;
     }
 
     private static SlotChange readChange(CborIn in) throws FaultyMessageException {
-        return new SlotChange(id(in), new SlotName(name(in), name(in)), count(in), amount(in), amount(in));
+        return new SlotChange(
+                readId(in), new SlotName(readName(in), readName(in)), readCount(in), readAmount(in), readAmount(in));
     }
 
     /** Encodes an outcome; a long reason is cut. */
@@ -123,56 +126,56 @@
     }
 
     /** Writes a limit as part of a command, snapshot or grant. */
-    public static void spec(CborOut out, LimitSpec spec) {
-        scope(out.text(spec.id()), spec.scope());
+    public static void writeSpec(CborOut out, LimitSpec spec) {
+        writeScope(out.text(spec.id()), spec.scope());
         out.number(spec.unit().ordinal()).number(spec.amount()).number(spec.burst());
     }
 
-    /** Reads a limit that {@link #spec(CborOut, LimitSpec)} wrote. */
-    public static LimitSpec spec(CborIn in) throws FaultyMessageException {
-        String id = id(in);
-        LimitScope scope = scope(in);
+    /** Reads a limit that {@link #writeSpec(CborOut, LimitSpec)} wrote. */
+    public static LimitSpec readSpec(CborIn in) throws FaultyMessageException {
+        String id = readId(in);
+        LimitScope scope = readScope(in);
         LimitUnit unit = LimitUnit.values()[(int) in.number(0, LimitUnit.values().length - 1)];
-        return new LimitSpec(id, scope, unit, amount(in), amount(in));
+        return new LimitSpec(id, scope, unit, readAmount(in), readAmount(in));
     }
 
     /** Writes a scope; a dimension without a name is distinguished from an empty name. */
-    public static void scope(CborOut out, LimitScope scope) {
+    public static void writeScope(CborOut out, LimitScope scope) {
         scope.dimensions().forEach(name -> out.text(name == null ? NULL_NAME : name));
     }
 
-    /** Reads a scope that {@link #scope(CborOut, LimitScope)} wrote. */
-    public static LimitScope scope(CborIn in) throws FaultyMessageException {
-        return new LimitScope(nullableName(in), nullableName(in), nullableName(in), nullableName(in));
+    /** Reads a scope that {@link #writeScope(CborOut, LimitScope)} wrote. */
+    public static LimitScope readScope(CborIn in) throws FaultyMessageException {
+        return new LimitScope(readNullableName(in), readNullableName(in), readNullableName(in), readNullableName(in));
     }
 
-    private static String nullableName(CborIn in) throws FaultyMessageException {
-        String name = name(in);
+    private static String readNullableName(CborIn in) throws FaultyMessageException {
+        String name = readName(in);
         return name.equals(NULL_NAME) ? null : name;
     }
 
     /** Reads the name of a limit, gateway, tenant, engine, class or zone. */
-    public static String name(CborIn in) throws FaultyMessageException {
+    public static String readName(CborIn in) throws FaultyMessageException {
         return in.text(LimitSpec.MAX_NAME_BYTES);
     }
 
     /** Reads the id of a limit or of an instance. */
-    public static String id(CborIn in) throws FaultyMessageException {
+    public static String readId(CborIn in) throws FaultyMessageException {
         return in.text(LimitSpec.MAX_ID_BYTES);
     }
 
     /** Reads a number that is never negative, such as a term, an epoch or a version. */
-    public static long count(CborIn in) throws FaultyMessageException {
+    public static long readCount(CborIn in) throws FaultyMessageException {
         return in.number(0, Long.MAX_VALUE);
     }
 
     /** Reads an incarnation: any 64 bits. */
-    public static long incarnation(CborIn in) throws FaultyMessageException {
+    public static long readIncarnation(CborIn in) throws FaultyMessageException {
         return in.number(Long.MIN_VALUE, Long.MAX_VALUE);
     }
 
     /** Reads an amount in a limit's unit. */
-    public static long amount(CborIn in) throws FaultyMessageException {
+    public static long readAmount(CborIn in) throws FaultyMessageException {
         return in.number(0, LimitSpec.MAX_AMOUNT);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandOutcome.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitCommandOutcome.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.limit.table;
 
 /**
- * The outcome of a {@link LimitCommand}, the same at every voter.
+ * The outcome of a {@link LimitCommand}, the same at every voter, including the text of the reason.
  *
  * @param applied number of changes that were applied
  * @param refused number of changes that were refused
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
@@ -29,7 +29,7 @@
         for (LimitRow row : table.limits.values()) {
             row.revision++;
             LimitSpec spec = table.specs.get(row.parentId);
-            row.dropped = !sameShape(row, spec);
+            row.dropped = !isDefinedBy(row, spec);
             if (!row.dropped) {
                 row.spec = new LimitSpec(row.spec.id(), row.spec.scope(), spec.unit(), spec.amount(), spec.burst());
             }
@@ -47,7 +47,8 @@
         return LimitCommandOutcome.done();
     }
 
-    private static boolean sameShape(LimitRow row, LimitSpec spec) {
+    /** Whether a row is still a limit, or an instance of the limit, that the new file defines. */
+    private static boolean isDefinedBy(LimitRow row, LimitSpec spec) {
         return spec != null
                 && spec.unit() == row.spec.unit()
                 && (spec.scope().hasWildcard()
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitRow.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitRow.java
@@ -18,9 +18,9 @@
     long revision; // counts changes, so that a leader replans only limits that changed
     final TreeMap<SlotName, SlotAllocation> slots = new TreeMap<>();
 
-    LimitRow(LimitSpec spec, String origin) {
+    LimitRow(LimitSpec spec, String parentId) {
         this.spec = spec;
-        this.parentId = origin;
+        this.parentId = parentId;
     }
 
     /** The limit as it is in force; of an instance with its names. */
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/QuotaTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/QuotaTable.java
@@ -43,6 +43,7 @@
     long membershipRevision; // counts joins, leaves and removals
     private final LimitSettings settings;
 
+    /** Creates a table without limits and gateways. */
     public QuotaTable(LimitSettings settings) {
         this.settings = settings;
     }
@@ -197,7 +198,7 @@
         }
     }
 
-    /** Removes a limit that is no longer in the operator's file once nobody has a quota under it. */
+    /** Removes a limit that is no longer in the operator's file once no gateway has a quota under it. */
     private void discardIfUnused(LimitRow row) {
         if (row.dropped && row.allocated == 0) {
             discard(row);
@@ -276,7 +277,7 @@
         try {
             TableCodec.read(this, snapshot);
         } catch (FaultyMessageException e) {
-            throw new SnapshotException("snapshot of rights: " + e.getMessage(), e);
+            throw new SnapshotException("quota table snapshot: " + e.getMessage(), e);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/TableCodec.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.limit.table;
 
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.count;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.incarnation;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.name;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readCount;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readIncarnation;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readName;
 
 import java.util.List;
 import java.util.Map;
@@ -25,7 +25,7 @@
                 .number(table.term)
                 .number(table.epoch)
                 .number(table.version);
-        out.list(table.specs.values(), LimitCommandCodec::spec);
+        out.list(table.specs.values(), LimitCommandCodec::writeSpec);
         out.list(table.members.values(), TableCodec::writeGateway);
         out.list(table.limits.values(), TableCodec::writeLimit);
         return out.done();
@@ -42,7 +42,7 @@
     }
 
     private static void writeLimit(CborOut out, LimitRow row) {
-        LimitCommandCodec.spec(out, row.spec);
+        LimitCommandCodec.writeSpec(out, row.spec);
         out.text(row.parentId).flag(row.dropped);
         out.list(row.slots.entrySet(), TableCodec::writeSlot);
     }
@@ -59,10 +59,10 @@
     static void read(QuotaTable table, byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
         in.number(FORMAT, FORMAT);
-        long term = count(in);
-        long epoch = count(in);
-        long version = count(in);
-        List<LimitSpec> specs = in.list(LimitCommandCodec.MAX_LIMITS, LimitCommandCodec::spec);
+        long term = readCount(in);
+        long epoch = readCount(in);
+        long version = readCount(in);
+        List<LimitSpec> specs = in.list(LimitCommandCodec.MAX_LIMITS, LimitCommandCodec::readSpec);
         List<GatewayRow> members = in.list(QuotaTable.MAX_MEMBERS, TableCodec::readGateway);
         List<LimitRow> rows = in.list(QuotaTable.MAX_LIMITS, TableCodec::readLimit);
         in.end();
@@ -84,14 +84,21 @@
     }
 
     private static GatewayRow readGateway(CborIn in) throws FaultyMessageException {
-        return new GatewayRow(name(in), name(in), incarnation(in), incarnation(in), count(in), in.flag(), count(in));
+        return new GatewayRow(
+                readName(in),
+                readName(in),
+                readIncarnation(in),
+                readIncarnation(in),
+                readCount(in),
+                in.flag(),
+                readCount(in));
     }
 
     private record NamedSlot(SlotName name, SlotAllocation slot) {}
 
     private static LimitRow readLimit(CborIn in) throws FaultyMessageException {
-        LimitSpec spec = LimitCommandCodec.spec(in);
-        LimitRow row = new LimitRow(spec, name(in));
+        LimitSpec spec = LimitCommandCodec.readSpec(in);
+        LimitRow row = new LimitRow(spec, readName(in));
         row.dropped = in.flag();
         for (NamedSlot named : in.list(QuotaTable.MAX_SLOTS, TableCodec::readSlot)) {
             row.put(named.name, named.slot);
@@ -100,6 +107,8 @@
     }
 
     private static NamedSlot readSlot(CborIn in) throws FaultyMessageException {
-        return new NamedSlot(new SlotName(name(in), name(in)), new SlotAllocation(count(in), count(in), count(in)));
+        return new NamedSlot(
+                new SlotName(readName(in), readName(in)),
+                new SlotAllocation(readCount(in), readCount(in), readCount(in)));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/wire/LimitCodec.java
@@ -1,10 +1,10 @@
 package sandpaddle.fleet.limit.wire;
 
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.amount;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.count;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.id;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.incarnation;
-import static sandpaddle.fleet.limit.table.LimitCommandCodec.name;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readAmount;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readCount;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readId;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readIncarnation;
+import static sandpaddle.fleet.limit.table.LimitCommandCodec.readName;
 
 import sandpaddle.fleet.limit.table.LimitCommandCodec;
 import sandpaddle.fleet.limit.table.QuotaTable;
@@ -39,28 +39,35 @@
     }
 
     private static void writeInstanceRequest(CborOut out, InstanceRequest request) {
-        LimitCommandCodec.scope(out.text(request.limit()), request.names());
+        LimitCommandCodec.writeScope(out.text(request.limit()), request.names());
     }
 
     /** Reads a heartbeat. */
     public static Heartbeat readHeartbeat(CborIn in) throws FaultyMessageException {
         return new Heartbeat(
-                incarnation(in),
-                count(in),
-                count(in),
+                readIncarnation(in),
+                readCount(in),
+                readCount(in),
                 in.flag(),
                 in.number(0, Heartbeat.MAX_VALIDITY_US),
-                count(in),
+                readCount(in),
                 in.list(Heartbeat.MAX_REPORTS, LimitCodec::readReport),
                 in.list(Heartbeat.MAX_INSTANCE_REQUESTS, LimitCodec::readInstanceRequest));
     }
 
     private static SlotReport readReport(CborIn in) throws FaultyMessageException {
-        return new SlotReport(id(in), name(in), count(in), amount(in), amount(in), amount(in), amount(in));
+        return new SlotReport(
+                readId(in),
+                readName(in),
+                readCount(in),
+                readAmount(in),
+                readAmount(in),
+                readAmount(in),
+                readAmount(in));
     }
 
     private static InstanceRequest readInstanceRequest(CborIn in) throws FaultyMessageException {
-        return new InstanceRequest(name(in), LimitCommandCodec.scope(in));
+        return new InstanceRequest(readName(in), LimitCommandCodec.readScope(in));
     }
 
     /** Appends a grant to a message. */
@@ -71,7 +78,7 @@
                 .number(grant.confirmedSequence())
                 .number(grant.epoch())
                 .flag(grant.includesLimits());
-        out.list(grant.limits(), LimitCommandCodec::spec);
+        out.list(grant.limits(), LimitCommandCodec::writeSpec);
         out.list(grant.slotGrants(), LimitCodec::writeSlotGrant);
     }
 
@@ -88,17 +95,24 @@
     /** Reads a grant. */
     public static QuotaGrant readGrant(CborIn in) throws FaultyMessageException {
         return new QuotaGrant(
-                name(in),
-                incarnation(in),
-                count(in),
-                count(in),
-                count(in),
+                readName(in),
+                readIncarnation(in),
+                readCount(in),
+                readCount(in),
+                readCount(in),
                 in.flag(),
-                in.list(QuotaTable.MAX_LIMITS, LimitCommandCodec::spec),
+                in.list(QuotaTable.MAX_LIMITS, LimitCommandCodec::readSpec),
                 in.list(QuotaGrant.MAX_SLOTS, LimitCodec::readSlotGrant));
     }
 
     private static SlotGrant readSlotGrant(CborIn in) throws FaultyMessageException {
-        return new SlotGrant(id(in), name(in), count(in), amount(in), amount(in), amount(in), amount(in));
+        return new SlotGrant(
+                readId(in),
+                readName(in),
+                readCount(in),
+                readAmount(in),
+                readAmount(in),
+                readAmount(in),
+                readAmount(in));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/FleetConfig.java
@@ -44,7 +44,7 @@
                                 .text(member.zone())
                                 .text(member.host())
                                 .number(member.port()))
-                .list(limits, LimitCommandCodec::spec)
+                .list(limits, LimitCommandCodec::writeSpec)
                 .text(poolPolicy)
                 .text(schedule)
                 .done();
@@ -64,7 +64,7 @@
         FleetConfig agreed = new FleetConfig(
                 in.number(1, Long.MAX_VALUE),
                 in.list(MAX_MEMBERS, FleetConfig::member),
-                in.list(LimitCommandCodec.MAX_LIMITS, LimitCommandCodec::spec),
+                in.list(LimitCommandCodec.MAX_LIMITS, LimitCommandCodec::readSpec),
                 in.text(MAX_TEXT_BYTES),
                 in.text(MAX_TEXT_BYTES));
         in.end();
--- a/gateway/src/test/java/sandpaddle/fleet/limit/allocator/FairSharesProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/allocator/FairSharesProperties.java
@@ -17,28 +17,32 @@
 class FairSharesProperties {
     @Property(seed = "31", tries = 500)
     void sharesAreFairEfficientAndWithinTheAmount(@ForAll long seed) {
-        Random r = new Random(seed);
-        int n = 1 + r.nextInt(30);
-        long amount = n + r.nextInt(200);
+        Random random = new Random(seed);
+        int slotCount = 1 + random.nextInt(30);
+        long amount = slotCount + random.nextInt(200);
         List<String> names = new ArrayList<>();
         List<SlotDemand> slotDemands = new ArrayList<>();
-        double demands = 0;
-        for (int i = 0; i < n; i++) {
+        double demandSum = 0;
+        for (int i = 0; i < slotCount; i++) {
             names.add("g" + i);
-            slotDemands.add(new SlotDemand(new SlotName("g" + i, ""), r.nextInt(3) == 0 ? 0 : r.nextInt(60)));
-            demands += slotDemands.get(i).demand();
+            slotDemands.add(new SlotDemand(new SlotName("g" + i, ""), random.nextInt(3) == 0 ? 0 : random.nextInt(60)));
+            demandSum += slotDemands.get(i).demand();
         }
         long[] floors = Floors.of("l", amount, names, 0.05);
         double[] shares = FairShares.of(0, amount, floors, slotDemands);
         double sum = Arrays.stream(shares).sum();
         assertTrue(sum <= amount + 1e-6, sum + " of " + amount);
-        assertTrue(sum >= Math.min(amount, demands) - 1e-6, "nothing lies idle while it is wanted");
+        assertTrue(sum >= Math.min(amount, demandSum) - 1e-6, "the whole demand or the whole amount is allocated");
         double level = 0;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < slotCount; i++) {
             double demand = slotDemands.get(i).demand();
-            assertTrue(shares[i] >= floors[i] && (demand == 0 || shares[i] >= 1), "floor, and one for who asks");
-            if (shares[i] > floors[i] + 1e-6 && shares[i] > 1 + 1e-6 && demand > 0 && demands > amount) {
-                assertTrue(level == 0 || Math.abs(level - shares[i] / demand) < 1e-6, "one level for all above it");
+            assertTrue(
+                    shares[i] >= floors[i] && (demand == 0 || shares[i] >= 1),
+                    "at least the floor, and one unit if there is demand");
+            if (shares[i] > floors[i] + 1e-6 && shares[i] > 1 + 1e-6 && demand > 0 && demandSum > amount) {
+                assertTrue(
+                        level == 0 || Math.abs(level - shares[i] / demand) < 1e-6,
+                        "slots above their minimum have one common level");
                 level = shares[i] / demand;
             }
         }
@@ -46,32 +50,33 @@
 
     @Property(seed = "32", tries = 100)
     void slotsTakeTurnsIfThereAreTooFewUnits(@ForAll long seed) {
-        Random r = new Random(seed);
-        int n = 5 + r.nextInt(40);
-        int amount = 1 + r.nextInt(4);
+        Random random = new Random(seed);
+        int slotCount = 5 + random.nextInt(40);
+        int amount = 1 + random.nextInt(4);
         List<SlotDemand> slotDemands = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < slotCount; i++) {
             slotDemands.add(new SlotDemand(new SlotName("g" + i, ""), 3));
         }
-        boolean[] had = new boolean[n];
-        long at = r.nextLong(1L << 40);
-        for (int turn = 0; turn < n; turn++) {
-            double[] shares = FairShares.of(at + turn * FairShares.TURN_US, amount, new long[n], slotDemands);
-            for (int i = 0; i < n; i++) {
-                had[i] |= shares[i] >= 1;
+        boolean[] hadTurn = new boolean[slotCount];
+        long startUs = random.nextLong(1L << 40);
+        for (int turn = 0; turn < slotCount; turn++) {
+            double[] shares =
+                    FairShares.of(startUs + turn * FairShares.TURN_US, amount, new long[slotCount], slotDemands);
+            for (int i = 0; i < slotCount; i++) {
+                hadTurn[i] |= shares[i] >= 1;
             }
         }
-        for (int i = 0; i < n; i++) {
-            assertTrue(had[i], "g" + i + " of " + n + " for " + amount);
+        for (int i = 0; i < slotCount; i++) {
+            assertTrue(hadTurn[i], "g" + i + " of " + slotCount + " slots never had a turn; amount " + amount);
         }
     }
 
     @Property(seed = "33", tries = 100)
-    void everyGatewayHasAFloorOnSomeEngine(@ForAll long seed) {
-        Random r = new Random(seed);
-        int members = 2 + r.nextInt(60);
-        int engines = 1 + r.nextInt(40);
-        long amount = 2L * ((members + engines - 1) / engines) + r.nextInt(5);
+    void everyGatewayHasFloorOnSomeEngine(@ForAll long seed) {
+        Random random = new Random(seed);
+        int members = 2 + random.nextInt(60);
+        int engines = 1 + random.nextInt(40);
+        long amount = 2L * ((members + engines - 1) / engines) + random.nextInt(5);
         List<String> names = new ArrayList<>();
         List<String> limits = new ArrayList<>();
         for (int i = 0; i < Math.max(members, engines); i++) {
@@ -83,11 +88,15 @@
             }
         }
         long places = Floors.places(amount, members, engines, 0.05);
-        Map<String, Set<String>> on = Floors.onEngines(limits, places, names);
+        Map<String, Set<String>> membersByLimit = Floors.onEngines(limits, places, names);
         for (String name : names) {
-            assertTrue(on.values().stream().anyMatch(s -> s.contains(name)), name + " has none");
+            assertTrue(
+                    membersByLimit.values().stream().anyMatch(placed -> placed.contains(name)),
+                    name + " has no floor on any engine");
         }
-        on.values().forEach(s -> assertTrue(s.size() <= amount / 2, s.size() + " of " + amount));
+        membersByLimit
+                .values()
+                .forEach(placed -> assertTrue(placed.size() <= amount / 2, placed.size() + " of " + amount));
     }
 
     @Example
@@ -96,7 +105,7 @@
         assertEquals(
                 1,
                 Arrays.stream(Floors.of("l", 2, List.of("a", "b", "c"), 0.05)).sum(),
-                "half of two");
+                "half of the amount");
         assertEquals(50, Floors.even(10_000, 10, 0.05));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/table/QuotaTableTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/table/QuotaTableTest.java
@@ -23,12 +23,12 @@
                 epoch, List.of(new LimitSpec("l", LimitScope.WHOLE_FLEET, LimitUnit.RUNNING, amount, 0)));
     }
 
-    private LimitCommandOutcome move(long lead, SlotName slot, long version, long held, long floor) {
+    private LimitCommandOutcome move(long term, SlotName slot, long version, long amount, long floor) {
         return table.apply(
-                new LimitCommand.ChangeSlots(lead, List.of(new SlotChange("l", slot, version, held, floor))));
+                new LimitCommand.ChangeSlots(term, List.of(new SlotChange("l", slot, version, amount, floor))));
     }
 
-    private void ready() {
+    private void addLimitAndGateways() {
         assertTrue(table.apply(limits(1, 10)).isAccepted());
         table.apply(new LimitCommand.Join("a", "h"));
         table.apply(new LimitCommand.Join("b", "h"));
@@ -38,38 +38,38 @@
 
     @Test
     void raiseBeyondTheAmountIsRefusedFromAnyLeader() {
-        ready();
+        addLimitAndGateways();
         assertFalse(move(1, B, 0, 5, 1).isAccepted());
         assertTrue(move(1, B, 0, 4, 1).isAccepted());
         assertEquals(10, table.limits().get("l").allocated());
     }
 
     @Test
-    void changeOfAnOlderVersionOrAFormerLeaderIsRefused() {
-        ready();
+    void changeOfOlderVersionOrFormerLeaderIsRefused() {
+        addLimitAndGateways();
         long version = table.limits().get("l").slot(A).version();
         assertTrue(move(1, A, version, 5, 2).isAccepted());
-        assertFalse(move(1, A, version, 1, 0).isAccepted(), "version was used");
+        assertFalse(move(1, A, version, 1, 0).isAccepted(), "the version was already used");
         assertTrue(table.apply(new LimitCommand.BeginTerm(2)).isAccepted());
-        assertFalse(move(1, B, 0, 1, 0).isAccepted(), "a leader that another one followed");
+        assertFalse(move(1, B, 0, 1, 0).isAccepted(), "a leader of a former term");
         assertFalse(table.apply(new LimitCommand.Reclaim(1, "a", 1)).isAccepted());
         assertFalse(table.apply(new LimitCommand.BeginTerm(2)).isAccepted());
     }
 
     @Test
     void reclaimLeavesTheFloorAndEndsTheSession() {
-        ready();
+        addLimitAndGateways();
         assertTrue(table.apply(new LimitCommand.Reclaim(1, "a", 1)).isAccepted());
         assertEquals(2, table.limits().get("l").slot(A).amount());
-        assertFalse(table.apply(new LimitCommand.Reclaim(1, "a", 1)).isAccepted(), "that session is over");
+        assertFalse(table.apply(new LimitCommand.Reclaim(1, "a", 1)).isAccepted(), "the session has ended");
         table.apply(new LimitCommand.Leave("a"));
         assertTrue(table.apply(new LimitCommand.Reclaim(1, "a", 2)).isAccepted());
-        assertEquals(0, table.limits().get("l").allocated(), "gone for good");
+        assertEquals(0, table.limits().get("l").allocated(), "the gateway left, so its floor is removed too");
     }
 
     @Test
     void lostGatewayIsReclaimedAfterItsOwnValidity() {
-        ready();
+        addLimitAndGateways();
         assertTrue(table.apply(new LimitCommand.BeginSession(1, "a", 1, 77, 60_000_000))
                 .isAccepted());
         assertEquals(60_000_000, table.members().get("a").validityUs());
@@ -79,19 +79,19 @@
     }
 
     @Test
-    void amountBelowTheFloorsIsRefusedWithTheSmallestThatPasses() {
-        ready();
+    void amountBelowTheFloorsIsRefusedWithSmallestAcceptedAmount() {
+        addLimitAndGateways();
         LimitCommandOutcome low = table.apply(limits(2, 1));
         assertFalse(low.isAccepted());
         assertEquals(2, low.minAmount());
         assertTrue(table.apply(limits(2, 2)).isAccepted());
-        assertFalse(move(1, B, 0, 1, 0).isAccepted(), "six are held of two");
-        assertFalse(table.apply(limits(2, 9)).isAccepted(), "an epoch that is not newer");
+        assertFalse(move(1, B, 0, 1, 0).isAccepted(), "6 are allocated, above the amount of 2");
+        assertFalse(table.apply(limits(2, 9)).isAccepted(), "the epoch is not newer");
     }
 
     @Test
-    void droppedLimitStaysUntilAllItsQuotasReturned() {
-        ready();
+    void droppedLimitStaysUntilItsQuotasAreReturned() {
+        addLimitAndGateways();
         assertTrue(table.apply(new LimitCommand.SetLimits(2, List.of())).isAccepted());
         assertTrue(table.limits().get("l").dropped());
         assertTrue(move(1, A, table.limits().get("l").slot(A).version(), 0, 0).isAccepted());
@@ -112,13 +112,13 @@
 
     @Test
     void snapshotRestoresTheStateAndFaultyCommandsAreRefused() throws FaultyMessageException {
-        ready();
+        addLimitAndGateways();
         QuotaTable other = new QuotaTable(LimitSettings.DEFAULTS);
         other.install(table.snapshot());
         assertArrayEquals(table.snapshot(), other.snapshot());
-        byte[] move =
+        byte[] command =
                 LimitCommandCodec.write(new LimitCommand.ChangeSlots(1, List.of(new SlotChange("l", B, 0, 4, 1))));
-        assertArrayEquals(table.apply(9, move), other.apply(9, move));
+        assertArrayEquals(table.apply(9, command), other.apply(9, command));
         assertArrayEquals(table.snapshot(), other.snapshot());
         LimitCommandOutcome fault = LimitCommandCodec.readOutcome(table.apply(10, new byte[] {1, 2, 3}));
         assertTrue(!fault.isAccepted() && fault.reason().contains("command 10"), fault.reason());
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/LimitCodecProperties.java
@@ -23,38 +23,52 @@
 import sandpaddle.fleet.wire.CborOut;
 
 class LimitCodecProperties {
-    static Heartbeat heartbeat(Random r) {
-        List<SlotReport> told = new ArrayList<>();
-        for (int i = r.nextInt(20); i > 0; i--) {
-            told.add(new SlotReport(
+    static Heartbeat heartbeat(Random random) {
+        List<SlotReport> reports = new ArrayList<>();
+        for (int i = random.nextInt(20); i > 0; i--) {
+            reports.add(new SlotReport(
                     "l" + i,
                     i % 2 == 0 ? "" : "tenant ä",
-                    r.nextLong(1L << 60),
-                    r.nextInt(9),
-                    r.nextInt(9),
-                    r.nextInt(9),
-                    r.nextInt(9)));
+                    random.nextLong(1L << 60),
+                    random.nextInt(9),
+                    random.nextInt(9),
+                    random.nextInt(9),
+                    random.nextInt(9)));
         }
         return new Heartbeat(
-                r.nextLong(),
-                r.nextInt(99),
-                r.nextInt(9),
-                r.nextBoolean(),
-                r.nextInt(99),
-                r.nextInt(9),
-                told,
+                random.nextLong(),
+                random.nextInt(99),
+                random.nextInt(9),
+                random.nextBoolean(),
+                random.nextInt(99),
+                random.nextInt(9),
+                reports,
                 List.of(new InstanceRequest("l", new LimitScope(null, "", "t", null))));
     }
 
-    static QuotaGrant grant(Random r) {
-        List<SlotGrant> given = new ArrayList<>();
-        for (int i = r.nextInt(20); i > 0; i--) {
-            given.add(
-                    new SlotGrant("l" + i, "", r.nextInt(99), r.nextInt(99), r.nextInt(9), r.nextInt(9), r.nextInt(9)));
+    static QuotaGrant grant(Random random) {
+        List<SlotGrant> slotGrants = new ArrayList<>();
+        for (int i = random.nextInt(20); i > 0; i--) {
+            slotGrants.add(new SlotGrant(
+                    "l" + i,
+                    "",
+                    random.nextInt(99),
+                    random.nextInt(99),
+                    random.nextInt(9),
+                    random.nextInt(9),
+                    random.nextInt(9)));
         }
-        LimitSpec spec =
-                new LimitSpec("l", new LimitScope("*", null, "x", null), LimitUnit.RATE, r.nextInt(99), r.nextInt(9));
-        return new QuotaGrant("g", r.nextLong(), r.nextInt(9), r.nextInt(9), r.nextInt(9), true, List.of(spec), given);
+        LimitSpec spec = new LimitSpec(
+                "l", new LimitScope("*", null, "x", null), LimitUnit.RATE, random.nextInt(99), random.nextInt(9));
+        return new QuotaGrant(
+                "g",
+                random.nextLong(),
+                random.nextInt(9),
+                random.nextInt(9),
+                random.nextInt(9),
+                true,
+                List.of(spec),
+                slotGrants);
     }
 
     static byte[] bytes(Heartbeat heartbeat) {
@@ -65,25 +79,26 @@
 
     @Property(seed = "21", tries = 200)
     void messagesSurviveARoundTrip(@ForAll long seed) throws FaultyMessageException {
-        Random r = new Random(seed);
-        Heartbeat heartbeat = heartbeat(r);
+        Random random = new Random(seed);
+        Heartbeat heartbeat = heartbeat(random);
         assertEquals(heartbeat, LimitCodec.readHeartbeat(new CborIn(bytes(heartbeat))));
-        QuotaGrant grant = grant(r);
+        QuotaGrant grant = grant(random);
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         assertEquals(grant, LimitCodec.readGrant(new CborIn(out.done())));
-        FloorFile file = new FloorFile("boot", r.nextLong(), 5, List.of(new SavedFloor("l", "t", r.nextInt(99))));
+        FloorFile file =
+                new FloorFile("boot", random.nextLong(), 5, List.of(new SavedFloor("l", "t", random.nextInt(99))));
         assertEquals(file, FloorFile.read(file.write()));
-        LimitCommand command = new LimitCommand.SetLimits(r.nextInt(99), grant.limits());
+        LimitCommand command = new LimitCommand.SetLimits(random.nextInt(99), grant.limits());
         assertEquals(command, LimitCommandCodec.read(LimitCommandCodec.write(command)));
     }
 
     @Property(seed = "22", tries = 300)
-    void brokenBytesAreAFaultOrAnotherMessage(@ForAll long seed, @ForAll @IntRange(max = 400) int at) {
-        byte[] whole = bytes(heartbeat(new Random(seed)));
-        byte[] broken = whole.clone();
-        broken[at % broken.length] ^= (byte) (1 + seed % 127);
-        for (byte[] message : List.of(broken, Arrays.copyOf(whole, at % whole.length))) {
+    void corruptBytesAreRejectedOrDecodeToAnotherMessage(@ForAll long seed, @ForAll @IntRange(max = 400) int position) {
+        byte[] valid = bytes(heartbeat(new Random(seed)));
+        byte[] corrupt = valid.clone();
+        corrupt[position % corrupt.length] ^= (byte) (1 + seed % 127);
+        for (byte[] message : List.of(corrupt, Arrays.copyOf(valid, position % valid.length))) {
             try {
                 assertTrue(
                         LimitCodec.readHeartbeat(new CborIn(message)).reports().size() <= Heartbeat.MAX_REPORTS);
@@ -91,6 +106,7 @@
                 assertTrue(e.getMessage().contains("value") || e.getMessage().contains("CBOR"), e.getMessage());
             }
         }
-        assertThrows(FaultyMessageException.class, () -> LimitCommandCodec.read(new byte[] {(byte) (at % 200 + 24)}));
+        assertThrows(
+                FaultyMessageException.class, () -> LimitCommandCodec.read(new byte[] {(byte) (position % 200 + 24)}));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/wire/RecordedLimitBytesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/wire/RecordedLimitBytesTest.java
@@ -22,14 +22,14 @@
 import sandpaddle.fleet.wire.CborOut;
 import sandpaddle.recorded.RecordedFile;
 
-/** Messages, commands, snapshots and files of limits have the bytes that an earlier version wrote. */
+/** Compares the encoding of messages, commands, snapshots and floor files with bytes that an earlier version wrote. */
 class RecordedLimitBytesTest {
     private static final RecordedFile MESSAGES = new RecordedFile("limit-messages.txt");
     private static final RecordedFile COMMANDS = new RecordedFile("limit-commands.txt");
     private static final RecordedFile OUTCOMES = new RecordedFile("limit-outcomes.txt");
     private static final RecordedFile SNAPSHOT = new RecordedFile("limit-snapshot.txt");
     private static final RecordedFile FLOORS = new RecordedFile("limit-floors.txt");
-    private static final int DRAWN = 10;
+    private static final int RANDOM_MESSAGES = 10;
 
     private static byte[] bytes(QuotaGrant grant) {
         CborOut out = new CborOut();
@@ -40,7 +40,7 @@
     @Test
     void messagesAreWrittenAndReadAsRecorded() throws Exception {
         Map<String, byte[]> messages = new LinkedHashMap<>();
-        for (int seed = 0; seed < DRAWN; seed++) {
+        for (int seed = 0; seed < RANDOM_MESSAGES; seed++) {
             messages.put(
                     "heartbeat " + seed, LimitCodecProperties.bytes(LimitCodecProperties.heartbeat(new Random(seed))));
             messages.put("grant " + seed, bytes(LimitCodecProperties.grant(new Random(seed))));
@@ -85,7 +85,7 @@
     @Test
     void commandsAreWrittenAndReadAsRecorded() throws Exception {
         Map<String, byte[]> commands = new LinkedHashMap<>();
-        commands().forEach(c -> commands.put("command " + commands.size(), LimitCommandCodec.write(c)));
+        commands().forEach(command -> commands.put("command " + commands.size(), LimitCommandCodec.write(command)));
         COMMANDS.checkBytes(commands);
         for (byte[] recorded : COMMANDS.bytes().values()) {
             assertArrayEquals(recorded, LimitCommandCodec.write(LimitCommandCodec.read(recorded)));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void outcomesAndTheSnapshotAreWrittenAndReadAsRecorded() throws Exception {
+    void outcomesAndSnapshotAreWrittenAndReadAsRecorded() throws Exception {
         QuotaTable table = new QuotaTable(LimitSettings.DEFAULTS);
         Map<String, byte[]> outcomes = new LinkedHashMap<>();
         for (byte[] command : COMMANDS.bytes().values()) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void theFloorFileIsWrittenAndReadAsRecorded() throws Exception {
+    void floorFileIsWrittenAndReadAsRecorded() throws Exception {
         FloorFile file = new FloorFile(
                 "boot-1", 123_456, 30_000_000, List.of(new SavedFloor("all", "", 4), new SavedFloor("each|t", "t", 1)));
         FLOORS.checkBytes(Map.of("floors", file.write()));
