--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/Event.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/Event.java
@@ -1,42 +1,48 @@
 package sandpaddle.fleet.limit.search;
 
-/** What may happen in one step of time, at one gateway (or to the voters), beside what always does. */
-record Event(What what, int gateway, int which) {
-    /** The kinds. */
-    enum What {
-        /** Nothing but time. */
+/**
+ * An event in one step of time, besides the actions of every step.
+ *
+ * @param kind what happens
+ * @param gateway index of the gateway that it happens to; 0 if it happens to the voters
+ * @param index index of the message that is replayed; else 0
+ */
+record Event(Kind kind, int gateway, int index) {
+    /** The kinds of events. */
+    enum Kind {
+        /** Nothing. */
         NONE,
-        /** Its heartbeats are lost from now on. */
-        MUTE,
-        /** What it is sent is lost from now on. */
-        DEAF,
-        /** Both. */
-        CUT,
-        /** It reaches only the one that led before. */
-        FORMER,
-        /** What it is sent comes two steps late from now on, in any order with what else comes. */
-        LATE,
-        /** Its links are well again. */
-        WELL,
-        /** Its process dies. */
+        /** From now on the gateway's heartbeats are lost. */
+        HEARTBEATS_LOST,
+        /** From now on grants to the gateway are lost. */
+        GRANTS_LOST,
+        /** From now on heartbeats and grants are lost. */
+        PARTITIONED,
+        /** From now on the gateway is connected to the former leader only. */
+        ONLY_FORMER_LEADER,
+        /** From now on grants to the gateway arrive two steps late, so they may be reordered. */
+        GRANTS_DELAYED,
+        /** The gateway's links work again. */
+        LINKS_HEALED,
+        /** The gateway's process crashes. */
         CRASH,
-        /** A process starts, with its floors from the disk. */
+        /** A process of the gateway starts, with the floors from its disk. */
         START,
-        /** Its process dies and another starts at once. */
+        /** The gateway's process crashes, and another starts at once. */
         RESTART,
-        /** Its process stops. */
-        STOP,
-        /** It goes on. */
-        GO,
-        /** Demand moves to it. */
-        HUNGRY,
-        /** An old message to it comes, again or at last. */
-        GRANT_AGAIN,
-        /** An old heartbeat of it comes to the leader, again or at last. */
-        BEAT_AGAIN,
-        /** Another voter leads; the former does not know. */
-        ELECT,
-        /** What leaders propose from now on is agreed on three steps late. */
-        LATE_LOG
+        /** The gateway's process is paused. */
+        PAUSE,
+        /** The gateway's process resumes. */
+        RESUME,
+        /** All demand moves to the gateway. */
+        DEMAND_MOVED,
+        /** An old grant arrives at the gateway: a duplicate, or one that was lost or delayed. */
+        GRANT_REPLAYED,
+        /** An old heartbeat of the gateway arrives at the leader: a duplicate, or one that was lost. */
+        HEARTBEAT_REPLAYED,
+        /** Another voter is elected leader; the former leader does not learn of it. */
+        LEADER_ELECTED,
+        /** From now on proposals are committed three steps late. */
+        COMMITS_DELAYED
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/SimulatedGateway.java
@@ -9,95 +9,98 @@
 import sandpaddle.fleet.limit.wire.Heartbeat;
 import sandpaddle.fleet.limit.wire.QuotaGrant;
 
-/** One gateway of the searched world: its clock, process, links and what it runs. It always uses all that it may. */
+/** A gateway of the model: its clock, process, links and attempts. It always uses its whole quota. */
 final class SimulatedGateway implements UsageSource {
+    /** Max number of grants and of heartbeats that may be replayed. */
+    static final int MAX_REPLAYS = 3;
+
     final String name;
     private final LimitSettings settings;
-    private final long rate; // of its clock, units a step
-    final Engine engine = new Engine();
-    final List<QuotaGrant> grants = new ArrayList<>(); // sent to it last, to come again
-    final List<QuotaGrant> late = new ArrayList<>();
-    final List<Long> lateAt = new ArrayList<>();
-    final List<Heartbeat> beats = new ArrayList<>();
-    private final List<Long> lingering = new ArrayList<>(); // given up: when each is certainly gone, by its clock
-    private List<SavedFloor> disk = List.of();
+    private final long clockRate; // units that its clock advances per step
+    final SimulatedEngine engine = new SimulatedEngine();
+    final List<QuotaGrant> sentGrants = new ArrayList<>(); // the last ones sent to it, for replays
+    final List<QuotaGrant> delayedGrants = new ArrayList<>();
+    final List<Long> delayedUntil = new ArrayList<>(); // step in which each of the delayed grants arrives
+    final List<Heartbeat> sentHeartbeats = new ArrayList<>(); // the last ones, for replays
+    private final List<Long> abandoned = new ArrayList<>(); // when each has certainly ended, by its clock
+    private List<SavedFloor> savedFloors = List.of();
     QuotaHolder holder;
-    boolean stopped;
-    boolean hungry;
-    Event.What links = Event.What.WELL;
+    boolean paused;
+    boolean hasDemand;
+    Event.Kind links = Event.Kind.LINKS_HEALED;
     private long clock;
-    private long processes;
+    private long processCount;
 
-    SimulatedGateway(String name, LimitSettings settings, long rate) {
+    SimulatedGateway(String name, LimitSettings settings, long clockRate) {
         this.name = name;
         this.settings = settings;
-        this.rate = rate;
+        this.clockRate = clockRate;
     }
 
     void start() {
-        holder = new QuotaHolder(name, ++processes, clock, settings, this, disk);
-        stopped = false;
+        holder = new QuotaHolder(name, ++processCount, clock, settings, this, savedFloors);
+        paused = false;
     }
 
     void crash() {
         holder = null;
-        stopped = false;
-        engine.live = 0;
-        lingering.clear();
+        paused = false;
+        engine.polledCount = 0;
+        abandoned.clear();
     }
 
     @Override
     public long used(String limit, String tenant) {
-        return engine.live + lingering.size();
+        return engine.polledCount + abandoned.size();
     }
 
     @Override
     public long demand(String limit, String tenant) {
-        return hungry ? World.AMOUNT : 0;
+        return hasDemand ? FleetModel.AMOUNT : 0;
     }
 
     void tick() {
-        clock += rate;
+        clock += clockRate;
     }
 
-    boolean runs() {
-        return holder != null && !stopped;
+    boolean isRunning() {
+        return holder != null && !paused;
     }
 
     void receiveGrant(QuotaGrant grant) {
-        if (runs()) {
+        if (isRunning()) {
             holder.receiveGrant(clock, grant);
         }
     }
 
-    /** Ends what is over, starts all that it may, and asks for what runs. */
+    /** Ends attempts above the quota, starts as many as the quota allows, and polls those that run. */
     void work(long now) {
-        if (!runs()) {
+        if (!isRunning()) {
             return;
         }
-        lingering.removeIf(at -> at <= clock);
-        long max = holder.ceiling(clock, World.LIMIT, "");
-        while (engine.live > max) {
+        abandoned.removeIf(at -> at <= clock);
+        long max = holder.ceiling(clock, FleetModel.LIMIT, "");
+        while (engine.polledCount > max) {
             if (clock < holder.leaseExpiresAtUs()) {
                 engine.end();
             } else {
-                engine.leave(); // the engine finds that out
-                lingering.add(clock + settings.onAnyClockUs(settings.engineForgetUs()));
+                engine.abandon();
+                abandoned.add(clock + settings.onAnyClockUs(settings.engineForgetUs()));
             }
         }
-        while (used(World.LIMIT, "") < max) {
+        while (used(FleetModel.LIMIT, "") < max) {
             engine.start(now);
         }
-        engine.ask(now);
-        disk = holder.floors();
-        holder.onFloorsWritten(clock, disk);
+        engine.poll(now);
+        savedFloors = holder.floors();
+        holder.onFloorsWritten(clock, savedFloors);
     }
 
-    Heartbeat beat() {
+    Heartbeat nextHeartbeat() {
         Heartbeat heartbeat = holder.nextHeartbeat(clock);
-        beats.add(heartbeat);
-        if (beats.size() > 3) {
-            beats.remove(0);
+        sentHeartbeats.add(heartbeat);
+        if (sentHeartbeats.size() > MAX_REPLAYS) {
+            sentHeartbeats.remove(0);
         }
         return heartbeat;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/limit/search/VoterReplica.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/search/VoterReplica.java
@@ -5,12 +5,12 @@
 import sandpaddle.fleet.limit.allocator.TargetPolicy;
 import sandpaddle.fleet.limit.table.QuotaTable;
 
-/** A voter that may lead, with its copy of the table. Its clock is as fast as clocks may be. */
+/** A voter that may be the leader, with its copy of the table. Its clock has the maximum speed. */
 final class VoterReplica {
     final QuotaTable table;
     final QuotaAllocator allocator;
-    int applied;
-    long term; // that it believes to lead, 0 for none
+    int appliedCommands;
+    long term; // term that it believes to lead; 0 for none
 
     VoterReplica(LimitSettings settings) {
         table = new QuotaTable(settings);
