--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceDissemination.java
@@ -9,20 +9,21 @@
 import sandpaddle.fleet.verdict.VerdictSettings;
 
 /**
- * Disseminates the evidence through hubs. A voter forwards changes to all peers; any other gateway sends its own
- * evidence to the voters and to linked gateways of its zone. A record takes at most two links, over as many paths as
- * there are voters, and without any voter the gateways of a zone still exchange their evidence. Data loads, which
- * have no lease, are also sent back to voters that lost them.
+ * Disseminates the evidence with the voters as relays. A voter sends changes to all peers; any other gateway sends its
+ * own evidence to the voters and to linked gateways of its zone. A record crosses at most two links, over as many
+ * paths as there are voters, and without any voter the gateways of a zone still exchange their evidence. Data loads,
+ * which have no lease, are also sent back to voters that lost them.
  *
- * <p>Cost: each gateway receives each record once from each voter, except from where it came. Bound: one {@link
- * PeerCursor} for each linked member, at most {@code maxMembers}; batches of at most {@link #MAX_RECORDS}.
+ * <p>Cost: each voter sends each record once to each gateway, except back to the one that it received the record from.
+ * Bound: one {@link PeerCursor} for each linked member, at most {@code maxMembers}; batches of at most {@link
+ * #MAX_RECORDS} records.
  *
  * <p>Not thread-safe: owned by the fleet's thread.
  */
 public final class EvidenceDissemination {
     /** Maximum number of records in one batch. */
     public static final int MAX_RECORDS = 200;
-    /** A batch without records is sent this often in a lease, so that the transit time stays known. */
+    /** Minimum number of batches in a lease: batches without records keep the estimate of the transit time current. */
     private static final int ECHOES_PER_LEASE = 6;
 
     private final String self;
@@ -35,23 +36,28 @@
     private Map<String, String> zoneOf = Map.of();
 
     /**
-     * Creates the dissemination of a store; {@code drift}: maximum relative difference between two monotonic clocks.
+     * Creates the dissemination of a store.
+     *
+     * @param self name of this gateway
+     * @param settings settings of the verdicts
+     * @param drift maximum relative difference between the monotonic clocks of two gateways
+     * @param store evidence to send, and to merge received evidence into
      */
-    public EvidenceDissemination(String self, VerdictSettings settings, double drift, EvidenceStore evidence) {
+    public EvidenceDissemination(String self, VerdictSettings settings, double drift, EvidenceStore store) {
         this.self = self;
         this.settings = settings;
         this.drift = drift;
-        this.store = evidence;
+        this.store = store;
     }
 
-    /** Sets the voters, which forward evidence, and the zone of each member. */
+    /** Sets the voters, which relay evidence, and the zone of each member. */
     public void setRoles(Set<String> newVoters, Map<String, String> zoneOf) {
         voters = Collections.unmodifiableSet(new TreeSet<>(newVoters)); // sorted, so that iteration is deterministic
         this.zoneOf = Collections.unmodifiableMap(new TreeMap<>(zoneOf));
     }
 
     /**
-     * A link came up.
+     * Starts to exchange evidence on a new link.
      *
      * @param peer name of the peer; one that is not a member is ignored
      * @param incarnation a changed incarnation means that the peer has an empty store
@@ -59,12 +65,12 @@
      */
     public void linkUp(String peer, long incarnation, long openedUs) {
         if (!zoneOf.containsKey(peer)) {
-            return; // not a member: the number of cursors would be unbounded
+            return; // bounds the number of cursors
         }
-        PeerCursor cursor = cursors.computeIfAbsent(peer, p -> new PeerCursor(new TransitTime(drift, openedUs)));
+        PeerCursor cursor = cursors.computeIfAbsent(peer, key -> new PeerCursor(new TransitTime(drift, openedUs)));
         cursor.transitTime.linkUp(openedUs);
-        Long before = peerIncarnations.put(peer, incarnation);
-        boolean isSameIncarnation = before != null && before == incarnation;
+        Long previousIncarnation = peerIncarnations.put(peer, incarnation);
+        boolean isSameIncarnation = previousIncarnation != null && previousIncarnation == incarnation;
         cursor.linkUp(isSameIncarnation);
         if (!isSameIncarnation) {
             store.forgetSource(peer);
@@ -73,15 +79,15 @@
         peerIncarnations.keySet().retainAll(zoneOf.keySet());
     }
 
-    /** The batch to send to a peer now, if any. Poll it every {@code evidenceIntervalUs}. */
+    /** Returns the batch to send to a peer now, if any. Has to be called every {@code evidenceIntervalUs}. */
     public Optional<EvidenceBatch> nextBatch(long nowUs, String peer) {
         PeerCursor cursor = cursors.get(peer);
         if (cursor == null) {
             return Optional.empty();
         }
         EvidenceBatch batch = cursor.nextBatch(nowUs, store, entry -> isForPeer(entry, peer), MAX_RECORDS);
-        boolean echoDue = nowUs - cursor.lastSentUs >= settings.evidenceLeaseUs() / ECHOES_PER_LEASE;
-        if (batch.messages().isEmpty() && !echoDue) {
+        boolean isEchoDue = nowUs - cursor.lastSentUs >= settings.evidenceLeaseUs() / ECHOES_PER_LEASE;
+        if (batch.messages().isEmpty() && !isEchoDue) {
             if (cursor.isBehind(batch)) {
                 cursor.skip(batch);
             }
@@ -103,7 +109,10 @@
         return (isSameZone || voters.contains(peer)) && (isPermanent || reporter.equals(self));
     }
 
-    /** The batch was queued on the link. A batch that was not queued is built again by the next call. */
+    /**
+     * Records that a batch was queued on the link to a peer. The records of a batch that was not queued are in the next
+     * batch again.
+     */
     public void batchSent(String peer, EvidenceBatch batch) {
         PeerCursor cursor = cursors.get(peer);
         if (cursor != null) {
@@ -122,7 +131,7 @@
         cursor.batchReceived(batch);
         int changed = 0;
         for (EvidenceMessage message : batch.messages()) {
-            // Own records are authoritative here, except data loads of an earlier incarnation.
+            // This gateway has the latest version of its own records, except of data loads before its last start.
             boolean isOwn = message.reporter().equals(self)
                     && !message.subject().topic().isPermanent();
             if (!isOwn
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceMessage.java
@@ -1,8 +1,19 @@
 package sandpaddle.fleet.verdict.evidence;
 
 /**
- * A record in a message. It has ages in place of times, since the clocks of two gateways differ; ages are in
- * microseconds at the time of sending. The other components are those of {@link EvidenceRecord}.
+ * An {@link EvidenceRecord} in a message. It has ages in place of times, since the clocks of two gateways differ; the
+ * other components are those of the record.
+ *
+ * @param subject what the evidence is about
+ * @param reporter name of the gateway that observed it
+ * @param reporterIncarnation increases with each start of the reporter
+ * @param sequence increases with each record of an incarnation
+ * @param finding what the reporter observed
+ * @param engineStartUs start of the observed engine process (us, platform time), or 0
+ * @param strength number of outcomes that the finding is based on
+ * @param usage usage of a tenant, else 0
+ * @param sinceAgeUs time from the start of the finding to the sending of the message
+ * @param observedAgeUs time from the latest outcome to the sending of the message
  */
 public record EvidenceMessage(
         Subject subject,
@@ -16,7 +27,7 @@
         long sinceAgeUs,
         long observedAgeUs) {
 
-    /** Converts a record that is sent at {@code nowUs}. */
+    /** Converts a record to be sent at {@code nowUs}. */
     static EvidenceMessage of(EvidenceRecord record, long nowUs) {
         return new EvidenceMessage(
                 record.subject(),
@@ -39,9 +50,9 @@
      */
     EvidenceRecord toRecord(long nowUs, long transitUs, double drift) {
         long maxAgeUs = (long) (observedAgeUs * (1 + drift)) + transitUs;
-        long sinceUs = (long) (sinceAgeUs * (1 + drift)) + transitUs;
-        long minAgeUs =
-                (long) (observedAgeUs * (1 - drift)); // a stored answer may be older than the load: the safe side
+        long maxSinceAgeUs = (long) (sinceAgeUs * (1 + drift)) + transitUs;
+        // A data load is dated late rather than early, so that no stored answer from before it passes as current.
+        long minAgeUs = (long) (observedAgeUs * (1 - drift));
         long observedAtUs = nowUs - (subject.topic().isPermanent() ? minAgeUs : maxAgeUs);
         return new EvidenceRecord(
                 subject,
@@ -52,7 +63,7 @@
                 engineStartUs,
                 strength,
                 usage,
-                Math.min(observedAtUs, nowUs - sinceUs),
+                Math.min(observedAtUs, nowUs - maxSinceAgeUs),
                 observedAtUs);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceRecord.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceRecord.java
@@ -1,12 +1,13 @@
 package sandpaddle.fleet.verdict.evidence;
 
 /**
- * A statement of one gateway about one subject. A reporter has one record for each subject; a later one replaces it.
+ * A finding of one gateway on one subject; immutable. A reporter has one record for each subject, which a later one
+ * replaces.
  *
- * @param subject what the statement is about
+ * @param subject what the finding is about
  * @param reporter name of the gateway; its zone is taken from the roster, never from a message
  * @param reporterIncarnation increases with each start of the reporter
- * @param sequence increases with each record of an incarnation, so that reordering and duplicates do no harm
+ * @param sequence increases with each record of an incarnation, so that reordered and duplicate records are recognized
  * @param finding what the reporter observed
  * @param engineStartUs start of the observed engine process (us, platform time); 0 if it started long ago or the
  *     subject is no engine
@@ -28,19 +29,19 @@
         long sinceUs,
         long observedAtUs) {
 
-    /** Whether this record replaces another one of the same reporter and subject. */
+    /** Returns whether this record replaces another one of the same reporter and subject. */
     boolean isNewerThan(EvidenceRecord other) {
         return reporterIncarnation != other.reporterIncarnation
                 ? reporterIncarnation > other.reporterIncarnation
                 : sequence > other.sequence;
     }
 
-    /** Whether the other record is a copy of this one, possibly with less accurate times. */
+    /** Returns whether the other record is a copy of this one, possibly with less accurate times. */
     boolean isSameVersionAs(EvidenceRecord other) {
         return reporterIncarnation == other.reporterIncarnation && sequence == other.sequence;
     }
 
-    /** The same record with an earlier observation time. */
+    /** Returns the same record with an earlier observation time. */
     EvidenceRecord withObservedAt(long timeUs) {
         return new EvidenceRecord(
                 subject,
@@ -55,7 +56,7 @@
                 timeUs);
     }
 
-    /** Merges the times of a copy: the later lower bound, or for data loads the earlier upper bound. */
+    /** Returns the record with the tighter times of this and a copy: the later lower or the earlier upper bound. */
     EvidenceRecord mergeTimes(EvidenceRecord copy) {
         boolean isPermanent = subject.topic().isPermanent();
         long mergedSinceUs = isPermanent ? Math.min(sinceUs, copy.sinceUs) : Math.max(sinceUs, copy.sinceUs);
@@ -74,10 +75,10 @@
                 mergedObservedAtUs);
     }
 
-    /** The same statement about another subject. */
-    EvidenceRecord withSubject(Subject other) {
+    /** Returns the same finding on another subject. */
+    EvidenceRecord withSubject(Subject newSubject) {
         return new EvidenceRecord(
-                other,
+                newSubject,
                 reporter,
                 reporterIncarnation,
                 sequence,
@@ -89,7 +90,7 @@
                 observedAtUs);
     }
 
-    /** Whether its lease has expired; records without a lease never expire. */
+    /** Returns whether the lease has expired; records without a lease never expire. */
     public boolean isExpired(long nowUs, long leaseUs) {
         return !subject.topic().isPermanent() && nowUs - observedAtUs >= leaseUs;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceStore.java
@@ -21,16 +21,16 @@
  * them.
  *
  * <p>Messages carry ages, not times. Of two copies of one record, the one that proves the smaller age wins, since
- * each age is an upper bound. For data loads it is the other way round, since there the later time is the safe one.
+ * each age is an upper bound. For data loads the copy with the earlier time wins, since their times are upper bounds.
  *
  * <p>Bound: {@code maxMembers} reporters with {@code maxSubjectsPerReporter} leased subjects each, and as many data
- * groups. Past it the reporter's oldest records are dropped; a dropped data load counts as a load of every data
+ * groups. Above it the reporter's oldest records are dropped; a dropped data load counts as a load of every data
  * group.
  *
  * <p>Not thread-safe: owned by the fleet's thread.
  */
 public final class EvidenceStore {
-    /** Stands for all data groups: a load that was dropped over capacity may have been of any. */
+    /** Name that stands for all data groups: a load that was dropped over capacity may have been of any of them. */
     public static final String ANY_GROUP = "*";
 
     /** Result of {@link #put}. */
@@ -39,13 +39,13 @@
         ADDED,
         /** The store has this record or a newer one. */
         ALREADY_KNOWN,
-        /** The lease has expired. */
+        /** The lease of the record has expired. */
         EXPIRED,
         /** The reporter is not a member. */
         UNKNOWN_REPORTER,
-        /** The reporter was restarted since. */
+        /** The reporter was restarted since it made the record. */
         OUTDATED_INCARNATION,
-        /** Dropped because the reporter has too many subjects. */
+        /** The record was dropped because the reporter has too many subjects. */
         OVER_CAPACITY
     }
 
@@ -62,6 +62,7 @@
     private long lastExpiryCheckUs;
     private long droppedOverCapacity;
 
+    /** Creates an empty store that accepts evidence of no gateway until {@link #setMembers} is called. */
     public EvidenceStore(VerdictSettings settings) {
         this.settings = settings;
     }
@@ -80,8 +81,14 @@
         }
     }
 
-    /** Merges a record that was received from {@code from}: the reporter itself or a hub. */
-    public PutResult put(EvidenceRecord received, String from, long nowUs) {
+    /**
+     * Merges a record.
+     *
+     * @param received the record
+     * @param sender the gateway that sent it: the reporter itself or a voter that relays it
+     * @param nowUs current time; a later observation time of the record is lowered to it
+     */
+    public PutResult put(EvidenceRecord received, String sender, long nowUs) {
         if (!members.contains(received.reporter())) {
             return PutResult.UNKNOWN_REPORTER;
         }
@@ -97,7 +104,7 @@
             return PutResult.ALREADY_KNOWN;
         }
         ReporterEvidence reporterEvidence = recordsByReporter.computeIfAbsent(
-                record.reporter(), t -> new ReporterEvidence(settings.maxSubjectsPerReporter()));
+                record.reporter(), reporter -> new ReporterEvidence(settings.maxSubjectsPerReporter()));
         if (reporterEvidence.isOutdated(record)) {
             return PutResult.OUTDATED_INCARNATION;
         }
@@ -105,31 +112,31 @@
             remove(known);
         }
         reporterEvidence.ofEarlierIncarnations(record).forEach(this::remove);
-        Entry entry = new Entry(record, ++version, from);
+        Entry entry = new Entry(record, ++version, sender);
         add(entry);
         return enforceCapacity(entry) ? PutResult.ADDED : PutResult.OVER_CAPACITY;
     }
 
-    /** A copy may have more accurate times. They keep their version, since no peer needs to be notified. */
+    /** Adopts more accurate times of a copy. The version isStored, since no peer needs to receive the record again. */
     private void mergeCopy(Entry known, EvidenceRecord copy) {
-        EvidenceRecord better = known.evidence.mergeTimes(copy);
-        if (!better.equals(known.evidence)) {
+        EvidenceRecord merged = known.evidence.mergeTimes(copy);
+        if (!merged.equals(known.evidence)) {
             remove(known);
-            add(new Entry(better, known.version, known.receivedFrom));
+            add(new Entry(merged, known.version, known.receivedFrom));
         }
     }
 
-    /** Drops the reporter's oldest records over its bound; returns whether the added one is still stored. */
+    /** Drops the reporter's oldest records above its bound; returns whether the added one is still stored. */
     private boolean enforceCapacity(Entry added) {
         EvidenceRecord record = added.evidence;
-        boolean stays = true;
+        boolean isStored = true;
         Entry oldest = recordsByReporter
                 .get(record.reporter())
                 .oldestOverCapacity(record.subject().topic().isPermanent());
         while (oldest != null) {
             remove(oldest);
             droppedOverCapacity++;
-            stays &= oldest != added;
+            isStored &= oldest != added;
             if (oldest.evidence.subject().topic().isPermanent()) {
                 recordLoadOfAnyGroup(oldest.evidence);
             }
@@ -139,29 +146,29 @@
                     : reporterEvidence.oldestOverCapacity(
                             record.subject().topic().isPermanent());
         }
-        return stays;
+        return isStored;
     }
 
     /**
-     * The data loads of a reporter end in the order of its records, so the newest dropped one bounds all dropped
-     * ones.
+     * Records a dropped data load as a load of any group. The records of a reporter are in the order in which its loads
+     * completed, so the newest dropped one is an upper bound for all dropped ones.
      */
     private void recordLoadOfAnyGroup(EvidenceRecord dropped) {
         Entry before = find(new Subject(Topic.DATA_LOAD, ANY_GROUP), dropped.reporter());
-        EvidenceRecord any = dropped.withSubject(new Subject(Topic.DATA_LOAD, ANY_GROUP));
-        if (before == null || any.isNewerThan(before.evidence)) {
+        EvidenceRecord loadOfAnyGroup = dropped.withSubject(new Subject(Topic.DATA_LOAD, ANY_GROUP));
+        if (before == null || loadOfAnyGroup.isNewerThan(before.evidence)) {
             if (before != null) {
                 remove(before);
             }
-            add(new Entry(any, ++version, dropped.reporter()));
+            add(new Entry(loadOfAnyGroup, ++version, dropped.reporter()));
         }
     }
 
     private void add(Entry entry) {
         EvidenceRecord record = entry.evidence;
-        bySubject.computeIfAbsent(record.subject(), s -> new TreeMap<>()).put(record.reporter(), entry);
+        bySubject.computeIfAbsent(record.subject(), subject -> new TreeMap<>()).put(record.reporter(), entry);
         recordsByReporter
-                .computeIfAbsent(record.reporter(), t -> new ReporterEvidence(settings.maxSubjectsPerReporter()))
+                .computeIfAbsent(record.reporter(), reporter -> new ReporterEvidence(settings.maxSubjectsPerReporter()))
                 .add(entry);
         (record.finding().isUrgent() ? urgent : normal).put(entry.version, entry);
     }
@@ -182,23 +189,23 @@
         return reporters == null ? null : reporters.get(reporter);
     }
 
-    /** Removes expired records. Reading ignores them in any case, so the call only frees memory. */
+    /** Removes expired records. Readers never see them, so the call only frees memory. */
     public void removeExpired(long nowUs) {
         if (nowUs - lastExpiryCheckUs < settings.renewIntervalUs() / 3) {
-            return; // it reads all records, so at most a few times a second
+            return; // a check reads all records, so it runs at most a few times a second
         }
         lastExpiryCheckUs = nowUs;
-        List<Entry> over = new ArrayList<>();
+        List<Entry> expired = new ArrayList<>();
         recordsByReporter
                 .values()
                 .forEach(reporterEvidence -> reporterEvidence.all().stream()
                         .filter(entry -> entry.evidence.isExpired(nowUs, settings.evidenceLeaseUs()))
-                        .forEach(over::add));
-        over.forEach(this::remove);
+                        .forEach(expired::add));
+        expired.forEach(this::remove);
     }
 
-    /** Passes each record of a topic that has not expired, ordered by subject and reporter. */
-    public void forEach(Topic topic, long nowUs, Consumer<EvidenceRecord> to) {
+    /** Passes each unexpired record of a topic to a consumer, ordered by subject and reporter. */
+    public void forEach(Topic topic, long nowUs, Consumer<EvidenceRecord> consumer) {
         Subject first = new Subject(topic, "");
         for (var reporters : bySubject.tailMap(first, true).entrySet()) {
             if (reporters.getKey().topic() != topic) {
@@ -206,13 +213,13 @@
             }
             reporters.getValue().values().forEach(entry -> {
                 if (!entry.evidence.isExpired(nowUs, settings.evidenceLeaseUs())) {
-                    to.accept(entry.evidence);
+                    consumer.accept(entry.evidence);
                 }
             });
         }
     }
 
-    /** The records of all reporters on a subject that have not expired. */
+    /** Returns the unexpired records of all reporters on a subject. */
     public List<EvidenceRecord> findBySubject(Subject subject, long nowUs) {
         NavigableMap<String, Entry> reporters = bySubject.get(subject);
         if (reporters == null) {
@@ -224,9 +231,12 @@
                 .toList();
     }
 
-    /** An upper bound for the time of the last data load of a data group, or {@code otherwise} if none is known. */
-    public long lastLoadUs(String group, long otherwise) {
-        long latest = otherwise;
+    /**
+     * Returns an upper bound for the time of the last load of a data group, or {@code defaultUs} if no later one is
+     * known.
+     */
+    public long lastLoadUs(String group, long defaultUs) {
+        long latest = defaultUs;
         for (String name : List.of(group, ANY_GROUP)) {
             for (EvidenceRecord record : findBySubject(new Subject(Topic.DATA_LOAD, name), 0)) {
                 latest = Math.max(latest, record.observedAtUs());
@@ -235,19 +245,19 @@
         return latest;
     }
 
-    /** A peer was restarted with an empty store: records that it had sent have to be sent to it again. */
+    /** Marks the records that a peer sent as to be sent back to it, since it was restarted with an empty store. */
     void forgetSource(String peer) {
-        List<Entry> its = recordsByReporter.values().stream()
+        List<Entry> receivedFromPeer = recordsByReporter.values().stream()
                 .flatMap(reporterEvidence -> reporterEvidence.all().stream())
                 .filter(entry -> entry.receivedFrom.equals(peer))
                 .toList();
-        for (Entry entry : its) {
+        for (Entry entry : receivedFromPeer) {
             remove(entry);
             add(new Entry(entry.evidence, entry.version, ""));
         }
     }
 
-    /** The records by version: urgent ones, or the others. */
+    /** Returns the urgent records, or the others, by version. */
     NavigableMap<Long, Entry> changes(boolean isUrgent) {
         return Collections.unmodifiableNavigableMap(isUrgent ? urgent : normal);
     }
@@ -256,12 +266,12 @@
         return settings.evidenceLeaseUs();
     }
 
-    /** Number of records stored. */
+    /** Returns the number of records stored. */
     public int size() {
         return urgent.size() + normal.size();
     }
 
-    /** Records dropped since the start because their reporter had too many subjects. */
+    /** Returns the number of records dropped since the start because their reporter had too many subjects. */
     public long droppedOverCapacity() {
         return droppedOverCapacity;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Finding.java
@@ -1,8 +1,8 @@
 package sandpaddle.fleet.verdict.evidence;
 
-/** What a gateway observed. The position is the number on the wire: never reorder or remove a constant. */
+/** What a gateway observed. The ordinal is the number on the wire: never reorder or remove a constant. */
 public enum Finding {
-    /** The engine answers as expected: contradicts accusations. */
+    /** The engine answers as expected; counter-evidence to accusations. */
     HEALTHY,
     /** The engine fails queries. */
     FAILING,
@@ -14,17 +14,17 @@
     WARMING_UP,
     /** The engine accepts no new work. */
     DRAINING,
-    /** The engine list no longer contains what was reported before. */
+    /** The engine no longer drains according to the engine list. */
     WITHDRAWN,
     /** Usage of a tenant. */
     USAGE,
     /** A data load completed. */
     CHANGED,
-    /** The reporter has no doubt about itself. */
+    /** The reporter does not suspect a fault of its own. */
     SELF_HEALTHY,
     /** The reporter was stalled recently: its timers ran late. */
     STALLED,
-    /** Most engines look faulty to the reporter, so the fault may be its own. */
+    /** Most engines seem faulty to the reporter, so the fault may be its own. */
     MOST_ENGINES_FAILING,
     /** An engine outside the reporter's zone answers it. */
     OUTSIDE_REACHABLE,
@@ -33,12 +33,12 @@
     /** No engine answers the reporter. */
     NONE_REACHABLE;
 
-    /** Whether the finding accuses an engine. */
+    /** Returns whether the finding accuses an engine. */
     public boolean isEngineFault() {
         return this == FAILING || this == UNRESPONSIVE || this == SLOW;
     }
 
-    /** Whether it is sent first if a batch is full, because it protects queries now. */
+    /** Returns whether evidence of it precedes other evidence in a batch, because it protects running queries. */
     public boolean isUrgent() {
         return isEngineFault()
                 || this == DRAINING
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/PeerCursor.java
@@ -8,7 +8,7 @@
 
 /**
  * The position of one peer in this gateway's store: a version for urgent changes and one for the others. Sending
- * advances a position; a lost link resets it to the version that the peer acknowledged.
+ * advances a position; a new link resets it to the version that the peer acknowledged.
  */
 final class PeerCursor {
     private long urgentSent, normalSent;
@@ -21,7 +21,7 @@
         this.transitTime = transitTime;
     }
 
-    /** The link is new; a peer with another incarnation has an empty store. */
+    /** Resets the positions for a new link; a peer with another incarnation has an empty store. */
     void linkUp(boolean isSameIncarnation) {
         if (!isSameIncarnation) {
             urgentAcked = 0;
@@ -34,19 +34,19 @@
         lastSentUs = Long.MIN_VALUE / 2;
     }
 
-    /** The changes that the peer lacks, urgent ones first, at most {@code max} records. */
-    EvidenceBatch nextBatch(long nowUs, EvidenceStore evidence, Predicate<Entry> forPeer, int max) {
+    /** Builds a batch of the changes that the peer lacks, urgent ones first, at most {@code maxRecords} records. */
+    EvidenceBatch nextBatch(long nowUs, EvidenceStore store, Predicate<Entry> isForPeer, int maxRecords) {
         List<EvidenceMessage> messages = new ArrayList<>();
-        long urgentTo =
-                collect(evidence.changes(true), urgentSent, forPeer, nowUs, evidence.evidenceLeaseUs(), max, messages);
-        long calmTo =
-                collect(evidence.changes(false), normalSent, forPeer, nowUs, evidence.evidenceLeaseUs(), max, messages);
+        long urgentUpTo = collect(
+                store.changes(true), urgentSent, isForPeer, nowUs, store.evidenceLeaseUs(), maxRecords, messages);
+        long normalUpTo = collect(
+                store.changes(false), normalSent, isForPeer, nowUs, store.evidenceLeaseUs(), maxRecords, messages);
         return new EvidenceBatch(
                 nowUs,
                 transitTime.stampToEchoUs(),
                 transitTime.echoDelayUs(nowUs),
-                urgentTo,
-                calmTo,
+                urgentUpTo,
+                normalUpTo,
                 urgentReceived,
                 normalReceived,
                 messages);
@@ -54,26 +54,26 @@
 
     private static long collect(
             NavigableMap<Long, Entry> changes,
-            long from,
-            Predicate<Entry> forPeer,
+            long sentVersion,
+            Predicate<Entry> isForPeer,
             long nowUs,
             long leaseUs,
-            int max,
+            int maxRecords,
             List<EvidenceMessage> messages) {
-        long to = from;
-        for (Entry entry : changes.tailMap(from, false).values()) {
-            if (forPeer.test(entry) && !entry.evidence().isExpired(nowUs, leaseUs)) {
-                if (messages.size() >= max) {
+        long upTo = sentVersion;
+        for (Entry entry : changes.tailMap(sentVersion, false).values()) {
+            if (isForPeer.test(entry) && !entry.evidence().isExpired(nowUs, leaseUs)) {
+                if (messages.size() >= maxRecords) {
                     break;
                 }
                 messages.add(EvidenceMessage.of(entry.evidence(), nowUs));
             }
-            to = entry.version();
+            upTo = entry.version();
         }
-        return to;
+        return upTo;
     }
 
-    /** Whether the batch advances a position of this peer. */
+    /** Returns whether the batch advances a position of this peer. */
     boolean isBehind(EvidenceBatch batch) {
         return batch.urgentUpTo() > urgentSent || batch.normalUpTo() > normalSent;
     }
@@ -85,13 +85,13 @@
         lastSentUs = batch.sentAtUs();
     }
 
-    /** Advances past changes that are not for the peer, which need no message. */
+    /** Advances the positions past changes that are not sent to the peer. */
     void skip(EvidenceBatch batch) {
         urgentSent = batch.urgentUpTo();
         normalSent = batch.normalUpTo();
     }
 
-    /** Takes over the peer's positions. An acknowledgement past what was sent is ignored. */
+    /** Updates the positions from a batch of the peer. An acknowledgement of what was not sent is ignored. */
     void batchReceived(EvidenceBatch batch) {
         urgentReceived = Math.max(urgentReceived, batch.urgentUpTo());
         normalReceived = Math.max(normalReceived, batch.normalUpTo());
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/ReporterEvidence.java
@@ -7,8 +7,8 @@
 import sandpaddle.fleet.verdict.evidence.EvidenceStore.Entry;
 
 /**
- * The records of one reporter ordered by age: those with a lease, and those without. At most {@code maxSubjects} of
- * each; {@link EvidenceStore} owns it and enforces the bound.
+ * The records of one reporter ordered by age: those with a lease and those without, at most {@code maxSubjects} of
+ * each. {@link EvidenceStore} owns it and enforces the bound.
  */
 final class ReporterEvidence {
     private static final Comparator<Entry> OLDEST_FIRST = Comparator.<Entry>comparingLong(
@@ -20,8 +20,8 @@
     private final TreeSet<Entry> leased = new TreeSet<>(OLDEST_FIRST);
     private final TreeSet<Entry> permanent = new TreeSet<>(OLDEST_FIRST);
 
-    ReporterEvidence(int max) {
-        this.maxSubjects = max;
+    ReporterEvidence(int maxSubjects) {
+        this.maxSubjects = maxSubjects;
     }
 
     private TreeSet<Entry> recordsOfKind(EvidenceRecord record) {
@@ -40,14 +40,14 @@
         return Stream.concat(leased.stream(), permanent.stream()).toList();
     }
 
-    /** Whether the reporter was restarted since it made the record. */
+    /** Returns whether the reporter was restarted since it made the record. */
     boolean isOutdated(EvidenceRecord record) {
         return !record.subject().topic().isPermanent()
                 && !leased.isEmpty()
                 && leased.last().evidence().reporterIncarnation() > record.reporterIncarnation();
     }
 
-    /** The leased records of earlier incarnations of the reporter, which the given record invalidates. */
+    /** Returns the leased records of earlier incarnations of the reporter, which the given record invalidates. */
     List<Entry> ofEarlierIncarnations(EvidenceRecord record) {
         if (record.subject().topic().isPermanent()) {
             return List.of();
@@ -57,17 +57,22 @@
                 .toList();
     }
 
-    /** The oldest record if there are too many, else null. The record for all data groups does not count. */
+    /**
+     * Returns the oldest record if there are too many, else null. The record that stands for all data groups does not
+     * count.
+     */
     Entry oldestOverCapacity(boolean isPermanent) {
-        TreeSet<Entry> its = isPermanent ? permanent : leased;
-        if (its.size() <= maxSubjects) {
+        TreeSet<Entry> records = isPermanent ? permanent : leased;
+        if (records.size() <= maxSubjects) {
             return null;
         }
-        Entry first = its.first();
-        if (!isAnyGroup(first)) {
-            return its.stream().anyMatch(ReporterEvidence::isAnyGroup) && its.size() == maxSubjects + 1 ? null : first;
+        Entry oldest = records.first();
+        if (!isAnyGroup(oldest)) {
+            return records.stream().anyMatch(ReporterEvidence::isAnyGroup) && records.size() == maxSubjects + 1
+                    ? null
+                    : oldest;
         }
-        return its.size() <= maxSubjects + 1 ? null : its.higher(first);
+        return records.size() <= maxSubjects + 1 ? null : records.higher(oldest);
     }
 
     private static boolean isAnyGroup(Entry entry) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Subject.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/Subject.java
@@ -1,6 +1,11 @@
 package sandpaddle.fleet.verdict.evidence;
 
-/** The subject of evidence: an engine, tenant, data group or gateway by name, depending on the topic. */
+/**
+ * What a piece of evidence is about; immutable, ordered by topic and name.
+ *
+ * @param topic kind of evidence
+ * @param name name of an engine, tenant, data group or gateway, depending on the topic
+ */
 public record Subject(Topic topic, String name) implements Comparable<Subject> {
     @Override
     public int compareTo(Subject other) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/wire/EvidenceCodec.java
@@ -11,9 +11,9 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * Encodes batches of evidence as CBOR (RFC 8949), starting with the version of the format. Bounds: {@link
+ * Encodes batches of evidence as CBOR (RFC 8949), with the version of the format as first value. Bounds: {@link
  * EvidenceDissemination#MAX_RECORDS} records and names of {@link #MAX_NAME_BYTES} bytes, so a message is under 80 kB.
- * A value out of its range is an error that names its position.
+ * A value out of its range is rejected with an error that names its position.
  */
 public final class EvidenceCodec {
     /** Version of the format; messages of another version are rejected. */
@@ -22,12 +22,15 @@
     public static final int MAX_NAME_BYTES = 128;
 
     private static final int MAX_STRENGTH = 1_000_000;
+    /** Maximum age (us), so that no sum of ages overflows. */
+    private static final long MAX_AGE_US = Long.MAX_VALUE / 4;
+
     private static final Topic[] TOPICS = Topic.values();
     private static final Finding[] FINDINGS = Finding.values();
 
     private EvidenceCodec() {}
 
-    /** Encodes a batch. */
+    /** Returns the encoded form of a batch. */
     public static byte[] encode(EvidenceBatch batch) {
         return new CborOut()
                 .number(VERSION)
@@ -65,7 +68,7 @@
         CborIn in = new CborIn(message);
         long version = in.number(0, Integer.MAX_VALUE);
         if (version != VERSION) {
-            throw in.wrong("is version " + version + " of evidence, only " + VERSION + " is known");
+            throw in.wrong("is evidence format version " + version + "; expected " + VERSION);
         }
         long sentAtUs = in.number(0, Long.MAX_VALUE);
         long echoedStampUs = in.number(EvidenceBatch.NO_ECHO, Long.MAX_VALUE);
@@ -91,15 +94,15 @@
         long sequence = in.number(0, Long.MAX_VALUE);
         Finding finding = FINDINGS[(int) in.number(0, FINDINGS.length - 1)];
         if (!topic.allows(finding)) {
-            throw in.wrong("says " + finding + ", which evidence on " + topic + " cannot");
+            throw in.wrong("is finding " + finding + ", which topic " + topic + " does not allow");
         }
         long engineStartUs = in.number(0, Long.MAX_VALUE);
         int strength = (int) in.number(0, MAX_STRENGTH);
-        double amount = in.real();
-        if (amount < 0) {
-            throw in.wrong("is " + amount + ", less than 0");
+        double usage = in.real();
+        if (usage < 0) {
+            throw in.wrong("is usage " + usage + "; expected at least 0");
         }
-        long sinceAgeUs = in.number(0, Long.MAX_VALUE / 4); // so that no sum of ages overflows
+        long sinceAgeUs = in.number(0, MAX_AGE_US);
         return new EvidenceMessage(
                 subject,
                 reporter,
@@ -108,8 +111,8 @@
                 finding,
                 engineStartUs,
                 strength,
-                amount,
+                usage,
                 sinceAgeUs,
-                in.number(0, Long.MAX_VALUE / 4));
+                in.number(0, MAX_AGE_US));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceDisseminationTest.java
@@ -11,23 +11,25 @@
 import sandpaddle.fleet.verdict.VerdictSettings;
 
 class EvidenceDisseminationTest {
-    private static final long NOW = 100_000_000;
+    private static final long NOW_US = 100_000_000;
     private static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
     private static final Map<String, String> ZONES =
             Map.of("v", "north", "w", "south", "a", "north", "b", "north", "c", "south");
 
-    private record Node(String name, EvidenceStore book, EvidenceDissemination spread) {
+    private record Node(String name, EvidenceStore store, EvidenceDissemination dissemination) {
         static Node of(String name) {
-            EvidenceStore evidence = new EvidenceStore(SETTINGS);
-            evidence.setMembers(ZONES.keySet());
-            EvidenceDissemination spread = new EvidenceDissemination(name, SETTINGS, 0.005, evidence);
-            spread.setRoles(Set.of("v", "w"), ZONES);
-            ZONES.keySet().stream().filter(p -> !p.equals(name)).forEach(p -> spread.linkUp(p, 1, NOW));
-            return new Node(name, evidence, spread);
+            EvidenceStore store = new EvidenceStore(SETTINGS);
+            store.setMembers(ZONES.keySet());
+            EvidenceDissemination dissemination = new EvidenceDissemination(name, SETTINGS, 0.005, store);
+            dissemination.setRoles(Set.of("v", "w"), ZONES);
+            ZONES.keySet().stream()
+                    .filter(peer -> !peer.equals(name))
+                    .forEach(peer -> dissemination.linkUp(peer, 1, NOW_US));
+            return new Node(name, store, dissemination);
         }
 
-        void says(Topic topic, String subject, Finding finding, long sequence, long observedAtUs) {
-            book.put(
+        void observe(Topic topic, String subject, Finding finding, long sequence, long observedAtUs) {
+            store.put(
                     new EvidenceRecord(
                             new Subject(topic, subject),
                             name,
@@ -40,101 +42,111 @@
                             observedAtUs,
                             observedAtUs),
                     name,
-                    NOW);
+                    NOW_US);
         }
 
-        List<EvidenceMessage> toldTo(String peer) {
-            return spread.nextBatch(NOW, peer).map(EvidenceBatch::messages).orElse(List.of());
+        List<EvidenceMessage> messagesFor(String peer) {
+            return dissemination
+                    .nextBatch(NOW_US, peer)
+                    .map(EvidenceBatch::messages)
+                    .orElse(List.of());
         }
     }
 
-    private static void pass(Node from, Node to, long sentAt, long arrivesAt) {
-        EvidenceBatch batch = from.spread.nextBatch(sentAt, to.name).orElseThrow();
-        from.spread.batchSent(to.name, batch);
-        to.spread.batchReceived(arrivesAt, from.name, batch);
+    private static void deliver(Node from, Node to, long sentAtUs, long receivedAtUs) {
+        EvidenceBatch batch = from.dissemination.nextBatch(sentAtUs, to.name).orElseThrow();
+        from.dissemination.batchSent(to.name, batch);
+        to.dissemination.batchReceived(receivedAtUs, from.name, batch);
     }
 
     @Test
-    void votersForwardToAllAndOthersSendOwnEvidenceToVotersAndNeighbours() {
+    void votersRelayToAllAndOthersSendOwnEvidenceToVotersAndTheirZone() {
         Node a = Node.of("a");
         Node v = Node.of("v");
-        a.says(Topic.HEALTH, "e", Finding.FAILING, 1, NOW);
-        assertEquals(1, a.toldTo("b").size(), "of its hall");
-        assertEquals(0, a.toldTo("c").size(), "neither voter nor near");
-        pass(a, v, NOW, NOW);
-        assertEquals(1, v.toldTo("c").size());
-        assertEquals(0, v.toldTo("a").size(), "not back to its teller");
+        a.observe(Topic.HEALTH, "e", Finding.FAILING, 1, NOW_US);
+        assertEquals(1, a.messagesFor("b").size(), "gateway of the same zone");
+        assertEquals(0, a.messagesFor("c").size(), "neither a voter nor of the same zone");
+        deliver(a, v, NOW_US, NOW_US);
+        assertEquals(1, v.messagesFor("c").size());
+        assertEquals(0, v.messagesFor("a").size(), "not back to the gateway it came from");
         Node b = Node.of("b");
-        pass(v, b, NOW, NOW);
-        assertEquals(0, b.toldTo("w").size(), "no voter: only its own");
+        deliver(v, b, NOW_US, NOW_US);
+        assertEquals(0, b.messagesFor("w").size(), "not a voter: only its own evidence");
     }
 
     @Test
-    void onlyChangesAreSentAndAfterALossAllUnacknowledgedOnes() {
+    void sendsOnlyChangesAndAllUnacknowledgedOnesAfterALinkLoss() {
         Node a = Node.of("a");
         Node v = Node.of("v");
-        a.says(Topic.HEALTH, "e1", Finding.FAILING, 1, NOW);
-        pass(a, v, NOW, NOW);
-        pass(v, a, NOW, NOW); // acknowledges
-        a.says(Topic.HEALTH, "e2", Finding.FAILING, 2, NOW);
-        a.spread.batchSent("v", a.spread.nextBatch(NOW, "v").orElseThrow()); // lost on its way
-        assertEquals(0, a.toldTo("v").size());
-        a.spread.linkUp("v", 1, NOW);
+        a.observe(Topic.HEALTH, "e1", Finding.FAILING, 1, NOW_US);
+        deliver(a, v, NOW_US, NOW_US);
+        deliver(v, a, NOW_US, NOW_US); // with an acknowledgement
+        a.observe(Topic.HEALTH, "e2", Finding.FAILING, 2, NOW_US);
+        a.dissemination.batchSent("v", a.dissemination.nextBatch(NOW_US, "v").orElseThrow()); // lost
+        assertEquals(0, a.messagesFor("v").size());
+        a.dissemination.linkUp("v", 1, NOW_US);
         assertEquals(
                 List.of("e2"),
-                a.toldTo("v").stream().map(message -> message.subject().name()).toList());
-        a.spread.linkUp("v", 2, NOW);
-        assertEquals(2, a.toldTo("v").size(), "started again, with an empty book");
+                a.messagesFor("v").stream()
+                        .map(message -> message.subject().name())
+                        .toList());
+        a.dissemination.linkUp("v", 2, NOW_US);
+        assertEquals(2, a.messagesFor("v").size(), "restarted with an empty store");
     }
 
     @Test
     void urgentEvidenceIsSentFirstInAFullBatch() {
         Node a = Node.of("a");
         for (int i = 0; i < EvidenceDissemination.MAX_RECORDS + 50; i++) {
-            a.says(Topic.HEALTH, "good" + i, Finding.HEALTHY, i, NOW);
+            a.observe(Topic.HEALTH, "good" + i, Finding.HEALTHY, i, NOW_US);
         }
-        a.says(Topic.HEALTH, "bad", Finding.UNRESPONSIVE, 999, NOW);
-        List<EvidenceMessage> first = a.toldTo("v");
+        a.observe(Topic.HEALTH, "bad", Finding.UNRESPONSIVE, 999, NOW_US);
+        List<EvidenceMessage> first = a.messagesFor("v");
         assertEquals(EvidenceDissemination.MAX_RECORDS, first.size());
         assertEquals("bad", first.get(0).subject().name());
-        a.spread.batchSent("v", a.spread.nextBatch(NOW, "v").orElseThrow());
-        assertEquals(51, a.toldTo("v").size(), "the rest follows");
+        a.dissemination.batchSent("v", a.dissemination.nextBatch(NOW_US, "v").orElseThrow());
+        assertEquals(51, a.messagesFor("v").size(), "the rest follows");
     }
 
-    /** The age is corrected by a bound on the time underway, so that no hop makes evidence younger than it is. */
+    /** The transit time is added to the age, so that evidence never seems more recent than it is. */
     @Test
     void ageNeverDecreasesInTransit() {
         Node a = Node.of("a");
         Node v = Node.of("v");
-        pass(v, a, NOW, NOW + 30_000); // a stamp to echo
-        a.says(Topic.HEALTH, "e", Finding.FAILING, 1, NOW + 100_000 - 100_000);
-        pass(a, v, NOW + 100_000, NOW + 900_000);
-        EvidenceRecord at = v.book.findBySubject(new Subject(Topic.HEALTH, "e"), NOW + 900_000)
+        deliver(v, a, NOW_US, NOW_US + 30_000); // a stamp to echo
+        a.observe(Topic.HEALTH, "e", Finding.FAILING, 1, NOW_US + 100_000 - 100_000);
+        deliver(a, v, NOW_US + 100_000, NOW_US + 900_000);
+        EvidenceRecord received = v.store
+                .findBySubject(new Subject(Topic.HEALTH, "e"), NOW_US + 900_000)
                 .get(0);
-        assertTrue(at.observedAtUs() <= NOW, "made at " + (at.observedAtUs() - NOW));
-        assertTrue(at.observedAtUs() >= NOW - 35_000, "by no more than the stamp's own way");
+        assertTrue(received.observedAtUs() <= NOW_US, "observed at " + (received.observedAtUs() - NOW_US));
+        assertTrue(
+                received.observedAtUs() >= NOW_US - 35_000, "earlier by at most the transit time of the echoed stamp");
     }
 
-    /** A stored answer must never pass as newer than a load: that time errs to the late side. */
+    /** A load that is dated too early would make a stored answer from before it pass as current. */
     @Test
-    void aDataLoadIsNeverDatedEarlierThanItWas() {
+    void dataLoadIsNeverDatedTooEarly() {
         Node a = Node.of("a");
         Node v = Node.of("v");
-        a.says(Topic.DATA_LOAD, "g", Finding.CHANGED, 1, NOW);
-        pass(a, v, NOW, NOW + 500_000);
-        assertTrue(v.book.lastLoadUs("g", 0) >= NOW);
+        a.observe(Topic.DATA_LOAD, "g", Finding.CHANGED, 1, NOW_US);
+        deliver(a, v, NOW_US, NOW_US + 500_000);
+        assertTrue(v.store.lastLoadUs("g", 0) >= NOW_US);
     }
 
     @Test
-    void aRestartedGatewayReceivesItsOwnDataLoads() {
+    void restartedGatewayReceivesItsOwnDataLoads() {
         Node a = Node.of("a");
         Node v = Node.of("v");
-        a.says(Topic.DATA_LOAD, "g", Finding.CHANGED, 1, NOW);
-        pass(a, v, NOW, NOW);
-        Node again = Node.of("a");
-        v.spread.linkUp("a", 2, NOW);
-        pass(v, again, NOW, NOW);
-        assertTrue(again.book.lastLoadUs("g", 0) >= NOW);
-        assertFalse(v.toldTo("a").stream().anyMatch(message -> message.subject().topic() == Topic.DATA_LOAD), "once");
+        a.observe(Topic.DATA_LOAD, "g", Finding.CHANGED, 1, NOW_US);
+        deliver(a, v, NOW_US, NOW_US);
+        Node restarted = Node.of("a");
+        v.dissemination.linkUp("a", 2, NOW_US);
+        deliver(v, restarted, NOW_US, NOW_US);
+        assertTrue(restarted.store.lastLoadUs("g", 0) >= NOW_US);
+        assertFalse(
+                v.messagesFor("a").stream()
+                        .anyMatch(message -> message.subject().topic() == Topic.DATA_LOAD),
+                "sent once");
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceStoreProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/evidence/EvidenceStoreProperties.java
@@ -16,17 +16,17 @@
 import sandpaddle.fleet.verdict.VerdictSettings;
 
 class EvidenceStoreProperties {
-    private static final long NOW = 100_000_000;
-    private static final VerdictSettings SMALL =
+    private static final long NOW_US = 100_000_000;
+    private static final VerdictSettings SETTINGS =
             new VerdictSettings(50_000, 3_000_000, 0.3, 3, 250_000, 30_000_000, 10_000_000, 30_000_000, 2, 512, 128, 4);
 
-    private static EvidenceStore book() {
-        EvidenceStore evidence = new EvidenceStore(SMALL);
+    private static EvidenceStore newStore() {
+        EvidenceStore evidence = new EvidenceStore(SETTINGS);
         evidence.setMembers(Set.of("a", "b"));
         return evidence;
     }
 
-    private static EvidenceRecord piece(
+    private static EvidenceRecord record(
             String reporter, Topic topic, String name, long incarnation, long sequence, long observedAtUs) {
         Finding finding =
                 topic == Topic.DATA_LOAD ? Finding.CHANGED : sequence % 2 == 0 ? Finding.HEALTHY : Finding.FAILING;
@@ -43,132 +43,143 @@
                 observedAtUs);
     }
 
-    /** A piece by its number: what it says follows from reporter, life and seq; copies differ in their times alone. */
-    private static EvidenceRecord drawn(int n) {
-        long sequence = n % 31;
-        long incarnation = 1 + n / 31 % 2;
+    /**
+     * Generates a record from a number. Records with the same reporter, incarnation and sequence differ only in their
+     * times, as copies do.
+     */
+    private static EvidenceRecord generateRecord(int number) {
+        long sequence = number % 31;
+        long incarnation = 1 + number / 31 % 2;
         Topic topic = sequence % 5 == 0 ? Topic.DATA_LOAD : Topic.HEALTH;
-        long observedAtUs = NOW
+        long observedAtUs = NOW_US
                 - 2_000_000
                 + incarnation * 500_000
                 + sequence * 1000
-                + (topic == Topic.DATA_LOAD ? 1 : -1) * (n / 62 % 7) * 10;
-        return piece(n % 3 == 0 ? "a" : "b", topic, "x" + sequence % 3, incarnation, sequence, observedAtUs);
+                + (topic == Topic.DATA_LOAD ? 1 : -1) * (number / 62 % 7) * 10;
+        return record(number % 3 == 0 ? "a" : "b", topic, "x" + sequence % 3, incarnation, sequence, observedAtUs);
     }
 
     private static TreeMap<String, EvidenceRecord> content(EvidenceStore evidence) {
-        TreeMap<String, EvidenceRecord> all = new TreeMap<>();
+        TreeMap<String, EvidenceRecord> records = new TreeMap<>();
         for (Topic topic : List.of(Topic.HEALTH, Topic.DATA_LOAD)) {
-            evidence.forEach(topic, NOW, record -> all.put(record.subject() + record.reporter(), record));
+            evidence.forEach(topic, NOW_US, record -> records.put(record.subject() + record.reporter(), record));
         }
-        return all;
+        return records;
     }
 
-    private static EvidenceStore merged(List<EvidenceRecord> pieces) {
-        EvidenceStore evidence = book();
-        pieces.forEach(record -> evidence.put(record, "b", NOW));
+    private static EvidenceStore merge(List<EvidenceRecord> records) {
+        EvidenceStore evidence = newStore();
+        records.forEach(record -> evidence.put(record, "b", NOW_US));
         return evidence;
     }
 
-    /** Idempotent, commutative, associative: any order, any copies, any detour over another book. */
+    /** Merging is commutative, idempotent and associative: also with duplicates and over a second store. */
     @Property(seed = "31", tries = 400)
-    void mergingIsIndependentOfOrderAndDuplicates(@ForAll @Size(max = 60) List<Integer> numbers, @ForAll int shuffle) {
-        List<EvidenceRecord> pieces = new ArrayList<>(
-                numbers.stream().map(n -> drawn(Math.floorMod(n, 434))).toList());
-        TreeMap<String, EvidenceRecord> once = content(merged(pieces));
-        List<EvidenceRecord> other = new ArrayList<>(pieces);
-        other.addAll(pieces.subList(0, pieces.size() / 2));
-        Collections.shuffle(other, new Random(shuffle));
-        assertEquals(once, content(merged(other)));
-        EvidenceStore left = merged(pieces.subList(0, pieces.size() / 2));
-        EvidenceStore right = merged(pieces.subList(pieces.size() / 2, pieces.size()));
-        content(right).values().forEach(record -> left.put(record, "b", NOW));
-        assertEquals(once, content(left));
+    void mergingIsIndependentOfOrderAndDuplicates(
+            @ForAll @Size(max = 60) List<Integer> numbers, @ForAll int shuffleSeed) {
+        List<EvidenceRecord> records = new ArrayList<>(numbers.stream()
+                .map(number -> generateRecord(Math.floorMod(number, 434)))
+                .toList());
+        TreeMap<String, EvidenceRecord> expected = content(merge(records));
+        List<EvidenceRecord> shuffled = new ArrayList<>(records);
+        shuffled.addAll(records.subList(0, records.size() / 2));
+        Collections.shuffle(shuffled, new Random(shuffleSeed));
+        assertEquals(expected, content(merge(shuffled)));
+        EvidenceStore left = merge(records.subList(0, records.size() / 2));
+        EvidenceStore right = merge(records.subList(records.size() / 2, records.size()));
+        content(right).values().forEach(record -> left.put(record, "b", NOW_US));
+        assertEquals(expected, content(left));
     }
 
     @Property(seed = "32", tries = 200)
     void noReporterExceedsItsBound(@ForAll @Size(max = 200) List<Integer> numbers) {
-        EvidenceStore evidence = book();
-        for (int n : numbers) {
-            long sequence = Math.floorMod(n, 1000);
+        EvidenceStore evidence = newStore();
+        for (int number : numbers) {
+            long sequence = Math.floorMod(number, 1000);
             evidence.put(
-                    piece(
-                            n % 2 == 0 ? "a" : "b",
+                    record(
+                            number % 2 == 0 ? "a" : "b",
                             sequence % 2 == 0 ? Topic.DATA_LOAD : Topic.HEALTH,
                             "s" + sequence,
                             1,
                             sequence,
-                            NOW),
+                            NOW_US),
                     "b",
-                    NOW);
-            assertTrue(evidence.size() <= 2 * (2 * SMALL.maxSubjectsPerReporter() + 1), "size " + evidence.size());
+                    NOW_US);
+            assertTrue(evidence.size() <= 2 * (2 * SETTINGS.maxSubjectsPerReporter() + 1), "size " + evidence.size());
         }
     }
 
     @Test
     void expiredEvidenceIsIgnoredWhetherRemovedOrNot() {
-        EvidenceStore evidence = merged(List.of(piece("a", Topic.HEALTH, "x", 1, 1, NOW)));
-        Subject x = new Subject(Topic.HEALTH, "x");
+        EvidenceStore evidence = merge(List.of(record("a", Topic.HEALTH, "x", 1, 1, NOW_US)));
+        Subject subject = new Subject(Topic.HEALTH, "x");
         assertEquals(
-                1, evidence.findBySubject(x, NOW + SMALL.evidenceLeaseUs() - 1).size());
-        assertEquals(0, evidence.findBySubject(x, NOW + SMALL.evidenceLeaseUs()).size());
+                1,
+                evidence.findBySubject(subject, NOW_US + SETTINGS.evidenceLeaseUs() - 1)
+                        .size());
+        assertEquals(
+                0,
+                evidence.findBySubject(subject, NOW_US + SETTINGS.evidenceLeaseUs())
+                        .size());
         assertEquals(
                 EvidenceStore.PutResult.EXPIRED,
-                book().put(piece("a", Topic.HEALTH, "x", 1, 1, NOW), "a", NOW + SMALL.evidenceLeaseUs()));
-        evidence.removeExpired(NOW + SMALL.evidenceLeaseUs());
+                newStore().put(record("a", Topic.HEALTH, "x", 1, 1, NOW_US), "a", NOW_US + SETTINGS.evidenceLeaseUs()));
+        evidence.removeExpired(NOW_US + SETTINGS.evidenceLeaseUs());
         assertEquals(0, evidence.size());
     }
 
     @Test
-    void aNewIncarnationDiscardsEarlierEvidenceButNotDataLoads() {
-        EvidenceStore evidence = merged(List.of(
-                piece("a", Topic.HEALTH, "x", 1, 9, NOW),
-                piece("a", Topic.DATA_LOAD, "g", 1, 8, NOW),
-                piece("a", Topic.HEALTH, "y", 2, 1, NOW)));
-        assertTrue(evidence.findBySubject(new Subject(Topic.HEALTH, "x"), NOW).isEmpty());
-        assertEquals(NOW, evidence.lastLoadUs("g", 0));
+    void newIncarnationDiscardsEarlierEvidenceButNotDataLoads() {
+        EvidenceStore evidence = merge(List.of(
+                record("a", Topic.HEALTH, "x", 1, 9, NOW_US),
+                record("a", Topic.DATA_LOAD, "g", 1, 8, NOW_US),
+                record("a", Topic.HEALTH, "y", 2, 1, NOW_US)));
+        assertTrue(
+                evidence.findBySubject(new Subject(Topic.HEALTH, "x"), NOW_US).isEmpty());
+        assertEquals(NOW_US, evidence.lastLoadUs("g", 0));
         assertEquals(
                 EvidenceStore.PutResult.OUTDATED_INCARNATION,
-                evidence.put(piece("a", Topic.HEALTH, "z", 1, 10, NOW), "a", NOW));
+                evidence.put(record("a", Topic.HEALTH, "z", 1, 10, NOW_US), "a", NOW_US));
     }
 
     @Test
     void evidenceOfNonMembersIsRejected() {
-        EvidenceStore evidence = book();
+        EvidenceStore evidence = newStore();
         assertEquals(
                 EvidenceStore.PutResult.UNKNOWN_REPORTER,
-                evidence.put(piece("c", Topic.HEALTH, "x", 1, 1, NOW), "c", NOW));
-        evidence.put(piece("a", Topic.HEALTH, "x", 1, 1, NOW), "a", NOW);
+                evidence.put(record("c", Topic.HEALTH, "x", 1, 1, NOW_US), "c", NOW_US));
+        evidence.put(record("a", Topic.HEALTH, "x", 1, 1, NOW_US), "a", NOW_US);
         evidence.setMembers(Set.of("b"));
         assertEquals(0, evidence.size());
     }
 
-    /** No load is forgotten: what was dropped for room counts for every group. */
+    /** A load dropped over capacity may have been of any group, so it counts for all of them. */
     @Test
-    void aDroppedDataLoadCountsForAllGroups() {
-        EvidenceStore evidence = book();
+    void droppedDataLoadCountsForAllGroups() {
+        EvidenceStore evidence = newStore();
         for (int i = 1; i <= 6; i++) {
-            evidence.put(piece("a", Topic.DATA_LOAD, "g" + i, 1, i, NOW + i - 10), "a", NOW);
+            evidence.put(record("a", Topic.DATA_LOAD, "g" + i, 1, i, NOW_US + i - 10), "a", NOW_US);
         }
         assertEquals(2, evidence.droppedOverCapacity());
-        assertEquals(NOW - 8, evidence.lastLoadUs("g1", 0), "the second load's time");
-        assertEquals(NOW - 8, evidence.lastLoadUs("other", 0));
-        assertEquals(NOW - 4, evidence.lastLoadUs("g6", 0));
+        assertEquals(NOW_US - 8, evidence.lastLoadUs("g1", 0), "time of the second load");
+        assertEquals(NOW_US - 8, evidence.lastLoadUs("other", 0));
+        assertEquals(NOW_US - 4, evidence.lastLoadUs("g6", 0));
     }
 
-    /** Copies: the smaller age counts where late is wrong, the later time where early is wrong. */
+    /** Of two copies, the later lower bound of the time applies, or for data loads the earlier upper bound. */
     @Test
-    void theTighterBoundOfTwoCopiesWins() {
-        EvidenceStore evidence = merged(List.of(
-                piece("a", Topic.HEALTH, "x", 1, 1, NOW - 50),
-                piece("a", Topic.HEALTH, "x", 1, 1, NOW - 20),
-                piece("a", Topic.DATA_LOAD, "g", 1, 2, NOW - 5),
-                piece("a", Topic.DATA_LOAD, "g", 1, 2, NOW - 8)));
+    void tighterBoundOfTwoCopiesApplies() {
+        EvidenceStore evidence = merge(List.of(
+                record("a", Topic.HEALTH, "x", 1, 1, NOW_US - 50),
+                record("a", Topic.HEALTH, "x", 1, 1, NOW_US - 20),
+                record("a", Topic.DATA_LOAD, "g", 1, 2, NOW_US - 5),
+                record("a", Topic.DATA_LOAD, "g", 1, 2, NOW_US - 8)));
         assertEquals(
-                NOW - 20,
-                evidence.findBySubject(new Subject(Topic.HEALTH, "x"), NOW)
+                NOW_US - 20,
+                evidence.findBySubject(new Subject(Topic.HEALTH, "x"), NOW_US)
                         .get(0)
                         .observedAtUs());
-        assertEquals(NOW - 8, evidence.lastLoadUs("g", 0));
+        assertEquals(NOW_US - 8, evidence.lastLoadUs("g", 0));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/wire/EvidenceCodecProperties.java
@@ -19,8 +19,8 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 class EvidenceCodecProperties {
-    private static EvidenceBatch batch(int pieces, Finding finding, String name) {
-        List<EvidenceMessage> told = IntStream.range(0, pieces)
+    private static EvidenceBatch batch(int recordCount, Finding finding, String name) {
+        List<EvidenceMessage> messages = IntStream.range(0, recordCount)
                 .mapToObj(i -> new EvidenceMessage(
                         new Subject(Topic.HEALTH, name + i),
                         "g" + i,
@@ -33,20 +33,21 @@
                         10L * i,
                         5L * i))
                 .toList();
-        return new EvidenceBatch(5, EvidenceBatch.NO_ECHO, 0, 1, 2, 3, 4, told);
+        return new EvidenceBatch(5, EvidenceBatch.NO_ECHO, 0, 1, 2, 3, 4, messages);
     }
 
     @Property(seed = "33", tries = 50)
-    void encodedBatchesAreDecodedUnchanged(@ForAll @IntRange(max = 200) int pieces) throws FaultyMessageException {
-        EvidenceBatch batch = batch(pieces, Finding.UNRESPONSIVE, "e");
+    void encodedBatchesAreDecodedUnchanged(@ForAll @IntRange(max = 200) int recordCount) throws FaultyMessageException {
+        EvidenceBatch batch = batch(recordCount, Finding.UNRESPONSIVE, "e");
         assertEquals(batch, EvidenceCodec.decode(EvidenceCodec.encode(batch)));
     }
 
-    /** Whatever bytes come: a batch or a fault with its place, nothing else. */
+    /** Corrupt bytes are decoded to a batch or rejected with an error that names a position. */
     @Property(seed = "34", tries = 500)
-    void corruptBytesAreAnError(@ForAll @IntRange(max = 100_000) int at, @ForAll byte value) {
+    void corruptBytesAreDecodedOrRejectedWithAPosition(
+            @ForAll @IntRange(max = 100_000) int offset, @ForAll byte value) {
         byte[] message = EvidenceCodec.encode(batch(5, Finding.FAILING, "e"));
-        message[at % message.length] = value;
+        message[offset % message.length] = value;
         try {
             assertTrue(EvidenceCodec.decode(message).messages().size() <= EvidenceDissemination.MAX_RECORDS);
         } catch (FaultyMessageException e) {
@@ -54,16 +55,18 @@
         }
     }
 
-    private static String fault(EvidenceBatch batch) {
+    private static String decodingError(EvidenceBatch batch) {
         byte[] message = EvidenceCodec.encode(batch);
         return assertThrows(FaultyMessageException.class, () -> EvidenceCodec.decode(message))
                 .getMessage();
     }
 
     @Test
-    void errorsStateValueAndPosition() {
-        assertEquals("value 9 is 201, not from 0 to 200", fault(batch(201, Finding.FAILING, "e")));
-        assertEquals("value 15 says CHANGED, which evidence on HEALTH cannot", fault(batch(1, Finding.CHANGED, "e")));
-        assertEquals("value 11 is longer than 128 bytes", fault(batch(1, Finding.FAILING, "e".repeat(130))));
+    void errorsStatePositionFoundAndExpected() {
+        assertEquals("value 9 is 201, not from 0 to 200", decodingError(batch(201, Finding.FAILING, "e")));
+        assertEquals(
+                "value 15 is finding CHANGED, which topic HEALTH does not allow",
+                decodingError(batch(1, Finding.CHANGED, "e")));
+        assertEquals("value 11 is longer than 128 bytes", decodingError(batch(1, Finding.FAILING, "e".repeat(130))));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/wire/RecordedEvidenceTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/wire/RecordedEvidenceTest.java
@@ -14,7 +14,7 @@
 import sandpaddle.fleet.verdict.evidence.Topic;
 import sandpaddle.recorded.RecordedFile;
 
-/** Batches of evidence with every topic and finding have the bytes that an earlier version wrote. */
+/** Batches of evidence with every topic and finding are encoded as by earlier versions. */
 class RecordedEvidenceTest {
     private static final RecordedFile RECORD = new RecordedFile("evidence.txt");
 
