--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/AttemptOutcome.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.verdict.watch;
 
-/** Outcome of an attempt as far as it says something about the engine. */
+/** Outcome of an attempt as evidence on the engine. */
 public enum AttemptOutcome {
     /** The engine answered, including a rejection because its queue was full. */
     ANSWERED,
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineListTracker.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineListTracker.java
@@ -7,8 +7,9 @@
 import sandpaddle.fleet.verdict.evidence.Topic;
 
 /**
- * Reports changes of the engine list: starts, drains and ends of drains. Each is repeated for a while for gateways
- * that receive the list later. The first list is not reported. Memory: three times for each listed engine.
+ * Reports changes of the engine list: starts, drains and ends of drains. Each is repeated for {@code
+ * announceDurationUs}, for gateways that receive the list later. Starts in the first list are not reported. Memory:
+ * three times for each listed engine.
  */
 final class EngineListTracker {
     private final long announceDurationUs;
@@ -16,14 +17,21 @@
     private final Map<String, Long> drainSeenUs = new TreeMap<>();
     private final Map<String, Long> drainEndedUs = new TreeMap<>();
 
-    EngineListTracker(long announceUs) {
-        this.announceDurationUs = announceUs;
+    EngineListTracker(long announceDurationUs) {
+        this.announceDurationUs = announceDurationUs;
     }
 
-    /** Compares the entry of an engine with its previous one, null if it is new. */
-    void engineListed(long nowUs, ListedEngine before, ListedEngine entry, boolean isFirstList) {
-        boolean started = before == null || before.startedUs() != entry.startedUs();
-        if (started) {
+    /**
+     * Records the changes of an engine's entry.
+     *
+     * @param nowUs current time
+     * @param previous the engine's previous entry, or null if it is new
+     * @param entry the new entry
+     * @param isFirstList whether this is the first engine list
+     */
+    void engineListed(long nowUs, ListedEngine previous, ListedEngine entry, boolean isFirstList) {
+        boolean isStarted = previous == null || previous.startedUs() != entry.startedUs();
+        if (isStarted) {
             drainSeenUs.remove(entry.name());
             drainEndedUs.remove(entry.name());
             if (!isFirstList && entry.startedUs() > 0) {
@@ -38,7 +46,7 @@
         }
     }
 
-    /** Passes the changes that are still announced to the reporter. */
+    /** Passes the changes that are still repeated to the reporter. */
     void reportChanges(long nowUs, Map<String, EngineOutcomes> engines, EvidenceReporter reporter) {
         startSeenUs.keySet().retainAll(engines.keySet());
         drainSeenUs.keySet().retainAll(engines.keySet());
@@ -46,8 +54,8 @@
         reportChanges(nowUs, startSeenUs, Topic.ENGINE_START, Finding.WARMING_UP, engines, reporter);
         reportChanges(nowUs, drainSeenUs, Topic.DRAIN, Finding.DRAINING, engines, reporter);
         reportChanges(nowUs, drainEndedUs, Topic.DRAIN, Finding.WITHDRAWN, engines, reporter);
-        startSeenUs.values().removeIf(at -> nowUs - at >= announceDurationUs);
-        drainEndedUs.values().removeIf(at -> nowUs - at >= announceDurationUs);
+        startSeenUs.values().removeIf(seenAtUs -> nowUs - seenAtUs >= announceDurationUs);
+        drainEndedUs.values().removeIf(seenAtUs -> nowUs - seenAtUs >= announceDurationUs);
     }
 
     private void reportChanges(
@@ -57,10 +65,10 @@
             Finding finding,
             Map<String, EngineOutcomes> engines,
             EvidenceReporter reporter) {
-        seenUs.forEach((name, at) -> {
-            if (nowUs - at < announceDurationUs) {
+        seenUs.forEach((name, seenAtUs) -> {
+            if (nowUs - seenAtUs < announceDurationUs) {
                 long startUs = engines.get(name).listed.startedUs();
-                reporter.report(nowUs, new Subject(topic, name), finding, startUs, 1, 0, at, nowUs);
+                reporter.report(nowUs, new Subject(topic, name), finding, startUs, 1, 0, seenAtUs, nowUs);
             }
         });
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineOutcomes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EngineOutcomes.java
@@ -5,21 +5,26 @@
 
 /**
  * The latest outcomes of one engine, at most {@link #CAPACITY} and none older than the window, and the finding
- * derived from them. Where traffic is thin a single failure is a finding; the evaluator adds up the outcome counts of
- * all reporters. Hysteresis: a fault starts at half of the outcomes; it ends after {@link #RECOVERY_RUN} consecutive
+ * derived from them. At low traffic a single failure is a finding; the evaluator adds up the outcome counts of all
+ * reporters. Hysteresis: a fault starts at half of the outcomes; it ends after {@link #RECOVERY_RUN} consecutive
  * successes or below a fifth.
  */
 final class EngineOutcomes {
     static final int CAPACITY = 16;
-    private static final double FAULT_FROM = 0.5; // fraction of faulty outcomes at which a fault starts
-    private static final double FAULT_UNTIL = 0.2;
-    private static final double MIN_EXCESS_OVER_OTHERS =
-            0.3; // above the failure fraction of the other engines, which is not this engine's fault
-    private static final double SLOW_FACTOR = 4; // times the expected latency
-    private static final int MIN_SLOW_ANSWERS = 3; // one or two may be expensive queries
+    /** Fraction of faulty outcomes at which a fault starts. */
+    private static final double FAULT_START_FRACTION = 0.5;
+    /** Fraction of faulty outcomes below which a fault ends. */
+    private static final double FAULT_END_FRACTION = 0.2;
+    /** Minimum excess over the failure fraction of the other engines, which is not due to this engine. */
+    private static final double MIN_EXCESS_FAILURE_FRACTION = 0.3;
+    /** Multiple of the expected latency above which an answer is slow. */
+    private static final double SLOW_FACTOR = 4;
+    /** Minimum number of slow answers for a fault; one or two may be expensive queries. */
+    private static final int MIN_SLOW_ANSWERS = 3;
+    /** Number of consecutive successes that end a fault. */
     private static final int RECOVERY_RUN = 2;
 
-    private enum Classified {
+    private enum OutcomeKind {
         HEALTHY,
         SLOW,
         FAILED,
@@ -29,29 +34,35 @@
     final ListedEngine listed;
     private final long windowUs;
     private final long firstListedUs;
-    private final Classified[] outcomes = new Classified[CAPACITY];
+    private final OutcomeKind[] outcomes = new OutcomeKind[CAPACITY];
     private final long[] endedUs = new long[CAPACITY];
-    private final int[] tally = new int[Classified.values().length];
-    private int total; // outcomes since the start; the latest CAPACITY are stored
+    private final int[] recentCounts = new int[OutcomeKind.values().length];
+    private int outcomeCount; // since the start; the latest CAPACITY are stored
     private long lastAnswerUs = Long.MIN_VALUE / 2;
     private Finding finding; // null: not enough outcomes
     private long sinceUs;
     private long observedAtUs;
     private int strength;
 
-    /** Creates the window; {@code firstListedUs}: when this engine process was first seen in the list. */
-    EngineOutcomes(ListedEngine listed, long windowUs, long listedAt) {
+    /**
+     * Creates an empty window.
+     *
+     * @param listed entry of the engine list
+     * @param windowUs age up to which outcomes count
+     * @param firstListedUs time when this engine process was first seen in the list
+     */
+    EngineOutcomes(ListedEngine listed, long windowUs, long firstListedUs) {
         this.listed = listed;
         this.windowUs = windowUs;
-        this.firstListedUs = listedAt;
+        this.firstListedUs = firstListedUs;
     }
 
-    /** The same outcomes with a changed list entry. */
+    /** Returns the same outcomes with a changed list entry. */
     EngineOutcomes withListEntry(ListedEngine entry) {
         EngineOutcomes next = new EngineOutcomes(entry, windowUs, firstListedUs);
         System.arraycopy(outcomes, 0, next.outcomes, 0, CAPACITY);
         System.arraycopy(endedUs, 0, next.endedUs, 0, CAPACITY);
-        next.total = total;
+        next.outcomeCount = outcomeCount;
         next.lastAnswerUs = lastAnswerUs;
         next.finding = finding;
         next.sinceUs = sinceUs;
@@ -61,48 +72,54 @@
     }
 
     /**
-     * Adds an outcome; {@code latencyUs}: time since the attempt was sent; {@code expectedUs}: expected latency, 0 if
-     * unknown.
+     * Adds an outcome. Two kinds are ignored: a missing answer if the engine answered other queries since the attempt
+     * was sent, and a failed or unanswered attempt that was sent before this engine process was listed, that is, to its
+     * predecessor.
+     *
+     * @param nowUs current time
+     * @param outcome outcome of the attempt
+     * @param latencyUs time since the attempt was sent
+     * @param expectedUs expected latency, 0 if unknown
      */
     void add(long nowUs, AttemptOutcome outcome, long latencyUs, long expectedUs) {
         boolean isSlowQuery = outcome == AttemptOutcome.NO_ANSWER && lastAnswerUs > nowUs - latencyUs;
         boolean isOfPredecessor = outcome != AttemptOutcome.ANSWERED && nowUs - latencyUs < firstListedUs;
         if (isSlowQuery || isOfPredecessor) {
-            return; // the engine answered other queries meanwhile, or the attempt went to its predecessor
+            return;
         }
-        Classified classified = switch (outcome) {
+        OutcomeKind kind = switch (outcome) {
             case ANSWERED ->
-                expectedUs > 0 && latencyUs > SLOW_FACTOR * expectedUs ? Classified.SLOW : Classified.HEALTHY;
-            case FAILED -> Classified.FAILED;
-            case NO_ANSWER, UNREACHABLE -> Classified.UNANSWERED;
+                expectedUs > 0 && latencyUs > SLOW_FACTOR * expectedUs ? OutcomeKind.SLOW : OutcomeKind.HEALTHY;
+            case FAILED -> OutcomeKind.FAILED;
+            case NO_ANSWER, UNREACHABLE -> OutcomeKind.UNANSWERED;
         };
-        outcomes[total % CAPACITY] = classified;
-        endedUs[total % CAPACITY] = nowUs;
-        total++;
+        outcomes[outcomeCount % CAPACITY] = kind;
+        endedUs[outcomeCount % CAPACITY] = nowUs;
+        outcomeCount++;
         if (outcome.isAnswered()) {
             lastAnswerUs = nowUs;
         }
     }
 
-    /** Counts the outcomes in the window. Call it before reading any count. */
+    /** Counts the outcomes in the window. Has to be called before any count is read. */
     void countRecent(long nowUs) {
-        Arrays.fill(tally, 0);
-        for (int i = 0; i < Math.min(total, CAPACITY); i++) {
-            if (nowUs - endedUs[i] < windowUs && (outcomes[i] != Classified.UNANSWERED || endedUs[i] > lastAnswerUs)) {
-                tally[outcomes[i].ordinal()]++;
+        Arrays.fill(recentCounts, 0);
+        for (int i = 0; i < Math.min(outcomeCount, CAPACITY); i++) {
+            if (nowUs - endedUs[i] < windowUs && (outcomes[i] != OutcomeKind.UNANSWERED || endedUs[i] > lastAnswerUs)) {
+                recentCounts[outcomes[i].ordinal()]++;
             }
         }
     }
 
-    private int recent(Classified outcome) {
-        return tally[outcome.ordinal()];
+    private int recent(OutcomeKind kind) {
+        return recentCounts[kind.ordinal()];
     }
 
-    /** Successful outcomes in the window since a time. */
+    /** Returns the number of successful outcomes in the window since a time. */
     int successesSince(long nowUs, long fromUs) {
         int successes = 0;
-        for (int i = 0; i < Math.min(total, CAPACITY); i++) {
-            if (outcomes[i] == Classified.HEALTHY && endedUs[i] >= fromUs && nowUs - endedUs[i] < windowUs) {
+        for (int i = 0; i < Math.min(outcomeCount, CAPACITY); i++) {
+            if (outcomes[i] == OutcomeKind.HEALTHY && endedUs[i] >= fromUs && nowUs - endedUs[i] < windowUs) {
                 successes++;
             }
         }
@@ -110,42 +127,46 @@
     }
 
     int failed() {
-        return recent(Classified.FAILED);
+        return recent(OutcomeKind.FAILED);
     }
 
     int answers() {
-        return recent(Classified.HEALTHY) + recent(Classified.SLOW) + failed();
+        return recent(OutcomeKind.HEALTHY) + recent(OutcomeKind.SLOW) + failed();
     }
 
     private int trailingSuccesses() {
         int run = 0;
-        while (run < Math.min(total, CAPACITY) && outcomes[(total - 1 - run) % CAPACITY] == Classified.HEALTHY) {
+        while (run < Math.min(outcomeCount, CAPACITY)
+                && outcomes[(outcomeCount - 1 - run) % CAPACITY] == OutcomeKind.HEALTHY) {
             run++;
         }
         return run;
     }
 
     /**
-     * Derives the finding from the counts; {@code failingElsewhere}: fraction of the other engines' answers that are
-     * failures.
+     * Derives the finding from the counts.
+     *
+     * @param nowUs current time
+     * @param othersFailureFraction fraction of the other engines' answers that are failures
      */
-    void evaluate(long nowUs, double failingElsewhere) {
-        int unanswered = recent(Classified.UNANSWERED);
+    void evaluate(long nowUs, double othersFailureFraction) {
+        int unanswered = recent(OutcomeKind.UNANSWERED);
         int failed = failed();
-        int slow = recent(Classified.SLOW);
-        int healthy = recent(Classified.HEALTHY);
-        double min = finding != null && finding.isEngineFault() ? FAULT_UNTIL : FAULT_FROM;
+        int slow = recent(OutcomeKind.SLOW);
+        int healthy = recent(OutcomeKind.HEALTHY);
+        double minFraction = finding != null && finding.isEngineFault() ? FAULT_END_FRACTION : FAULT_START_FRACTION;
         int answers = healthy + slow + failed;
         Finding next = null;
-        if (unanswered > 0 && (double) unanswered / (unanswered + answers) >= min) {
+        if (unanswered > 0 && (double) unanswered / (unanswered + answers) >= minFraction) {
             next = Finding.UNRESPONSIVE;
         } else if (finding != null && finding.isEngineFault() && trailingSuccesses() >= RECOVERY_RUN && healthy > 0) {
             next = Finding.HEALTHY;
             discardFaults();
         } else if (failed > 0
-                && fraction(failed, answers) >= Math.max(min, failingElsewhere + MIN_EXCESS_OVER_OTHERS)) {
+                && fraction(failed, answers)
+                        >= Math.max(minFraction, othersFailureFraction + MIN_EXCESS_FAILURE_FRACTION)) {
             next = Finding.FAILING;
-        } else if (slow >= MIN_SLOW_ANSWERS && fraction(slow, answers) >= min) {
+        } else if (slow >= MIN_SLOW_ANSWERS && fraction(slow, answers) >= minFraction) {
             next = Finding.SLOW;
         } else if (healthy > 0) {
             next = Finding.HEALTHY;
@@ -155,41 +176,41 @@
             finding = next;
         }
         if (next != null) {
-            Classified outcome = outcomeOf(next);
-            strength = recent(outcome);
-            observedAtUs = latestUs(outcome);
+            OutcomeKind kind = kindOf(next);
+            strength = recent(kind);
+            observedAtUs = latestUs(kind);
         }
     }
 
-    /** Faults before a recovery do not count again. */
+    /** Removes all outcomes but successes from the window, so that faults before a recovery do not count again. */
     private void discardFaults() {
         for (int i = 0; i < CAPACITY; i++) {
-            endedUs[i] = outcomes[i] == Classified.HEALTHY ? endedUs[i] : Long.MIN_VALUE / 2;
+            endedUs[i] = outcomes[i] == OutcomeKind.HEALTHY ? endedUs[i] : Long.MIN_VALUE / 2;
         }
     }
 
-    private static double fraction(int part, int all) {
-        return all == 0 ? 0 : (double) part / all;
+    private static double fraction(int part, int total) {
+        return total == 0 ? 0 : (double) part / total;
     }
 
-    private static Classified outcomeOf(Finding finding) {
+    private static OutcomeKind kindOf(Finding finding) {
         return switch (finding) {
-            case UNRESPONSIVE -> Classified.UNANSWERED;
-            case FAILING -> Classified.FAILED;
-            case SLOW -> Classified.SLOW;
-            default -> Classified.HEALTHY;
+            case UNRESPONSIVE -> OutcomeKind.UNANSWERED;
+            case FAILING -> OutcomeKind.FAILED;
+            case SLOW -> OutcomeKind.SLOW;
+            default -> OutcomeKind.HEALTHY;
         };
     }
 
-    private long latestUs(Classified outcome) {
+    private long latestUs(OutcomeKind kind) {
         long latest = Long.MIN_VALUE / 2;
-        for (int i = 0; i < Math.min(total, CAPACITY); i++) {
-            latest = outcomes[i] == outcome ? Math.max(latest, endedUs[i]) : latest;
+        for (int i = 0; i < Math.min(outcomeCount, CAPACITY); i++) {
+            latest = outcomes[i] == kind ? Math.max(latest, endedUs[i]) : latest;
         }
         return latest;
     }
 
-    /** The finding, or null without enough outcomes. */
+    /** Returns the finding, or null without enough outcomes. */
     Finding finding() {
         return finding;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/EvidenceReporter.java
@@ -9,45 +9,52 @@
 import sandpaddle.fleet.verdict.evidence.Subject;
 
 /**
- * Turns findings into evidence and repeats only what is necessary: a changed finding at once, a growing one while it
- * is below the required number of outcomes, and a continuing one three times in a lease. Memory: the latest record
- * for each subject, until its lease expires.
+ * Turns findings into evidence and suppresses unnecessary repetitions: a changed finding is reported at once, one with
+ * more outcomes while it has fewer than the required number, and a continuing one three times in a lease. Memory: the
+ * latest record for each subject, until its lease expires.
  */
 final class EvidenceReporter {
+    /** Divisor of the last reported usage: a change by more than a quarter of it is reported at once, less is noise. */
+    private static final int MIN_USAGE_CHANGE_DIVISOR = 4;
+
     private final String self;
     private final long incarnation;
     private final long leaseUs;
-    private final long renewUs;
+    private final long renewIntervalUs;
     private final int minStrength;
     private final Map<Subject, EvidenceRecord> latest = new HashMap<>();
     private final Map<Subject, Long> reportedUs = new HashMap<>();
     private List<EvidenceRecord> pending = new ArrayList<>();
     private long sequence;
 
-    EvidenceReporter(String self, long incarnation, long leaseUs, long renewUs, int minStrength) {
+    EvidenceReporter(String self, long incarnation, long leaseUs, long renewIntervalUs, int minStrength) {
         this.self = self;
         this.incarnation = incarnation;
         this.leaseUs = leaseUs;
-        this.renewUs = renewUs;
+        this.renewIntervalUs = renewIntervalUs;
         this.minStrength = minStrength;
     }
 
-    /** Adds a record for the finding unless the last report still covers it. */
+    /**
+     * Adds a record for the finding unless the last report still covers it. The parameters are those of {@link
+     * EvidenceRecord}.
+     */
     void report(
             long nowUs,
             Subject subject,
             Finding finding,
             long engineStartUs,
             int strength,
-            double amount,
+            double usage,
             long sinceUs,
-            long madeUs) {
-        EvidenceRecord before = latest.get(subject);
-        if (before != null && before.finding() == finding && before.engineStartUs() == engineStartUs) {
-            boolean hasMoreOutcomes = strength > before.strength() && before.strength() < minStrength;
-            boolean usageChanged = Math.abs(amount - before.usage()) > before.usage() / 4; // smaller changes are noise
-            boolean isRenewalDue = madeUs > before.observedAtUs() && nowUs - reportedUs.get(subject) >= renewUs;
-            if (!hasMoreOutcomes && !usageChanged && !isRenewalDue) {
+            long observedAtUs) {
+        EvidenceRecord previous = latest.get(subject);
+        if (previous != null && previous.finding() == finding && previous.engineStartUs() == engineStartUs) {
+            boolean hasMoreOutcomes = strength > previous.strength() && previous.strength() < minStrength;
+            boolean isUsageChanged = Math.abs(usage - previous.usage()) > previous.usage() / MIN_USAGE_CHANGE_DIVISOR;
+            boolean isRenewalDue =
+                    observedAtUs > previous.observedAtUs() && nowUs - reportedUs.get(subject) >= renewIntervalUs;
+            if (!hasMoreOutcomes && !isUsageChanged && !isRenewalDue) {
                 return;
             }
         }
@@ -59,28 +66,28 @@
                 finding,
                 engineStartUs,
                 strength,
-                amount,
-                Math.min(sinceUs, madeUs),
-                madeUs);
+                usage,
+                Math.min(sinceUs, observedAtUs),
+                observedAtUs);
         pending.add(record);
-        if (!subject.topic().isPermanent()) { // never renewed, so not remembered
+        if (!subject.topic().isPermanent()) { // permanent records are never renewed
             latest.put(subject, record);
             reportedUs.put(subject, nowUs);
         }
     }
 
-    /** The last reported finding on a subject, or null if it expired. */
+    /** Returns the last reported finding on a subject, or null if it expired. */
     Finding lastFinding(long nowUs, Subject subject) {
         EvidenceRecord record = latest.get(subject);
         return record == null || record.isExpired(nowUs, leaseUs) ? null : record.finding();
     }
 
-    /** The records added since the last call. */
+    /** Returns the records added since the last call. */
     List<EvidenceRecord> drainPending(long nowUs) {
         latest.values().removeIf(record -> record.isExpired(nowUs, leaseUs));
         reportedUs.keySet().retainAll(latest.keySet());
-        List<EvidenceRecord> taken = pending;
+        List<EvidenceRecord> records = pending;
         pending = new ArrayList<>();
-        return taken;
+        return records;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalHealth.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalHealth.java
@@ -3,16 +3,20 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 
 /**
- * Self-doubt of a gateway before it accuses others (Lifeguard, Dadgar et al., 2018: the local health multiplier). A
- * score from 0 to {@link #MAX_SCORE} increases with each late timer and decreases with time on schedule. While it is
- * above 0, or while most engines look faulty at once, the gateway's evidence on engines is ignored.
+ * Self-suspicion of a gateway before it accuses engines, like the local health multiplier of Lifeguard (Dadgar et al.,
+ * 2018). A score from 0 to {@link #MAX_SCORE} increases with each late tick and decreases with time on schedule. While
+ * it is above 0, or while most engines seem faulty at once, the gateway's evidence on engines is ignored.
  */
 final class LocalHealth {
     static final int MAX_SCORE = 8;
-    private static final int LATE_TICKS = 4; // a delay of this many ticks: the process was stalled
-    private static final long RECOVERY_STEP_US = 500_000; // time on schedule that decrements the score
-    private static final long SCORE_STEP_US = 1_000_000; // each further second stalled increments the score
-    private static final int MIN_ENGINES = 2; // with a finding, for "most" to be meaningful
+    /** Number of tick intervals without a tick after which the process counts as stalled. */
+    private static final int STALL_TICKS = 4;
+    /** Time on schedule that decrements the score. */
+    private static final long RECOVERY_STEP_US = 500_000;
+    /** Further time stalled that increments the score once more. */
+    private static final long SCORE_STEP_US = 1_000_000;
+    /** Minimum number of engines with a finding, since "most" of a single engine means nothing. */
+    private static final int MIN_ENGINES = 2;
 
     private final long tickIntervalUs;
     private long lastTickUs;
@@ -21,19 +25,25 @@
     private boolean mostEnginesFailing;
     private long mostEnginesFailingUs;
 
-    LocalHealth(long tickUs, long nowUs) {
-        this.tickIntervalUs = tickUs;
+    LocalHealth(long tickIntervalUs, long nowUs) {
+        this.tickIntervalUs = tickIntervalUs;
         lastTickUs = nowUs;
         lastRecoveryStepUs = nowUs;
     }
 
-    /** Whether the last tick is so long ago that late outcomes may be this gateway's own delay. */
+    /** Returns whether the last tick is so long ago that late outcomes may be due to this gateway. */
     boolean isStalled(long nowUs) {
-        return nowUs - lastTickUs > LATE_TICKS * tickIntervalUs;
+        return nowUs - lastTickUs > STALL_TICKS * tickIntervalUs;
     }
 
-    /** Updates the score; {@code engines}: number of engines with a finding, {@code bad}: with a fault. */
-    void tick(long nowUs, int engines, int faultyEngines) {
+    /**
+     * Updates the score and whether most engines seem faulty.
+     *
+     * @param nowUs current time
+     * @param enginesWithFinding number of engines with a finding
+     * @param faultyEngines number of engines with a fault
+     */
+    void tick(long nowUs, int enginesWithFinding, int faultyEngines) {
         if (isStalled(nowUs)) {
             score = (int) Math.min(MAX_SCORE, score + 1 + (nowUs - lastTickUs) / SCORE_STEP_US);
             lastRecoveryStepUs = nowUs;
@@ -42,7 +52,7 @@
             lastRecoveryStepUs = nowUs;
         }
         lastTickUs = nowUs;
-        if (engines >= MIN_ENGINES && 2 * faultyEngines > engines) {
+        if (enginesWithFinding >= MIN_ENGINES && 2 * faultyEngines > enginesWithFinding) {
             mostEnginesFailing = true;
             mostEnginesFailingUs = nowUs;
         } else if (nowUs - mostEnginesFailingUs >= RECOVERY_STEP_US) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalObserver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/LocalObserver.java
@@ -15,11 +15,11 @@
 
 /**
  * Turns the observations of one gateway into evidence: outcomes of attempts, health checks, the engine list, tenant
- * usage, completed data loads, and its own timers. A healthy engine is reported only if somebody accuses it or to end
- * an own accusation, so a healthy fleet sends little: heartbeats and reachability.
+ * usage, completed data loads, and delays of its own ticks. A healthy engine is reported only if a gateway accuses it
+ * or to end an own accusation, so a healthy fleet sends only heartbeats and reachability.
  *
- * <p>Memory: {@code maxEngines} engines with 16 outcomes each, {@link #MAX_TENANTS} tenants. Not thread-safe: owned
- * by the fleet's thread. Times are monotonic microseconds.
+ * <p>Memory: {@code maxEngines} engines with {@link EngineOutcomes#CAPACITY} outcomes each, {@link #MAX_TENANTS}
+ * tenants. Not thread-safe: owned by the fleet's thread. Times are monotonic microseconds.
  */
 public final class LocalObserver {
     /** Maximum number of tenants whose usage is reported: those with the highest usage. */
@@ -38,7 +38,15 @@
     private long selfFindingSinceUs;
     private Finding selfFinding = Finding.SELF_HEALTHY;
 
-    /** Creates the observer; {@code incarnation}: greater than that of any earlier process of this gateway. */
+    /**
+     * Creates the observer of one gateway.
+     *
+     * @param self name of this gateway
+     * @param zone zone of this gateway
+     * @param incarnation greater than that of any earlier process of this gateway
+     * @param settings settings of the verdicts
+     * @param nowUs current time
+     */
     public LocalObserver(String self, String zone, long incarnation, VerdictSettings settings, long nowUs) {
         this.self = self;
         this.zone = zone;
@@ -54,34 +62,39 @@
     /** Sets the complete engine list; engines past {@code maxEngines} are not observed. */
     public void updateEngines(long nowUs, Collection<ListedEngine> entries) {
         Map<String, EngineOutcomes> next = new LinkedHashMap<>();
-        long listedAt = hasEngineList ? nowUs : Long.MIN_VALUE / 2; // engines of the first list have no predecessors
+        long firstListedUs =
+                hasEngineList ? nowUs : Long.MIN_VALUE / 2; // engines of the first list have no predecessors
         for (ListedEngine entry : entries) {
             if (next.size() >= settings.maxEngines()) {
                 break;
             }
-            EngineOutcomes before = engines.get(entry.name());
-            boolean isSameStart = before != null && before.listed.startedUs() == entry.startedUs();
+            EngineOutcomes previous = engines.get(entry.name());
+            boolean isSameStart = previous != null && previous.listed.startedUs() == entry.startedUs();
             next.put(
                     entry.name(),
                     isSameStart
-                            ? before.withListEntry(entry)
-                            : new EngineOutcomes(entry, settings.evidenceLeaseUs(), listedAt));
-            engineList.engineListed(nowUs, before == null ? null : before.listed, entry, !hasEngineList);
+                            ? previous.withListEntry(entry)
+                            : new EngineOutcomes(entry, settings.evidenceLeaseUs(), firstListedUs));
+            engineList.engineListed(nowUs, previous == null ? null : previous.listed, entry, !hasEngineList);
         }
         engines = next;
         hasEngineList = true;
     }
 
     /**
-     * An attempt ended.
+     * Records the outcome of an attempt. An attempt without answer is ignored while this gateway is stalled, since the
+     * answer may have arrived unread.
      *
+     * @param nowUs current time
+     * @param engine name of the engine
+     * @param outcome outcome of the attempt
      * @param latencyUs time since the attempt was sent
      * @param expectedUs expected latency, 0 if unknown
      */
     public void attemptEnded(long nowUs, String engine, AttemptOutcome outcome, long latencyUs, long expectedUs) {
         EngineOutcomes outcomes = engines.get(engine);
         if (outcomes == null || !outcome.isAnswered() && localHealth.isStalled(nowUs)) {
-            return; // the answer may be waiting in this stalled gateway, unread
+            return;
         }
         outcomes.add(nowUs, outcome, latencyUs, expectedUs);
         boolean isOutside = !outcomes.listed.zone().equals(zone);
@@ -93,7 +106,8 @@
     }
 
     /**
-     * The engine answered a load report or health check. That shows it is reachable, but not that it answers queries.
+     * Records that an engine answered a load report or health check. That shows that it is reachable, but not that it
+     * answers queries.
      */
     public void answerReceived(long nowUs, String engine) {
         EngineOutcomes outcomes = engines.get(engine);
@@ -103,8 +117,8 @@
     }
 
     /**
-     * The engine did not answer a health check. While attempts are withheld from unresponsive engines, this is the
-     * only evidence that they still are.
+     * Records that an engine did not answer a health check. While no attempts are sent to unresponsive engines, this is
+     * the only evidence that they are still unreachable.
      */
     public void healthCheckUnanswered(long nowUs, String engine) {
         EngineOutcomes outcomes = engines.get(engine);
@@ -113,34 +127,34 @@
         }
     }
 
-    /** A load of a data group completed here. */
+    /** Records that a load of a data group completed at this gateway. */
     public void loadCompleted(long nowUs, String group) {
         reporter.report(nowUs, new Subject(Topic.DATA_LOAD, group), Finding.CHANGED, 0, 1, 0, nowUs, nowUs);
     }
 
     /** Sets the current usage by tenant, in the unit of the tenants' quotas. */
-    public void updateTenantUsage(Map<String, Double> used) {
+    public void updateTenantUsage(Map<String, Double> usage) {
         Map<String, Double> next = new TreeMap<>();
-        used.entrySet().stream()
+        usage.entrySet().stream()
                 .filter(entry -> entry.getValue() > 0)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
                         .thenComparing(Map.Entry.comparingByKey()))
                 .limit(MAX_TENANTS)
                 .forEach(entry -> next.put(entry.getKey(), entry.getValue()));
-        usageByTenant.forEach((t, before) -> {
-            if (before > 0) {
-                next.putIfAbsent(t, 0.0); // reported once more, so that the sum decreases at once
+        usageByTenant.forEach((tenant, previousUsage) -> {
+            if (previousUsage > 0) {
+                next.putIfAbsent(tenant, 0.0); // reported once more, so that the sum decreases at once
             }
         });
         usageByTenant = next;
     }
 
     /**
-     * Returns the new evidence to disseminate. Call it every {@code evidenceIntervalUs}: a late call makes this
-     * gateway doubt itself.
+     * Returns the new evidence to disseminate. Has to be called every {@code evidenceIntervalUs}: a late call makes
+     * this gateway suspect itself.
      *
-     * @param nowUs monotonic time
-     * @param accused engines that some gateway accuses
+     * @param nowUs current time
+     * @param accused engines that any gateway accuses
      */
     public List<EvidenceRecord> tick(long nowUs, Set<String> accused) {
         int enginesWithFinding = 0;
@@ -153,8 +167,8 @@
             failed += engine.failed();
         }
         for (EngineOutcomes engine : engines.values()) {
-            int others = answers - engine.answers();
-            engine.evaluate(nowUs, others == 0 ? 0 : (double) (failed - engine.failed()) / others);
+            int otherAnswers = answers - engine.answers();
+            engine.evaluate(nowUs, otherAnswers == 0 ? 0 : (double) (failed - engine.failed()) / otherAnswers);
             enginesWithFinding += engine.finding() == null ? 0 : 1;
             faultyEngines += engine.finding() != null && engine.finding().isEngineFault() ? 1 : 0;
         }
@@ -162,21 +176,21 @@
         reportSelfHealth(nowUs);
         engines.values().forEach(engine -> reportEngineHealth(nowUs, engine, accused));
         engineList.reportChanges(nowUs, engines, reporter);
-        usageByTenant.forEach((t, used) ->
-                reporter.report(nowUs, new Subject(Topic.TENANT_USAGE, t), Finding.USAGE, 0, 1, used, nowUs, nowUs));
+        usageByTenant.forEach((tenant, usage) -> reporter.report(
+                nowUs, new Subject(Topic.TENANT_USAGE, tenant), Finding.USAGE, 0, 1, usage, nowUs, nowUs));
         return reporter.drainPending(nowUs);
     }
 
     private void reportSelfHealth(long nowUs) {
-        Finding self = localHealth.finding();
-        if (self != selfFinding) {
-            selfFinding = self;
+        Finding finding = localHealth.finding();
+        if (finding != selfFinding) {
+            selfFinding = finding;
             selfFindingSinceUs = nowUs;
         }
         reporter.report(
                 nowUs,
                 new Subject(Topic.SELF_HEALTH, this.self),
-                self,
+                finding,
                 0,
                 localHealth.score(),
                 0,
@@ -220,12 +234,12 @@
         }
     }
 
-    /** Own health as reported to the other gateways. */
+    /** Returns this gateway's own health as reported to the other gateways. */
     public Finding selfFinding() {
         return selfFinding;
     }
 
-    /** Successful answers of an engine since a time, within the last lease. */
+    /** Returns the number of successful answers of an engine since a time, within the last lease. */
     public int successesSince(long nowUs, String engine, long fromUs) {
         EngineOutcomes outcomes = engines.get(engine);
         return outcomes == null ? 0 : outcomes.successesSince(nowUs, fromUs);
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachabilityTracker.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/watch/ReachabilityTracker.java
@@ -5,17 +5,18 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 
 /**
- * Tracks which engines answer this gateway: outside its zone, only inside, or none. No engine outside is reachable
- * after at least {@link #MIN_FAILURES} unanswered attempts at two engines (or the only one) since the last answer
- * from outside. Memory: one time for each listed engine.
+ * Tracks which engines answer this gateway: those outside its zone, only those inside, or none. No engine outside
+ * counts as reachable after {@link #MIN_FAILURES} unanswered attempts at {@link #MIN_ENGINES} engines (or the only one)
+ * since the last answer from outside. Memory: one time for each listed engine.
  */
 final class ReachabilityTracker {
     private static final int MIN_FAILURES = 3;
-    private static final int MIN_ENGINES = 2; // a single engine may be down
+    private static final int MIN_ENGINES = 2; // a single engine may itself be at fault
 
     private final long windowUs;
-    private final Map<String, Long> unansweredEngines =
-            new HashMap<>(); // engines outside, since the last answer from there
+    /** Time of the last unanswered attempt by engine outside the zone, since the last answer from outside. */
+    private final Map<String, Long> unansweredEngines = new HashMap<>();
+
     private int failures;
     private long lastOutsideAnswerUs = Long.MIN_VALUE / 2;
     private long lastInsideAnswerUs = Long.MIN_VALUE / 2;
@@ -45,9 +46,14 @@
         }
     }
 
-    /** Derives the finding; {@code enginesOutside}: number of listed engines outside the zone. */
+    /**
+     * Derives the finding.
+     *
+     * @param nowUs current time
+     * @param enginesOutside number of listed engines outside the zone
+     */
     void evaluate(long nowUs, int enginesOutside) {
-        unansweredEngines.values().removeIf(at -> nowUs - at >= windowUs);
+        unansweredEngines.values().removeIf(unansweredUs -> nowUs - unansweredUs >= windowUs);
         if (unansweredEngines.isEmpty()) {
             failures = 0;
         }
@@ -63,7 +69,7 @@
         }
     }
 
-    /** The finding, or null without enough attempts. */
+    /** Returns the finding, or null without enough attempts. */
     Finding finding() {
         return finding;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/watch/LocalObserverTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/watch/LocalObserverTest.java
@@ -16,13 +16,13 @@
 
 class LocalObserverTest {
     private static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
-    private static final long TICK = SETTINGS.evidenceIntervalUs();
+    private static final long TICK_US = SETTINGS.evidenceIntervalUs();
 
-    private final LocalObserver watch = new LocalObserver("g", "north", 1, SETTINGS, 0);
-    private long now;
+    private final LocalObserver observer = new LocalObserver("g", "north", 1, SETTINGS, 0);
+    private long nowUs;
     private final Set<String> accused = new java.util.TreeSet<>();
 
-    private List<ListedEngine> lines() {
+    private List<ListedEngine> listedEngines() {
         return new ArrayList<>(List.of(
                 new ListedEngine("n1", "north", 0, false),
                 new ListedEngine("n2", "north", 0, false),
@@ -31,205 +31,206 @@
     }
 
     {
-        watch.updateEngines(0, lines());
+        observer.updateEngines(0, listedEngines());
     }
 
     private List<EvidenceRecord> tick() {
-        now += TICK;
-        return watch.tick(now, accused);
+        nowUs += TICK_US;
+        return observer.tick(nowUs, accused);
     }
 
-    private void ticks(int n) {
-        for (int i = 0; i < n; i++) {
+    private void ticks(int count) {
+        for (int i = 0; i < count; i++) {
             tick();
         }
     }
 
-    private void ends(String engine, AttemptOutcome outcome, int times) {
-        for (int i = 0; i < times; i++) {
-            watch.attemptEnded(now, engine, outcome, 10_000, 10_000);
+    private void attemptsEnd(String engine, AttemptOutcome outcome, int count) {
+        for (int i = 0; i < count; i++) {
+            observer.attemptEnded(nowUs, engine, outcome, 10_000, 10_000);
         }
     }
 
-    private static Map<String, Finding> found(List<EvidenceRecord> told, Topic topic) {
-        Map<String, Finding> map = new HashMap<>();
-        told.stream()
+    private static Map<String, Finding> findings(List<EvidenceRecord> records, Topic topic) {
+        Map<String, Finding> findings = new HashMap<>();
+        records.stream()
                 .filter(record -> record.subject().topic() == topic)
-                .forEach(record -> map.put(record.subject().name(), record.finding()));
-        return map;
+                .forEach(record -> findings.put(record.subject().name(), record.finding()));
+        return findings;
     }
 
-    private Map<String, Finding> health() {
-        return found(tick(), Topic.HEALTH);
+    private Map<String, Finding> healthFindings() {
+        return findings(tick(), Topic.HEALTH);
     }
 
     @Test
     void eachKindOfEngineFaultIsDetected() {
-        ends("n2", AttemptOutcome.ANSWERED, 5);
-        ends("s2", AttemptOutcome.ANSWERED, 5);
-        ends("n1", AttemptOutcome.FAILED, 1);
-        assertEquals(Map.of("n1", Finding.FAILING), health(), "one failure is told, with its strength");
-        ends("s1", AttemptOutcome.UNREACHABLE, 2);
-        assertEquals(Map.of("s1", Finding.UNRESPONSIVE), health());
-        watch.updateEngines(now, List.of());
-        watch.updateEngines(now, lines());
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 5);
+        attemptsEnd("s2", AttemptOutcome.ANSWERED, 5);
+        attemptsEnd("n1", AttemptOutcome.FAILED, 1);
+        assertEquals(Map.of("n1", Finding.FAILING), healthFindings(), "a single failure is reported");
+        attemptsEnd("s1", AttemptOutcome.UNREACHABLE, 2);
+        assertEquals(Map.of("s1", Finding.UNRESPONSIVE), healthFindings());
+        observer.updateEngines(nowUs, List.of());
+        observer.updateEngines(nowUs, listedEngines());
         for (int i = 0; i < 3; i++) {
-            watch.attemptEnded(now, "n1", AttemptOutcome.ANSWERED, 50_000, 10_000);
-            ends("n2", AttemptOutcome.ANSWERED, 1);
+            observer.attemptEnded(nowUs, "n1", AttemptOutcome.ANSWERED, 50_000, 10_000);
+            attemptsEnd("n2", AttemptOutcome.ANSWERED, 1);
         }
-        assertEquals(Map.of("n1", Finding.SLOW), health());
+        assertEquals(Map.of("n1", Finding.SLOW), healthFindings());
     }
 
     @Test
     void healthyEnginesAreReportedOnlyIfAccused() {
-        ends("n1", AttemptOutcome.ANSWERED, 3);
-        assertEquals(Map.of(), health());
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 3);
+        assertEquals(Map.of(), healthFindings());
         accused.add("n1");
-        assertEquals(Map.of("n1", Finding.HEALTHY), health());
+        assertEquals(Map.of("n1", Finding.HEALTHY), healthFindings());
     }
 
-    /** Two good answers end an own accusation, and what it rested on does not come back. */
+    /** Two successes end an own accusation, and earlier failures do not count again. */
     @Test
     void recoveryIsReportedAtOnceAndPersists() {
-        ends("n2", AttemptOutcome.ANSWERED, 5);
-        ends("n1", AttemptOutcome.FAILED, 4);
-        assertEquals(Finding.FAILING, health().get("n1"));
-        ends("n1", AttemptOutcome.ANSWERED, 1);
-        assertEquals(Map.of(), health(), "one may be luck");
-        ends("n1", AttemptOutcome.ANSWERED, 1);
-        assertEquals(Map.of("n1", Finding.HEALTHY), health());
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 5);
+        attemptsEnd("n1", AttemptOutcome.FAILED, 4);
+        assertEquals(Finding.FAILING, healthFindings().get("n1"));
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 1);
+        assertEquals(Map.of(), healthFindings(), "a single success may be chance");
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 1);
+        assertEquals(Map.of("n1", Finding.HEALTHY), healthFindings());
         for (int i = 0; i < 10; i++) {
-            assertTrue(health().getOrDefault("n1", Finding.HEALTHY) == Finding.HEALTHY);
+            assertTrue(healthFindings().getOrDefault("n1", Finding.HEALTHY) == Finding.HEALTHY);
         }
     }
 
     @Test
-    void aSlowQueryDoesNotMakeAnEngineUnresponsive() {
+    void slowQueryDoesNotMakeAnEngineUnresponsive() {
         ticks(20);
-        ends("n2", AttemptOutcome.ANSWERED, 3);
-        ends("n1", AttemptOutcome.ANSWERED, 1);
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 3);
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 1);
         ticks(2);
-        watch.attemptEnded(now, "n1", AttemptOutcome.NO_ANSWER, 800_000, 10_000); // others were answered meanwhile
-        assertEquals(Map.of(), health());
-        watch.attemptEnded(now, "n1", AttemptOutcome.NO_ANSWER, 10_000, 10_000);
-        watch.attemptEnded(now, "n1", AttemptOutcome.NO_ANSWER, 10_000, 10_000);
-        assertEquals(Map.of("n1", Finding.UNRESPONSIVE), health());
+        observer.attemptEnded(
+                nowUs, "n1", AttemptOutcome.NO_ANSWER, 800_000, 10_000); // another query was answered meanwhile
+        assertEquals(Map.of(), healthFindings());
+        observer.attemptEnded(nowUs, "n1", AttemptOutcome.NO_ANSWER, 10_000, 10_000);
+        observer.attemptEnded(nowUs, "n1", AttemptOutcome.NO_ANSWER, 10_000, 10_000);
+        assertEquals(Map.of("n1", Finding.UNRESPONSIVE), healthFindings());
     }
 
     @Test
     void failuresOnAllEnginesAreNoEngineFault() {
-        ends("n1", AttemptOutcome.FAILED, 6);
-        ends("n1", AttemptOutcome.ANSWERED, 4);
+        attemptsEnd("n1", AttemptOutcome.FAILED, 6);
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 4);
         for (String other : List.of("n2", "s1", "s2")) {
-            ends(other, AttemptOutcome.FAILED, 4);
-            ends(other, AttemptOutcome.ANSWERED, 6);
+            attemptsEnd(other, AttemptOutcome.FAILED, 4);
+            attemptsEnd(other, AttemptOutcome.ANSWERED, 6);
         }
-        assertEquals(Map.of(), health());
+        assertEquals(Map.of(), healthFindings());
     }
 
     @Test
     void outcomesOfAPredecessorAreNotCountedForItsSuccessor() {
-        ends("n2", AttemptOutcome.ANSWERED, 3);
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 3);
         ticks(10);
-        List<ListedEngine> lines = lines();
-        lines.set(0, new ListedEngine("n1", "north", 9, false));
-        watch.updateEngines(now, lines);
-        watch.attemptEnded(now + 1000, "n1", AttemptOutcome.FAILED, 100_000, 10_000);
-        List<EvidenceRecord> told = tick();
-        assertEquals(Map.of(), found(told, Topic.HEALTH));
-        assertEquals(Map.of("n1", Finding.WARMING_UP), found(told, Topic.ENGINE_START));
+        List<ListedEngine> engines = listedEngines();
+        engines.set(0, new ListedEngine("n1", "north", 9, false));
+        observer.updateEngines(nowUs, engines);
+        observer.attemptEnded(nowUs + 1000, "n1", AttemptOutcome.FAILED, 100_000, 10_000);
+        List<EvidenceRecord> records = tick();
+        assertEquals(Map.of(), findings(records, Topic.HEALTH));
+        assertEquals(Map.of("n1", Finding.WARMING_UP), findings(records, Topic.ENGINE_START));
     }
 
-    /** A gateway that stood still accuses nobody of its own delay, says so, and trusts itself again after a while. */
+    /** A stalled gateway accuses no engine because of its own delay, reports itself as stalled and recovers later. */
     @Test
-    void lateTimersCauseSelfDoubt() {
-        ends("n2", AttemptOutcome.ANSWERED, 3);
+    void lateTicksCauseSelfSuspicion() {
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 3);
         ticks(3);
-        now += 1_500_000;
-        ends("n1", AttemptOutcome.NO_ANSWER, 3);
-        List<EvidenceRecord> told = tick();
-        assertEquals(Map.of("g", Finding.STALLED), found(told, Topic.SELF_HEALTH));
-        assertEquals(Map.of(), found(told, Topic.HEALTH));
+        nowUs += 1_500_000;
+        attemptsEnd("n1", AttemptOutcome.NO_ANSWER, 3);
+        List<EvidenceRecord> records = tick();
+        assertEquals(Map.of("g", Finding.STALLED), findings(records, Topic.SELF_HEALTH));
+        assertEquals(Map.of(), findings(records, Topic.HEALTH));
         ticks(15);
-        assertEquals(Finding.STALLED, watch.selfFinding(), "not at once");
+        assertEquals(Finding.STALLED, observer.selfFinding(), "still within the recovery time");
         ticks(20);
-        assertEquals(Finding.SELF_HEALTHY, watch.selfFinding());
+        assertEquals(Finding.SELF_HEALTHY, observer.selfFinding());
     }
 
     @Test
-    void mostEnginesFailingCausesSelfDoubtButKeepsReachability() {
-        ends("n1", AttemptOutcome.ANSWERED, 3);
-        ends("s1", AttemptOutcome.NO_ANSWER, 2);
-        ends("s2", AttemptOutcome.UNREACHABLE, 2);
-        List<EvidenceRecord> told = tick();
-        assertEquals(Map.of("g", Finding.MOST_ENGINES_FAILING), found(told, Topic.SELF_HEALTH));
-        assertEquals(Map.of("g", Finding.ONLY_OWN_ZONE_REACHABLE), found(told, Topic.REACHABILITY));
-        ends("s1", AttemptOutcome.ANSWERED, 3);
-        ends("s2", AttemptOutcome.ANSWERED, 3);
-        told = tick();
-        assertEquals(Map.of("g", Finding.OUTSIDE_REACHABLE), found(told, Topic.REACHABILITY));
+    void mostEnginesFailingCausesSelfSuspicionButKeepsReachability() {
+        attemptsEnd("n1", AttemptOutcome.ANSWERED, 3);
+        attemptsEnd("s1", AttemptOutcome.NO_ANSWER, 2);
+        attemptsEnd("s2", AttemptOutcome.UNREACHABLE, 2);
+        List<EvidenceRecord> records = tick();
+        assertEquals(Map.of("g", Finding.MOST_ENGINES_FAILING), findings(records, Topic.SELF_HEALTH));
+        assertEquals(Map.of("g", Finding.ONLY_OWN_ZONE_REACHABLE), findings(records, Topic.REACHABILITY));
+        attemptsEnd("s1", AttemptOutcome.ANSWERED, 3);
+        attemptsEnd("s2", AttemptOutcome.ANSWERED, 3);
+        records = tick();
+        assertEquals(Map.of("g", Finding.OUTSIDE_REACHABLE), findings(records, Topic.REACHABILITY));
         ticks(11);
-        assertEquals(Finding.SELF_HEALTHY, watch.selfFinding());
+        assertEquals(Finding.SELF_HEALTHY, observer.selfFinding());
     }
 
     @Test
-    void oneUnreachableEngineOutsideIsNoLostLink() {
-        ends("s1", AttemptOutcome.UNREACHABLE, 9);
-        assertEquals(Map.of(), found(tick(), Topic.REACHABILITY));
+    void singleUnreachableEngineOutsideIsNoLinkFault() {
+        attemptsEnd("s1", AttemptOutcome.UNREACHABLE, 9);
+        assertEquals(Map.of(), findings(tick(), Topic.REACHABILITY));
     }
 
-    /** What goes on is repeated three times a lease, what stands still is not: its age must show. */
+    /** Without new outcomes the evidence is not renewed, so that it expires. */
     @Test
     void evidenceIsRenewedOnlyByNewOutcomes() {
-        ends("n2", AttemptOutcome.ANSWERED, 9);
-        ends("n1", AttemptOutcome.FAILED, 5);
-        assertEquals(1, health().size());
-        int told = 0;
+        attemptsEnd("n2", AttemptOutcome.ANSWERED, 9);
+        attemptsEnd("n1", AttemptOutcome.FAILED, 5);
+        assertEquals(1, healthFindings().size());
+        int reports = 0;
         for (int i = 0; i < 40; i++) {
-            told += health().size();
+            reports += healthFindings().size();
         }
-        assertEquals(0, told);
-        ends("n1", AttemptOutcome.FAILED, 1);
-        assertEquals(1, health().size());
+        assertEquals(0, reports);
+        attemptsEnd("n1", AttemptOutcome.FAILED, 1);
+        assertEquals(1, healthFindings().size());
     }
 
     @Test
     void drainsAndTheirEndAreReportedButNotTheFirstList() {
-        assertEquals(Map.of(), found(tick(), Topic.ENGINE_START));
-        List<ListedEngine> lines = lines();
-        lines.set(0, new ListedEngine("n1", "north", 0, true));
-        watch.updateEngines(now, lines);
-        assertEquals(Map.of("n1", Finding.DRAINING), found(tick(), Topic.DRAIN));
-        watch.updateEngines(now, lines());
-        assertEquals(Map.of("n1", Finding.WITHDRAWN), found(tick(), Topic.DRAIN));
+        assertEquals(Map.of(), findings(tick(), Topic.ENGINE_START));
+        List<ListedEngine> engines = listedEngines();
+        engines.set(0, new ListedEngine("n1", "north", 0, true));
+        observer.updateEngines(nowUs, engines);
+        assertEquals(Map.of("n1", Finding.DRAINING), findings(tick(), Topic.DRAIN));
+        observer.updateEngines(nowUs, listedEngines());
+        assertEquals(Map.of("n1", Finding.WITHDRAWN), findings(tick(), Topic.DRAIN));
     }
 
     @Test
     void tenantUsageIsBoundedAndItsEndIsReported() {
-        Map<String, Double> used = new HashMap<>();
+        Map<String, Double> usage = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            used.put("t" + i, 1.0 + i);
+            usage.put("t" + i, 1.0 + i);
         }
-        watch.updateTenantUsage(used);
+        observer.updateTenantUsage(usage);
         assertEquals(
-                LocalObserver.MAX_TENANTS, found(tick(), Topic.TENANT_USAGE).size());
-        watch.updateTenantUsage(Map.of("t199", 300.0));
-        List<EvidenceRecord> told = tick();
+                LocalObserver.MAX_TENANTS, findings(tick(), Topic.TENANT_USAGE).size());
+        observer.updateTenantUsage(Map.of("t199", 300.0));
+        List<EvidenceRecord> records = tick();
         assertEquals(
                 LocalObserver.MAX_TENANTS,
-                told.stream()
+                records.stream()
                         .filter(record -> record.subject().topic() == Topic.TENANT_USAGE)
                         .count());
-        assertEquals(300, told.stream().mapToDouble(EvidenceRecord::usage).sum());
+        assertEquals(300, records.stream().mapToDouble(EvidenceRecord::usage).sum());
     }
 
-    /** Attempts are held back from engines that are silent: then probes alone tell that they still are. */
+    /** No attempts are sent to unresponsive engines, so only health checks show that they still are unreachable. */
     @Test
     void unansweredHealthChecksShowThatNothingOutsideIsReachable() {
-        watch.healthCheckUnanswered(now, "s1");
-        watch.healthCheckUnanswered(now, "s2");
-        assertEquals(Map.of(), found(tick(), Topic.REACHABILITY));
-        watch.healthCheckUnanswered(now, "s2");
-        assertEquals(Map.of("g", Finding.NONE_REACHABLE), found(tick(), Topic.REACHABILITY));
+        observer.healthCheckUnanswered(nowUs, "s1");
+        observer.healthCheckUnanswered(nowUs, "s2");
+        assertEquals(Map.of(), findings(tick(), Topic.REACHABILITY));
+        observer.healthCheckUnanswered(nowUs, "s2");
+        assertEquals(Map.of("g", Finding.NONE_REACHABLE), findings(tick(), Topic.REACHABILITY));
     }
 }
