--- a/gateway/src/main/java/sandpaddle/config/FleetSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/FleetSettingsReader.java
@@ -189,7 +189,7 @@
                         Duration.ofMillis(10),
                         Duration.ofSeconds(1)),
                 durationUs(section, "lease_ms", defaults.evidenceLeaseUs(), Duration.ofMillis(500), MINUTE),
-                section.number("condemned_most", defaults.maxCondemnedFraction(), 0, 0.9),
+                section.number("condemned_most", defaults.maxEjectedFraction(), 0, 0.9),
                 defaults.minOutcomes(),
                 defaults.flapHoldUs(),
                 defaults.flapWindowUs(),
--- a/gateway/src/main/java/sandpaddle/fleet/node/evidence/EvidenceExchange.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/evidence/EvidenceExchange.java
@@ -29,15 +29,18 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * The verdicts of one gateway on the fleet's thread: takes in the events of the event loop, exchanges evidence with
- * the peers, and provides the verdicts for the decision module. Memory: the listed engines and the open links.
+ * Exchanges evidence on engines with the other gateways: records the outcomes that the event loop reports, sends and
+ * merges batches of evidence, and provides the resulting verdicts to the decision module.
+ *
+ * <p>Memory: one entry for each listed engine and each open link. Not thread-safe: owned by the fleet's thread. Times
+ * are monotonic microseconds.
  */
 public final class EvidenceExchange {
     private record OpenLink(long incarnation, long openedUs) {}
 
     private static final long MICROS_PER_MS = 1000;
-    private static final double SMOOTHING_WEIGHT =
-            0.05; // of one answer in the typical latency of a class: about twenty answers count
+    /** Weight of the newest answer in the moving average of a class's latency: it spans about twenty answers. */
+    private static final double SMOOTHING_WEIGHT = 0.05;
 
     private final FleetVerdicts verdicts;
     private final Links links;
@@ -49,8 +52,16 @@
     private final Map<String, OpenLink> openLinks = new TreeMap<>();
 
     /**
-     * Creates the exchange; {@code zones}: zone names by number; {@code incarnation}: greater than that of any
-     * earlier process.
+     * Creates the exchange of one gateway.
+     *
+     * @param self this gateway
+     * @param incarnation greater than that of any earlier process of this gateway
+     * @param settings settings of the verdicts
+     * @param drift maximum relative difference between the monotonic clocks of two gateways
+     * @param links links to the other gateways
+     * @param zones zone names by zone number
+     * @param classes number of request classes
+     * @param nowUs current time
      */
     public EvidenceExchange(
             Member self,
@@ -68,24 +79,30 @@
         verdicts = new FleetVerdicts(self.name(), self.zone(), incarnation, settings, drift, nowUs);
     }
 
-    /** Sets the agreed members with their zones, and the voters. Open links to new members count from now on. */
+    /** Sets the agreed members with their zones, and the voters. Evidence is exchanged over all open links to them. */
     public void updateRoster(Map<String, String> zoneOf, Set<String> voters) {
         verdicts.updateRoster(zoneOf, voters);
-        openLinks.forEach((peer, up) -> verdicts.linkUp(peer, up.incarnation, up.openedUs));
+        openLinks.forEach((peer, link) -> verdicts.linkUp(peer, link.incarnation, link.openedUs));
     }
 
-    /** A link came up. The peer cannot have sent anything on it before {@code openedAt}. */
-    public void linkUp(String peer, long incarnation, long openedAt) {
-        openLinks.put(peer, new OpenLink(incarnation, openedAt));
-        verdicts.linkUp(peer, incarnation, openedAt);
+    /**
+     * Starts to exchange evidence on a new link.
+     *
+     * @param peer name of the gateway at the other end
+     * @param incarnation incarnation of that gateway
+     * @param openedUs time before which the peer cannot have sent anything on the link
+     */
+    public void linkUp(String peer, long incarnation, long openedUs) {
+        openLinks.put(peer, new OpenLink(incarnation, openedUs));
+        verdicts.linkUp(peer, incarnation, openedUs);
     }
 
-    /** A link ended. */
+    /** Stops sending evidence to a peer whose link closed. */
     public void linkDown(String peer) {
         openLinks.remove(peer);
     }
 
-    /** Processes an event of the event loop. */
+    /** Records an event of the event loop. */
     public void eventReceived(LoopEvent event) {
         if (event instanceof LoopEvent.AttemptEnded attempt) {
             double typicalUs = typicalLatencyUs[attempt.classIndex()];
@@ -125,17 +142,24 @@
         verdicts.updateEngines(change.nowUs(), listedEngines.values());
     }
 
-    /** A load of a data group completed here. */
+    /** Records that a load of a data group completed at this gateway. */
     public void loadCompleted(long nowUs, String group) {
         verdicts.observer().loadCompleted(nowUs, group);
     }
 
-    /** Merges a batch of a peer. */
+    /**
+     * Merges a batch that a peer sent.
+     *
+     * @throws FaultyMessageException if the payload is not a valid batch
+     */
     public void batchReceived(long nowUs, String from, byte[] payload) throws FaultyMessageException {
         verdicts.batchReceived(nowUs, from, EvidenceCodec.decode(payload));
     }
 
-    /** Evaluates the verdicts, logs their changes and sends evidence. Call it every {@code evidenceIntervalUs}. */
+    /**
+     * Evaluates the verdicts, logs their changes and sends evidence to all linked peers. Has to be called every
+     * {@code evidenceIntervalUs}.
+     */
     public void tick(long nowUs) {
         VerdictSnapshot next = verdicts.tick(nowUs);
         VerdictChangeLog.describe(current, next).forEach(line -> Logger.info("fleet: {}", line));
@@ -150,22 +174,24 @@
     }
 
     /**
-     * The verdicts for the decision module. A gateway that probes a condemned engine omits that verdict and decides
-     * by its own outcomes.
+     * Returns the verdicts for the decision module. A prober of an ejected engine omits that verdict, so that the
+     * decision module tries the engine according to its own outcomes.
      */
     public List<FleetView.Verdict> moduleVerdicts(long nowUs) {
-        List<FleetView.Verdict> all = new ArrayList<>();
+        List<FleetView.Verdict> moduleVerdicts = new ArrayList<>();
         for (FleetEngineVerdict verdict : verdicts.effectiveVerdicts(nowUs)) {
             ListedEngine listed = listedEngines.get(verdict.engine());
             boolean isOutdated = listed != null && verdict.engineStartUs() < listed.startedUs();
-            if (!isOutdated && (!verdict.kind().condemns() || !verdict.isProber())) {
-                long since = verdict.kind() == FleetEngineVerdict.Kind.WARMING_UP && verdict.engineStartUs() > 0
+            if (!isOutdated && (!verdict.kind().ejects() || !verdict.isProber())) {
+                // The warm-up began with the engine's start, which the list gives in platform time.
+                long sinceUs = verdict.kind() == FleetEngineVerdict.Kind.WARMING_UP && verdict.engineStartUs() > 0
                         ? nowUs + verdict.engineStartUs() - System.currentTimeMillis() * MICROS_PER_MS
-                        : verdict.sinceUs(); // its start
-                all.add(new FleetView.Verdict(verdict.engine(), conditionOf(verdict.kind()), since, verdict.untilUs()));
+                        : verdict.sinceUs();
+                moduleVerdicts.add(new FleetView.Verdict(
+                        verdict.engine(), conditionOf(verdict.kind()), sinceUs, verdict.untilUs()));
             }
         }
-        return all;
+        return moduleVerdicts;
     }
 
     private static EngineCondition conditionOf(FleetEngineVerdict.Kind kind) {
@@ -178,23 +204,23 @@
         };
     }
 
-    /** Whether this gateway's zone reaches the engines outside of it. */
+    /** Returns whether this gateway's zone reaches the engines outside of it. */
     public ZoneLink ownZoneLink() {
         return current.zones().getOrDefault(zone, new ZoneLink(zone, ZoneLink.State.UNKNOWN, 0, 0));
     }
 
-    /** The verdicts of the last tick. */
+    /** Returns the verdicts of the last tick. */
     public VerdictSnapshot verdicts() {
         return current;
     }
 
-    /** Passes each data group with a known load, and when its last load ended. */
+    /** Passes the number of each data group with a known load, and the time of its last load, to a consumer. */
     public void forEachLoadedGroup(long nowUs, BiConsumer<Long, Long> consumer) {
-        verdicts.evidenceStore().forEach(Topic.DATA_LOAD, nowUs, e -> {
-            if (e.subject().name().matches("-?\\d{1,18}")) {
+        verdicts.evidenceStore().forEach(Topic.DATA_LOAD, nowUs, load -> {
+            if (load.subject().name().matches("-?\\d{1,18}")) {
                 consumer.accept(
-                        Long.parseLong(e.subject().name()),
-                        verdicts.lastLoadUs(e.subject().name(), e.observedAtUs()));
+                        Long.parseLong(load.subject().name()),
+                        verdicts.lastLoadUs(load.subject().name(), load.observedAtUs()));
             }
         });
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/FleetVerdicts.java
@@ -15,13 +15,13 @@
 import sandpaddle.fleet.verdict.watch.LocalObserver;
 
 /**
- * Verdicts on engines, zones and tenants for a whole fleet without a leader. Each gateway reports evidence, voters
- * forward it as hubs, and each gateway derives the verdicts from the evidence it has.
+ * Fleet-wide outlier detection without a leader: verdicts on engines, zones and tenants. Each gateway reports
+ * evidence, voters relay it, and each gateway derives the verdicts from the evidence it has.
  *
- * <p>The evidence is a state-based replicated data type, its dissemination takes two hops, and the rules ensure that
- * no gateway condemns an engine alone. Staleness: while connected, two report intervals, two link delays and one
- * evaluation; while partitioned, the evidence lease. Memory is bounded by the bounds of {@link EvidenceStore}, {@link
- * LocalObserver} and {@link EvidenceDissemination}.
+ * <p>The evidence is a state-based replicated data type, its dissemination takes at most two hops, and the rules
+ * ensure that no single gateway can eject an engine for the fleet. Staleness of a verdict: while connected, at most
+ * two report intervals, two link delays and one evaluation; while partitioned, at most the evidence lease. Memory is
+ * bounded by the bounds of {@link EvidenceStore}, {@link LocalObserver} and {@link EvidenceDissemination}.
  *
  * <p>Not thread-safe: owned by the fleet's thread. Times are monotonic microseconds and must not decrease.
  */
@@ -40,6 +40,7 @@
      * @param self name of this gateway
      * @param zone zone of this gateway
      * @param incarnation greater than that of any earlier process of this gateway
+     * @param settings settings of the verdicts
      * @param drift maximum relative difference between the monotonic clocks of two gateways
      * @param nowUs current time
      */
@@ -76,14 +77,14 @@
         evaluator.updateTenantQuotas(quotaOf);
     }
 
-    /** The observer that receives outcomes, health checks, data loads and tenant usage. */
+    /** Returns the observer that receives outcomes, health checks, data loads and tenant usage. */
     public LocalObserver observer() {
         return observer;
     }
 
     /**
-     * Reports new evidence, removes expired evidence and evaluates the verdicts. Call it every {@code
-     * evidenceIntervalUs}.
+     * Stores new evidence of this gateway, removes expired evidence and evaluates the verdicts. Has to be called every
+     * {@code evidenceIntervalUs}.
      */
     public VerdictSnapshot tick(long nowUs) {
         evidenceStore.removeExpired(nowUs);
@@ -94,24 +95,33 @@
         return verdicts;
     }
 
-    /** The engine verdicts that the decision module has to apply. */
+    /** Returns the engine verdicts that the decision module has to apply. */
     public List<FleetEngineVerdict> effectiveVerdicts(long nowUs) {
         return VerdictFilter.effectiveVerdicts(verdicts, observer, self, nowUs);
     }
 
-    /** The time of the last known data load of a data group, never earlier than the actual time. */
-    public long lastLoadUs(String group, long otherwise) {
-        return evidenceStore.lastLoadUs(group, otherwise);
+    /**
+     * Returns an upper bound for the time of the last load of a data group, or {@code defaultUs} if no later one is
+     * known.
+     */
+    public long lastLoadUs(String group, long defaultUs) {
+        return evidenceStore.lastLoadUs(group, defaultUs);
     }
 
-    /** A link came up. The peer cannot have sent anything on it before {@code openedUs}. */
+    /**
+     * Starts to exchange evidence on a new link.
+     *
+     * @param peer name of the gateway at the other end
+     * @param incarnation incarnation of that gateway
+     * @param openedUs time before which the peer cannot have sent anything on the link
+     */
     public void linkUp(String peer, long incarnation, long openedUs) {
         dissemination.linkUp(peer, incarnation, openedUs);
     }
 
     /**
-     * The batch to send to a peer now, if any. Poll it every {@code evidenceIntervalUs} and call {@link #batchSent}
-     * once it is queued on the link.
+     * Returns the batch to send to a peer now, if any. Has to be called every {@code evidenceIntervalUs}; {@link
+     * #batchSent} has to be called once the batch is queued on the link.
      */
     public Optional<EvidenceBatch> nextBatch(long nowUs, String peer) {
         return dissemination.nextBatch(nowUs, peer);
@@ -127,7 +137,7 @@
         return dissemination.batchReceived(nowUs, peer, batch);
     }
 
-    /** All evidence known here. */
+    /** Returns all evidence that this gateway knows. */
     public EvidenceStore evidenceStore() {
         return evidenceStore;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineListRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineListRule.java
@@ -16,12 +16,14 @@
 
 /**
  * Applies starts and drains that other gateways read from the engine list before this one. The list is authoritative,
- * so the earliest report of one gateway suffices. A wrong report has limits: a drain is applied for {@code
- * drainGraceUs} after its first report here, drains reported by one gateway close no more engines than verdicts may,
- * and a start reported by one gateway marks the engine as warming up but discards no evidence. Memory: two numbers
- * for each listed engine.
+ * so the earliest report of one gateway suffices. The effect of a wrong report is limited: a drain applies for {@code
+ * drainGraceUs} after its first report, drains that only one gateway reports apply to no more engines than verdicts
+ * may eject, and a start reported by one gateway only marks the engine as warming up but discards no evidence.
+ *
+ * <p>Memory: two numbers for each listed engine.
  */
 final class EngineListRule {
+    /** Number of gateways from which a report counts as confirmed. */
     private static final int MIN_CONFIRMATIONS = 2;
 
     private record DrainReport(long engineStartUs, long firstReportedUs) {}
@@ -36,8 +38,8 @@
     }
 
     /**
-     * The start time that evidence on an engine has to match: the listed one, or a later one that two gateways
-     * reported.
+     * Returns the start time that evidence on an engine has to match: the listed one, or a later one that {@link
+     * #MIN_CONFIRMATIONS} gateways reported.
      */
     long confirmedStartUs(String engine, long listedStartUs, EvidenceStore evidence, long nowUs) {
         List<EvidenceRecord> reports = evidence.findBySubject(new Subject(Topic.ENGINE_START, engine), nowUs);
@@ -45,29 +47,39 @@
             return listedStartUs;
         }
         int confirmations = guards.contains(VerdictGuard.LIMIT_SINGLE_REPORT) ? MIN_CONFIRMATIONS : 1;
-        Map<Long, Integer> reporters = new TreeMap<>();
+        Map<Long, Integer> reporterCounts = new TreeMap<>();
         for (EvidenceRecord record : reports) {
-            reporters.merge(record.engineStartUs(), 1, Integer::sum);
+            reporterCounts.merge(record.engineStartUs(), 1, Integer::sum);
         }
         long startUs = listedStartUs;
-        for (Map.Entry<Long, Integer> entry : reporters.entrySet()) {
+        for (Map.Entry<Long, Integer> entry : reporterCounts.entrySet()) {
             startUs = entry.getValue() >= confirmations ? Math.max(startUs, entry.getKey()) : startUs;
         }
         return startUs;
     }
 
-    void evaluate(long nowUs, Map<String, Long> listed, EvidenceStore evidence, List<FleetEngineVerdict> out) {
-        firstDrainReports.keySet().retainAll(listed.keySet());
-        int remainingSingleReports = (int) Math.max(1, Math.floor(listed.size() * settings.maxCondemnedFraction()));
-        for (Map.Entry<String, Long> entry : listed.entrySet()) {
-            addWarmingUp(nowUs, entry.getKey(), entry.getValue(), evidence, out);
+    /**
+     * Adds the verdicts on warming-up and draining engines.
+     *
+     * @param nowUs current time
+     * @param listedStartUs start times (us, platform time) by listed engine
+     * @param evidence evidence of all gateways
+     * @param verdicts list that the verdicts are added to
+     */
+    void evaluate(
+            long nowUs, Map<String, Long> listedStartUs, EvidenceStore evidence, List<FleetEngineVerdict> verdicts) {
+        firstDrainReports.keySet().retainAll(listedStartUs.keySet());
+        int remainingSingleReports =
+                (int) Math.max(1, Math.floor(listedStartUs.size() * settings.maxEjectedFraction()));
+        for (Map.Entry<String, Long> entry : listedStartUs.entrySet()) {
+            addWarmingUp(nowUs, entry.getKey(), entry.getValue(), evidence, verdicts);
             remainingSingleReports -=
-                    addDraining(nowUs, entry.getKey(), entry.getValue(), evidence, remainingSingleReports, out);
+                    addDraining(nowUs, entry.getKey(), entry.getValue(), evidence, remainingSingleReports, verdicts);
         }
     }
 
     private void addWarmingUp(
-            long nowUs, String engine, long listedStartUs, EvidenceStore evidence, List<FleetEngineVerdict> out) {
+            long nowUs, String engine, long listedStartUs, EvidenceStore evidence, List<FleetEngineVerdict> verdicts) {
         EvidenceRecord latest = null;
         for (EvidenceRecord record : evidence.findBySubject(new Subject(Topic.ENGINE_START, engine), nowUs)) {
             if (record.engineStartUs() >= listedStartUs
@@ -79,7 +91,7 @@
             }
         }
         if (latest != null) {
-            out.add(new FleetEngineVerdict(
+            verdicts.add(new FleetEngineVerdict(
                     engine,
                     FleetEngineVerdict.Kind.WARMING_UP,
                     latest.engineStartUs(),
@@ -96,7 +108,7 @@
             long listedStartUs,
             EvidenceStore evidence,
             int remainingSingleReports,
-            List<FleetEngineVerdict> out) {
+            List<FleetEngineVerdict> verdicts) {
         List<EvidenceRecord> drainReports = new ArrayList<>();
         Set<String> withdrawnBy = new TreeSet<>();
         for (EvidenceRecord record : evidence.findBySubject(new Subject(Topic.DRAIN, engine), nowUs)) {
@@ -139,7 +151,7 @@
                 || isSingleReport && remainingSingleReports <= 0) {
             return 0;
         }
-        out.add(new FleetEngineVerdict(
+        verdicts.add(new FleetEngineVerdict(
                 engine,
                 FleetEngineVerdict.Kind.DRAINING,
                 startUs,
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/EngineVotes.java
@@ -13,16 +13,26 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 
 /**
- * Evaluates the evidence of the gateways on one engine process. A zone votes as the majority of its gateways with
- * evidence. The engine is at fault if at least two zones accuse it and outnumber those that do not, or if more than
- * half of all gateways with evidence accuse it and they are of two zones (two gateways in a fleet with one zone).
- * Otherwise each accusing zone has lost its link to the engine. One gateway alone causes neither for others, as long
+ * Evaluates the evidence of the gateways on one engine process by a vote. A zone votes as the majority of its gateways
+ * with evidence. The engine is at fault if at least two zones accuse it and outnumber those that do not, or if more
+ * than half of all gateways with evidence accuse it and they are of two zones (two gateways in a fleet with one zone).
+ * Otherwise each accusing zone has lost its link to the engine. A single gateway causes neither for others, as long
  * as its zone has another one with recent traffic; a fleet of one gateway gives no verdict.
  */
 final class EngineVotes {
-    private static final int MAX_STRENGTH = 50; // counted of one reporter, so that none outweighs all others
+    /** Maximum number of outcomes counted of one reporter, so that none outweighs all others. */
+    private static final int MAX_STRENGTH = 50;
 
-    /** A fault of an engine, or of the links of the {@code zonesWithoutLink} to it. */
+    /**
+     * A fault of an engine, or of links to it.
+     *
+     * @param kind kind of the fault
+     * @param zonesWithoutLink zones that lost their link to the engine; empty if the engine is at fault
+     * @param reporters number of gateways that accuse the engine
+     * @param strength number of outcomes that the accusations are based on
+     * @param sinceUs start of the earliest accusation (monotonic time)
+     * @param observedAtUs time of the latest outcome that shows the fault (monotonic time)
+     */
     record Accusation(
             FleetEngineVerdict.Kind kind,
             Set<String> zonesWithoutLink,
@@ -44,26 +54,27 @@
     /**
      * Returns the fault that the evidence proves, or null.
      *
-     * @param votes evidence on one engine process by reporters that do not doubt themselves
-     * @param isCondemned whether the engine is condemned already: then only its probers have outcomes, and one suffices
+     * @param votes evidence on one engine process by reporters that do not suspect themselves
+     * @param isAtFault whether the engine was found at fault before: then only probers have outcomes, and one suffices
      */
-    Accusation evaluate(List<EvidenceRecord> votes, boolean isCondemned) {
-        Map<String, int[]> byZone = new TreeMap<>(); // against, for
+    Accusation evaluate(List<EvidenceRecord> votes, boolean isAtFault) {
+        Map<String, int[]> countsByZone = new TreeMap<>(); // number of gateways: accusing, not accusing
         List<EvidenceRecord> accusations = votes.stream()
                 .filter(record -> record.finding().isEngineFault())
                 .toList();
         int strength = accusations.stream()
                 .mapToInt(record -> Math.min(MAX_STRENGTH, record.strength()))
                 .sum();
-        if (accusations.isEmpty() || strength < (isCondemned ? 1 : settings.minOutcomes())) {
+        if (accusations.isEmpty() || strength < (isAtFault ? 1 : settings.minOutcomes())) {
             return null;
         }
-        votes.forEach(record -> byZone.computeIfAbsent(roster.zoneOfGateway(record.reporter()), h -> new int[2])[
+        votes.forEach(record -> countsByZone
+                .computeIfAbsent(roster.zoneOfGateway(record.reporter()), zone -> new int[2])[
                 record.finding().isEngineFault() ? 0 : 1]++);
-        Set<String> against = new TreeSet<>();
-        byZone.forEach((zone, counts) -> {
+        Set<String> accusingZones = new TreeSet<>();
+        countsByZone.forEach((zone, counts) -> {
             if (counts[0] > counts[1]) {
-                against.add(zone);
+                accusingZones.add(zone);
             }
         });
         FleetEngineVerdict.Kind kind = majorityKind(accusations);
@@ -73,33 +84,38 @@
                 .mapToLong(EvidenceRecord::observedAtUs)
                 .max()
                 .orElseThrow();
-        if (isEngineFault(votes, accusations, byZone.size() - against.size(), against.size())) {
+        if (isEngineFault(votes, accusations, countsByZone.size() - accusingZones.size(), accusingZones.size())) {
             return new Accusation(kind, Set.of(), accusations.size(), strength, sinceUs, observedAtUs);
         }
-        Set<String> links = new TreeSet<>();
-        against.stream().filter(h -> isLinkFault(h, accusations)).forEach(links::add);
-        return links.isEmpty()
+        Set<String> zonesWithoutLink = new TreeSet<>();
+        accusingZones.stream().filter(zone -> isLinkFault(zone, accusations)).forEach(zonesWithoutLink::add);
+        return zonesWithoutLink.isEmpty()
                 ? null
                 : new Accusation(
-                        FleetEngineVerdict.Kind.LINK_DOWN, links, accusations.size(), strength, sinceUs, observedAtUs);
+                        FleetEngineVerdict.Kind.LINK_DOWN,
+                        zonesWithoutLink,
+                        accusations.size(),
+                        strength,
+                        sinceUs,
+                        observedAtUs);
     }
 
     private boolean isEngineFault(
-            List<EvidenceRecord> votes, List<EvidenceRecord> accusations, int zonesFor, int zonesAgainst) {
-        Set<String> zones = new HashSet<>();
-        accusations.forEach(record -> zones.add(roster.zoneOfGateway(record.reporter())));
+            List<EvidenceRecord> votes, List<EvidenceRecord> accusations, int otherZones, int accusingZones) {
+        Set<String> reporterZones = new HashSet<>();
+        accusations.forEach(record -> reporterZones.add(roster.zoneOfGateway(record.reporter())));
         boolean isSingleZone = roster.zones().size() <= 1;
-        if (zonesAgainst >= 2 && zonesAgainst > zonesFor) {
+        if (accusingZones >= 2 && accusingZones > otherZones) {
             return true;
         }
         boolean isMajority = 2 * accusations.size() > votes.size();
         boolean isConfirmed = accusations.size() >= 2 || !guards.contains(VerdictGuard.NO_SINGLE_REPORTER);
-        boolean fromTwoZones =
-                zones.size() >= 2 || isSingleZone || !guards.contains(VerdictGuard.SINGLE_ZONE_IS_LINK_FAULT);
-        return isMajority && isConfirmed && fromTwoZones;
+        boolean isFromTwoZones =
+                reporterZones.size() >= 2 || isSingleZone || !guards.contains(VerdictGuard.SINGLE_ZONE_IS_LINK_FAULT);
+        return isMajority && isConfirmed && isFromTwoZones;
     }
 
-    /** Two gateways of a zone have to report it, or the only one of the zone. */
+    /** Returns whether two gateways of the zone, or its only one, accuse the engine. */
     private boolean isLinkFault(String zone, List<EvidenceRecord> accusations) {
         long gateways = roster.zoneOf().values().stream().filter(zone::equals).count();
         long reporters = accusations.stream()
@@ -109,13 +125,13 @@
                 && (reporters >= Math.min(2, gateways) || !guards.contains(VerdictGuard.NO_SINGLE_REPORTER));
     }
 
-    /** The most frequent finding; in a tie the one that harms queries most: unresponsive, then failing, then slow. */
+    /** Returns the most frequent fault; on a tie the one worst for queries: unresponsive, then failing, then slow. */
     private static FleetEngineVerdict.Kind majorityKind(List<EvidenceRecord> accusations) {
-        Map<Finding, Integer> count = new EnumMap<>(Finding.class);
-        accusations.forEach(record -> count.merge(record.finding(), 1, Integer::sum));
-        int unresponsive = count.getOrDefault(Finding.UNRESPONSIVE, 0);
-        int failing = count.getOrDefault(Finding.FAILING, 0);
-        int slow = count.getOrDefault(Finding.SLOW, 0);
+        Map<Finding, Integer> counts = new EnumMap<>(Finding.class);
+        accusations.forEach(record -> counts.merge(record.finding(), 1, Integer::sum));
+        int unresponsive = counts.getOrDefault(Finding.UNRESPONSIVE, 0);
+        int failing = counts.getOrDefault(Finding.FAILING, 0);
+        int slow = counts.getOrDefault(Finding.SLOW, 0);
         if (unresponsive >= failing && unresponsive >= slow) {
             return FleetEngineVerdict.Kind.UNRESPONSIVE;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
@@ -21,7 +21,7 @@
 /**
  * Derives verdicts from evidence. Each gateway evaluates its own {@link EvidenceStore}, so no verdict depends on a
  * leader or a request. Stores with the same content give the same verdicts, except for flap damping, which depends on
- * earlier verdicts. Evidence of gateways that doubt themselves is ignored for engines. No verdict outlives the lease
+ * earlier verdicts. Evidence on engines by gateways that suspect themselves is ignored. No verdict outlives the lease
  * of its evidence.
  *
  * <p>Cost of an evaluation: one pass over the evidence. Memory: a few numbers for each listed engine. Not
@@ -31,7 +31,7 @@
     private final VerdictSettings settings;
     private final EvidenceStore evidence;
     private final Set<VerdictGuard> guards;
-    private final CondemnedEngines condemnedEngines;
+    private final EjectedEngines ejectedEngines;
     private final EngineListRule engineListRule;
     private final ZoneLinkRule zoneRule;
     private final TenantQuotaRule tenantRule = new TenantQuotaRule();
@@ -40,6 +40,13 @@
     private Map<String, Double> tenantQuotas = Map.of();
     private final Map<String, Long> engineStartUs = new TreeMap<>();
 
+    /**
+     * Creates an evaluator.
+     *
+     * @param self name of this gateway
+     * @param settings settings of the verdicts
+     * @param evidence evidence to evaluate
+     */
     public VerdictEvaluator(String self, VerdictSettings settings, EvidenceStore evidence) {
         this(self, settings, evidence, EnumSet.allOf(VerdictGuard.class));
     }
@@ -49,7 +56,7 @@
         this.evidence = evidence;
         this.guards = guards;
         roster = new ZoneRoster(self, Map.of());
-        condemnedEngines = new CondemnedEngines(settings, guards);
+        ejectedEngines = new EjectedEngines(settings, guards);
         engineListRule = new EngineListRule(settings, guards);
         zoneRule = new ZoneLinkRule(settings);
     }
@@ -63,7 +70,7 @@
     public void updateEngines(Map<String, Long> startOf) {
         listedStartUs = new TreeMap<>(startOf);
         engineStartUs.keySet().retainAll(listedStartUs.keySet());
-        condemnedEngines.retain(listedStartUs.keySet());
+        ejectedEngines.retain(listedStartUs.keySet());
     }
 
     /** Sets the quota of each tenant in the whole fleet. */
@@ -73,23 +80,23 @@
 
     /** Evaluates all verdicts at a monotonic time (us). */
     public VerdictSnapshot evaluate(long nowUs) {
-        Map<String, EvidenceRecord> selfHealth = ownStatements(Topic.SELF_HEALTH, nowUs);
-        Map<String, EvidenceRecord> reachability = ownStatements(Topic.REACHABILITY, nowUs);
-        Set<String> selfDoubting = new TreeSet<>();
+        Map<String, EvidenceRecord> selfHealth = selfReports(Topic.SELF_HEALTH, nowUs);
+        Map<String, EvidenceRecord> reachability = selfReports(Topic.REACHABILITY, nowUs);
+        Set<String> selfSuspecting = new TreeSet<>();
         Set<String> healthyGateways = new TreeSet<>();
         selfHealth.forEach((gateway, record) ->
-                (record.finding() == Finding.SELF_HEALTHY ? healthyGateways : selfDoubting).add(gateway));
+                (record.finding() == Finding.SELF_HEALTHY ? healthyGateways : selfSuspecting).add(gateway));
         Map<String, ZoneLink> zoneLinks = zoneRule.evaluate(nowUs, roster, selfHealth, reachability);
-        Map<String, Accusation> links = new TreeMap<>();
+        Map<String, Accusation> linkFaults = new TreeMap<>();
         for (String engine : listedStartUs.keySet()) {
-            evaluateEngine(nowUs, engine, selfDoubting, links);
+            evaluateEngine(nowUs, engine, selfSuspecting, linkFaults);
         }
         List<FleetEngineVerdict> verdicts = new ArrayList<>();
-        List<String> closed = new ArrayList<>();
-        List<String> spared = new ArrayList<>();
-        condemnedEngines.selectClosed(listedStartUs.size(), closed, spared);
-        for (String engine : closed) {
-            Accusation accusation = condemnedEngines.accusation(engine);
+        List<String> ejected = new ArrayList<>();
+        List<String> exempted = new ArrayList<>();
+        ejectedEngines.selectEjected(listedStartUs.size(), ejected, exempted);
+        for (String engine : ejected) {
+            Accusation accusation = ejectedEngines.accusation(engine);
             boolean isProber = ProbeAssignment.probersOf(engine, healthyGateways, roster, settings.maxProbers())
                     .contains(roster.self());
             verdicts.add(new FleetEngineVerdict(
@@ -97,80 +104,87 @@
                     accusation.kind(),
                     engineStartUs.get(engine),
                     accusation.sinceUs(),
-                    condemnedEngines.untilUs(engine),
+                    ejectedEngines.untilUs(engine),
                     isProber));
         }
-        Map<String, Set<String>> linksDown = linksDown(links);
-        addOwnLinkVerdicts(links, zoneLinks, healthyGateways, verdicts, spared);
+        Map<String, Set<String>> unreachableEnginesByZone = unreachableEnginesByZone(linkFaults);
+        addOwnLinkVerdicts(linkFaults, zoneLinks, healthyGateways, verdicts, exempted);
         engineListRule.evaluate(nowUs, listedStartUs, evidence, verdicts);
         List<EvidenceRecord> usages = new ArrayList<>();
         evidence.forEach(Topic.TENANT_USAGE, nowUs, usages::add);
-        Set<String> over = tenantRule.evaluate(tenantQuotas, usages, roster.self(), guards);
+        Set<String> tenantsOverQuota = tenantRule.evaluate(tenantQuotas, usages, roster.self(), guards);
         return new VerdictSnapshot(
-                List.copyOf(verdicts), List.copyOf(spared), linksDown, over, zoneLinks, Set.copyOf(selfDoubting));
+                List.copyOf(verdicts),
+                List.copyOf(exempted),
+                unreachableEnginesByZone,
+                tenantsOverQuota,
+                zoneLinks,
+                Set.copyOf(selfSuspecting));
     }
 
     /**
-     * Updates the condemnation of one engine, or adds its accusation to {@code links} if only links to it are down.
+     * Updates the ejection of one engine, or adds its accusation to {@code linkFaults} if only links to it are down.
      */
-    private void evaluateEngine(long nowUs, String engine, Set<String> selfDoubting, Map<String, Accusation> links) {
+    private void evaluateEngine(
+            long nowUs, String engine, Set<String> selfSuspecting, Map<String, Accusation> linkFaults) {
         long startUs = engineListRule.confirmedStartUs(engine, listedStartUs.get(engine), evidence, nowUs);
-        Long before = engineStartUs.put(engine, startUs);
-        boolean isOther = before != null && before != startUs;
-        if (isOther && guards.contains(VerdictGuard.SAME_ENGINE_START)) {
-            condemnedEngines.forget(engine);
+        Long previousStartUs = engineStartUs.put(engine, startUs);
+        boolean isRestarted = previousStartUs != null && previousStartUs != startUs;
+        if (isRestarted && guards.contains(VerdictGuard.SAME_ENGINE_START)) {
+            ejectedEngines.forget(engine);
         }
-        List<EvidenceRecord> all = evidence.findBySubject(new Subject(Topic.HEALTH, engine), nowUs);
-        if (all.isEmpty()) {
-            condemnedEngines.update(nowUs, engine, null);
+        List<EvidenceRecord> allVotes = evidence.findBySubject(new Subject(Topic.HEALTH, engine), nowUs);
+        if (allVotes.isEmpty()) {
+            ejectedEngines.update(nowUs, engine, null);
             return;
         }
-        List<EvidenceRecord> votes = all.stream()
+        List<EvidenceRecord> votes = allVotes.stream()
                 .filter(record -> record.engineStartUs() == startUs || !guards.contains(VerdictGuard.SAME_ENGINE_START))
-                .filter(record -> !selfDoubting.contains(record.reporter())
-                        || !guards.contains(VerdictGuard.IGNORE_SELF_DOUBTING))
+                .filter(record -> !selfSuspecting.contains(record.reporter())
+                        || !guards.contains(VerdictGuard.IGNORE_SELF_SUSPECTING))
                 .toList();
         Accusation accusation =
-                new EngineVotes(settings, roster, guards).evaluate(votes, condemnedEngines.isCondemned(engine));
+                new EngineVotes(settings, roster, guards).evaluate(votes, ejectedEngines.isAtFault(engine));
         boolean isLinkFault = accusation != null && accusation.kind() == FleetEngineVerdict.Kind.LINK_DOWN;
         if (isLinkFault) {
-            links.put(engine, accusation);
+            linkFaults.put(engine, accusation);
         }
-        condemnedEngines.update(nowUs, engine, isLinkFault ? null : accusation);
+        ejectedEngines.update(nowUs, engine, isLinkFault ? null : accusation);
     }
 
-    private static Map<String, Set<String>> linksDown(Map<String, Accusation> links) {
-        Map<String, Set<String>> down = new TreeMap<>();
-        links.forEach((engine, accusation) -> accusation
+    private static Map<String, Set<String>> unreachableEnginesByZone(Map<String, Accusation> linkFaults) {
+        Map<String, Set<String>> enginesByZone = new TreeMap<>();
+        linkFaults.forEach((engine, accusation) -> accusation
                 .zonesWithoutLink()
-                .forEach(
-                        zone -> down.computeIfAbsent(zone, h -> new TreeSet<>()).add(engine)));
-        return Map.copyOf(down);
+                .forEach(zone -> enginesByZone
+                        .computeIfAbsent(zone, key -> new TreeSet<>())
+                        .add(engine)));
+        return Map.copyOf(enginesByZone);
     }
 
     /**
      * Adds verdicts on engines that this zone's links do not reach, as far as the maximum fraction allows. An
-     * isolated zone closes no engine by its links, since it could send the work nowhere else.
+     * isolated zone ejects no engine because of its links, since it could send the queries nowhere else.
      */
     private void addOwnLinkVerdicts(
-            Map<String, Accusation> links,
+            Map<String, Accusation> linkFaults,
             Map<String, ZoneLink> zoneLinks,
             Set<String> healthyGateways,
             List<FleetEngineVerdict> verdicts,
-            List<String> spared) {
+            List<String> exempted) {
         String zone = roster.ownZone();
-        ZoneLink own = zoneLinks.get(zone);
-        int maxByFraction = (int) Math.floor(listedStartUs.size() * settings.maxCondemnedFraction());
+        ZoneLink ownLink = zoneLinks.get(zone);
+        int maxByFraction = (int) Math.floor(listedStartUs.size() * settings.maxEjectedFraction());
         int remaining = Math.max(maxByFraction, listedStartUs.size() >= 2 ? 1 : 0) - verdicts.size();
-        boolean isIsolated = own != null && own.state() == ZoneLink.State.ISOLATED;
+        boolean isIsolated = ownLink != null && ownLink.state() == ZoneLink.State.ISOLATED;
         Set<String> healthyInZone = new TreeSet<>(healthyGateways);
         healthyInZone.removeIf(gateway -> !roster.zoneOfGateway(gateway).equals(zone));
-        for (Map.Entry<String, Accusation> entry : links.entrySet()) {
+        for (Map.Entry<String, Accusation> entry : linkFaults.entrySet()) {
             if (!entry.getValue().zonesWithoutLink().contains(zone)) {
                 continue;
             }
-            if (isIsolated || remaining <= 0 && guards.contains(VerdictGuard.MAX_CONDEMNED_FRACTION)) {
-                spared.add(entry.getKey());
+            if (isIsolated || remaining <= 0 && guards.contains(VerdictGuard.MAX_EJECTED_FRACTION)) {
+                exempted.add(entry.getKey());
                 continue;
             }
             remaining--;
@@ -186,19 +200,19 @@
         }
     }
 
-    /** The records of a topic that members made about themselves, by member. */
-    private Map<String, EvidenceRecord> ownStatements(Topic topic, long nowUs) {
-        Map<String, EvidenceRecord> found = new TreeMap<>();
+    /** Returns the records of a topic that members made on themselves, by member. */
+    private Map<String, EvidenceRecord> selfReports(Topic topic, long nowUs) {
+        Map<String, EvidenceRecord> records = new TreeMap<>();
         evidence.forEach(topic, nowUs, record -> {
             if (record.subject().name().equals(record.reporter())
                     && roster.zoneOf().containsKey(record.reporter())) {
-                found.put(record.reporter(), record);
+                records.put(record.reporter(), record);
             }
         });
-        return found;
+        return records;
     }
 
-    /** Engines with evidence of a fault, for which gateways report counter-evidence. */
+    /** Returns the engines with evidence of a fault, for which gateways report counter-evidence. */
     public Set<String> accusedEngines(long nowUs) {
         Set<String> names = new TreeSet<>();
         evidence.forEach(Topic.HEALTH, nowUs, record -> {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
@@ -1,19 +1,19 @@
 package sandpaddle.fleet.verdict.judge;
 
-/** Rules that keep verdicts from doing harm. Tests disable one at a time to show its effect. */
+/** Safeguards against wrong verdicts. Tests disable them one at a time to show the effect of each. */
 enum VerdictGuard {
-    /** An accusation by one zone only is a fault of its link. */
+    /** An accusation by one zone only counts as a fault of its link. */
     SINGLE_ZONE_IS_LINK_FAULT,
-    /** No gateway condemns alone. */
+    /** No single gateway causes a verdict. */
     NO_SINGLE_REPORTER,
-    /** Evidence of gateways that doubt themselves is ignored. */
-    IGNORE_SELF_DOUBTING,
-    /** A limited fraction of the engines is condemned at a time. */
-    MAX_CONDEMNED_FRACTION,
-    /** Evidence on another process of the engine is ignored. */
+    /** Evidence of gateways that suspect themselves is ignored. */
+    IGNORE_SELF_SUSPECTING,
+    /** A limited fraction of the engines is ejected at a time. */
+    MAX_EJECTED_FRACTION,
+    /** Evidence on an earlier or later process of the engine is ignored. */
     SAME_ENGINE_START,
-    /** Verdicts on a flapping engine are held. */
+    /** Verdicts on a flapping engine outlive their evidence. */
     FLAP_DAMPING,
-    /** Starts and drains reported by one gateway alone have limited effect. */
+    /** Starts and drains reported by a single gateway have limited effect. */
     LIMIT_SINGLE_REPORT
 }
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ZoneLinkRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/ZoneLinkRule.java
@@ -10,9 +10,9 @@
 /**
  * Evaluates whether each zone reaches the engines outside of it. A zone is isolated if at least half of its live, not
  * stalled gateways get no answer from outside, they outnumber those that do, and either a gateway of another zone
- * reaches engines or no other zone is known (as seen from inside).
+ * reaches engines or there is no evidence of other zones (as for a gateway inside the isolated zone).
  *
- * <p>Hysteresis: isolation ends with its evidence, but is not found again before {@code flapHoldUs} after its end.
+ * <p>Hysteresis: isolation ends with its evidence, and a zone is not isolated again for {@code flapHoldUs} after that.
  * Memory: one state for each zone of the roster.
  */
 final class ZoneLinkRule {
@@ -27,10 +27,10 @@
     /**
      * Evaluates all zones.
      *
-     * @param nowUs monotonic time
+     * @param nowUs current time (monotonic)
      * @param roster the members with their zones
-     * @param selfHealth by gateway, its evidence on itself
-     * @param reachability by gateway, its evidence on the engines that it reaches
+     * @param selfHealth evidence of each gateway on itself, by gateway
+     * @param reachability evidence of each gateway on the engines that it reaches, by gateway
      */
     Map<String, ZoneLink> evaluate(
             long nowUs,
@@ -40,14 +40,14 @@
         links.keySet().retainAll(roster.zones());
         isolationEndedUs.keySet().retainAll(roster.zones());
         for (String zone : roster.zones()) {
-            ZoneLink found = classify(nowUs, zone, roster, selfHealth, reachability);
-            ZoneLink before = links.get(zone);
-            if (before != null && before.state() == found.state()) {
-                found = new ZoneLink(zone, found.state(), before.sinceUs(), found.confidence());
-            } else if (before != null && before.state() == ZoneLink.State.ISOLATED) {
+            ZoneLink current = classify(nowUs, zone, roster, selfHealth, reachability);
+            ZoneLink previous = links.get(zone);
+            if (previous != null && previous.state() == current.state()) {
+                current = new ZoneLink(zone, current.state(), previous.sinceUs(), current.confidence());
+            } else if (previous != null && previous.state() == ZoneLink.State.ISOLATED) {
                 isolationEndedUs.put(zone, nowUs);
             }
-            links.put(zone, found);
+            links.put(zone, current);
         }
         return Map.copyOf(links);
     }
@@ -66,20 +66,20 @@
         boolean otherZonesReachEngines = false;
         for (Map.Entry<String, EvidenceRecord> entry : selfHealth.entrySet()) {
             if (entry.getValue().finding() == Finding.STALLED) {
-                continue; // answers may be waiting in it, unread
+                continue; // it may have received answers that it has not read
             }
-            EvidenceRecord reach = reachability.get(entry.getKey());
+            EvidenceRecord record = reachability.get(entry.getKey());
             if (!roster.zoneOfGateway(entry.getKey()).equals(zone)) {
-                otherZonesKnown |= reach != null;
-                otherZonesReachEngines |= reach != null && reach.finding() != Finding.NONE_REACHABLE;
+                otherZonesKnown |= record != null;
+                otherZonesReachEngines |= record != null && record.finding() != Finding.NONE_REACHABLE;
                 continue;
             }
             liveGateways++;
-            if (reach != null && reach.finding() == Finding.OUTSIDE_REACHABLE) {
+            if (record != null && record.finding() == Finding.OUTSIDE_REACHABLE) {
                 reachingOutside++;
-            } else if (reach != null) {
+            } else if (record != null) {
                 notReaching++;
-                sinceUs = Math.min(sinceUs, reach.sinceUs());
+                sinceUs = Math.min(sinceUs, record.sinceUs());
             }
         }
         if (2 * notReaching >= liveGateways && notReaching > reachingOutside) {
--- a/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
@@ -106,7 +106,7 @@
                 List.<Object>of(
                         settings.verdicts().evidenceIntervalUs(),
                         settings.verdicts().evidenceLeaseUs(),
-                        settings.verdicts().maxCondemnedFraction(),
+                        settings.verdicts().maxEjectedFraction(),
                         settings.verdicts().maxProbers()));
     }
 
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/StalenessTest.java
@@ -10,118 +10,128 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.verdict.watch.AttemptOutcome;
 
-/** The stated bounds: two flushes, two links and one evaluation while connected; the lease when cut off. */
+/**
+ * Staleness bounds of verdicts: two report intervals, two link delays and one evaluation while connected; the lease
+ * while partitioned.
+ */
 class StalenessTest {
-    private static final long BOUND = 3 * VirtualFleet.TICK + 2 * 41_000;
+    private static final long STALENESS_BOUND_US = 3 * VirtualFleet.TICK_US + 2 * 41_000;
 
-    private static void outcomes(VirtualFleet fleet, String gateway, String engine, AttemptOutcome outcome, int times) {
-        for (int i = 0; i < times; i++) {
-            fleet.gateways.get(gateway).observer().attemptEnded(fleet.clock(gateway), engine, outcome, 10_000, 10_000);
+    private static void recordOutcomes(
+            VirtualFleet fleet, String gateway, String engine, AttemptOutcome outcome, int count) {
+        for (int i = 0; i < count; i++) {
+            fleet.gateways
+                    .get(gateway)
+                    .observer()
+                    .attemptEnded(fleet.localTimeUs(gateway), engine, outcome, 10_000, 10_000);
         }
     }
 
-    /** Times until each gateway knows a verdict, over drawn moments, reporters and engines. */
-    private static List<Long> spreadTimes(double loss, int rounds) {
+    /** Returns the times until each gateway has a verdict, over random starts, reporters and engines. */
+    private static List<Long> disseminationTimesUs(double frameLossProbability, int rounds) {
         VirtualFleet fleet = new VirtualFleet(100, 4, 5, VerdictSettings.DEFAULT, 71);
-        fleet.loss = loss;
-        fleet.engines(VirtualFleet.lines(12, 4));
-        List<Long> times = new ArrayList<>();
-        fleet.runTo(1_000_000);
+        fleet.frameLossProbability = frameLossProbability;
+        fleet.updateEngines(VirtualFleet.listedEngines(12, 4));
+        List<Long> timesUs = new ArrayList<>();
+        fleet.runUntil(1_000_000);
         for (int round = 0; round < rounds; round++) {
             String engine = "e" + round % 12;
-            fleet.runTo(fleet.now + fleet.random.nextLong(50_000));
-            int a = fleet.random.nextInt(100);
-            int b = (a + 1 + 4 * fleet.random.nextInt(24)) % 100;
-            outcomes(fleet, VirtualFleet.name(a), engine, AttemptOutcome.FAILED, 3);
-            outcomes(fleet, VirtualFleet.name(b), engine, AttemptOutcome.FAILED, 3);
-            Map<String, Long> knownAt = new HashMap<>();
-            long from = fleet.now;
-            while (fleet.now < from + 1_500_000 && knownAt.size() < 100) {
-                fleet.runTo(fleet.now + 5_000);
+            fleet.runUntil(fleet.nowUs + fleet.random.nextLong(50_000));
+            int firstReporter = fleet.random.nextInt(100);
+            int secondReporter = (firstReporter + 1 + 4 * fleet.random.nextInt(24)) % 100;
+            recordOutcomes(fleet, VirtualFleet.name(firstReporter), engine, AttemptOutcome.FAILED, 3);
+            recordOutcomes(fleet, VirtualFleet.name(secondReporter), engine, AttemptOutcome.FAILED, 3);
+            Map<String, Long> knownAfterUs = new HashMap<>();
+            long startUs = fleet.nowUs;
+            while (fleet.nowUs < startUs + 1_500_000 && knownAfterUs.size() < 100) {
+                fleet.runUntil(fleet.nowUs + 5_000);
                 fleet.gateways.keySet().stream()
-                        .filter(gateway -> fleet.condemns(gateway, engine))
-                        .forEach(gateway -> knownAt.putIfAbsent(gateway, fleet.now - from));
+                        .filter(gateway -> fleet.ejects(gateway, engine))
+                        .forEach(gateway -> knownAfterUs.putIfAbsent(gateway, fleet.nowUs - startUs));
             }
-            assertEquals(100, knownAt.size(), "known to all within 1.5 s");
-            times.addAll(knownAt.values());
-            outcomes(fleet, VirtualFleet.name(a), engine, AttemptOutcome.ANSWERED, 3);
-            outcomes(fleet, VirtualFleet.name(b), engine, AttemptOutcome.ANSWERED, 3);
-            fleet.runTo(fleet.now + 400_000);
+            assertEquals(100, knownAfterUs.size(), "known to all within 1.5 s");
+            timesUs.addAll(knownAfterUs.values());
+            recordOutcomes(fleet, VirtualFleet.name(firstReporter), engine, AttemptOutcome.ANSWERED, 3);
+            recordOutcomes(fleet, VirtualFleet.name(secondReporter), engine, AttemptOutcome.ANSWERED, 3);
+            fleet.runUntil(fleet.nowUs + 400_000);
         }
-        times.sort(null);
+        timesUs.sort(null);
         System.out.printf(
-                "verdict known after, ms, 100 gateways, loss %.3f: p50 %d, p99 %d, p99.9 %d, most %d (n %d);"
+                "verdict known after, ms, 100 gateways, loss %.3f: p50 %d, p99 %d, p99.9 %d, max %d (n %d);"
                         + " a gateway sends %.1f kB/s%n",
-                loss,
-                at(times, 0.5),
-                at(times, 0.99),
-                at(times, 0.999),
-                at(times, 1),
-                times.size(),
-                fleet.bytes / 1e3 / 100 / (fleet.now / 1e6));
-        return times;
+                frameLossProbability,
+                quantileMs(timesUs, 0.5),
+                quantileMs(timesUs, 0.99),
+                quantileMs(timesUs, 0.999),
+                quantileMs(timesUs, 1),
+                timesUs.size(),
+                fleet.bytesSent / 1e3 / 100 / (fleet.nowUs / 1e6));
+        return timesUs;
     }
 
-    private static long at(List<Long> sorted, double quantile) {
-        return sorted.get((int) Math.min(sorted.size() - 1, quantile * sorted.size())) / 1000;
+    private static long quantileMs(List<Long> sortedUs, double quantile) {
+        return sortedUs.get((int) Math.min(sortedUs.size() - 1, quantile * sortedUs.size())) / 1000;
     }
 
     @Test
-    void withoutLossEveryVerdictIsKnownWithinTheBound() {
-        List<Long> times = spreadTimes(0, 3);
-        assertTrue(times.get(times.size() - 1) <= BOUND + 5_000, "most " + times.get(times.size() - 1) + " us");
+    void everyGatewayHasTheVerdictWithinTheBoundWithoutLoss() {
+        List<Long> timesUs = disseminationTimesUs(0, 3);
+        assertTrue(
+                timesUs.get(timesUs.size() - 1) <= STALENESS_BOUND_US + 5_000,
+                "max " + timesUs.get(timesUs.size() - 1) + " us");
     }
 
     @Test
-    void withLossAndReconnectsP999StaysUnderHalfASecond() {
-        assertTrue(at(spreadTimes(0.005, 8), 0.999) <= 500);
+    void disseminationP999IsUnderHalfASecondWithLossAndReconnects() {
+        assertTrue(quantileMs(disseminationTimesUs(0.005, 8), 0.999) <= 500);
     }
 
     @Test
-    void whilePartitionedAVerdictEndsWithItsLeaseAndReturnsWithTheLink() {
+    void verdictEndsWithItsLeaseWhilePartitionedAndReturnsWithTheLink() {
         VirtualFleet fleet = new VirtualFleet(6, 3, 3, VerdictSettings.DEFAULT, 5);
-        fleet.engines(VirtualFleet.lines(8, 3));
-        fleet.runTo(500_000);
-        for (long t = 0; t < 20; t++) {
-            outcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 2);
-            outcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 2);
-            fleet.runTo(fleet.now + 100_000);
+        fleet.updateEngines(VirtualFleet.listedEngines(8, 3));
+        fleet.runUntil(500_000);
+        for (long step = 0; step < 20; step++) {
+            recordOutcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 2);
+            recordOutcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 2);
+            fleet.runUntil(fleet.nowUs + 100_000);
         }
-        assertTrue(fleet.condemns("g005", "e1"));
-        fleet.cut = (from, to) -> from.equals("g005") || to.equals("g005");
-        long cutAt = fleet.now;
-        long lastSeen = cutAt;
-        while (fleet.now < cutAt + 6_000_000) {
-            outcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 1);
-            outcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 1);
-            fleet.runTo(fleet.now + 50_000);
-            lastSeen = fleet.condemns("g005", "e1") ? fleet.now : lastSeen;
+        assertTrue(fleet.ejects("g005", "e1"));
+        fleet.isPartitioned = (from, to) -> from.equals("g005") || to.equals("g005");
+        long partitionedAtUs = fleet.nowUs;
+        long lastEjectedUs = partitionedAtUs;
+        while (fleet.nowUs < partitionedAtUs + 6_000_000) {
+            recordOutcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 1);
+            recordOutcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 1);
+            fleet.runUntil(fleet.nowUs + 50_000);
+            lastEjectedUs = fleet.ejects("g005", "e1") ? fleet.nowUs : lastEjectedUs;
         }
         assertTrue(
-                lastSeen - cutAt <= VerdictSettings.DEFAULT.evidenceLeaseUs(), "stood " + (lastSeen - cutAt) + " us");
-        assertTrue(fleet.condemns("g004", "e1"), "the others go on");
-        fleet.cut = (from, to) -> false;
+                lastEjectedUs - partitionedAtUs <= VerdictSettings.DEFAULT.evidenceLeaseUs(),
+                "ejected for another " + (lastEjectedUs - partitionedAtUs) + " us");
+        assertTrue(fleet.ejects("g004", "e1"), "the other gateways keep the verdict");
+        fleet.isPartitioned = (from, to) -> false;
         fleet.reconnect();
-        outcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 1);
-        outcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 1);
-        fleet.runTo(fleet.now + BOUND);
-        assertTrue(fleet.condemns("g005", "e1"), "known again");
+        recordOutcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 1);
+        recordOutcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 1);
+        fleet.runUntil(fleet.nowUs + STALENESS_BOUND_US);
+        assertTrue(fleet.ejects("g005", "e1"), "known again after the partition");
     }
 
-    /** A message held up on its link for longer than the lease brings no verdict back to life. */
+    /** A message that is delayed by more than the lease must not cause a verdict. */
     @Test
-    void evidenceDelayedPastItsLeaseIsExpired() {
+    void evidenceDelayedBeyondItsLeaseIsIgnored() {
         VirtualFleet fleet = new VirtualFleet(3, 3, 3, VerdictSettings.DEFAULT, 6);
-        fleet.engines(VirtualFleet.lines(8, 3));
-        fleet.runTo(1_000_000);
-        outcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 3);
-        outcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 3);
-        long made = fleet.now;
-        fleet.maxDelay = 8_000_000;
-        while (fleet.now < made + 12_000_000) {
-            fleet.runTo(fleet.now + 20_000);
-            boolean late = fleet.now - made > VerdictSettings.DEFAULT.evidenceLeaseUs();
-            assertTrue(!late || !fleet.condemns("g002", "e1"), "after " + (fleet.now - made) + " us");
+        fleet.updateEngines(VirtualFleet.listedEngines(8, 3));
+        fleet.runUntil(1_000_000);
+        recordOutcomes(fleet, "g000", "e1", AttemptOutcome.FAILED, 3);
+        recordOutcomes(fleet, "g001", "e1", AttemptOutcome.FAILED, 3);
+        long observedAtUs = fleet.nowUs;
+        fleet.maxDelayUs = 8_000_000;
+        while (fleet.nowUs < observedAtUs + 12_000_000) {
+            fleet.runUntil(fleet.nowUs + 20_000);
+            boolean isExpired = fleet.nowUs - observedAtUs > VerdictSettings.DEFAULT.evidenceLeaseUs();
+            assertTrue(!isExpired || !fleet.ejects("g002", "e1"), "after " + (fleet.nowUs - observedAtUs) + " us");
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/VerdictChangeLogTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/VerdictChangeLogTest.java
@@ -10,7 +10,7 @@
 class VerdictChangeLogTest {
     @Test
     void eachChangeIsOneLogLine() {
-        VerdictSnapshot some = new VerdictSnapshot(
+        VerdictSnapshot snapshot = new VerdictSnapshot(
                 List.of(new FleetEngineVerdict("e1", FleetEngineVerdict.Kind.FAILING, 0, 1, 2, true)),
                 List.of("e2"),
                 Map.of(),
@@ -19,20 +19,20 @@
                 Set.of("g"));
         assertEquals(
                 List.of(
-                        "verdict begins: engine e1 SICK, tried from here",
-                        "engine spared, too many are bad at once: e2",
-                        "tenant over its share: t",
-                        "gateway doubts itself: g",
-                        "hall a is ISOLATED"),
-                VerdictChangeLog.describe(VerdictSnapshot.NONE, some));
-        assertEquals(List.of(), VerdictChangeLog.describe(some, some));
+                        "verdict begins: engine e1 SICK, probed from here",
+                        "engine at fault but not ejected (ejection limit or isolated zone): e2",
+                        "tenant over its quota: t",
+                        "gateway suspects itself: g",
+                        "zone a is ISOLATED"),
+                VerdictChangeLog.describe(VerdictSnapshot.NONE, snapshot));
+        assertEquals(List.of(), VerdictChangeLog.describe(snapshot, snapshot));
         assertEquals(
                 List.of(
                         "verdict ends: engine e1 SICK",
-                        "no more engine spared, too many are bad at once: e2",
-                        "no more tenant over its share: t",
-                        "no more gateway doubts itself: g"),
-                VerdictChangeLog.describe(some, VerdictSnapshot.NONE));
+                        "ended: engine at fault but not ejected (ejection limit or isolated zone): e2",
+                        "ended: tenant over its quota: t",
+                        "ended: gateway suspects itself: g"),
+                VerdictChangeLog.describe(snapshot, VerdictSnapshot.NONE));
     }
 
     @Test
@@ -40,9 +40,9 @@
         assertEquals(List.of(), VerdictSettings.DEFAULT.validationErrors());
         assertEquals(
                 List.of(
-                        "evidence_ms is 0, not from 10 to 1000",
-                        "condemned_share is NaN, not from 0 to 1",
-                        "verdict_testers is 0, not from 1 to 10"),
+                        "evidence_ms is 0; expected 10 to 1000",
+                        "condemned_share is NaN; expected 0 to 1",
+                        "verdict_testers is 0; expected 1 to 10"),
                 new VerdictSettings(0, 3_000_000, Double.NaN, 3, 0, 0, 0, 0, 0, 512, 128, 1024).validationErrors());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/ByzantineReporterProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/ByzantineReporterProperties.java
@@ -14,40 +14,49 @@
 import sandpaddle.fleet.verdict.evidence.Finding;
 import sandpaddle.fleet.verdict.evidence.Topic;
 
+/** A Byzantine reporter sends arbitrary evidence. */
 class ByzantineReporterProperties {
-    private static final String HONEST = "a1 a2 b2 c1";
+    private static final String CORRECT_GATEWAYS = "a1 a2 b2 c1";
 
-    /** Whatever one gateway says of anything, for as long as it likes, it condemns nothing for the others. */
+    /** Arbitrary reports of a single gateway on any subject eject no engine for the others. */
     @Property(seed = "35", tries = 150)
-    void oneByzantineReporterCondemnsNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int steps) {
+    void singleByzantineReporterEjectsNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int steps) {
         SplittableRandom random = new SplittableRandom(seed);
         VerdictEvaluatorFixture fixture = new VerdictEvaluatorFixture("a1 a2 b1 b2 c1");
-        fixture.judge.updateTenantQuotas(Map.of("t", 10.0));
-        fixture.self(HONEST, Finding.SELF_HEALTHY).say(HONEST, Topic.REACHABILITY, "", Finding.OUTSIDE_REACHABLE, 0, 0);
+        fixture.evaluator.updateTenantQuotas(Map.of("t", 10.0));
+        fixture.reportSelfHealth(CORRECT_GATEWAYS, Finding.SELF_HEALTHY)
+                .report(CORRECT_GATEWAYS, Topic.REACHABILITY, "", Finding.OUTSIDE_REACHABLE, 0, 0);
         for (int i = 0; i < steps; i++) {
-            fixture.now += random.nextLong(400_000);
-            fixture.self(HONEST, Finding.SELF_HEALTHY)
-                    .say(HONEST, Topic.REACHABILITY, "", Finding.OUTSIDE_REACHABLE, 0, 0);
+            fixture.nowUs += random.nextLong(400_000);
+            fixture.reportSelfHealth(CORRECT_GATEWAYS, Finding.SELF_HEALTHY)
+                    .report(CORRECT_GATEWAYS, Topic.REACHABILITY, "", Finding.OUTSIDE_REACHABLE, 0, 0);
             Topic topic = Topic.values()[random.nextInt(Topic.values().length)];
             Finding[] findings = java.util.Arrays.stream(Finding.values())
                     .filter(topic::allows)
                     .toArray(Finding[]::new);
-            boolean ofItself = topic == Topic.SELF_HEALTH || topic == Topic.REACHABILITY;
-            String subject = ofItself ? "" : topic == Topic.TENANT_USAGE ? "t" : "e" + random.nextInt(10);
-            fixture.say(
+            boolean isAboutItself = topic == Topic.SELF_HEALTH || topic == Topic.REACHABILITY;
+            String subject = isAboutItself ? "" : topic == Topic.TENANT_USAGE ? "t" : "e" + random.nextInt(10);
+            fixture.report(
                     "b1",
                     topic,
                     subject,
                     findings[random.nextInt(findings.length)],
                     random.nextLong(3),
                     random.nextDouble(1e6));
-            VerdictSnapshot v = fixture.after(0);
-            assertTrue(v.engines().stream().noneMatch(e -> e.kind().condemns()), "condemned: " + v.engines());
-            assertEquals(Map.of(), v.unreachableEnginesByZone());
+            VerdictSnapshot snapshot = fixture.evaluateAfter(0);
             assertTrue(
-                    v.engines().stream().filter(e -> e.kind() == Kind.DRAINING).count() <= 3);
-            assertTrue(v.tenantsOverQuota().isEmpty());
-            assertTrue(v.zones().values().stream().noneMatch(h -> h.state() == ZoneLink.State.ISOLATED), "isolated");
+                    snapshot.engines().stream()
+                            .noneMatch(verdict -> verdict.kind().ejects()),
+                    "ejected: " + snapshot.engines());
+            assertEquals(Map.of(), snapshot.unreachableEnginesByZone());
+            assertTrue(snapshot.engines().stream()
+                            .filter(verdict -> verdict.kind() == Kind.DRAINING)
+                            .count()
+                    <= 3);
+            assertTrue(snapshot.tenantsOverQuota().isEmpty());
+            assertTrue(
+                    snapshot.zones().values().stream().noneMatch(link -> link.state() == ZoneLink.State.ISOLATED),
+                    "isolated");
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorFixture.java
+++ b/gateway/src/test/java/sandpaddle/fleet/verdict/judge/VerdictEvaluatorFixture.java
@@ -14,72 +14,86 @@
 import sandpaddle.fleet.verdict.evidence.Subject;
 import sandpaddle.fleet.verdict.evidence.Topic;
 
-/** A judge with a book into which a test writes what gateways say; {@code a1} is gateway 1 of zone {@code a}. */
+/** An evaluator and its store, into which a test puts evidence; {@code a1} is gateway 1 of zone {@code a}. */
 final class VerdictEvaluatorFixture {
     static final VerdictSettings SETTINGS = VerdictSettings.DEFAULT;
 
-    final EvidenceStore book = new EvidenceStore(SETTINGS);
-    final VerdictEvaluator judge;
-    long now = 100_000_000;
+    final EvidenceStore store = new EvidenceStore(SETTINGS);
+    final VerdictEvaluator evaluator;
+    long nowUs = 100_000_000;
     private final Map<String, String> zones = new TreeMap<>();
-    private long seq;
+    private long sequence;
 
-    /** The first gateway judges. */
-    VerdictEvaluatorFixture(String gateways, VerdictGuard... without) {
+    /**
+     * Creates the evaluator of the first gateway of a fleet with ten engines.
+     *
+     * @param gateways names of the gateways, separated by spaces
+     * @param disabled guards that the evaluator does not apply
+     */
+    VerdictEvaluatorFixture(String gateways, VerdictGuard... disabled) {
         EnumSet<VerdictGuard> guards = EnumSet.allOf(VerdictGuard.class);
-        guards.removeAll(List.of(without));
+        guards.removeAll(List.of(disabled));
         List<String> names = List.of(gateways.split(" "));
         names.forEach(gateway -> zones.put(gateway, gateway.substring(0, 1)));
-        judge = new VerdictEvaluator(names.get(0), SETTINGS, book, guards);
-        book.setMembers(zones.keySet());
-        judge.updateRoster(zones);
-        engines(10);
+        evaluator = new VerdictEvaluator(names.get(0), SETTINGS, store, guards);
+        store.setMembers(zones.keySet());
+        evaluator.updateRoster(zones);
+        updateEngines(10);
     }
 
-    void engines(int count) {
-        Map<String, Long> starts = new TreeMap<>();
+    void updateEngines(int count) {
+        Map<String, Long> startUsByEngine = new TreeMap<>();
         for (int i = 0; i < count; i++) {
-            starts.put("e" + i, 0L);
+            startUsByEngine.put("e" + i, 0L);
         }
-        judge.updateEngines(starts);
+        evaluator.updateEngines(startUsByEngine);
     }
 
-    VerdictEvaluatorFixture say(
-            String gateways, Topic topic, String subject, Finding finding, long startUs, double amount) {
+    VerdictEvaluatorFixture report(
+            String gateways, Topic topic, String subject, Finding finding, long engineStartUs, double usage) {
         for (String gateway : gateways.split(" ")) {
-            String about = subject.isEmpty() ? gateway : subject;
-            book.put(
+            String subjectName = subject.isEmpty() ? gateway : subject;
+            store.put(
                     new EvidenceRecord(
-                            new Subject(topic, about), gateway, 1, ++seq, finding, startUs, 3, amount, now, now),
+                            new Subject(topic, subjectName),
+                            gateway,
+                            1,
+                            ++sequence,
+                            finding,
+                            engineStartUs,
+                            3,
+                            usage,
+                            nowUs,
+                            nowUs),
                     gateway,
-                    now);
+                    nowUs);
         }
         return this;
     }
 
-    VerdictEvaluatorFixture health(String gateways, String engine, Finding finding) {
-        return say(gateways, Topic.HEALTH, engine, finding, 0, 0);
+    VerdictEvaluatorFixture reportHealth(String gateways, String engine, Finding finding) {
+        return report(gateways, Topic.HEALTH, engine, finding, 0, 0);
     }
 
-    VerdictEvaluatorFixture self(String gateways, Finding finding) {
-        return say(gateways, Topic.SELF_HEALTH, "", finding, 0, 0);
+    VerdictEvaluatorFixture reportSelfHealth(String gateways, Finding finding) {
+        return report(gateways, Topic.SELF_HEALTH, "", finding, 0, 0);
     }
 
-    VerdictEvaluatorFixture reach(String gateways, Finding finding) {
-        return self(gateways, Finding.SELF_HEALTHY).say(gateways, Topic.REACHABILITY, "", finding, 0, 0);
+    VerdictEvaluatorFixture reportReachability(String gateways, Finding finding) {
+        return reportSelfHealth(gateways, Finding.SELF_HEALTHY).report(gateways, Topic.REACHABILITY, "", finding, 0, 0);
     }
 
-    VerdictSnapshot after(long us) {
-        now += us;
-        return judge.evaluate(now);
+    VerdictSnapshot evaluateAfter(long delayUs) {
+        nowUs += delayUs;
+        return evaluator.evaluate(nowUs);
     }
 
-    /** "e1 SICK" and so on, of what closes engines. */
-    List<String> closed() {
-        List<String> found = new ArrayList<>();
-        for (FleetEngineVerdict verdict : judge.evaluate(now).engines()) {
-            found.add(verdict.engine() + " " + verdict.kind().logName());
+    /** The engine verdicts as in the log, for example "e1 SICK". */
+    List<String> engineVerdicts() {
+        List<String> verdicts = new ArrayList<>();
+        for (FleetEngineVerdict verdict : evaluator.evaluate(nowUs).engines()) {
+            verdicts.add(verdict.engine() + " " + verdict.kind().logName());
         }
-        return found;
+        return verdicts;
     }
 }
