--- a/gateway/src/main/java/sandpaddle/fleet/member/LinkHealth.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/LinkHealth.java
@@ -8,8 +8,8 @@
 
 /**
  * Which peers and zones this gateway reaches, since when, and the round trip times. It is the view of one gateway:
- * the fleet's verdicts compare several views to decide whether a peer or the path to it fails. Memory: the peers
- * watched. Not thread-safe. Times are monotonic microseconds.
+ * the fleet's verdicts compare several views to decide whether a peer or the path to it fails. Memory: one record for
+ * each watched peer. Not thread-safe. Times are monotonic microseconds.
  */
 public final class LinkHealth {
     /**
@@ -32,7 +32,15 @@
             long incarnation,
             String lastLoss) {}
 
-    /** A zone as seen from this gateway; reachable if at least half of its watched members are up. */
+    /**
+     * A zone as seen from this gateway.
+     *
+     * @param name name of the zone
+     * @param memberCount number of watched members in the zone
+     * @param upCount number of them that a link is up to
+     * @param isReachable whether at least half of the watched members are up
+     * @param sinceUs when {@code isReachable} changed last
+     */
     public record Zone(String name, int memberCount, int upCount, boolean isReachable, long sinceUs) {}
 
     private record ZoneState(boolean isReachable, long sinceUs) {}
@@ -72,12 +80,19 @@
         }
     }
 
-    /** A link or an attempt ended. After several in a row, {@code sinceUs} is that of the first. */
-    public void linkDown(long nowUs, String name, String how) {
+    /**
+     * A link or an attempt to connect ended. After several in a row, {@code sinceUs} is that of the first.
+     *
+     * @param nowUs monotonic time (us)
+     * @param name name of the peer
+     * @param reason how the link was lost
+     */
+    public void linkDown(long nowUs, String name, String reason) {
         Peer peer = peers.get(name);
         if (peer != null) {
             peers.put(
-                    name, new Peer(name, peer.zone, false, peer.isUp ? nowUs : peer.sinceUs, 0, peer.incarnation, how));
+                    name,
+                    new Peer(name, peer.zone, false, peer.isUp ? nowUs : peer.sinceUs, 0, peer.incarnation, reason));
             updateZones(nowUs);
         }
     }
@@ -94,22 +109,22 @@
     private void updateZones(long nowUs) {
         Map<String, int[]> counts = counts();
         zones.keySet().retainAll(counts.keySet());
-        counts.forEach((zone, c) -> {
-            boolean reachable = 2 * c[1] >= c[0];
-            ZoneState was = zones.get(zone);
-            if (was == null || was.isReachable != reachable) {
+        counts.forEach((zone, count) -> {
+            boolean reachable = 2 * count[1] >= count[0];
+            ZoneState before = zones.get(zone);
+            if (before == null || before.isReachable != reachable) {
                 zones.put(zone, new ZoneState(reachable, nowUs));
             }
         });
     }
 
-    /** Number of members watched and up, by zone. */
+    /** By zone: the number of watched members, then the number of those that are up. */
     private Map<String, int[]> counts() {
         Map<String, int[]> counts = new TreeMap<>();
         for (Peer peer : peers.values()) {
-            int[] c = counts.computeIfAbsent(peer.zone, h -> new int[2]);
-            c[0]++;
-            c[1] += peer.isUp ? 1 : 0;
+            int[] count = counts.computeIfAbsent(peer.zone, zone -> new int[2]);
+            count[0]++;
+            count[1] += peer.isUp ? 1 : 0;
         }
         return counts;
     }
@@ -122,9 +137,9 @@
     /** All zones, ordered by name. */
     public List<Zone> zones() {
         List<Zone> all = new ArrayList<>();
-        counts().forEach((zone, c) -> {
+        counts().forEach((zone, count) -> {
             ZoneState state = zones.get(zone);
-            all.add(new Zone(zone, c[0], c[1], state.isReachable, state.sinceUs));
+            all.add(new Zone(zone, count[0], count[1], state.isReachable, state.sinceUs));
         });
         return all;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/member/Member.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/Member.java
@@ -4,7 +4,7 @@
  * A gateway of the fleet.
  *
  * @param name name of the gateway, the same after a restart
- * @param zone zone that it stands in
+ * @param zone zone that it is in
  * @param host host name or IPv4 address at which its peers reach it
  * @param port TCP port at which its peers reach it
  */
--- a/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/MemberName.java
@@ -1,6 +1,9 @@
 package sandpaddle.fleet.member;
 
-/** Syntax of the names of members, zones and clusters, so that they can stand in logs, files and frames unescaped. */
+/**
+ * Syntax of the names of members, zones and clusters, so that they can be used in logs, files and frames without
+ * escaping.
+ */
 public final class MemberName {
     /** Longest name in characters. */
     public static final int MAX_CHARS = 64;
@@ -28,15 +31,15 @@
     /**
      * Returns the name if it is valid.
      *
-     * @param what what the name is of, for the message
+     * @param field name of the checked field, for the message
      * @param name the name to check
-     * @throws IllegalArgumentException naming {@code what} and the name, shortened for a log line
+     * @throws IllegalArgumentException with the field and the name, shortened for a log line
      */
-    public static String check(String what, String name) {
+    public static String check(String field, String name) {
         if (!isValid(name)) {
             String shown = name == null ? "none" : name.substring(0, Math.min(MAX_CHARS, name.length()));
             throw new IllegalArgumentException(
-                    what + " '" + shown + "' is not 1 to " + MAX_CHARS + " of A-Z a-z 0-9 . _ -");
+                    field + " '" + shown + "' is not 1 to " + MAX_CHARS + " of A-Z a-z 0-9 . _ -");
         }
         return name;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/Roster.java
@@ -19,7 +19,12 @@
     /** A roster without members. */
     public static final Roster EMPTY = new Roster(new TreeMap<>());
 
-    /** A member and the last known incarnation of its process, 0 if unknown. */
+    /**
+     * An entry of the roster.
+     *
+     * @param member the member
+     * @param incarnation the last known incarnation of its process, 0 if unknown
+     */
     public record Entry(Member member, long incarnation) {}
 
     private final TreeMap<String, Entry> entries;
@@ -51,7 +56,7 @@
         }
         Entry known = entries.get(member.name());
         if (known == null && entries.size() >= MAX_MEMBERS) {
-            throw new IllegalArgumentException("member " + member.name() + " is over the bound of " + MAX_MEMBERS);
+            throw new IllegalArgumentException("member " + member.name() + " exceeds the maximum of " + MAX_MEMBERS);
         }
         return put(new Entry(member, known == null ? 0 : known.incarnation()));
     }
@@ -114,7 +119,7 @@
     /** The zones that have a member. */
     public SortedSet<String> zones() {
         SortedSet<String> zones = new TreeSet<>();
-        entries.values().forEach(e -> zones.add(e.member().zone()));
+        entries.values().forEach(entry -> zones.add(entry.member().zone()));
         return zones;
     }
 
@@ -125,7 +130,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Roster r && entries.equals(r.entries);
+        return other instanceof Roster roster && entries.equals(roster.entries);
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/member/VoterPlan.java
@@ -13,7 +13,7 @@
 
 /**
  * Plans which members vote: an odd number, spread over zones as evenly as the live members allow, with as few changes
- * as possible. The leader takes the next change and commits it before it asks for another, as Raft changes its
+ * as possible. The leader requests the next change and commits it before it requests another, as Raft changes its
  * membership by one server at a time (Ongaro's thesis, 4.1 to 4.3). A voter is replaced if it was unresponsive for
  * long or is no member any more; a live one moves only if its zone has two voters more than another could have. No
  * change is planned that leaves fewer live voters than a majority. Cost: O(members log members). Stateless and
@@ -30,21 +30,32 @@
      *     forth; a change that restores an odd number does not wait
      */
     public record Settings(int voterCount, long replaceAfterUs, long minUptimeUs, long minChangeIntervalUs) {
+        /** Checks the values. */
         public Settings {
             if (voterCount != 3 && voterCount != 5) {
                 throw new IllegalArgumentException("voters is " + voterCount + ", not 3 or 5");
             }
             if (replaceAfterUs < 1 || minUptimeUs < 0 || minChangeIntervalUs < 0) {
-                throw new IllegalArgumentException(
-                        "times of the voter plan: " + replaceAfterUs + " " + minUptimeUs + " " + minChangeIntervalUs);
+                throw new IllegalArgumentException("times of the voter plan (us): replace after " + replaceAfterUs
+                        + ", min uptime " + minUptimeUs + ", min change interval " + minChangeIntervalUs);
             }
         }
     }
 
-    /** When a member was last seen, and since when it was seen without interruption; monotonic microseconds. */
+    /**
+     * When a member was seen; monotonic microseconds.
+     *
+     * @param lastSeenUs when it was seen last
+     * @param continuousSinceUs since when it was seen without interruption
+     */
     public record LastContact(long lastSeenUs, long continuousSinceUs) {}
 
-    /** One voter to add, one to remove, or both: a replacement. */
+    /**
+     * A change of the voters; one that adds and removes is a replacement.
+     *
+     * @param add name of the voter to add, if any
+     * @param remove name of the voter to remove, if any
+     */
     public record Change(Optional<String> add, Optional<String> remove) {
         /** The voters after the change; the remaining ones keep their order. */
         public List<String> applyTo(List<String> voters) {
@@ -56,7 +67,7 @@
     }
 
     /**
-     * The leader's knowledge.
+     * The leader's view of the fleet.
      *
      * @param roster the members
      * @param voters the current voters
@@ -75,6 +86,7 @@
 
     private final Settings settings;
 
+    /** Creates a plan with these settings. */
     public VoterPlan(Settings settings) {
         this.settings = settings;
     }
@@ -83,11 +95,11 @@
     public static List<String> initialVoters(Roster roster, int max) {
         int odd = Math.min(max, roster.size() % 2 == 0 ? roster.size() - 1 : roster.size());
         List<String> voters = new ArrayList<>();
-        for (int place = 0; voters.size() < odd; place++) {
+        for (int position = 0; voters.size() < odd; position++) {
             for (String zone : roster.zones()) {
                 List<Member> members = roster.inZone(zone);
-                if (place < members.size() && voters.size() < odd) {
-                    voters.add(members.get(place).name());
+                if (position < members.size() && voters.size() < odd) {
+                    voters.add(members.get(position).name());
                 }
             }
         }
@@ -96,7 +108,7 @@
 
     /** The next change, if one is due. */
     public Optional<Change> nextChange(ClusterState state, long nowUs) {
-        return new Round(state, nowUs).nextChange().filter(change -> isSafe(state, nowUs, change));
+        return new Decision(state, nowUs).nextChange().filter(change -> isSafe(state, nowUs, change));
     }
 
     /**
@@ -110,8 +122,8 @@
                 && count(after, voter -> isLive(state, nowUs, voter)) > after.size() / 2;
     }
 
-    private static int count(Collection<String> names, Predicate<String> which) {
-        return (int) names.stream().filter(which).count();
+    private static int count(Collection<String> names, Predicate<String> condition) {
+        return (int) names.stream().filter(condition).count();
     }
 
     private boolean isLive(ClusterState state, long nowUs, String name) {
@@ -125,15 +137,15 @@
         return nowUs - last >= forUs;
     }
 
-    /** One decision on a cluster state. */
-    private final class Round {
+    /** The decision for one cluster state. */
+    private final class Decision {
         private final ClusterState state;
         private final long now;
         private final List<Member> candidates = new ArrayList<>(); // live, stable and not voting
         private final List<String> lostVoters = new ArrayList<>(); // removed members and unresponsive voters
         private final Map<String, Integer> votersPerZone = new TreeMap<>(); // remaining voters
 
-        Round(ClusterState state, long nowUs) {
+        Decision(ClusterState state, long nowUs) {
             this.state = state;
             this.now = nowUs;
             for (Member member : state.roster().members()) {
@@ -186,7 +198,8 @@
 
         /**
          * The number of voters to have: odd, and as many as possible. A single lost voter without a replacement
-         * stays: it may return, and two of three or four of five tolerate as much as a smaller set.
+         * stays: it may return, and three or five voters of which one has failed tolerate as many further failures as
+         * one or three voters.
          */
         private int targetCount() {
             int size = state.voters().size();
--- a/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/MemberTest.java
@@ -16,11 +16,11 @@
 
     @Test
     void namesAreShortAndOfPermittedCharacters() {
-        for (String good : List.of("a", "GW-1.hall_2", "0", "x".repeat(64))) {
-            assertTrue(MemberName.isValid(good), good);
+        for (String valid : List.of("a", "GW-1.hall_2", "0", "x".repeat(64))) {
+            assertTrue(MemberName.isValid(valid), valid);
         }
-        for (String bad : List.of("", "x".repeat(65), "a b", "a/b", "é", "a\n", "a:1")) {
-            assertFalse(MemberName.isValid(bad), bad);
+        for (String invalid : List.of("", "x".repeat(65), "a b", "a/b", "é", "a\n", "a:1")) {
+            assertFalse(MemberName.isValid(invalid), invalid);
         }
         assertFalse(MemberName.isValid(null));
         assertEquals(
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aRosterIsAValue() {
+    void rosterIsImmutableAndComparedByValue() {
         Roster one = Roster.of(List.of(member("b", "h2"), member("a", "h1")));
         Roster two = one.with(member("c", "h1")).withIncarnation("a", 7).withIncarnation("nobody", 3);
         assertEquals(List.of("a", "b"), one.members().stream().map(Member::name).toList());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aRosterRejectsInvalidMembersAndIsBounded() {
+    void rosterRejectsInvalidMembersAndIsBounded() {
         assertEquals(
                 "port of a is 0, not from 1 to 65535",
                 assertThrows(
@@ -59,11 +59,11 @@
         }
         Roster last = full;
         assertThrows(IllegalArgumentException.class, () -> last.with(member("more", "h")));
-        assertEquals(full.size(), last.with(member("m1", "h2")).size(), "a known one may change");
+        assertEquals(full.size(), last.with(member("m1", "h2")).size(), "a known member may change its zone");
     }
 
     @Test
-    void linkHealthShowsReachableZones() {
+    void zoneIsReachableIfHalfOfItsMembersAreUp() {
         LinkHealth health = new LinkHealth();
         health.setPeers(10, List.of(member("a", "h1"), member("b", "h2"), member("c", "h2"), member("d", "h2")));
         health.linkUp(20, "a", 5);
@@ -85,7 +85,7 @@
         assertFalse(health.isReachable("h2"));
         health.setPeers(50, List.of(member("b", "h2"), member("c", "h2")));
         assertTrue(health.isReachable("h2"), "half of two");
-        assertFalse(health.isReachable("h1"), "nobody is watched there");
+        assertFalse(health.isReachable("h1"), "no member is watched there");
         assertEquals(2, health.peers().size());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/member/VoterPlanProperties.java
@@ -27,7 +27,7 @@
     private static final VoterPlan.Settings THREE = new VoterPlan.Settings(3, 20 * SECOND, 5 * SECOND, 10 * SECOND);
 
     private static Member member(String name) {
-        return new Member(name, "hall-" + name.charAt(0), "10.0.0.1", 7000);
+        return new Member(name, "zone-" + name.charAt(0), "10.0.0.1", 7000);
     }
 
     private static Roster roster(String... names) {
@@ -35,68 +35,71 @@
                 List.of(names).stream().map(VoterPlanProperties::member).toList());
     }
 
-    /** All heard just now, but for those named in {@code lost}, which were heard before the time to replace. */
-    private static ClusterState situation(Roster roster, List<String> voters, List<String> lost) {
-        Map<String, LastContact> heard = new HashMap<>();
-        roster.names().forEach(n -> heard.put(n, new LastContact(lost.contains(n) ? NOW - 30 * SECOND : NOW, 0)));
-        return new ClusterState(roster, voters, voters.get(0), heard, 0, 0);
+    /**
+     * All members were seen just now, except those in {@code lost}, which were last seen before the time to replace.
+     */
+    private static ClusterState clusterState(Roster roster, List<String> voters, List<String> lost) {
+        Map<String, LastContact> lastContacts = new HashMap<>();
+        roster.names()
+                .forEach(n -> lastContacts.put(n, new LastContact(lost.contains(n) ? NOW - 30 * SECOND : NOW, 0)));
+        return new ClusterState(roster, voters, voters.get(0), lastContacts, 0, 0);
     }
 
-    private static Change swap(String add, String remove) {
+    private static Change change(String add, String remove) {
         return new Change(Optional.ofNullable(add), Optional.ofNullable(remove));
     }
 
-    private static Optional<Change> three(List<String> voters, List<String> lost, String... names) {
-        return new VoterPlan(THREE).nextChange(situation(roster(names), voters, lost), NOW);
+    private static Optional<Change> nextChangeOfThree(List<String> voters, List<String> lost, String... names) {
+        return new VoterPlan(THREE).nextChange(clusterState(roster(names), voters, lost), NOW);
     }
 
     @Test
-    void aLostVoterIsReplacedByOneOfTheZoneWithTheFewest() {
+    void lostVoterIsReplacedByAMemberOfTheZoneWithTheFewestVoters() {
         assertEquals(
-                Optional.of(swap("c2", "c1")),
-                three(List.of("a1", "b1", "c1"), List.of("c1"), "a1", "a2", "b1", "b2", "c1", "c2"));
+                Optional.of(change("c2", "c1")),
+                nextChangeOfThree(List.of("a1", "b1", "c1"), List.of("c1"), "a1", "a2", "b1", "b2", "c1", "c2"));
         assertEquals(
-                Optional.of(swap("a2", "c1")),
-                three(List.of("a1", "b1", "c1"), List.of("c1"), "a1", "a2", "b1", "b2", "c1"));
+                Optional.of(change("a2", "c1")),
+                nextChangeOfThree(List.of("a1", "b1", "c1"), List.of("c1"), "a1", "a2", "b1", "b2", "c1"));
     }
 
     @Test
-    void liveVotersStayAndNoneIsTakenTwice() {
+    void liveVotersMoveOnlyToEvenOutZones() {
         assertEquals(
                 Optional.empty(),
-                three(List.of("a1", "a2", "b1"), List.of(), "a1", "a2", "b1", "b2"),
-                "one more in a hall is no reason to move");
+                nextChangeOfThree(List.of("a1", "a2", "b1"), List.of(), "a1", "a2", "b1", "b2"),
+                "one voter more in a zone is not enough to move one");
         assertEquals(
-                Optional.of(swap("c1", "a2")),
-                three(List.of("a1", "a2", "b1"), List.of(), "a1", "a2", "b1", "b2", "c1"),
-                "two more than in another is");
+                Optional.of(change("c1", "a2")),
+                nextChangeOfThree(List.of("a1", "a2", "b1"), List.of(), "a1", "a2", "b1", "b2", "c1"),
+                "two voters more than in another zone are");
         assertEquals(
-                Optional.of(swap("b1", "a3")),
-                three(List.of("a1", "a2", "a3"), List.of(), "a1", "a2", "a3", "b1"),
-                "all in one hall is, and the leader stays");
+                Optional.of(change("b1", "a3")),
+                nextChangeOfThree(List.of("a1", "a2", "a3"), List.of(), "a1", "a2", "a3", "b1"),
+                "three voters more are, and the leader stays");
     }
 
     @Test
-    void withoutAMajorityNothingIsProposed() {
+    void noChangeWithoutALiveMajority() {
         assertEquals(
                 Optional.empty(),
-                three(List.of("a1", "b1", "c1"), List.of("b1", "c1"), "a1", "a2", "b1", "b2", "c1", "c2"));
+                nextChangeOfThree(List.of("a1", "b1", "c1"), List.of("b1", "c1"), "a1", "a2", "b1", "b2", "c1", "c2"));
     }
 
-    /** Guards against an election that makes all others seem lost: the new leader has heard nobody yet. */
+    /** A new leader has no contacts yet; counting the time before its election would make all others seem lost. */
     @Test
-    void aNewLeaderIgnoresSilenceFromBeforeItsElection() {
-        ClusterState state = situation(roster("a1", "b1", "c1", "c2"), List.of("a1", "b1", "c1"), List.of("c1"));
-        ClusterState fresh = new ClusterState(
+    void newLeaderIgnoresSilenceFromBeforeItsElection() {
+        ClusterState state = clusterState(roster("a1", "b1", "c1", "c2"), List.of("a1", "b1", "c1"), List.of("c1"));
+        ClusterState afterElection = new ClusterState(
                 state.roster(), state.voters(), state.leader(), state.lastContacts(), NOW - 6 * SECOND, 0);
-        assertEquals(Optional.empty(), new VoterPlan(THREE).nextChange(fresh, NOW));
+        assertEquals(Optional.empty(), new VoterPlan(THREE).nextChange(afterElection, NOW));
         assertTrue(new VoterPlan(THREE).nextChange(state, NOW).isPresent());
     }
 
-    /** Guards against flapping: neither a change right after one, nor a voter that has only just come. */
+    /** Guards against flapping: no change shortly after another, and no voter that came up only recently. */
     @Test
     void changesAreSpacedAndNewVotersStable() {
-        ClusterState state = situation(roster("a1", "b1", "c1", "c2"), List.of("a1", "b1", "c1"), List.of("c1"));
+        ClusterState state = clusterState(roster("a1", "b1", "c1", "c2"), List.of("a1", "b1", "c1"), List.of("c1"));
         assertEquals(
                 Optional.empty(),
                 new VoterPlan(THREE)
@@ -109,28 +112,32 @@
                                         0,
                                         NOW - 9 * SECOND),
                                 NOW));
-        Map<String, LastContact> young = new HashMap<>(state.lastContacts());
-        young.put("c2", new LastContact(NOW, NOW - 4 * SECOND));
+        Map<String, LastContact> withRecentMember = new HashMap<>(state.lastContacts());
+        withRecentMember.put("c2", new LastContact(NOW, NOW - 4 * SECOND));
         assertEquals(
                 Optional.empty(),
                 new VoterPlan(THREE)
                         .nextChange(
-                                new ClusterState(state.roster(), state.voters(), state.leader(), young, 0, 0), NOW));
+                                new ClusterState(
+                                        state.roster(), state.voters(), state.leader(), withRecentMember, 0, 0),
+                                NOW));
     }
 
     @Test
-    void oneOfFiveLostWithoutASuccessorStaysAndTwoMakeThree() {
+    void oneLostVoterOfFiveWithoutAReplacementStaysAndTwoReduceTheGroup() {
         Roster roster = roster("a1", "a2", "b1", "b2", "c1");
         List<String> all = List.copyOf(roster.names());
-        assertEquals(Optional.empty(), new VoterPlan(FIVE).nextChange(situation(roster, all, List.of("c1")), NOW));
+        assertEquals(Optional.empty(), new VoterPlan(FIVE).nextChange(clusterState(roster, all, List.of("c1")), NOW));
         assertEquals(
-                Optional.of(swap(null, "b2")),
-                new VoterPlan(FIVE).nextChange(situation(roster, all, List.of("b2", "c1")), NOW));
+                Optional.of(change(null, "b2")),
+                new VoterPlan(FIVE).nextChange(clusterState(roster, all, List.of("b2", "c1")), NOW));
     }
 
     @Test
     void removedMembersStopVoting() {
-        assertEquals(Optional.of(swap("b2", "b1")), three(List.of("a1", "b1", "c1"), List.of(), "a1", "c1", "b2"));
+        assertEquals(
+                Optional.of(change("b2", "b1")),
+                nextChangeOfThree(List.of("a1", "b1", "c1"), List.of(), "a1", "c1", "b2"));
     }
 
     @Property(seed = "52", tries = 200)
@@ -153,7 +160,7 @@
                 perZone.values().stream().mapToInt(n -> n).max().orElse(0));
     }
 
-    /** The most even spread of so many voters over zones of so many members, found by trying all. */
+    /** The largest number of voters in a zone at the most even spread, given the number of members of each zone. */
     private static int minPeak(List<Integer> zones, int voters) {
         for (int peak = 1; ; peak++) {
             int max = peak;
@@ -163,9 +170,9 @@
         }
     }
 
-    /** From any voters, with some lost, the plan ends: odd, live, as even as can be, by safe single steps. */
+    /** From any voters, with some lost, the plan converges in safe single steps: odd, live and evenly spread. */
     @Property(seed = "51", tries = 400)
-    void thePlanEndsWithAnOddAndEvenlySpreadSetOfLiveVoters(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void planConvergesToAnOddAndEvenlySpreadSetOfLiveVoters(@ForAll @IntRange(max = 1_000_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         VoterPlan.Settings settings = random.nextBoolean() ? FIVE : THREE;
         List<String> names = new ArrayList<>();
@@ -189,26 +196,27 @@
             }
         }
         long liveVoters = voters.stream().filter(voter -> !lost.contains(voter)).count();
-        boolean able = liveVoters > voters.size() / 2;
+        boolean hasLiveMajority = liveVoters > voters.size() / 2;
         int steps = 0;
         VoterPlan plan = new VoterPlan(settings);
-        for (Optional<Change> c = plan.nextChange(situation(roster, voters, lost), NOW);
+        for (Optional<Change> c = plan.nextChange(clusterState(roster, voters, lost), NOW);
                 c.isPresent();
-                c = plan.nextChange(situation(roster, voters, lost), NOW)) {
-            assertTrue(able, "a change without a majority");
-            assertTrue(++steps <= 12, "no end: " + voters);
+                c = plan.nextChange(clusterState(roster, voters, lost), NOW)) {
+            assertTrue(hasLiveMajority, "a change without a live majority");
+            assertTrue(++steps <= 12, "does not converge: " + voters);
             voters = c.get().applyTo(voters);
             List<String> after = voters;
-            assertEquals(new TreeSet<>(after).size(), after.size(), "one votes twice");
+            assertEquals(new TreeSet<>(after).size(), after.size(), "a voter is listed twice");
             assertTrue(
                     after.stream().filter(voter -> !lost.contains(voter)).count() > after.size() / 2, "majority lost");
         }
-        if (able) {
-            judge(names, lost, voters, settings);
+        if (hasLiveMajority) {
+            checkFinalVoters(names, lost, voters, settings);
         }
     }
 
-    private static void judge(List<String> names, List<String> lost, List<String> voters, VoterPlan.Settings settings) {
+    private static void checkFinalVoters(
+            List<String> names, List<String> lost, List<String> voters, VoterPlan.Settings settings) {
         List<String> live = names.stream().filter(n -> !lost.contains(n)).toList();
         assertEquals(1, voters.size() % 2, "odd: " + voters + " of " + names + " lost " + lost);
         long lostVoters = voters.stream().filter(lost::contains).count();
@@ -231,7 +239,7 @@
             if (peak > minPeak(zones, voters.size())) {
                 assertFalse(
                         peaks.values().stream().anyMatch(n -> n < peak - 1) && uneven(peaks, perZone, peak),
-                        "a hall has two voters less than another and a member to spare: " + voters);
+                        "a zone has two voters less than another and a live member that does not vote: " + voters);
             }
         }
     }
