--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -66,8 +66,8 @@
     /** The configuration in force as far as known; this gateway's own file before the first status. */
     private FleetConfig effectiveConfig() {
         FleetConfig agreed = components.voter() != null
-                        && components.committedConfig().agreed().version() >= learnedConfig.version()
-                ? components.committedConfig().agreed()
+                        && components.committedConfig().current().version() >= learnedConfig.version()
+                ? components.committedConfig().current()
                 : learnedConfig;
         return agreed.version() == 0 ? localConfig : agreed;
     }
@@ -182,7 +182,8 @@
     /** Proposes this gateway's file to a voter if it is newer than the version in force. */
     void proposeLocalConfig(String voter) {
         if (localConfig.version() > lastStatus.configVersion()
-                && localConfig.version() > components.committedConfig().agreed().version()) {
+                && localConfig.version()
+                        > components.committedConfig().current().version()) {
             components
                     .links()
                     .send(voter, MessageKind.PROPOSAL, localConfig.encode().getBytes(StandardCharsets.US_ASCII));
@@ -192,7 +193,7 @@
     /** Sends the status of this voter to all linked peers. */
     void broadcastStatus() {
         VoterThread.Status status = components.voter().status();
-        FleetConfig agreed = components.committedConfig().agreed();
+        FleetConfig agreed = components.committedConfig().current();
         for (String peer : peerUp) {
             boolean isUpToDate = configVersionOf.getOrDefault(peer, 0L) >= agreed.version();
             components
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -45,7 +45,7 @@
         switch (kind) {
             case RAFT -> {
                 if (components.voter() != null) {
-                    components.voter().received(from, payload);
+                    components.voter().receive(from, payload);
                 }
             }
             case HEARTBEAT -> heartbeatReceived(nowUs, from, HeartbeatMessage.decode(payload));
@@ -66,7 +66,7 @@
     void heartbeatReceived(long nowUs, String from, HeartbeatMessage message) {
         topology.configVersionReported(from, message.configVersion());
         if (components.leader() != null) {
-            components.leader().beat(nowUs, from, message.heartbeat());
+            components.leader().onHeartbeat(nowUs, from, message.heartbeat());
         }
     }
 
@@ -91,7 +91,7 @@
             components.outage().up(peer.name());
         }
         if (components.leader() != null) {
-            components.leader().met(peer.name(), nowUs);
+            components.leader().onLinkUp(peer.name(), nowUs);
         }
         Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.zone());
     }
@@ -104,7 +104,7 @@
             components.outage().down(peer);
         }
         if (components.leader() != null) {
-            components.leader().lost(peer);
+            components.leader().onLinkDown(peer);
         }
         if (wasUp || reason == Links.LossReason.REJECTED) {
             Logger.warn("fleet: link to {} is down: {} ({})", peer, reason.logName(), why);
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -154,7 +154,7 @@
     /** Runs the leader's tasks, updates the links after a change, and broadcasts the status of a voter. */
     void runLeaderTasks() {
         long nowUs = components.clock().now();
-        long ruledBefore = components.committedConfig().agreed().version();
+        long ruledBefore = components.committedConfig().current().version();
         components
                 .leader()
                 .tick(
@@ -169,7 +169,7 @@
                                         .send(grant.member(), MessageKind.GRANT, HeartbeatMessage.encode(grant));
                             }
                         });
-        if (components.committedConfig().agreed().version() != ruledBefore || topology.votersChanged()) {
+        if (components.committedConfig().current().version() != ruledBefore || topology.votersChanged()) {
             topology.updateLinks();
             lastStatusUs = Long.MIN_VALUE / 2;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterDirectory.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterDirectory.java
@@ -10,7 +10,7 @@
 import sandpaddle.fleet.store.disk.NioDisk;
 import sandpaddle.fleet.store.mv.MvVoterStore;
 
-/** A voter's directory on the operating system's disk. */
+/** Opens and formats a voter's directory in the file system. */
 public final class VoterDirectory {
     private VoterDirectory() {}
 
@@ -20,15 +20,16 @@
     }
 
     /**
-     * Writes a founder's first identity.
+     * Writes the identity of the founder {@code name} into its empty directory; see {@link GroupBootstrap#format}.
      *
-     * @return why not, where nothing was written
+     * @return why nothing was written; empty on success
+     * @throws StoreException if the directory cannot be opened or written
      */
     public static Optional<String> format(FleetSettings settings, String name) throws StoreException {
         try (VoterStore store = open(settings, name, new MonotonicClock())) {
             StoreState state = store.state();
             if (!state.isWritable()) {
-                return Optional.of("takes no writes: " + state);
+                return Optional.of("the store is not writable: " + state);
             }
             return GroupBootstrap.format(store, settings.cluster(), name, settings.founders());
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterSetup.java
@@ -16,57 +16,75 @@
 import sandpaddle.fleet.state.raft.RaftSettings;
 import sandpaddle.fleet.state.voter.Voter;
 
-/** The consensus of one gateway wired up: its state machine parts, its store, its thread. */
+/**
+ * Creates and connects the parts of one gateway's consensus.
+ *
+ * @param voter the thread of the voter
+ * @param components the parts of the state machine that the leader works on
+ */
 public record VoterSetup(VoterThread voter, FleetLeader.Components components) {
-    private static final byte QUOTAS = 3; // its tag in the log, for ever
+    private static final byte QUOTA_TAG = 3; // tag of quota commands in the log; must never change
     private static final RaftSettings RAFT = RaftSettings.DEFAULTS;
 
-    /** Starts it on the settings' directory. */
+    /**
+     * Creates the state machine and starts the voter's thread on the directory of the settings.
+     *
+     * @param settings settings of the fleet
+     * @param name name of this gateway
+     * @param links sends messages to peers
+     * @param clock the monotonic clock
+     * @param fleetExecutor runs tasks on the fleet's thread
+     * @param seed seed of the random decisions of Raft
+     */
     public static VoterSetup start(
-            FleetSettings settings, String name, Links links, MonotonicClock clock, Executor fleet, long seed) {
+            FleetSettings settings, String name, Links links, MonotonicClock clock, Executor fleetExecutor, long seed) {
         FleetMembership membership = new FleetMembership();
-        VersionedDocuments policy = new VersionedDocuments();
-        QuotaTable table = new QuotaTable(settings.limits());
-        StateMachinePart members = new StateMachinePart(FleetMembership.TAG, "members", membership);
-        StateMachinePart policies = new StateMachinePart(VersionedDocuments.TAG, "policies", policy);
-        StateMachinePart quotas = new StateMachinePart(QUOTAS, "rights", table);
-        FleetStateMachine machine = new FleetStateMachine(List.of(members, policies, quotas), new Watching());
-        Voter.VoterCallbacks around = new Voter.VoterCallbacks() {
+        VersionedDocuments documents = new VersionedDocuments();
+        QuotaTable quotaTable = new QuotaTable(settings.limits());
+        StateMachinePart membershipPart = new StateMachinePart(FleetMembership.TAG, "members", membership);
+        StateMachinePart documentsPart = new StateMachinePart(VersionedDocuments.TAG, "policies", documents);
+        StateMachinePart quotaPart = new StateMachinePart(QUOTA_TAG, "rights", quotaTable);
+        FleetStateMachine machine =
+                new FleetStateMachine(List.of(membershipPart, documentsPart, quotaPart), new ApplyLogger());
+        Voter.VoterCallbacks callbacks = new Voter.VoterCallbacks() {
             @Override
             public void send(String to, byte[] message) {
                 links.send(to, MessageKind.RAFT, message);
             }
 
             @Override
-            public void log(String what) {
-                Logger.info("fleet: {}", what);
+            public void log(String message) {
+                Logger.info("fleet: {}", message);
             }
         };
         VoterThread voter = new VoterThread(
-                new Voter.VoterSettings(settings.cluster(), name, RAFT, members),
+                new Voter.VoterSettings(settings.cluster(), name, RAFT, membershipPart),
                 () -> VoterDirectory.open(settings, name, clock),
                 machine,
-                around,
+                callbacks,
                 clock,
-                fleet,
+                fleetExecutor,
                 seed);
-        return new VoterSetup(voter, new FleetLeader.Components(members, membership, policies, policy, quotas, table));
+        return new VoterSetup(
+                voter,
+                new FleetLeader.Components(
+                        membershipPart, membership, documentsPart, documents, quotaPart, quotaTable));
     }
 
-    private static final class Watching implements FleetStateMachine.ApplyListener {
+    private static final class ApplyLogger implements FleetStateMachine.ApplyListener {
         @Override
-        public void onApplied(long index, StateMachinePart part, byte[] answer) {
-            // who needs the state reads it
+        public void onApplied(long index, StateMachinePart part, byte[] result) {
+            // users poll the state
         }
 
         @Override
         public void onInstalled() {
-            Logger.info("fleet: the agreed state was taken over whole");
+            Logger.info("fleet: replicated state replaced by a snapshot");
         }
 
         @Override
-        public void onPartFailed(long index, StateMachinePart part, RuntimeException how) {
-            Logger.error(how, "fleet: part {} failed on command {}", part.name(), index);
+        public void onPartFailed(long index, StateMachinePart part, RuntimeException exception) {
+            Logger.error(exception, "fleet: part {} of the state machine failed at log index {}", part.name(), index);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -17,63 +17,89 @@
 import sandpaddle.fleet.store.VoterStore;
 
 /**
- * The agreement on a thread of its own ({@code fleet-raft}): a slow sync stops this thread, and neither queries nor
- * heartbeats. Calls are queued, and their ends are told on the fleet's thread. A directory that another process holds
- * is tried again; until then this gateway only follows.
+ * Runs the {@link Voter} on its own thread ({@code fleet-raft}), so that a slow disk sync delays neither queries nor
+ * heartbeats. Calls are queued, and their outcomes are reported on the fleet's thread. While another process has the
+ * directory locked, opening it is retried every 2 s and this gateway does not vote.
  */
 public final class VoterThread implements AutoCloseable {
-    /** How this gateway stands to the group, as of its last step. */
+    /**
+     * State of this gateway in the consensus group after the last step.
+     *
+     * @param phase name of the {@link Voter.VoterPhase}, or {@code NO_STORE} before the directory was opened
+     * @param isLeader whether this gateway believes to be the leader
+     * @param term highest known term
+     * @param leader name of the leader, if one is known
+     * @param voters names of the gateways that vote
+     * @param store state of the store, for logs
+     */
     public record Status(
-            String phase, boolean leads, long term, Optional<String> leader, List<String> voters, String store) {
+            String phase, boolean isLeader, long term, Optional<String> leader, List<String> voters, String store) {
         static final Status NONE = new Status("NO_STORE", false, 0, Optional.empty(), List.of(), "closed");
     }
 
-    /** Opens the directory. */
-    public interface Opening {
+    /** Opens the voter's store. */
+    public interface StoreOpener {
+        /**
+         * Opens the store and locks its directory.
+         *
+         * @throws StoreException if it cannot be opened, for example while another process holds the lock
+         */
         VoterStore open() throws StoreException;
     }
 
     private static final int MAX_QUEUED = 1 << 16;
-    private static final long MAX_STEP_US = 50_000;
-    private static final long REOPEN_US = 2_000_000;
+    private static final long MAX_STEP_INTERVAL_US = 50_000;
+    private static final long REOPEN_INTERVAL_US = 2_000_000;
+    private static final long MAX_CLOSE_WAIT_MS = 2000;
 
     private final Voter.VoterSettings settings;
-    private final Opening opening;
+    private final StoreOpener storeOpener;
     private final FleetStateMachine machine;
-    private final Voter.VoterCallbacks around;
+    private final Voter.VoterCallbacks callbacks;
     private final MonotonicClock clock;
-    private final Executor fleet;
+    private final Executor fleetExecutor;
     private final Random random;
     private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread;
-    private Voter voter; // null until the directory is this process's
+    private Voter voter; // null until the directory is opened and locked
     private VoterStore store;
-    private long openAt;
-    private String refused = "";
+    private long nextOpenAtUs;
+    private String lastOpenFailure = "";
     private volatile Status status = Status.NONE;
     private volatile boolean closed;
 
-    /** Starts the thread. */
+    /**
+     * Starts the thread.
+     *
+     * @param settings settings of the voter
+     * @param storeOpener opens the store, on the new thread
+     * @param machine the replicated state machine
+     * @param callbacks sends messages and writes log lines, on the new thread
+     * @param clock the monotonic clock
+     * @param fleetExecutor runs the outcomes of calls on the fleet's thread
+     * @param seed seed of the random decisions of Raft
+     */
     public VoterThread(
             Voter.VoterSettings settings,
-            Opening opening,
+            StoreOpener storeOpener,
             FleetStateMachine machine,
-            Voter.VoterCallbacks around,
+            Voter.VoterCallbacks callbacks,
             MonotonicClock clock,
-            Executor fleet,
+            Executor fleetExecutor,
             long seed) {
         this.settings = settings;
-        this.opening = opening;
+        this.storeOpener = storeOpener;
         this.machine = machine;
-        this.around = around;
+        this.callbacks = callbacks;
         this.clock = clock;
-        this.fleet = fleet;
+        this.fleetExecutor = fleetExecutor;
         random = new Random(seed);
         thread = new Thread(this::run, "fleet-raft");
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** The state after the last step; from any thread. */
     public Status status() {
         return status;
     }
@@ -81,11 +107,11 @@
     private void run() {
         while (!closed) {
             try {
-                turn();
+                runStep();
             } catch (InterruptedException e) {
                 closed = true;
             } catch (RuntimeException e) {
-                Logger.error(e, "the fleet's agreement failed in a step");
+                Logger.error(e, "fleet: a step of the consensus thread failed");
             }
         }
         if (voter != null) {
@@ -94,12 +120,12 @@
         }
     }
 
-    private void turn() throws InterruptedException {
+    private void runStep() throws InterruptedException {
         long nowUs = clock.now();
-        if (voter == null && nowUs >= openAt) {
+        if (voter == null && nowUs >= nextOpenAtUs) {
             open(nowUs);
         }
-        long next = voter == null ? openAt : Math.min(voter.nextRunAtUs(), nowUs + MAX_STEP_US);
+        long next = voter == null ? nextOpenAtUs : Math.min(voter.nextRunAtUs(), nowUs + MAX_STEP_INTERVAL_US);
         Runnable task = queue.poll(Math.max(0, next - nowUs), TimeUnit.MICROSECONDS);
         for (int i = 0; task != null && i < MAX_QUEUED; i++) {
             task.run();
@@ -118,78 +144,83 @@
     }
 
     private void open(long nowUs) {
-        openAt = nowUs + REOPEN_US;
+        nextOpenAtUs = nowUs + REOPEN_INTERVAL_US;
         try {
-            store = opening.open();
-            voter = new Voter(settings, store, machine, around, random, nowUs);
+            store = storeOpener.open();
+            voter = new Voter(settings, store, machine, callbacks, random, nowUs);
         } catch (StoreException e) {
-            String why = e.kind() + ": " + e.getMessage();
-            if (!why.equals(refused)) {
-                refused = why;
-                Logger.error("fleet: the directory is not used, and this gateway does not vote: {}", why);
+            String failure = e.kind() + ": " + e.getMessage();
+            if (!failure.equals(lastOpenFailure)) {
+                lastOpenFailure = failure;
+                Logger.error("fleet: cannot open the voter directory, so this gateway does not vote: {}", failure);
             }
         }
     }
 
-    private boolean later(Runnable task) {
+    private boolean enqueue(Runnable task) {
         return !closed && queue.offer(task);
     }
 
-    /** As {@link Consensus#propose}; {@code outcome} is told on the fleet's thread. */
+    /** As {@link Consensus#propose}; {@code outcome} is called on the fleet's thread. */
     public void propose(byte[] command, Consumer<Consensus.ProposalOutcome> outcome) {
-        Consumer<Consensus.ProposalOutcome> there = o -> fleet.execute(() -> outcome.accept(o));
-        if (!later(() -> {
+        Consumer<Consensus.ProposalOutcome> onFleetThread =
+                result -> fleetExecutor.execute(() -> outcome.accept(result));
+        if (!enqueue(() -> {
             if (voter == null) {
-                there.accept(new Consensus.ProposalOutcome.NotLeader(Optional.empty()));
+                onFleetThread.accept(new Consensus.ProposalOutcome.NotLeader(Optional.empty()));
             } else {
-                voter.propose(command, there);
+                voter.propose(command, onFleetThread);
             }
         })) {
-            there.accept(new Consensus.ProposalOutcome.Unknown("too much is under way"));
+            onFleetThread.accept(new Consensus.ProposalOutcome.Unknown("the queue of the consensus thread is full"));
         }
     }
 
-    /** As {@link Consensus#confirmLeadership}; told on the fleet's thread. */
-    public void confirm(Consumer<Boolean> leads) {
-        Consumer<Boolean> there = b -> fleet.execute(() -> leads.accept(b));
-        if (!later(() -> {
+    /** As {@link Consensus#confirmLeadership}; {@code outcome} is called on the fleet's thread. */
+    public void confirmLeadership(Consumer<Boolean> outcome) {
+        Consumer<Boolean> onFleetThread = isLeader -> fleetExecutor.execute(() -> outcome.accept(isLeader));
+        if (!enqueue(() -> {
             if (voter == null) {
-                there.accept(false);
+                onFleetThread.accept(false);
             } else {
-                voter.confirmLeadership(there);
+                voter.confirmLeadership(onFleetThread);
             }
         })) {
-            there.accept(false);
+            onFleetThread.accept(false);
         }
     }
 
-    /** As {@link Consensus#changeVoters}; told on the fleet's thread. */
+    /**
+     * As {@link Consensus#changeVoters}; {@code outcome} is called on the fleet's thread, and not at all if the queue
+     * is full or the store is not open.
+     */
     public void changeVoters(List<String> names, Consumer<Consensus.ProposalOutcome> outcome) {
-        Consumer<Consensus.ProposalOutcome> there = o -> fleet.execute(() -> outcome.accept(o));
-        later(() -> {
+        Consumer<Consensus.ProposalOutcome> onFleetThread =
+                result -> fleetExecutor.execute(() -> outcome.accept(result));
+        enqueue(() -> {
             if (voter != null) {
-                voter.changeVoters(names, there);
+                voter.changeVoters(names, onFleetThread);
             }
         });
     }
 
-    /** A message of the agreement; one that finds no room is lost, as on the way. */
-    public void received(String from, byte[] message) {
-        later(() -> {
+    /** Receives a consensus message of a peer. It is dropped if the queue is full; Raft tolerates lost messages. */
+    public void receive(String from, byte[] message) {
+        enqueue(() -> {
             if (voter != null) {
                 voter.receive(from, message, clock.now());
             }
         });
     }
 
-    /** Runs a task that may wait for the disk. */
+    /** Runs a task that may wait for the disk on this thread; it is dropped if the queue is full. */
     public void execute(Runnable task) {
-        later(task);
+        enqueue(task);
     }
 
-    /** Reads the replicated state while nothing is applied; from any thread. */
-    public <T> T read(Supplier<T> what) {
-        return machine.read(what);
+    /** Reads the replicated state while no command is applied; from any thread. */
+    public <T> T read(Supplier<T> reader) {
+        return machine.read(reader);
     }
 
     @Override
@@ -197,7 +228,7 @@
         closed = true;
         thread.interrupt();
         try {
-            thread.join(2000);
+            thread.join(MAX_CLOSE_WAIT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/CommittedConfig.java
@@ -7,56 +7,57 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * The configuration that the voters committed, and the newest one that any gateway offered. A text that this version
- * cannot read is logged once; the one before stays in force here, so quotas are moved by what both know.
+ * The configuration that the voters committed, and the newest one that any gateway offered. A committed text that this
+ * version cannot parse is logged once, and the previous configuration stays in force on this gateway, so that quotas
+ * are allocated by the last configuration that both versions can parse. Owned by the fleet's thread.
  */
 public final class CommittedConfig {
-    private FleetConfig agreed = FleetConfig.NONE;
-    private long epoch; // of the text read last
-    private String newest = ""; // the text of the highest version offered by any gateway
-    private long newestVersion;
+    private FleetConfig committed = FleetConfig.NONE;
+    private long epoch; // of the document that was parsed last
+    private String newestOfferedText = ""; // text with the highest version
+    private long newestOfferedVersion;
 
-    /** The text that the voters agreed on, as of now; whether another one rules. */
-    boolean read(Optional<VersionedDocuments.VersionedDocument> text) {
-        if (text.isEmpty() || text.get().epoch() == epoch) {
+    /** Parses the committed document if it has changed. Returns whether another configuration is in force now. */
+    boolean refresh(Optional<VersionedDocuments.VersionedDocument> document) {
+        if (document.isEmpty() || document.get().epoch() == epoch) {
             return false;
         }
-        epoch = text.get().epoch();
+        epoch = document.get().epoch();
         try {
-            agreed = FleetConfig.parse(text.get().text());
+            committed = FleetConfig.parse(document.get().text());
             return true;
         } catch (FaultyMessageException e) {
             Logger.error(
-                    "fleet: what was agreed under epoch {} cannot be read here, version {} goes on: {}",
+                    "fleet: cannot parse the committed configuration of epoch {}; version {} stays in force: {}",
                     epoch,
-                    agreed.version(),
+                    committed.version(),
                     e.getMessage());
             return false;
         }
     }
 
-    /** A gateway offers its file's text. */
+    /** Receives the encoded configuration of a gateway's file; it is proposed if its version is the highest. */
     public void offer(String text) {
         try {
             FleetConfig offered = FleetConfig.parse(text);
-            if (offered.version() > newestVersion) {
-                newestVersion = offered.version();
-                newest = text;
+            if (offered.version() > newestOfferedVersion) {
+                newestOfferedVersion = offered.version();
+                newestOfferedText = text;
             }
         } catch (FaultyMessageException e) {
-            Logger.warn("fleet: a file that was offered cannot be read: {}", e.getMessage());
+            Logger.warn("fleet: cannot parse an offered configuration: {}", e.getMessage());
         }
     }
 
-    /** The command that has a newer version ruled, if one is known. */
+    /** The command that replaces the committed configuration, if a newer one was offered. */
     Optional<byte[]> toPropose() {
-        return newestVersion > agreed.version()
-                ? Optional.of(VersionedDocuments.putCommand(FleetConfig.NAME, epoch, newest))
+        return newestOfferedVersion > committed.version()
+                ? Optional.of(VersionedDocuments.putCommand(FleetConfig.DOCUMENT_NAME, epoch, newestOfferedText))
                 : Optional.empty();
     }
 
-    /** What rules. */
-    public FleetConfig agreed() {
-        return agreed;
+    /** The configuration in force. */
+    public FleetConfig current() {
+        return committed;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/lead/FleetLeader.java
@@ -30,93 +30,120 @@
 import sandpaddle.fleet.state.machine.VersionedDocuments;
 
 /**
- * The leader's tasks, on the fleet's thread: commits the newest configuration, brings members and limits in line with
- * it, receives heartbeats, moves quotas, and keeps the voters spread over zones. Everything it does is a proposal;
- * those of a former leader are refused.
+ * The leader's tasks: proposes the newest configuration, reconciles members and limits with it, receives heartbeats,
+ * allocates quotas, and keeps the voters spread over zones. It changes replicated state only by proposals, and those of
+ * a former leader are refused. Owned by the fleet's thread.
  */
 public final class FleetLeader {
-    /** The replicated parts that this stands on. */
+    /**
+     * The replicated state that the leader reads and changes.
+     *
+     * @param membershipPart encodes commands for the membership
+     * @param membership the members and their endpoint numbers
+     * @param documentsPart encodes commands for the documents
+     * @param documents the replicated documents, of which one is the configuration
+     * @param quotaPart encodes commands for the quota table
+     * @param quotaTable the limits and quotas
+     */
     public record Components(
-            StateMachinePart members,
+            StateMachinePart membershipPart,
             FleetMembership membership,
-            StateMachinePart policies,
-            VersionedDocuments policy,
-            StateMachinePart quotas,
-            QuotaTable table) {}
+            StateMachinePart documentsPart,
+            VersionedDocuments documents,
+            StateMachinePart quotaPart,
+            QuotaTable quotaTable) {}
 
-    private static final long LINE_UP_US = 200_000; // between two looks at whether members and limits are in line
-    private static final long ANSWER_US = 1_000_000; // a proposal that was not answered is made again
+    private static final long RECONCILE_INTERVAL_US = 200_000; // of comparing members and limits with the config
+    private static final long PROPOSAL_TIMEOUT_US = 1_000_000; // a proposal without an outcome is repeated then
 
-    private final VoterThread voters;
-    private final Components parts;
+    private final VoterThread voterThread;
+    private final Components components;
     private final QuotaAllocator allocator;
     private final CommittedConfig committedConfig;
     private final PoolAllocator pools;
-    private final VoterPlan plan;
+    private final VoterPlan voterPlan;
     private final String self;
-    private final Map<String, VoterPlan.LastContact> heard = new HashMap<>();
+    private final Map<String, VoterPlan.LastContact> lastContacts = new HashMap<>();
     private long term;
-    private long ledSince;
-    private long changedAt = Long.MIN_VALUE / 2;
-    private long linedUpAt = Long.MIN_VALUE / 2;
-    private boolean confirming;
-    private long pendingSince = Long.MIN_VALUE / 2;
-    private int pending;
+    private long leaderSinceUs;
+    private long votersChangedAtUs = Long.MIN_VALUE / 2;
+    private long reconciledAtUs = Long.MIN_VALUE / 2;
+    private boolean isConfirming;
+    private long proposedAtUs = Long.MIN_VALUE / 2;
+    private int pendingProposals;
 
+    /**
+     * Creates the leader's tasks; they do nothing until this gateway is the leader.
+     *
+     * @param self name of this gateway
+     * @param voterThread the consensus
+     * @param components the replicated state
+     * @param limits settings of limits
+     * @param pools allocates the budgets of the pool policy
+     * @param committedConfig the configuration in force
+     * @param voterPlan settings of the choice of voters
+     */
     public FleetLeader(
             String self,
-            VoterThread voters,
-            Components parts,
+            VoterThread voterThread,
+            Components components,
             LimitSettings limits,
             PoolAllocator pools,
             CommittedConfig committedConfig,
-            VoterPlan.Settings plan) {
+            VoterPlan.Settings voterPlan) {
         this.self = self;
-        this.voters = voters;
-        this.parts = parts;
+        this.voterThread = voterThread;
+        this.components = components;
         this.committedConfig = committedConfig;
-        this.plan = new VoterPlan(plan);
-        allocator = new QuotaAllocator(limits, parts.table(), pools);
+        this.voterPlan = new VoterPlan(voterPlan);
+        allocator = new QuotaAllocator(limits, components.quotaTable(), pools);
         this.pools = pools;
     }
 
-    /** A gateway was heard. */
-    public void heard(String member, long nowUs) {
-        VoterPlan.LastContact before = heard.get(member);
-        heard.put(member, new VoterPlan.LastContact(nowUs, before == null ? nowUs : before.continuousSinceUs()));
+    /** A message of a gateway was received. */
+    public void onContact(String member, long nowUs) {
+        VoterPlan.LastContact before = lastContacts.get(member);
+        lastContacts.put(member, new VoterPlan.LastContact(nowUs, before == null ? nowUs : before.continuousSinceUs()));
     }
 
-    /** Its link is down. */
-    public void lost(String member) {
-        VoterPlan.LastContact before = heard.remove(member);
+    /** The link to a gateway went down. */
+    public void onLinkDown(String member) {
+        VoterPlan.LastContact before = lastContacts.remove(member);
         if (before != null) {
-            heard.put(member, new VoterPlan.LastContact(before.lastSeenUs(), Long.MAX_VALUE)); // up since never
+            lastContacts.put(member, new VoterPlan.LastContact(before.lastSeenUs(), Long.MAX_VALUE)); // not up
         }
     }
 
-    /** Its link is up. */
-    public void met(String member, long nowUs) {
-        heard.put(member, new VoterPlan.LastContact(nowUs, nowUs));
+    /** The link to a gateway came up. */
+    public void onLinkUp(String member, long nowUs) {
+        lastContacts.put(member, new VoterPlan.LastContact(nowUs, nowUs));
     }
 
-    public void beat(long nowUs, String member, Heartbeat beat) {
-        heard(member, nowUs);
-        voters.read(() -> {
-            allocator.receiveHeartbeat(nowUs, member, beat);
+    /** A heartbeat of a gateway was received; passes it to the quota allocator. */
+    public void onHeartbeat(long nowUs, String member, Heartbeat heartbeat) {
+        onContact(member, nowUs);
+        voterThread.read(() -> {
+            allocator.receiveHeartbeat(nowUs, member, heartbeat);
             return null;
         });
     }
 
-    /** To be called every few tens of milliseconds, with what conditions are judged by; grants go to {@code send}. */
+    /**
+     * Runs the tasks that are due; to be called every few tens of milliseconds.
+     *
+     * @param nowUs monotonic time (us)
+     * @param state the state of the fleet that the conditions of the pool policy are evaluated on
+     * @param send sends a grant to its gateway
+     */
     public void tick(long nowUs, FleetState state, Consumer<QuotaGrant> send) {
-        VoterThread.Status status = voters.status();
-        voters.read(() -> committedConfig.read(parts.policy().document(FleetConfig.NAME)));
-        if (!status.leads()) {
+        VoterThread.Status status = voterThread.status();
+        voterThread.read(() -> committedConfig.refresh(components.documents().document(FleetConfig.DOCUMENT_NAME)));
+        if (!status.isLeader()) {
             if (term != 0) {
                 term = 0;
                 allocator.deposed();
                 Logger.info(
-                        "fleet: {} leads no more; leader {}",
+                        "fleet: {} is no longer the leader; leader {}",
                         self,
                         status.leader().orElse("unknown"));
             }
@@ -124,38 +151,44 @@
         }
         if (status.term() != term) {
             term = status.term();
-            ledSince = nowUs;
-            pending = 0;
-            confirming = false;
+            leaderSinceUs = nowUs;
+            pendingProposals = 0;
+            isConfirming = false;
             allocator.elected(term);
             Logger.info("fleet: {} leads in term {}, voters {}", self, term, status.voters());
         }
         confirm(nowUs);
         if (pools.solve(nowUs, state)) {
-            voters.read(() -> {
+            voterThread.read(() -> {
                 allocator.markAllDirty();
                 return null;
             });
         }
-        if (nowUs - linedUpAt >= LINE_UP_US && (pending == 0 || nowUs - pendingSince >= ANSWER_US)) {
-            linedUpAt = nowUs;
-            lineUp(nowUs, status);
+        if (nowUs - reconciledAtUs >= RECONCILE_INTERVAL_US
+                && (pendingProposals == 0 || nowUs - proposedAtUs >= PROPOSAL_TIMEOUT_US)) {
+            reconciledAtUs = nowUs;
+            reconcile(nowUs, status);
         }
-        AllocatorOutput turn = voters.read(() -> allocator.tick(nowUs));
-        turn.proposals().forEach(c -> voters.propose(parts.quotas().command(LimitCommandCodec.write(c)), this::told));
-        turn.grants().forEach(send);
+        AllocatorOutput output = voterThread.read(() -> allocator.tick(nowUs));
+        output.proposals()
+                .forEach(command -> voterThread.propose(
+                        components.quotaPart().command(LimitCommandCodec.write(command)), this::logRefusal));
+        output.grants().forEach(send);
     }
 
-    /** One question at a time whether a majority still follows: leases may be renewed as of when it was asked. */
+    /**
+     * Confirms the leadership by a majority, one query at a time. If it is confirmed, leases may be renewed as of the
+     * time of the query, since no other leader was elected before it.
+     */
     private void confirm(long nowUs) {
-        if (!confirming) {
-            confirming = true;
-            long of = term;
-            voters.confirm(leads -> {
-                if (of == term) {
-                    confirming = false;
+        if (!isConfirming) {
+            isConfirming = true;
+            long confirmedTerm = term;
+            voterThread.confirmLeadership(leads -> {
+                if (confirmedTerm == term) {
+                    isConfirming = false;
                     if (leads) {
-                        voters.read(() -> {
+                        voterThread.read(() -> {
                             allocator.onLeadershipConfirmed(nowUs);
                             return null;
                         });
@@ -165,88 +198,102 @@
         }
     }
 
-    private void told(Consensus.ProposalOutcome outcome) {
-        if (outcome instanceof Consensus.ProposalOutcome.Committed d) {
-            CommandResult answer = CommandResult.parse(d.result());
-            if (!answer.isAccepted()) {
-                Logger.debug("fleet: a command was refused: {}", answer.reason());
+    private void logRefusal(Consensus.ProposalOutcome outcome) {
+        if (outcome instanceof Consensus.ProposalOutcome.Committed committed) {
+            CommandResult result = CommandResult.parse(committed.result());
+            if (!result.isAccepted()) {
+                Logger.debug("fleet: a command was refused: {}", result.reason());
             }
         }
     }
 
-    /** Proposes what members and limits lack against what rules; then the next change of voters, if one is due. */
-    private void lineUp(long nowUs, VoterThread.Status status) {
-        List<byte[]> commands = voters.read(this::missing);
-        pending = commands.size();
-        pendingSince = nowUs;
-        commands.forEach(c -> voters.propose(c, o -> {
-            pending--;
-            told(o);
+    /**
+     * Proposes the changes that members and limits need to match the configuration in force. If there are none, starts
+     * the next change of the voters, if one is due.
+     */
+    private void reconcile(long nowUs, VoterThread.Status status) {
+        List<byte[]> commands = voterThread.read(this::missingCommands);
+        pendingProposals = commands.size();
+        proposedAtUs = nowUs;
+        commands.forEach(command -> voterThread.propose(command, outcome -> {
+            pendingProposals--;
+            logRefusal(outcome);
         }));
         if (commands.isEmpty()) {
-            replan(nowUs, status);
+            planVoters(nowUs, status);
         }
     }
 
-    private List<byte[]> missing() {
+    private List<byte[]> missingCommands() {
         List<byte[]> commands = new ArrayList<>();
-        committedConfig.toPropose().ifPresent(c -> commands.add(parts.policies().command(c)));
-        FleetConfig agreed = committedConfig.agreed();
-        if (agreed.version() == 0) {
+        committedConfig
+                .toPropose()
+                .ifPresent(command -> commands.add(components.documentsPart().command(command)));
+        FleetConfig config = committedConfig.current();
+        if (config.version() == 0) {
             return commands;
         }
-        for (Member member : agreed.members()) {
-            Optional<Member> known = parts.membership().member(member.name());
-            if (!known.equals(Optional.of(member))) { // one that moved leaves first, and joins with the next look
-                commands.add(parts.members()
+        for (Member member : config.members()) {
+            Optional<Member> known = components.membership().member(member.name());
+            // a member with a changed zone or address leaves now, and joins at the next reconciliation
+            if (!known.equals(Optional.of(member))) {
+                commands.add(components
+                        .membershipPart()
                         .command(
                                 known.isPresent()
                                         ? FleetMembership.leaveCommand(member.name())
                                         : FleetMembership.joinCommand(member)));
             }
-            var row = parts.table().members().get(member.name());
+            var row = components.quotaTable().members().get(member.name());
             if (row == null || row.leaving() || !row.zone().equals(member.zone())) {
-                commands.add(quotas(new LimitCommand.Join(member.name(), member.zone())));
+                commands.add(quotaCommand(new LimitCommand.Join(member.name(), member.zone())));
             }
         }
-        parts.table().members().values().stream()
-                .filter(r -> !r.leaving() && agreed.member(r.name()).isEmpty())
-                .forEach(r -> commands.add(quotas(new LimitCommand.Leave(r.name()))));
-        parts.membership().members().stream()
-                .filter(member -> agreed.member(member.name()).isEmpty()
-                        && !parts.table().members().containsKey(member.name()))
-                .forEach(member -> commands.add(parts.members().command(FleetMembership.leaveCommand(member.name()))));
-        List<LimitSpec> limits = new ArrayList<>(agreed.limits());
-        limits.addAll(pools.limits(parts.table(), limits.size()));
-        Map<String, LimitSpec> stand = parts.table().specs();
-        if (parts.table().epoch() == 0
-                || limits.size() != stand.size()
-                || limits.stream().anyMatch(l -> !l.equals(stand.get(l.id())))) {
-            commands.add(quotas(new LimitCommand.SetLimits(
-                    Math.max(agreed.version(), parts.table().epoch() + 1), limits)));
+        components.quotaTable().members().values().stream()
+                .filter(row -> !row.leaving() && config.member(row.name()).isEmpty())
+                .forEach(row -> commands.add(quotaCommand(new LimitCommand.Leave(row.name()))));
+        components.membership().members().stream()
+                .filter(member -> config.member(member.name()).isEmpty()
+                        && !components.quotaTable().members().containsKey(member.name()))
+                .forEach(member ->
+                        commands.add(components.membershipPart().command(FleetMembership.leaveCommand(member.name()))));
+        List<LimitSpec> limits = new ArrayList<>(config.limits());
+        limits.addAll(pools.limits(components.quotaTable(), limits.size()));
+        Map<String, LimitSpec> currentLimits = components.quotaTable().specs();
+        if (components.quotaTable().epoch() == 0
+                || limits.size() != currentLimits.size()
+                || limits.stream().anyMatch(limit -> !limit.equals(currentLimits.get(limit.id())))) {
+            commands.add(quotaCommand(new LimitCommand.SetLimits(
+                    Math.max(config.version(), components.quotaTable().epoch() + 1), limits)));
         }
         return commands;
     }
 
-    private byte[] quotas(LimitCommand command) {
-        return parts.quotas().command(LimitCommandCodec.write(command));
+    private byte[] quotaCommand(LimitCommand command) {
+        return components.quotaPart().command(LimitCommandCodec.write(command));
     }
 
-    private void replan(long nowUs, VoterThread.Status status) {
-        Roster roster = voters.read(() -> Roster.of(parts.membership().members()));
+    private void planVoters(long nowUs, VoterThread.Status status) {
+        Roster roster = voterThread.read(() -> Roster.of(components.membership().members()));
         if (!roster.contains(self)) {
             return;
         }
-        heard.put(self, new VoterPlan.LastContact(nowUs, ledSince));
-        plan.nextChange(
+        lastContacts.put(self, new VoterPlan.LastContact(nowUs, leaderSinceUs));
+        voterPlan
+                .nextChange(
                         new VoterPlan.ClusterState(
-                                roster, status.voters(), self, Map.copyOf(heard), ledSince, changedAt),
+                                roster,
+                                status.voters(),
+                                self,
+                                Map.copyOf(lastContacts),
+                                leaderSinceUs,
+                                votersChangedAtUs),
                         nowUs)
                 .ifPresent(change -> {
-                    changedAt = nowUs;
+                    votersChangedAtUs = nowUs;
                     List<String> names = change.applyTo(status.voters());
                     Logger.info("fleet: voters {} are to become {}", status.voters(), names);
-                    voters.changeVoters(names, this::told);
+                    voterThread.changeVoters(names, this::logRefusal);
                 });
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/node/agree/VoterThreadTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/agree/VoterThreadTest.java
@@ -24,59 +24,59 @@
 import sandpaddle.fleet.store.VoterStore;
 
 class VoterThreadTest {
-    private static final FleetStateMachine.ApplyListener NOBODY = new FleetStateMachine.ApplyListener() {
+    private static final FleetStateMachine.ApplyListener NO_LISTENER = new FleetStateMachine.ApplyListener() {
         @Override
-        public void onApplied(long index, StateMachinePart part, byte[] answer) {}
+        public void onApplied(long index, StateMachinePart part, byte[] result) {}
 
         @Override
         public void onInstalled() {}
 
         @Override
-        public void onPartFailed(long index, StateMachinePart part, RuntimeException how) {}
+        public void onPartFailed(long index, StateMachinePart part, RuntimeException exception) {}
     };
 
-    private static final Voter.VoterCallbacks ALONE = new Voter.VoterCallbacks() {
+    private static final Voter.VoterCallbacks NO_PEERS = new Voter.VoterCallbacks() {
         @Override
         public void send(String to, byte[] message) {}
 
         @Override
-        public void log(String what) {}
+        public void log(String message) {}
     };
 
     @Test
-    void aGroupOfOneAgreesOnceItsDirectoryIsFree() throws Exception {
+    void singleVoterCommitsOnceItsDirectoryIsUnlocked() throws Exception {
         VoterStore store = new SimDisk().open();
         assertEquals(Optional.empty(), GroupBootstrap.format(store, "c", "a", List.of("a")));
         FleetMembership members = new FleetMembership();
         StateMachinePart part = new StateMachinePart(FleetMembership.TAG, "membership", members);
         Voter.VoterSettings settings = new Voter.VoterSettings("c", "a", new RaftSettings(1, 3, 1000, 50), part);
-        FleetStateMachine machine = new FleetStateMachine(List.of(part), NOBODY);
-        AtomicInteger tries = new AtomicInteger();
-        VoterThread.Opening opening = () -> {
-            if (tries.getAndIncrement() == 0) {
+        FleetStateMachine machine = new FleetStateMachine(List.of(part), NO_LISTENER);
+        AtomicInteger attempts = new AtomicInteger();
+        VoterThread.StoreOpener storeOpener = () -> {
+            if (attempts.getAndIncrement() == 0) {
                 throw new StoreException(StoreException.Kind.LOCKED, "another process has it");
             }
             return store;
         };
         try (VoterThread voter =
-                new VoterThread(settings, opening, machine, ALONE, new MonotonicClock(), Runnable::run, 1)) {
+                new VoterThread(settings, storeOpener, machine, NO_PEERS, new MonotonicClock(), Runnable::run, 1)) {
             ProposalOutcome outcome = new ProposalOutcome.NotLeader(Optional.empty());
             for (int i = 0; i < 1_000_000 && outcome instanceof ProposalOutcome.NotLeader; i++) {
-                Thread.onSpinWait(); // until it has opened its store and leads
-                CompletableFuture<ProposalOutcome> told = new CompletableFuture<>();
+                Thread.onSpinWait(); // until it has opened its store and is the leader
+                CompletableFuture<ProposalOutcome> completed = new CompletableFuture<>();
                 voter.propose(
                         part.command(FleetMembership.joinCommand(new Member("a", "h", "127.0.0.1", 9000))),
-                        told::complete);
-                outcome = told.get(30, TimeUnit.SECONDS);
+                        completed::complete);
+                outcome = completed.get(30, TimeUnit.SECONDS);
             }
             assertTrue(outcome instanceof ProposalOutcome.Committed, outcome::toString);
             assertTrue(CommandResult.parse(((ProposalOutcome.Committed) outcome).result())
                     .isAccepted());
             assertEquals(1, machine.read(() -> members.members().size()));
             CompletableFuture<Boolean> leads = new CompletableFuture<>();
-            voter.confirm(leads::complete);
+            voter.confirmLeadership(leads::complete);
             assertTrue(leads.get(30, TimeUnit.SECONDS));
-            assertTrue(voter.status().leads());
+            assertTrue(voter.status().isLeader());
             assertEquals(List.of("a"), voter.status().voters());
         }
     }
