--- a/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
@@ -4,17 +4,33 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A replicated log among the voters, as its users see it. All calls and callbacks are made on the fleet's thread. */
+/**
+ * A replicated log of commands, on which the voters agree. All calls and callbacks are made on the
+ * consensus thread.
+ */
 public interface Consensus {
     /** The outcome of a proposal. */
     sealed interface ProposalOutcome {
-        /** The command was committed and applied; {@code result} is what the state machine returned. */
+        /**
+         * The command was committed and applied.
+         *
+         * @param index index of its log entry
+         * @param result what the state machine returned
+         */
         record Committed(long index, byte[] result) implements ProposalOutcome {}
 
-        /** The command was not accepted: propose it to that leader, or later if none is known. */
+        /**
+         * The command was not accepted: propose it to the leader, or later if none is known.
+         *
+         * @param leader name of the leader, if one is known
+         */
         record NotLeader(Optional<String> leader) implements ProposalOutcome {}
 
-        /** The command may or may not be applied. */
+        /**
+         * The command may or may not be applied.
+         *
+         * @param reason why the outcome is unknown, for logs
+         */
         record Unknown(String reason) implements ProposalOutcome {}
     }
 
@@ -22,8 +38,8 @@
     void propose(byte[] command, Consumer<ProposalOutcome> outcome);
 
     /**
-     * Queries a majority whether this gateway is still the leader. True proves that no other leader was elected before
-     * this call, so that heartbeats received before it may be confirmed.
+     * Queries a majority whether this gateway is still the leader. The answer true proves that no other leader was
+     * elected before this call, so that heartbeats received before it may be confirmed.
      */
     void confirmLeadership(Consumer<Boolean> leads);
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/SnapshotException.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/SnapshotException.java
@@ -1,13 +1,15 @@
 package sandpaddle.fleet.state;
 
-/** A snapshot of replicated state cannot be read, or is too large to be taken. The state in memory is unchanged. */
+/** A snapshot of replicated state cannot be decoded, or would be too large. The state in memory is unchanged. */
 public final class SnapshotException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
+    /** Creates an exception for a snapshot that cannot be decoded. */
     public SnapshotException(String message, Throwable cause) {
         super(message, cause);
     }
 
+    /** Creates an exception for a snapshot that is too large. */
     public SnapshotException(String message) {
         super(message);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/LocalVoterState.java
@@ -15,21 +15,29 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * What a gateway stores about itself as a voter and about the other voters, besides its Raft state. Owned by the
- * fleet's thread. Not final: a test replaces it to show what happens without the stored state.
+ * The stored state of a gateway as a voter besides its Raft state: its endpoint, its incarnations, and the incarnations
+ * of the other voters. Owned by the consensus thread. Not final: a test replaces it to show what happens
+ * without the stored state.
  */
 public class LocalVoterState {
     private static final String INCARNATIONS_KEY = "raft.lives";
     private static final String RETIRED_KEY = "raft.retired";
     private static final String FAULTS_KEY = "raft.faults";
     private static final String PEERS_KEY = "raft.seen";
-    private static final int MAX_TEXT = 1000;
+    private static final int MAX_TEXT_BYTES = 1000;
 
     private final VoterStore store;
     private final String cluster;
     private final String name;
     private PeerIncarnations peerIncarnations;
 
+    /**
+     * Creates the state of a voter.
+     *
+     * @param store the open store
+     * @param cluster name of the fleet
+     * @param name name of this gateway
+     */
     public LocalVoterState(VoterStore store, String cluster, String name) {
         this.store = store;
         this.cluster = cluster;
@@ -37,9 +45,9 @@
     }
 
     /**
-     * The endpoint that this disk belongs to; empty for an empty disk.
+     * The endpoint that this store belongs to; empty for an empty store.
      *
-     * @throws StoreException of kind FOREIGN if the disk belongs to another gateway or cluster
+     * @throws StoreException of kind FOREIGN if the store belongs to another gateway or cluster
      */
     public Optional<VoterEndpoint> endpoint(RecoveredState recovered) throws StoreException {
         if (recovered.identity().isEmpty()) {
@@ -59,13 +67,13 @@
         }
     }
 
-    /** Why this endpoint may not vote any more, as far as its own disk shows; empty if it may. */
+    /** Why this endpoint may not vote any more according to its own store; empty if it may. */
     public Optional<String> disqualification(VoterEndpoint self, RecoveredState recovered) throws StoreException {
         if (text(RETIRED_KEY).equals(self.toString())) {
-            return Optional.of("it was refused or removed before");
+            return Optional.of("it was refused by a peer or removed from the group before");
         }
         if (recovered.isTrusted() && !StateRestorer.isPrepared(store)) {
-            return Optional.of("it was cut short when it took this number");
+            return Optional.of("the process was interrupted while it adopted this number");
         }
         String faults = faults(recovered);
         return faults.isEmpty() || faults.equals(text(FAULTS_KEY)) ? Optional.empty() : Optional.of(faults);
@@ -73,13 +81,13 @@
 
     private static String faults(RecoveredState recovered) {
         String all = String.join("; ", recovered.faults());
-        return all.substring(0, Math.min(MAX_TEXT / 4, all.length()));
+        return all.substring(0, Math.min(MAX_TEXT_BYTES / 4, all.length()));
     }
 
     private String text(String key) throws StoreException {
         Optional<byte[]> stored = store.get(key);
         try {
-            return stored.isEmpty() ? "" : new CborIn(stored.get()).text(MAX_TEXT);
+            return stored.isEmpty() ? "" : new CborIn(stored.get()).text(MAX_TEXT_BYTES);
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, key + ": " + e.getMessage(), e);
         }
@@ -88,23 +96,26 @@
     /** Marks the endpoint as never voting again; durable when it returns. */
     public void retire(VoterEndpoint self) throws StoreException {
         if (!store.recover().isTrusted()) {
-            return; // such a store reports it at each opening, and accepts nothing before it has a new endpoint
+            return; // reports its faults at each opening, and accepts no writes before it has a new endpoint
         }
         store.put(RETIRED_KEY, new CborOut().text(self.toString()).done());
     }
 
-    /** Draws an incarnation for this opening; durable when it returns, so that no two openings have the same. */
+    /**
+     * Draws a random incarnation for this opening of the store; durable when it returns, so that a later opening knows
+     * it as a former one.
+     */
     public JoinRequest beginIncarnation(VoterEndpoint self, RecoveredState recovered, Random random)
             throws StoreException {
         List<Long> former = incarnations();
         long incarnation = random.nextLong();
         List<Long> all = new ArrayList<>(former);
         all.add(incarnation);
-        int drop = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
+        int evicted = Math.max(0, all.size() - JoinRequest.MAX_FORMER);
         store.put(
                 INCARNATIONS_KEY,
                 new CborOut()
-                        .list(all.subList(drop, all.size()), CborOut::number)
+                        .list(all.subList(evicted, all.size()), CborOut::number)
                         .done());
         return new JoinRequest(self, incarnation, former, recovered.term(), recovered.lastIndex());
     }
@@ -115,24 +126,28 @@
             return stored.isEmpty()
                     ? List.of()
                     : new CborIn(stored.get())
-                            .list(JoinRequest.MAX_FORMER, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE));
+                            .list(JoinRequest.MAX_FORMER, item -> item.number(Long.MIN_VALUE, Long.MAX_VALUE));
         } catch (FaultyMessageException e) {
             throw new StoreException(StoreException.Kind.CORRUPT, INCARNATIONS_KEY + ": " + e.getMessage(), e);
         }
     }
 
     /**
-     * Adopts a new endpoint in a group that began with the voters {@code first}. The log stays: it is a prefix of what
-     * was committed or replaced, like that of any slow voter. The identity is written last, so that a crash before
-     * leaves the old endpoint, which is retired.
+     * Adopts a new endpoint in a group. The log is retained: each of its entries was committed or is replaced by a
+     * later leader, as with any slow voter. The identity is written last, so that a crash before leaves the old
+     * endpoint, which is retired.
+     *
+     * @param self the new endpoint
+     * @param initialVoters the voters that the group was bootstrapped with
+     * @param recovered the content of the store
      */
-    public void adoptEndpoint(VoterEndpoint self, List<VoterEndpoint> first, RecoveredState recovered)
+    public void adoptEndpoint(VoterEndpoint self, List<VoterEndpoint> initialVoters, RecoveredState recovered)
             throws StoreException {
         VoterIdentity id = new VoterIdentity(cluster, name, self.toString());
         if (!recovered.isTrusted()) {
-            store.setIdentity(id); // empties the store, which then accepts writes again
+            store.setIdentity(id); // erases the store, which accepts writes again then
         }
-        StateRestorer.prepare(store, first, false);
+        StateRestorer.prepare(store, initialVoters, false);
         store.put(
                 INCARNATIONS_KEY,
                 new CborOut().list(List.<Long>of(), CborOut::number).done());
@@ -142,7 +157,9 @@
         }
     }
 
-    /** The incarnations of the peers. Within one process they are retained in memory, also after the store failed. */
+    /**
+     * The accepted incarnations of the peers. They are cached in memory, so that they survive a failure of the store.
+     */
     public PeerIncarnations peerIncarnations() throws StoreException {
         Optional<byte[]> stored = peerIncarnations == null ? store.get(PEERS_KEY) : Optional.empty();
         try {
@@ -155,7 +172,7 @@
         }
     }
 
-    /** Stores the incarnations of the peers; durable when it returns. */
+    /** Stores the accepted incarnations of the peers; durable when it returns. */
     public void savePeerIncarnations(PeerIncarnations peerIncarnations) throws StoreException {
         store.put(PEERS_KEY, peerIncarnations.write());
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/admit/PeerIncarnations.java
@@ -12,33 +12,36 @@
 /**
  * The incarnations of the other voters that this one has accepted, so that a disk that lost data cannot vote twice. The
  * safety of Raft relies on voters that never forget a vote or an acknowledged entry; an empty disk, or a restored copy,
- * breaks that silently. So each opening of a store draws an incarnation and retains the former ones; a join request has
- * them, and is refused if a peer accepted an incarnation that the disk does not have, or received acknowledgements
- * beyond the end of its log. One peer that remembers is enough to refuse; a refused voter comes back under a new
- * number.
+ * breaks that silently. So each opening of a store draws a random incarnation and retains the former ones. A join
+ * request has them, and a peer refuses it if it accepted an incarnation that the disk does not have, or received
+ * acknowledgements beyond the end of the disk's log. One such peer is enough to refuse; a refused voter returns under a
+ * new number.
  *
- * <p>Owned by the fleet's thread. Bound: {@value #MAX_NAMES} names.
+ * <p>Owned by the consensus thread. Bound: {@value #MAX_NAMES} names.
  */
 public class PeerIncarnations {
     /** Max number of names; the one that was updated least recently is evicted for a new one. */
     public static final int MAX_NAMES = 64;
 
-    /**
-     * The newest endpoint of a name: its incarnation, its highest known term, and its highest known index in that term.
-     */
+    /** The newest accepted endpoint of a name, its highest known term, and its highest known index in that term. */
     private record PeerRecord(int number, long incarnation, int term, long index) {}
 
     private final Map<String, PeerRecord> peers = new LinkedHashMap<>();
 
-    /** Why an endpoint may not take part, and the highest known number of its name. */
+    /**
+     * The refusal of a join request.
+     *
+     * @param reason why the endpoint may not take part
+     * @param highestNumber the highest known number of its name
+     */
     public record JoinRefusal(String reason, int highestNumber) {}
 
     /** Checks a join request. If it is accepted, its incarnation replaces the former one, which must then be stored. */
-    public Optional<JoinRefusal> judge(JoinRequest request) {
+    public Optional<JoinRefusal> check(JoinRequest request) {
         PeerRecord peer = peers.get(request.endpoint().name());
-        String why = peer == null ? "" : fault(peer, request);
-        if (!why.isEmpty()) {
-            return Optional.of(new JoinRefusal(why, peer.number()));
+        String reason = peer == null ? "" : refusalReason(peer, request);
+        if (!reason.isEmpty()) {
+            return Optional.of(new JoinRefusal(reason, peer.number()));
         }
         if (peer == null
                 || peer.number() != request.endpoint().number()
@@ -48,7 +51,7 @@
         return Optional.empty();
     }
 
-    /** Accepts this incarnation in place of the former one. */
+    /** Accepts the incarnation of a request in place of the former one. */
     protected final void accept(JoinRequest request) {
         save(
                 request.endpoint().name(),
@@ -56,7 +59,7 @@
                         request.endpoint().number(), request.incarnation(), request.term(), request.lastIndex()));
     }
 
-    private static String fault(PeerRecord peer, JoinRequest request) {
+    private static String refusalReason(PeerRecord peer, JoinRequest request) {
         if (peer.number() > request.endpoint().number()) {
             return "the name votes as number " + peer.number() + " since";
         }
@@ -87,7 +90,7 @@
 
     /**
      * Records the term of an accepted endpoint, and the index up to which it acknowledged entries; 0 if unknown. Within
-     * a term a voter's log only grows; so a disk with less than that has lost data.
+     * a term a voter's log only grows, so a disk with a shorter log has lost data.
      *
      * @return whether the term is new, so that the record should be stored
      */
@@ -104,7 +107,7 @@
     }
 
     private void save(String name, PeerRecord peer) {
-        peers.remove(name); // so that it becomes the last one
+        peers.remove(name); // so that it is inserted as the newest
         if (peers.size() >= MAX_NAMES) {
             peers.remove(peers.keySet().iterator().next());
         }
@@ -116,27 +119,31 @@
         return new CborOut()
                 .list(
                         peers.entrySet(),
-                        (out, e) -> out.text(e.getKey())
-                                .number(e.getValue().number())
-                                .number(e.getValue().incarnation())
-                                .number(e.getValue().term())
-                                .number(e.getValue().index()))
+                        (out, entry) -> out.text(entry.getKey())
+                                .number(entry.getValue().number())
+                                .number(entry.getValue().incarnation())
+                                .number(entry.getValue().term())
+                                .number(entry.getValue().index()))
                 .done();
     }
 
-    /** Decodes what {@link #write} encoded. */
+    /**
+     * Decodes what {@link #write} encoded.
+     *
+     * @throws FaultyMessageException if the bytes are malformed
+     */
     public static PeerIncarnations read(byte[] stored) throws FaultyMessageException {
         PeerIncarnations peerIncarnations = new PeerIncarnations();
         CborIn in = new CborIn(stored);
-        List<Boolean> all = in.list(MAX_NAMES, i -> {
-            String name = i.text(VoterEndpoint.MAX_NAME_BYTES);
+        List<Boolean> all = in.list(MAX_NAMES, item -> {
+            String name = item.text(VoterEndpoint.MAX_NAME_BYTES);
             peerIncarnations.peers.put(
                     name,
                     new PeerRecord(
-                            (int) i.number(1, VoterEndpoint.MAX_NUMBER),
-                            i.number(Long.MIN_VALUE, Long.MAX_VALUE),
-                            (int) i.number(0, Integer.MAX_VALUE),
-                            i.number(0, Long.MAX_VALUE)));
+                            (int) item.number(1, VoterEndpoint.MAX_NUMBER),
+                            item.number(Long.MIN_VALUE, Long.MAX_VALUE),
+                            (int) item.number(0, Integer.MAX_VALUE),
+                            item.number(0, Long.MAX_VALUE)));
             return true;
         });
         in.end();
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetMembership.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetMembership.java
@@ -15,16 +15,17 @@
 /**
  * The members of the fleet, and the endpoint numbers under which they may vote. A name belongs to one address: a join
  * under the name of another address is refused until the owner has left. The highest number issued to each name is
- * retained after it left, so that no number is used twice. {@code epoch} counts changes. Deterministic; applied on the
- * consensus's thread. Bound: {@value #MAX_MEMBERS} members and as many names with numbers.
+ * retained after it left, so that no number is issued twice. The epoch counts changes. Deterministic; applied on the
+ * consensus thread. Bound: {@value #MAX_MEMBERS} members and as many names with numbers.
  */
 public final class FleetMembership implements FleetStateMachine.ReturnsCommandResult {
-    /** The tag of the commands of this part in the log. */
+    /** Tag of this part's commands in the log. */
     public static final byte TAG = 1;
     /** Max number of members. */
     public static final int MAX_MEMBERS = 1024;
 
     private static final int MAX_TEXT_BYTES = 255;
+    // types of commands in the log; never changed
     private static final int JOIN = 0;
     private static final int LEAVE = 1;
     private static final int ISSUE = 2;
@@ -35,7 +36,7 @@
      * The endpoint numbers of a name.
      *
      * @param issued the highest number that was issued
-     * @param retired this number and all lower ones may not vote again
+     * @param retired this number and all lower ones may not vote again; 0 if none is retired
      */
     public record EndpointNumbers(int issued, int retired) {}
 
@@ -43,19 +44,21 @@
     private final TreeMap<String, EndpointNumbers> numbers = new TreeMap<>();
     private long epoch;
 
-    /** Encodes a join of a new name, or of a member whose address is the same as before. */
+    /** Encodes the join of a member; refused if its name is a member with another address. */
     public static byte[] joinCommand(Member member) {
         CborOut out = new CborOut().number(JOIN);
         write(out, member);
         return out.done();
     }
 
-    /** Encodes a leave. */
+    /** Encodes the leave of a member. */
     public static byte[] leaveCommand(String name) {
         return new CborOut().number(LEAVE).text(name).done();
     }
 
-    /** Encodes the issue of {@code number} to a voter of this name; refused unless it is above all issued before. */
+    /**
+     * Encodes the issue of an endpoint number to a voter; refused unless it is above all numbers issued to the name.
+     */
     public static byte[] issueCommand(String name, int number) {
         return new CborOut().number(ISSUE).text(name).number(number).done();
     }
@@ -75,7 +78,7 @@
         return Optional.ofNullable(members.get(name));
     }
 
-    /** Number of changes so far. */
+    /** Number of changes since the fleet was bootstrapped. */
     public long epoch() {
         return epoch;
     }
@@ -91,12 +94,12 @@
             CborIn in = new CborIn(command);
             int type = (int) in.number(JOIN, RETIRE);
             return switch (type) {
-                case JOIN -> joinCommand(in);
-                case LEAVE -> leaveCommand(in);
-                default -> number(in, type == ISSUE);
+                case JOIN -> applyJoin(in);
+                case LEAVE -> applyLeave(in);
+                default -> applyNumberCommand(in, type == ISSUE);
             };
         } catch (FaultyMessageException e) {
-            return CommandResult.refused("a command about members: " + e.getMessage());
+            return CommandResult.refused("malformed membership command: " + e.getMessage());
         }
     }
 
@@ -105,7 +108,7 @@
         return CommandResult.accepted(new CborOut().number(epoch).done());
     }
 
-    private byte[] joinCommand(CborIn in) throws FaultyMessageException {
+    private byte[] applyJoin(CborIn in) throws FaultyMessageException {
         Member member = read(in);
         in.end();
         Member existing = members.get(member.name());
@@ -123,13 +126,13 @@
         return acceptChange();
     }
 
-    private byte[] leaveCommand(CborIn in) throws FaultyMessageException {
+    private byte[] applyLeave(CborIn in) throws FaultyMessageException {
         String name = in.text(MAX_TEXT_BYTES);
         in.end();
         return members.remove(name) == null ? CommandResult.refused("no member has the name " + name) : acceptChange();
     }
 
-    private byte[] number(CborIn in, boolean issues) throws FaultyMessageException {
+    private byte[] applyNumberCommand(CborIn in, boolean issues) throws FaultyMessageException {
         String name = in.text(MAX_TEXT_BYTES);
         int number = (int) in.number(1, MAX_NUMBER);
         in.end();
@@ -151,24 +154,24 @@
 
     /** Removes the first name that is no member and has no number in use. Returns false if there is none. */
     private boolean evictUnusedName() {
-        for (Map.Entry<String, EndpointNumbers> e : numbers.entrySet()) {
-            if (!members.containsKey(e.getKey())
-                    && e.getValue().retired() >= e.getValue().issued()) {
-                numbers.remove(e.getKey());
+        for (Map.Entry<String, EndpointNumbers> entry : numbers.entrySet()) {
+            if (!members.containsKey(entry.getKey())
+                    && entry.getValue().retired() >= entry.getValue().issued()) {
+                numbers.remove(entry.getKey());
                 return true;
             }
         }
         return false;
     }
 
-    private static void write(CborOut out, Member m) {
-        out.text(m.name()).text(m.zone()).text(m.host()).number(m.port());
+    private static void write(CborOut out, Member member) {
+        out.text(member.name()).text(member.zone()).text(member.host()).number(member.port());
     }
 
     private static Member read(CborIn in) throws FaultyMessageException {
         String name = in.text(MAX_TEXT_BYTES);
         if (name.isEmpty() || name.indexOf('#') >= 0) {
-            throw in.wrong("is no name of a member: empty, or with a #");
+            throw in.wrong("is not a member name: empty, or with a #");
         }
         return new Member(name, in.text(MAX_TEXT_BYTES), in.text(MAX_TEXT_BYTES), (int) in.number(1, 65_535));
     }
@@ -180,9 +183,9 @@
                 .list(members.values(), FleetMembership::write)
                 .list(
                         numbers.entrySet(),
-                        (out, e) -> out.text(e.getKey())
-                                .number(e.getValue().issued())
-                                .number(e.getValue().retired()))
+                        (out, entry) -> out.text(entry.getKey())
+                                .number(entry.getValue().issued())
+                                .number(entry.getValue().retired()))
                 .done();
     }
 
@@ -191,21 +194,21 @@
         try {
             CborIn in = new CborIn(snapshot);
             long restoredEpoch = in.number(0, Long.MAX_VALUE);
-            List<Member> all = new ArrayList<>(in.list(MAX_MEMBERS, FleetMembership::read));
+            List<Member> restoredMembers = new ArrayList<>(in.list(MAX_MEMBERS, FleetMembership::read));
             TreeMap<String, EndpointNumbers> restoredNumbers = new TreeMap<>();
             in.list(
                     MAX_MEMBERS,
-                    i -> restoredNumbers.put(
-                            i.text(MAX_TEXT_BYTES),
-                            new EndpointNumbers((int) i.number(1, MAX_NUMBER), (int) i.number(0, MAX_NUMBER))));
+                    item -> restoredNumbers.put(
+                            item.text(MAX_TEXT_BYTES),
+                            new EndpointNumbers((int) item.number(1, MAX_NUMBER), (int) item.number(0, MAX_NUMBER))));
             in.end();
             epoch = restoredEpoch;
             members.clear();
-            all.forEach(m -> members.put(m.name(), m));
+            restoredMembers.forEach(member -> members.put(member.name(), member));
             numbers.clear();
             numbers.putAll(restoredNumbers);
         } catch (FaultyMessageException e) {
-            throw new SnapshotException("a snapshot of the members: " + e.getMessage(), e);
+            throw new SnapshotException("malformed snapshot of the membership: " + e.getMessage(), e);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetStateMachine.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetStateMachine.java
@@ -15,11 +15,11 @@
 
 /**
  * The replicated state machine of a fleet (Schneider 1990): named parts, each of which applies the commands with its
- * tag in the order of the log. A command whose tag no part has is refused by its result, the same at every voter; so a
- * command of a newer gateway never stops an older voter, which then only lacks that part.
+ * tag in the order of the log. A command whose tag belongs to no part is refused by its result, the same at every voter
+ * of that version; so a command of a newer gateway never stops an older voter, which only lacks that part.
  *
- * <p>Commands are applied on the consensus's thread; other threads read under the same lock, which is never held during
- * I/O. Cost: one lookup a command. Bounds: those of the parts.
+ * <p>Commands are applied on the consensus thread; other threads read under the same lock, which is never
+ * held during I/O. Cost: one lookup a command. Bounds: those of the parts.
  */
 public final class FleetStateMachine implements ReplicatedState {
     /** Max number of parts. */
@@ -27,28 +27,46 @@
     /** Max size of a snapshot of all parts, which the consensus transfers in chunks (bytes). */
     public static final int MAX_SNAPSHOT_BYTES = 16 << 20;
 
-    /** Notified after changes, on the consensus's thread. */
+    /** Notified after changes, on the consensus thread. */
     public interface ApplyListener {
-        /** A command was applied. */
+        /**
+         * A command was applied.
+         *
+         * @param index index of its log entry
+         * @param part the part that it was applied to
+         * @param result its encoded {@link CommandResult}
+         */
         void onApplied(long index, StateMachinePart part, byte[] result);
 
         /** The whole state was replaced by a snapshot. */
         void onInstalled();
 
-        /** A part threw, contrary to its contract: its state may differ from that of other gateways from now on. */
-        void onPartFailed(long index, StateMachinePart part, RuntimeException how);
+        /**
+         * A part threw an exception, contrary to its contract: its state may differ from that of other voters from now
+         * on.
+         *
+         * @param index index of the command's log entry
+         * @param part the part that failed
+         * @param exception what it threw
+         */
+        void onPartFailed(long index, StateMachinePart part, RuntimeException exception);
     }
 
     private final TreeMap<Byte, StateMachinePart> parts = new TreeMap<>();
-    private final TreeMap<Byte, byte[]> unknownParts =
-            new TreeMap<>(); // snapshots of parts that this version does not have
+    // snapshots of parts that this version does not have, retained for its own snapshots
+    private final TreeMap<Byte, byte[]> unknownParts = new TreeMap<>();
     private final ReentrantLock lock = new ReentrantLock();
     private final ApplyListener listener;
     private long appliedIndex;
 
-    /** A state machine in its initial state. */
-    public FleetStateMachine(Collection<StateMachinePart> parts, ApplyListener watcher) {
-        this.listener = watcher;
+    /**
+     * Creates a state machine in its initial state.
+     *
+     * @param parts parts with different tags, at most {@value #MAX_PARTS}
+     * @param listener notified after changes
+     */
+    public FleetStateMachine(Collection<StateMachinePart> parts, ApplyListener listener) {
+        this.listener = listener;
         for (StateMachinePart part : parts) {
             if (this.parts.put(part.tag(), part) != null || this.parts.size() > MAX_PARTS) {
                 throw new IllegalArgumentException(
@@ -57,11 +75,13 @@
         }
     }
 
-    /** Reads the state while no command is applied. {@code what} must be short and must not block. */
-    public <T> T read(Supplier<T> what) {
+    /**
+     * Reads the state while no command is applied; from any thread. {@code reader} must be short and must not block.
+     */
+    public <T> T read(Supplier<T> reader) {
         lock.lock();
         try {
-            return what.get();
+            return reader.get();
         } finally {
             lock.unlock();
         }
@@ -100,7 +120,7 @@
         }
     }
 
-    /** State whose results are encoded {@link CommandResult}s already. */
+    /** State that returns encoded {@link CommandResult}s from {@link #apply}. */
     interface ReturnsCommandResult extends ReplicatedState {}
 
     @Override
@@ -109,7 +129,8 @@
             CborOut out = new CborOut().number(appliedIndex);
             TreeMap<Byte, byte[]> all = new TreeMap<>(unknownParts);
             parts.forEach((tag, part) -> all.put(tag, part.state().snapshot()));
-            out.list(all.entrySet(), (o, e) -> o.number(e.getKey()).bytes(e.getValue()));
+            out.list(
+                    all.entrySet(), (item, entry) -> item.number(entry.getKey()).bytes(entry.getValue()));
             return out.done();
         });
     }
@@ -117,9 +138,10 @@
     private record PartSnapshot(byte tag, byte[] bytes) {}
 
     /**
-     * Replaces the whole state.
+     * Replaces the whole state by a snapshot.
      *
-     * @throws SnapshotException if it cannot be read; nothing is replaced then
+     * @throws SnapshotException if the list of part snapshots cannot be decoded, in which case nothing is replaced; or
+     *     if a part cannot decode its own, in which case parts before it are replaced already
      */
     @Override
     public void install(byte[] snapshot) {
@@ -129,10 +151,11 @@
             CborIn in = new CborIn(snapshot);
             index = in.number(0, Long.MAX_VALUE);
             partSnapshots.addAll(in.list(
-                    2 * MAX_PARTS, i -> new PartSnapshot((byte) i.number(1, 127), i.bytes(MAX_SNAPSHOT_BYTES))));
+                    2 * MAX_PARTS,
+                    item -> new PartSnapshot((byte) item.number(1, 127), item.bytes(MAX_SNAPSHOT_BYTES))));
             in.end();
         } catch (FaultyMessageException e) {
-            throw new SnapshotException("a snapshot of the fleet's state: " + e.getMessage(), e);
+            throw new SnapshotException("malformed snapshot of the fleet's state: " + e.getMessage(), e);
         }
         read(() -> {
             unknownParts.clear();
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/VersionedDocuments.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/VersionedDocuments.java
@@ -13,12 +13,12 @@
 /**
  * Versioned documents of the whole fleet, such as the limits and the pool policy: for each name the one with the
  * highest epoch is in force. A writer states which epoch it replaces, so that of two concurrent writers one is refused
- * and reads again (compare and set). Documents are not parsed here: a gateway that cannot read one logs it and goes on
- * with the one before. Deterministic; applied on the consensus's thread. Bounds: {@value #MAX_NAMES} names, {@value
- * #MAX_TEXT_BYTES} bytes each.
+ * and reads again (compare and set). Documents are not parsed here: a gateway that cannot parse one logs it and
+ * continues with the previous one. Deterministic; applied on the consensus thread. Bounds: {@value
+ * #MAX_NAMES} names, {@value #MAX_TEXT_BYTES} bytes each.
  */
 public final class VersionedDocuments implements FleetStateMachine.ReturnsCommandResult {
-    /** The tag of this part's commands in the log. */
+    /** Tag of this part's commands in the log. */
     public static final byte TAG = 2;
     /** Max number of documents. */
     public static final int MAX_NAMES = 16;
@@ -27,12 +27,23 @@
 
     private static final int MAX_NAME_BYTES = 64;
 
-    /** A document; {@code epoch} starts at 1 and is incremented with each change. */
+    /**
+     * A document.
+     *
+     * @param epoch starts at 1 and is incremented with each change
+     * @param text the content
+     */
     public record VersionedDocument(long epoch, String text) {}
 
     private final TreeMap<String, VersionedDocument> documents = new TreeMap<>();
 
-    /** Encodes the replacement of the document whose epoch is {@code replaces}; 0 for the first of its name. */
+    /**
+     * Encodes the replacement of a document; refused if the current epoch is another.
+     *
+     * @param name name of the document
+     * @param replaces epoch of the document that is replaced; 0 for the first of its name
+     * @param text the new content
+     */
     public static byte[] putCommand(String name, long replaces, String text) {
         return new CborOut().text(name).number(replaces).text(text).done();
     }
@@ -65,7 +76,7 @@
             documents.put(name, new VersionedDocument(epoch + 1, text));
             return CommandResult.accepted(new CborOut().number(epoch + 1).done());
         } catch (FaultyMessageException e) {
-            return CommandResult.refused("a versioned text: " + e.getMessage());
+            return CommandResult.refused("malformed document command: " + e.getMessage());
         }
     }
 
@@ -74,28 +85,28 @@
         return new CborOut()
                 .list(
                         documents.entrySet(),
-                        (out, e) -> out.text(e.getKey())
-                                .number(e.getValue().epoch())
-                                .text(e.getValue().text()))
+                        (out, entry) -> out.text(entry.getKey())
+                                .number(entry.getValue().epoch())
+                                .text(entry.getValue().text()))
                 .done();
     }
 
-    private record NamedDocument(String name, VersionedDocument text) {}
+    private record NamedDocument(String name, VersionedDocument document) {}
 
     @Override
     public void install(byte[] snapshot) {
         try {
             CborIn in = new CborIn(snapshot);
-            List<NamedDocument> all = new ArrayList<>(in.list(
+            List<NamedDocument> restored = new ArrayList<>(in.list(
                     MAX_NAMES,
-                    i -> new NamedDocument(
-                            i.text(MAX_NAME_BYTES),
-                            new VersionedDocument(i.number(1, Long.MAX_VALUE), i.text(MAX_TEXT_BYTES)))));
+                    item -> new NamedDocument(
+                            item.text(MAX_NAME_BYTES),
+                            new VersionedDocument(item.number(1, Long.MAX_VALUE), item.text(MAX_TEXT_BYTES)))));
             in.end();
             documents.clear();
-            all.forEach(named -> documents.put(named.name(), named.text()));
+            restored.forEach(named -> documents.put(named.name(), named.document()));
         } catch (FaultyMessageException e) {
-            throw new SnapshotException("a snapshot of the versioned texts: " + e.getMessage(), e);
+            throw new SnapshotException("malformed snapshot of the documents: " + e.getMessage(), e);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/TurnExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/CallerThreadExecutor.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs MicroRaft's tasks and timers on the caller's thread and clock: {@link #run} is one turn. Tasks of {@code submit}
- * run after all others of a turn, so that one flush covers all entries of the turn. Owned by the fleet's thread.
+ * Runs MicroRaft's tasks and timers in {@link #run}, on the caller's thread and clock. Tasks of {@link #submit} run
+ * after all others, so that one flush covers all entries of a run. Owned by the consensus thread.
  */
-final class TurnExecutor implements RaftNodeExecutor {
-    /** Max number of tasks of one turn; the rest waits for the next, so that every turn ends. */
+final class CallerThreadExecutor implements RaftNodeExecutor {
+    /** Max number of tasks of one run; the others wait for the next, so that every run ends. */
     static final int MAX_TASKS = 10_000;
 
     private record TimedTask(long dueAtUs, long sequence, Runnable task) implements Comparable<TimedTask> {
@@ -34,8 +34,8 @@
     private long timerCount;
     private boolean runNextDirectly;
 
-    TurnExecutor(long now) {
-        this.nowUs = now;
+    CallerThreadExecutor(long nowUs) {
+        this.nowUs = nowUs;
     }
 
     @Override
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Runs {@code step}, and the first task that it executes at once instead of in the next turn. */
+    /** Runs {@code step}, and the first task that it executes immediately instead of in the next {@link #run}. */
     void runDirectly(Runnable step) {
         runNextDirectly = true;
         try {
@@ -68,7 +68,7 @@
         timers.add(new TimedTask(nowUs + unit.toMicros(delay), timerCount++, task));
     }
 
-    /** Runs the tasks that are due at {@code atUs}; time never goes back. */
+    /** Runs the tasks that are due at {@code atUs}; an earlier time than before is ignored. */
     void run(long atUs) {
         nowUs = Math.max(nowUs, atUs);
         for (int i = 0; i < MAX_TASKS; i++) {
@@ -92,7 +92,7 @@
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAtUs();
     }
 
-    /** The time for MicroRaft: monotonic, from an arbitrary origin. */
+    /** The clock for MicroRaft: monotonic, from an arbitrary origin. */
     Clock clock() {
         return new Clock() {
             @Override
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/DurableLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/DurableLog.java
@@ -16,9 +16,9 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * Implements MicroRaft's store on a {@link VoterStore}. The first failed write is final: MicroRaft logs such a failure
- * and goes on with its state in memory, which would then be ahead of the disk. So nothing that it sends after {@link
- * #fault} may leave the process. Owned by the fleet's thread.
+ * Implements MicroRaft's store on a {@link VoterStore}. After the first failed write it accepts no more: MicroRaft
+ * logs such a failure and continues with its state in memory, which would then be ahead of the disk. So nothing that it
+ * sends after {@link #fault} may leave the process. Owned by the consensus thread.
  */
 final class DurableLog implements RaftStore {
     /** Key of the group's initial members. */
@@ -41,7 +41,7 @@
         return termsByIndex;
     }
 
-    /** Durably truncates entries that a later leader replaced, without MicroRaft's log. */
+    /** Durably removes entries that a later leader replaced from the store only, not from MicroRaft's log in memory. */
     void truncateDurably(long index) throws StoreException {
         truncateLogEntriesFrom(index);
         flush();
@@ -60,8 +60,8 @@
         } catch (StoreException e) {
             fault = e;
             throw e;
-        } catch (RuntimeException e) { // the caller exceeded a bound of the store: nothing is durable then either
-            fault = new StoreException(StoreException.Kind.IO, "the store refused a write: " + e.getMessage(), e);
+        } catch (RuntimeException e) { // a bound of the store was exceeded: the write is not durable either
+            fault = new StoreException(StoreException.Kind.IO, "the store rejected a write: " + e.getMessage(), e);
             throw fault;
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/GroupMembers.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/GroupMembers.java
@@ -9,8 +9,9 @@
 /**
  * The members of the Raft group, sorted.
  *
- * @param index the log entry that they were set by
+ * @param index index of the log entry that set them
  * @param all voters and learners
+ * @param voting the voters
  */
 public record GroupMembers(long index, List<VoterEndpoint> all, List<VoterEndpoint> voting) {
     static GroupMembers of(RaftGroupMembers members) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftCodec.java
@@ -15,23 +15,25 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** Encodings that messages and the store share: members, entries, chunks of snapshots. */
+/** Encodings that messages and the store share: members, log entries, snapshot chunks. */
 final class RaftCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     /**
-     * Max number of voters and learners of one group: five voters while they are replaced one by one, and some reserve.
+     * Max number of voters and learners of one group: five voters, those that replace them, and some reserve.
      */
     static final int MAX_MEMBERS = 16;
     /** Max size of a command; the largest is the text of a pool policy (bytes). */
     static final int MAX_COMMAND_BYTES = 384 << 10;
-    /** Max size of a snapshot's chunk, so that it fits into a frame with its envelope (bytes). */
+    /** Max size of a snapshot chunk, so that it fits into a frame with its envelope (bytes). */
     static final int MAX_CHUNK_BYTES = 256 << 10;
     /** Max number of chunks of one snapshot; the store has the same bound. */
     static final int MAX_CHUNKS = 64;
 
+    /** Max log index that is accepted from a message. */
     static final long MAX_INDEX = Long.MAX_VALUE >> 2;
 
+    // types of operations in the log; never changed
     private static final int NEW_TERM = 0;
     private static final int COMMAND = 1;
     private static final int MEMBERS = 2;
@@ -39,16 +41,16 @@
     private RaftCodec() {}
 
     static void members(CborOut out, Collection<RaftEndpoint> members) {
-        out.list(members, (o, m) -> o.text(m.toString()));
+        out.list(members, (item, member) -> item.text(member.toString()));
     }
 
     static Collection<RaftEndpoint> members(CborIn in) throws FaultyMessageException {
         List<RaftEndpoint> members = in.list(MAX_MEMBERS, VoterEndpoint::read);
-        Collection<RaftEndpoint> once = new LinkedHashSet<>(members);
-        if (once.size() != members.size()) {
+        Collection<RaftEndpoint> distinct = new LinkedHashSet<>(members);
+        if (distinct.size() != members.size()) {
             throw in.wrong("repeats a member");
         }
-        return once;
+        return distinct;
     }
 
     static void view(CborOut out, RaftGroupMembersView view) {
@@ -62,7 +64,7 @@
         Collection<RaftEndpoint> members = members(in);
         Collection<RaftEndpoint> voting = members(in);
         if (!members.containsAll(voting)) {
-            throw in.wrong("names a voter that is no member");
+            throw in.wrong("names a voter that is not a member");
         }
         return view(index, members, voting);
     }
@@ -101,7 +103,7 @@
         } else if (operation instanceof LogOperation.NewTerm) {
             out.number(NEW_TERM);
         } else {
-            throw new IllegalArgumentException("no operation of this log: " + operation);
+            throw new IllegalArgumentException("not an operation of this log: " + operation);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
@@ -29,26 +29,31 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * One incarnation of a MicroRaft node: from the restore of a store's content until the first failed write, or until it
- * is ended. It works around six weaknesses of MicroRaft 0.7:
+ * One incarnation of a MicroRaft node: from restoring a store's content until the first failed write, or until it is
+ * ended. It works around six faults of MicroRaft 0.7:
  *
  * <ul>
- *   <li>It goes on after a failed write: an incarnation sends nothing after one.
+ *   <li>It continues after a failed write: an incarnation sends nothing after one.
  *   <li>It counts responses of earlier terms in the current one, and so entries that were truncated since: those
  *       responses are dropped.
  *   <li>Followers do not know which entries their snapshots cover: {@link SnapshotRepair}.
  *   <li>A node whose term is behind may stay behind: {@link TermCatchUp}.
  *   <li>A query that joins a running round gets the round's older responses: {@link LeadershipCheck}.
  *   <li>A node that requested pre-votes and then received a message from a leader of the same term never replaces that
- *       leader: such an incarnation is restarted from its store once the leader is silent.
+ *       leader: such an incarnation is restarted from its store once the leader has been silent for the timeout.
  * </ul>
  *
- * <p>Not thread-safe: owned by the fleet's thread, which passes in messages and time.
+ * <p>Not thread-safe: owned by the consensus thread, which passes in messages and time.
  */
 public final class RaftIncarnation implements Transport {
     /** Sends messages to peers. */
     public interface Sender {
-        /** Sends a message; {@code message} appends it to its envelope. */
+        /**
+         * Sends a message; it may be lost.
+         *
+         * @param to the receiver
+         * @param message appends the message to its envelope
+         */
         void send(VoterEndpoint to, Consumer<CborOut> message);
     }
 
@@ -57,27 +62,34 @@
     private final Sender sender;
     private final String group;
     private final DurableLog log;
-    private final TurnExecutor executor;
+    private final CallerThreadExecutor executor;
     private final RaftNode node;
-    private final long leaderTimeoutUs; // MicroRaft replaces a silent leader before this, if it does at all
-    private long lastLeaderMessageAtUs; // of a leader of the current term
+    private final long leaderTimeoutUs; // MicroRaft starts an election earlier, if it notices the silence at all
+    private long lastLeaderMessageAtUs; // time of the last message of the current term's leader
     private boolean ended;
     private boolean needsRestart;
-    private long matchedThrough =
-            -1; // index up to which this follower's log is known to match, while a message is handled; else -1
+    // index up to which this follower's log is known to match while a message is handled; -1 otherwise
+    private long matchedThrough = -1;
     private Optional<Throwable> startFault = Optional.empty();
 
     /**
      * The Raft group of this node.
      *
-     * @param name of the group; messages of other groups are not for this node
+     * @param name name of the group
      * @param self the endpoint of this node
+     * @param settings timeouts and sizes
      */
     public record RaftGroup(String name, VoterEndpoint self, RaftSettings settings) {}
 
     /**
      * Restores the content of the store; {@link #start} starts the node.
      *
+     * @param group the Raft group of this node
+     * @param store the open store
+     * @param commands applies committed commands
+     * @param sender sends messages to peers
+     * @param random randomizes election timeouts
+     * @param nowUs monotonic time (us)
      * @throws StoreException if the content cannot be read as a voter's state
      */
     public RaftIncarnation(
@@ -93,7 +105,7 @@
         this.group = group.name();
         this.sender = sender;
         this.log = new DurableLog(store, recovered.entries());
-        this.executor = new TurnExecutor(nowUs);
+        this.executor = new CallerThreadExecutor(nowUs);
         this.lastLeaderMessageAtUs = nowUs;
         this.leaderTimeoutUs = (settings.leaderTimeoutS() + settings.heartbeatS()) * US_PER_S;
         this.node = RaftNode.newBuilder()
@@ -115,7 +127,7 @@
         node.start().whenComplete((started, failure) -> startFault = Optional.ofNullable(failure));
     }
 
-    /** Why the node could not start from the store. */
+    /** Why the node could not start from the store; empty if it could. */
     public Optional<Throwable> startFault() {
         return startFault;
     }
@@ -136,7 +148,7 @@
         return hasEnded() ? Long.MAX_VALUE : executor.nextRunAtUs();
     }
 
-    /** Ends it: nothing more is sent; pending proposals and queries fail. */
+    /** Ends the incarnation: nothing more is sent; pending proposals and queries fail. */
     public void end() {
         if (!ended) {
             ended = true;
@@ -145,12 +157,12 @@
         }
     }
 
-    /** The failed write that ended it. */
+    /** The failed write that ended the incarnation. */
     public Optional<StoreException> fault() {
         return log.fault();
     }
 
-    /** Whether it has ended: by {@link #end}, a failed write, or since the group removed this endpoint. */
+    /** Whether the incarnation has ended by {@link #end}, a failed write, or the removal of this endpoint. */
     public boolean hasEnded() {
         return ended || needsRestart || log.fault().isPresent() || RaftNodeStatus.isTerminal(node.getStatus());
     }
@@ -179,13 +191,26 @@
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        return true; // not known here; MicroRaft uses it to choose a peer for snapshots
+        return true; // unknown; MicroRaft uses it to choose a peer for snapshots
     }
 
-    /** The progress of a message's sender: its term, and the index up to which its log is durable; 0 if unknown. */
+    /**
+     * The progress of a message's sender.
+     *
+     * @param term its term; 0 if unknown
+     * @param index index up to which its log is durable; 0 if unknown
+     */
     public record SenderProgress(int term, long index) {}
 
-    /** Receives a peer's message. */
+    /**
+     * Receives a message of a peer.
+     *
+     * @param from the sender
+     * @param in the encoded message
+     * @param nowUs monotonic time (us)
+     * @return the progress of the sender
+     * @throws FaultyMessageException if the message is malformed
+     */
     public SenderProgress receive(VoterEndpoint from, CborIn in, long nowUs) throws FaultyMessageException {
         RaftMessage message = RaftMessageReader.read(group, from, in);
         SenderProgress progress = RaftMessages.progressOf(message);
@@ -220,7 +245,7 @@
                 log.truncateDurably(conflict.index());
                 needsRestart = true;
             } catch (StoreException e) {
-                ended = true; // the log retains the fault
+                ended = true; // the fault is reported by fault()
             }
             return;
         }
@@ -238,7 +263,8 @@
     }
 
     /**
-     * Whether a new incarnation must be created from the store, which has entries that MicroRaft does not have.
+     * Whether a new incarnation must be created from the store: MicroRaft's state in memory differs from it, or does
+     * not notice that the leader is silent.
      */
     public boolean needsRestart() {
         return needsRestart;
@@ -278,7 +304,12 @@
         return GroupMembers.of(node.getEffectiveMembers());
     }
 
-    /** Replicates a command. */
+    /**
+     * Replicates a command.
+     *
+     * @param command the encoded command
+     * @param done called once with the result or the failure
+     */
     public void replicate(byte[] command, BiConsumer<Ordered<Object>, Throwable> done) {
         node.replicate(new LogOperation.Command(command)).whenComplete(done);
     }
@@ -293,7 +324,14 @@
         round.whenComplete(done);
     }
 
-    /** Changes one member; {@code membersIndex} is the index of the committed members that the change is based on. */
+    /**
+     * Changes one member of the group.
+     *
+     * @param member the member to add, promote or remove
+     * @param mode the kind of change
+     * @param membersIndex index of the committed members that the change is based on
+     * @param done called once with the new members or the failure
+     */
     public void changeMember(
             VoterEndpoint member,
             MembershipChangeMode mode,
@@ -302,12 +340,12 @@
         node.changeMembership(member, mode, membersIndex).whenComplete(done);
     }
 
-    /** Transfers the leadership to a voter. */
+    /** Starts a transfer of the leadership to a voter. */
     public void transferLeadership(VoterEndpoint to) {
         node.transferLeadership(to);
     }
 
-    /** Reports the state of the node, such as the match index of each follower. */
+    /** Reports the state of the node, such as the match index of each follower, to {@code done}. */
     public void report(BiConsumer<Ordered<RaftNodeReport>, Throwable> done) {
         node.getReport().whenComplete(done);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessageReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessageReader.java
@@ -9,7 +9,7 @@
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** Reads Raft messages, which any peer may have sent: checks types, ranges and the order of entries. */
+/** Decodes Raft messages. They may be malformed, so types, ranges and the order of entries are checked. */
 final class RaftMessageReader {
     private final Object group;
     private final RaftEndpoint sender;
@@ -121,56 +121,56 @@
     }
 
     private RaftMessage append() throws FaultyMessageException {
-        int beforeTerm = term();
-        long before = index();
-        long committed = index();
-        long query = index();
-        long flow = index();
+        int previousTerm = term();
+        long previousIndex = index();
+        long commitIndex = index();
+        long querySequence = index();
+        long flowControlSequence = index();
         List<LogEntry> entries = in.list(RaftMessageWriter.MAX_ENTRIES, RaftCodec::entry);
-        long next = before;
-        int last = beforeTerm;
+        long expectedIndex = previousIndex;
+        int lastTerm = previousTerm;
         for (LogEntry entry : entries) {
-            // MicroRaft only asserts it; without assertions a gap would be written to the log
-            if (entry.getIndex() != ++next || entry.getTerm() < last || entry.getTerm() > term) {
+            // MicroRaft checks this only by an assertion; with assertions off a gap would be written to the log
+            if (entry.getIndex() != ++expectedIndex || entry.getTerm() < lastTerm || entry.getTerm() > term) {
                 throw in.wrong("ends entries out of order at " + entry.getIndex() + " of term " + entry.getTerm());
             }
-            last = entry.getTerm();
+            lastTerm = entry.getTerm();
         }
         return RaftCodec.MODEL
                 .createAppendEntriesRequestBuilder()
                 .setGroupId(group)
                 .setSender(sender)
                 .setTerm(term)
-                .setPreviousLogTerm(beforeTerm)
-                .setPreviousLogIndex(before)
-                .setCommitIndex(committed)
-                .setQuerySequenceNumber(query)
-                .setFlowControlSequenceNumber(flow)
+                .setPreviousLogTerm(previousTerm)
+                .setPreviousLogIndex(previousIndex)
+                .setCommitIndex(commitIndex)
+                .setQuerySequenceNumber(querySequence)
+                .setFlowControlSequenceNumber(flowControlSequence)
                 .setLogEntries(entries)
                 .build();
     }
 
     private RaftMessage snapshot() throws FaultyMessageException {
-        boolean leader = in.flag();
+        boolean isSenderLeader = in.flag();
         int snapshotTerm = term();
         long snapshotIndex = index();
-        int chunks = (int) in.number(1, RaftCodec.MAX_CHUNKS);
+        int chunkCount = (int) in.number(1, RaftCodec.MAX_CHUNKS);
         SnapshotChunk chunk = in.flag() ? RaftCodec.chunk(in) : null;
-        if (chunk != null && (chunk.getIndex() != snapshotIndex || chunk.getSnapshotChunkCount() != chunks)) {
+        if (chunk != null && (chunk.getIndex() != snapshotIndex || chunk.getSnapshotChunkCount() != chunkCount)) {
             throw in.wrong("ends a chunk of another snapshot");
         }
-        Collection<RaftEndpoint> holders = RaftCodec.members(in);
+        Collection<RaftEndpoint> snapshottedMembers = RaftCodec.members(in);
         return RaftCodec.MODEL
                 .createInstallSnapshotRequestBuilder()
                 .setGroupId(group)
                 .setSender(sender)
                 .setTerm(term)
-                .setSenderLeader(leader)
+                .setSenderLeader(isSenderLeader)
                 .setSnapshotTerm(snapshotTerm)
                 .setSnapshotIndex(snapshotIndex)
-                .setTotalSnapshotChunkCount(chunks)
+                .setTotalSnapshotChunkCount(chunkCount)
                 .setSnapshotChunk(chunk)
-                .setSnapshottedMembers(holders)
+                .setSnapshottedMembers(snapshottedMembers)
                 .setGroupMembersView(RaftCodec.view(in))
                 .setQuerySequenceNumber(index())
                 .setFlowControlSequenceNumber(index())
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessageWriter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessageWriter.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * Writes MicroRaft's messages for {@link RaftMessageReader}. The numbers of types and the order of values never change.
+ * Encodes MicroRaft's messages for {@link RaftMessageReader}. Type numbers and the order of fields never change.
  */
 final class RaftMessageWriter {
     static final int PRE_VOTE = 1;
@@ -30,16 +30,22 @@
     static final int INSTALL_SNAPSHOT_RESPONSE = 9;
     static final int TRIGGER_ELECTION = 10;
 
-    /** Max number of entries of one message; MicroRaft does not bound their bytes, so they are bounded here. */
+    /** Max number of entries of one message. */
     static final int MAX_ENTRIES = 256;
-    /** Max size of all entries of one message, unless it has a single larger one (bytes). */
+    /**
+     * Max size of all entries of one message, unless a single entry is larger (bytes). MicroRaft bounds only their
+     * number.
+     */
     static final int MAX_BATCH_BYTES = 256 << 10;
 
+    private static final int COMMAND_OVERHEAD_BYTES = 32; // upper bound of the encoded index, term, type and length
+    private static final int ESTIMATED_OTHER_OPERATION_BYTES = 1024;
+
     private RaftMessageWriter() {}
 
     static void write(CborOut out, RaftMessage message) {
         if (message instanceof AppendEntriesRequest request) {
-            head(out, APPEND_ENTRIES, message)
+            writeHeader(out, APPEND_ENTRIES, message)
                     .number(request.getPreviousLogTerm())
                     .number(request.getPreviousLogIndex())
                     .number(request.getCommitIndex())
@@ -47,57 +53,57 @@
                     .number(request.getFlowControlSequenceNumber())
                     .list(entriesThatFit(request.getLogEntries()), RaftCodec::entry);
         } else if (message instanceof AppendEntriesSuccessResponse response) {
-            head(out, APPEND_SUCCESS, message)
+            writeHeader(out, APPEND_SUCCESS, message)
                     .number(response.getLastLogIndex())
                     .number(response.getQuerySequenceNumber())
                     .number(response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
-            head(out, APPEND_FAILURE, message)
+            writeHeader(out, APPEND_FAILURE, message)
                     .number(response.getExpectedNextIndex())
                     .number(response.getQuerySequenceNumber())
                     .number(response.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest request) {
-            snapshot(head(out, INSTALL_SNAPSHOT, message), request);
+            snapshot(writeHeader(out, INSTALL_SNAPSHOT, message), request);
         } else if (message instanceof InstallSnapshotResponse response) {
-            head(out, INSTALL_SNAPSHOT_RESPONSE, message)
+            writeHeader(out, INSTALL_SNAPSHOT_RESPONSE, message)
                     .number(response.getSnapshotIndex())
                     .number(response.getRequestedSnapshotChunkIndex())
                     .number(response.getQuerySequenceNumber())
                     .number(response.getFlowControlSequenceNumber());
         } else if (message instanceof VoteRequest request) {
-            head(out, VOTE, message)
+            writeHeader(out, VOTE, message)
                     .number(request.getLastLogTerm())
                     .number(request.getLastLogIndex())
                     .flag(request.isSticky());
         } else if (message instanceof VoteResponse response) {
-            head(out, VOTE_RESPONSE, message).flag(response.isGranted());
+            writeHeader(out, VOTE_RESPONSE, message).flag(response.isGranted());
         } else if (message instanceof PreVoteRequest request) {
-            head(out, PRE_VOTE, message).number(request.getLastLogTerm()).number(request.getLastLogIndex());
+            writeHeader(out, PRE_VOTE, message).number(request.getLastLogTerm()).number(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
-            head(out, PRE_VOTE_RESPONSE, message).flag(response.isGranted());
+            writeHeader(out, PRE_VOTE_RESPONSE, message).flag(response.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest request) {
-            head(out, TRIGGER_ELECTION, message)
+            writeHeader(out, TRIGGER_ELECTION, message)
                     .number(request.getLastLogTerm())
                     .number(request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("no message known here: " + message);
+            throw new IllegalArgumentException("unsupported Raft message: " + message);
         }
     }
 
-    private static CborOut head(CborOut out, int type, RaftMessage message) {
+    private static CborOut writeHeader(CborOut out, int type, RaftMessage message) {
         return out.number(type).number(message.getTerm());
     }
 
     /**
-     * The first entries that fit into one frame. Omitting the last ones is safe: the receiver's response and commit
-     * index follow what it received, and the leader continues from there.
+     * The first entries that fit into one frame. Omitting the others is safe: the receiver's response and commit index
+     * depend on what it received, and the leader continues from there.
      */
     private static List<LogEntry> entriesThatFit(List<LogEntry> entries) {
         int bytes = 0;
         for (int i = 0; i < entries.size(); i++) {
             bytes += entries.get(i).getOperation() instanceof LogOperation.Command command
-                    ? command.bytes().length + 32
-                    : 1024;
+                    ? command.bytes().length + COMMAND_OVERHEAD_BYTES
+                    : ESTIMATED_OTHER_OPERATION_BYTES;
             if (i > 0 && (bytes > MAX_BATCH_BYTES || i >= MAX_ENTRIES)) {
                 return entries.subList(0, i);
             }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessages.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftMessages.java
@@ -16,12 +16,12 @@
 
     static RaftIncarnation.SenderProgress progressOf(RaftMessage message) {
         if (message instanceof PreVoteRequest || message instanceof PreVoteResponse) {
-            return new RaftIncarnation.SenderProgress(0, 0); // they have a term that is on no disk yet
+            return new RaftIncarnation.SenderProgress(0, 0); // their term is one that the sender has not stored
         }
         long index = message instanceof AppendEntriesSuccessResponse response
                 ? response.getLastLogIndex()
                 : message instanceof AppendEntriesRequest request
-                        ? request.getCommitIndex() // flushed in the turn that sent it
+                        ? request.getCommitIndex() // flushed before the request was sent
                         : 0;
         return new RaftIncarnation.SenderProgress(message.getTerm(), index);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/ReplicatedStateAdapter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/ReplicatedStateAdapter.java
@@ -15,7 +15,7 @@
 
     private final ReplicatedState machine;
 
-    /** Adapts {@code machine}, which is changed only by this from now on. */
+    /** Creates an adapter of {@code machine}, which only the adapter may change from now on. */
     public ReplicatedStateAdapter(ReplicatedState machine) {
         this.machine = machine;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/SnapshotRepair.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/SnapshotRepair.java
@@ -8,24 +8,36 @@
 
 /**
  * Works around a fault of MicroRaft 0.7. If a follower no longer has the entry that an append request builds on,
- * because a snapshot covers it, it responds that its log does not match; and the leader, which knows that it does,
- * neither goes back nor on. After one lost response such a follower never gets another entry. But what a snapshot
- * covers is committed, so every leader has the same entries there: the request may be shortened to those after the
- * snapshot, or be answered at once.
+ * because a snapshot covers it, it responds that its log does not match; and the leader, which knows that the entry
+ * matched before, neither decrements nor increments the follower's next index. After one lost response such a follower
+ * never gets another entry. But the entries that a snapshot covers are committed, so every leader has the same ones:
+ * the request may be shortened to the entries after the snapshot, or be answered with success.
  */
 final class SnapshotRepair {
     /** What to do with an append request. */
     sealed interface Action {
-        /** Deliver it as it is. */
+        /** Deliver it unchanged. */
         record Unchanged() implements Action {}
 
-        /** Deliver this one instead. */
+        /**
+         * Deliver a shorter request instead.
+         *
+         * @param rest the request without the entries that the snapshot covers
+         */
         record Shortened(AppendEntriesRequest rest) implements Action {}
 
-        /** Deliver it; if the response is a mismatch, replace it by a success up to {@code lastIndex}. */
+        /**
+         * Deliver it, and replace a failure response by a success.
+         *
+         * @param lastIndex index of the last entry, up to which the log matches
+         */
         record AlreadyStored(long lastIndex) implements Action {}
 
-        /** The entries from {@code index} on are of another leader and not committed: truncate them and restart. */
+        /**
+         * Truncate entries of another leader that were not committed, and restart.
+         *
+         * @param index index of the first entry to remove
+         */
         record Conflict(long index) implements Action {}
     }
 
@@ -34,7 +46,9 @@
     /**
      * Decides what to do with a request.
      *
+     * @param request the received request
      * @param termsByIndex terms of the entries in the log, by index
+     * @param logStats last index of the log and of the snapshot
      * @param term the follower's term
      */
     static Action decide(
@@ -66,18 +80,18 @@
                 : new Action.Conflict(first);
     }
 
-    private static Action shorten(AppendEntriesRequest request, long at, int term) {
+    private static Action shorten(AppendEntriesRequest request, long previousIndex, int previousTerm) {
         List<LogEntry> rest = request.getLogEntries()
                 .subList(
-                        (int) (at - request.getPreviousLogIndex()),
+                        (int) (previousIndex - request.getPreviousLogIndex()),
                         request.getLogEntries().size());
         return new Action.Shortened(RaftCodec.MODEL
                 .createAppendEntriesRequestBuilder()
                 .setGroupId(request.getGroupId())
                 .setSender(request.getSender())
                 .setTerm(request.getTerm())
-                .setPreviousLogTerm(term)
-                .setPreviousLogIndex(at)
+                .setPreviousLogTerm(previousTerm)
+                .setPreviousLogIndex(previousIndex)
                 .setCommitIndex(request.getCommitIndex())
                 .setQuerySequenceNumber(request.getQuerySequenceNumber())
                 .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber())
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/StateRestorer.java
@@ -19,14 +19,21 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** Restores MicroRaft's state from the store, and prepares new stores. */
+/** Restores MicroRaft's state from the store, and initializes new stores. */
 public final class StateRestorer {
     private StateRestorer() {}
 
-    /** Prepares the store of a group that began with these voters; its identity must be written afterwards. */
-    public static void prepare(VoterStore store, Collection<VoterEndpoint> first, boolean votes) throws StoreException {
+    /**
+     * Initializes the store of a voter; its identity must be written afterwards.
+     *
+     * @param store the open store
+     * @param initialVoters the voters that the group was bootstrapped with
+     * @param votes whether the endpoint votes from the start
+     */
+    public static void prepare(VoterStore store, Collection<VoterEndpoint> initialVoters, boolean votes)
+            throws StoreException {
         CborOut out = new CborOut();
-        List<RaftEndpoint> members = new ArrayList<>(first);
+        List<RaftEndpoint> members = new ArrayList<>(initialVoters);
         RaftCodec.view(out, RaftCodec.view(0, members, members));
         store.put(DurableLog.INITIAL_MEMBERS_KEY, out.done());
         store.put(DurableLog.VOTING_KEY, new CborOut().flag(votes).done());
@@ -37,8 +44,8 @@
         return store.get(DurableLog.VOTING_KEY).isPresent();
     }
 
-    /** The voters that the group began with. */
-    public static Collection<RaftEndpoint> first(VoterStore store) throws StoreException {
+    /** The voters that the group was bootstrapped with. */
+    public static Collection<RaftEndpoint> initialVoters(VoterStore store) throws StoreException {
         Optional<byte[]> stored = store.get(DurableLog.INITIAL_MEMBERS_KEY);
         try {
             return RaftCodec.view(new CborIn(stored.orElseThrow(() -> new StoreException(
@@ -51,7 +58,7 @@
         }
     }
 
-    /** The voters when the store was last written, by its initial members, its snapshot and its log. */
+    /** The newest known voters according to the initial members, the snapshot and the log of the store. */
     public static GroupMembers members(VoterStore store, RecoveredState recovered) throws StoreException {
         RestoredRaftState state = restore(store, recovered, new VoterEndpoint("unknown", 1));
         Collection<RaftEndpoint> members = state.getInitialGroupMembers().getVotingMembers();
@@ -73,7 +80,7 @@
 
     static RestoredRaftState restore(VoterStore store, RecoveredState recovered, VoterEndpoint self)
             throws StoreException {
-        Collection<RaftEndpoint> first = first(store);
+        Collection<RaftEndpoint> initialVoters = initialVoters(store);
         try {
             boolean votes = new CborIn(store.get(DurableLog.VOTING_KEY)
                             .orElseThrow(() -> new StoreException(
@@ -96,7 +103,7 @@
                             .setLocalEndpoint(self)
                             .setVoting(votes)
                             .build(),
-                    RaftCodec.view(0, first, first),
+                    RaftCodec.view(0, initialVoters, initialVoters),
                     RaftCodec.MODEL
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(recovered.term())
@@ -108,7 +115,7 @@
                     entries);
         } catch (FaultyMessageException | IllegalArgumentException e) {
             throw new StoreException(
-                    StoreException.Kind.CORRUPT, "what was stored cannot be read: " + e.getMessage(), e);
+                    StoreException.Kind.CORRUPT, "the stored Raft state cannot be decoded: " + e.getMessage(), e);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/TermCatchUp.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/TermCatchUp.java
@@ -8,15 +8,15 @@
 /**
  * Works around a fault of MicroRaft 0.7: a node whose pre-vote is refused because its term is behind does not adopt the
  * later term. If two voters are left, one with the later term and one with the longer log, they refuse each other
- * forever. So such a refusal is turned into a vote request of that term, with a log that nobody votes for: its only
- * effect is the later term, as Raft requires for any message.
+ * forever. So such a refusal is replaced by a vote request of that term, with a log position that no node votes
+ * for: its only effect is that the node adopts the later term, as Raft requires for any message.
  */
 final class TermCatchUp {
     private TermCatchUp() {}
 
     /**
-     * The request to deliver in place of {@code message}, if any. MicroRaft responds with the requested term, which is
-     * one more than the requester's, unless its own is later still; so only a term above that is one that a node has.
+     * The request to deliver instead of {@code message}, if any. MicroRaft responds with the requested term, which is
+     * one more than the requester's, unless its own is later; so only a term above that is the term of a node.
      */
     static Optional<VoteRequest> toVoteRequest(RaftMessage message, int term) {
         if (!(message instanceof PreVoteResponse response) || response.isGranted() || response.getTerm() <= term + 1) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/VoterEndpoint.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/VoterEndpoint.java
@@ -6,17 +6,21 @@
 
 /**
  * The identity of a voter: the gateway's name and a number that is incremented each time its disk was lost or restored
- * from a copy. A voter that lost its votes may have voted already, so it never votes under that number again. Written
- * as {@code name#number}; numbers are from 1 to {@value #MAX_NUMBER}.
+ * from a copy. A voter that lost its record of votes may have voted in its term already, so it never votes under that
+ * number again. Written as {@code name#number}.
+ *
+ * @param name name of the gateway, without {@code #}
+ * @param number from 1 to {@value #MAX_NUMBER}
  */
 public record VoterEndpoint(String name, int number) implements RaftEndpoint {
     /** Max length of a name, in bytes of UTF-8. */
     public static final int MAX_NAME_BYTES = 200;
-    /** Max number; a higher one is a fault, not a gateway that lost a million disks. */
+    /** Max number; no gateway loses its disk that often, so a higher number is a fault. */
     public static final int MAX_NUMBER = 1_000_000;
 
     private static final int MAX_BYTES = MAX_NAME_BYTES + 8;
 
+    /** Checks the name and the number. */
     public VoterEndpoint {
         if (name.isEmpty() || name.length() > MAX_NAME_BYTES || name.indexOf('#') >= 0) {
             throw new IllegalArgumentException(
@@ -40,7 +44,7 @@
     /**
      * Parses {@code name#number}.
      *
-     * @throws IllegalArgumentException if it is no endpoint
+     * @throws IllegalArgumentException if it is not an endpoint
      */
     public static VoterEndpoint parse(String id) {
         int separator = id.lastIndexOf('#');
@@ -54,13 +58,17 @@
         }
     }
 
-    /** Reads an endpoint from a message. */
+    /**
+     * Reads an endpoint from a message.
+     *
+     * @throws FaultyMessageException if it is not an endpoint
+     */
     public static VoterEndpoint read(CborIn in) throws FaultyMessageException {
         String id = in.text(MAX_BYTES);
         try {
             return parse(id);
         } catch (IllegalArgumentException e) {
-            throw in.wrong("is no endpoint: " + e.getMessage());
+            throw in.wrong("is not an endpoint: " + e.getMessage());
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/JoinProtocol.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/JoinProtocol.java
@@ -15,39 +15,43 @@
 import sandpaddle.fleet.store.StoreException;
 
 /**
- * Requests to take part from the other voters after an opening of the store, and answers their requests. A voter takes
- * part once it and those that accepted it are a majority, which it needs anyway; so the requests cost no availability.
- * It continues to send requests to the others: each delivers its messages only after having accepted it. Owned by
- * {@link VoterState}.
+ * Sends join requests to the other voters after an opening of the store, and answers their requests. A voter takes part
+ * once it and those that accepted it are a majority, which Raft needs anyway; so the requests do not reduce
+ * availability. It continues to send requests to the others, since each delivers its messages to Raft only after having
+ * accepted it. Owned by {@link VoterState}.
  */
 final class JoinProtocol {
     private static final long REQUEST_INTERVAL_US = 500_000;
-    /** How long to wait for responses of voters that are slower than a majority (us). */
-    private static final long SLOW_PEER_GRACE_US = 1_200_000;
+    /** Max time to wait for responses of voters that are slower than a majority (us). */
+    private static final long MAX_SLOW_PEER_WAIT_US = 1_200_000;
 
-    private final LocalVoterState disk;
+    private final LocalVoterState localState;
     private final PeerIncarnations peerIncarnations;
     private final JoinRequest request;
     private final Predicate<VoterEndpoint> retired;
     private final Set<VoterEndpoint> accepted = new LinkedHashSet<>();
     private List<VoterEndpoint> others;
-    private long othersIndex; // log index of the members that others was derived from
+    private long othersIndex; // log index of the members that "others" was derived from
     private final long startedAtUs;
     private long nextRequestAtUs;
 
     JoinProtocol(
-            LocalVoterState disk, JoinRequest request, GroupMembers members, Predicate<VoterEndpoint> retired, long now)
+            LocalVoterState localState,
+            JoinRequest request,
+            GroupMembers members,
+            Predicate<VoterEndpoint> retired,
+            long nowUs)
             throws StoreException {
-        this.startedAtUs = now;
-        this.disk = disk;
-        this.peerIncarnations = disk.peerIncarnations();
+        this.startedAtUs = nowUs;
+        this.localState = localState;
+        this.peerIncarnations = localState.peerIncarnations();
         this.request = request;
         this.retired = retired;
-        this.others = without(members.voting());
+        this.others = withoutSelf(members.voting());
         this.othersIndex = members.index();
     }
 
-    private List<VoterEndpoint> without(List<VoterEndpoint> members) {
+    private List<VoterEndpoint> withoutSelf(List<VoterEndpoint> members) {
         List<VoterEndpoint> rest = new ArrayList<>(members);
         rest.remove(request.endpoint());
         return rest;
@@ -57,20 +61,20 @@
         return request;
     }
 
-    /** Updates the members, including learners, if these are newer. */
+    /** Updates the members, including learners, if {@code members} are newer. */
     void updateMembers(GroupMembers members) {
         if (members.index() > othersIndex) {
             othersIndex = members.index();
-            others = without(members.all());
+            others = withoutSelf(members.all());
         }
     }
 
     /** The endpoints to send a request to now. */
-    List<VoterEndpoint> endpointsToRequest(long now) {
-        if (now < nextRequestAtUs) {
+    List<VoterEndpoint> endpointsToRequest(long nowUs) {
+        if (nowUs < nextRequestAtUs) {
             return List.of();
         }
-        nextRequestAtUs = now + REQUEST_INTERVAL_US;
+        nextRequestAtUs = nowUs + REQUEST_INTERVAL_US;
         return others.stream().filter(endpoint -> !accepted.contains(endpoint)).toList();
     }
 
@@ -85,26 +89,26 @@
     }
 
     /**
-     * Whether this voter and those that accepted it are a majority, and the others had time to respond: one that
-     * remembers more than those may refuse.
+     * Whether this voter and those that accepted it are a majority, and the others had time to respond: one of them may
+     * know a newer incarnation or a longer log, and refuse.
      */
-    boolean isAdmitted(long now) {
+    boolean isAdmitted(long nowUs) {
         long acceptances = others.stream().filter(accepted::contains).count();
         return acceptances == others.size()
-                || acceptances >= (others.size() + 1) / 2 && now - startedAtUs >= SLOW_PEER_GRACE_US;
+                || acceptances >= (others.size() + 1) / 2 && nowUs - startedAtUs >= MAX_SLOW_PEER_WAIT_US;
     }
 
-    /** Checks the request of another voter; an acceptance is durable when it returns. */
-    Optional<PeerIncarnations.JoinRefusal> judge(JoinRequest request) throws StoreException {
+    /** Checks the request of another voter; an acceptance is durable when this returns. */
+    Optional<PeerIncarnations.JoinRefusal> check(JoinRequest request) throws StoreException {
         if (retired.test(request.endpoint())) {
             return Optional.of(new PeerIncarnations.JoinRefusal(
                     "the fleet has taken it out of use", request.endpoint().number()));
         }
-        boolean known = peerIncarnations.admits(request.endpoint(), request.incarnation());
-        Optional<PeerIncarnations.JoinRefusal> refusal = peerIncarnations.judge(request);
-        if (refusal.isEmpty() && !known) {
-            disk.savePeerIncarnations(peerIncarnations);
-            accepted.remove(request.endpoint()); // its disk may not remember that it accepted this one
+        boolean alreadyAccepted = peerIncarnations.admits(request.endpoint(), request.incarnation());
+        Optional<PeerIncarnations.JoinRefusal> refusal = peerIncarnations.check(request);
+        if (refusal.isEmpty() && !alreadyAccepted) {
+            localState.savePeerIncarnations(peerIncarnations);
+            accepted.remove(request.endpoint()); // its disk may have lost that it accepted this voter
             nextRequestAtUs = 0;
         }
         return refusal;
@@ -116,7 +120,7 @@
 
     @Override
     public String toString() {
-        return "welcomed by " + accepted + " of " + others;
+        return "accepted by " + accepted + " of " + others;
     }
 
     boolean hasAccepted(VoterEndpoint endpoint) {
@@ -126,7 +130,7 @@
     /** Records the progress of an accepted voter. */
     void recordProgress(VoterEndpoint endpoint, RaftIncarnation.SenderProgress progress) throws StoreException {
         if (peerIncarnations.recordProgress(endpoint, progress.term(), progress.index())) {
-            disk.savePeerIncarnations(peerIncarnations);
+            localState.savePeerIncarnations(peerIncarnations);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/MembershipChanger.java
@@ -27,15 +27,15 @@
 final class MembershipChanger {
     /** Interval between two steps (us). */
     static final long STEP_INTERVAL_US = 200_000;
-    /** A change that takes longer is abandoned; its outcome is unknown, and the steps that were done stay (us). */
+    /** A change that takes longer is abandoned with an unknown outcome; completed steps are not reverted (us). */
     static final long TIMEOUT_US = 120_000_000;
     /** Max number of abandoned endpoints; more than a group can have. */
     static final int MAX_ABANDONED = 32;
 
     private record PendingChange(List<String> names, long startedAtUs, Consumer<ProposalOutcome> outcome) {}
 
-    /** What the changer needs from the voter. */
-    interface Environment {
+    /** Access to the voter. */
+    interface Callbacks {
         /** Sends an invitation to vote. */
         void invite(VoterEndpoint endpoint, List<VoterEndpoint> voters);
 
@@ -46,18 +46,18 @@
         FleetMembership.EndpointNumbers numbers(String name);
 
         /** Logs a line. */
-        void log(String what);
+        void log(String message);
     }
 
     private final VoterEndpoint self;
     private final StateMachinePart membership;
-    private final Environment callbacks;
+    private final Callbacks callbacks;
     private final Set<VoterEndpoint> abandoned = new LinkedHashSet<>();
     private Optional<PendingChange> pendingChange = Optional.empty();
     private boolean isStepRunning;
     private long nextStepAtUs;
 
-    MembershipChanger(VoterEndpoint self, StateMachinePart membership, Environment callbacks) {
+    MembershipChanger(VoterEndpoint self, StateMachinePart membership, Callbacks callbacks) {
         this.self = self;
         this.membership = membership;
         this.callbacks = callbacks;
@@ -73,13 +73,13 @@
     /** Replaces the voters; {@code outcome} is called once. */
     void change(List<String> names, long now, Consumer<ProposalOutcome> outcome) {
         if (pendingChange.isPresent()) {
-            outcome.accept(new ProposalOutcome.Unknown("another change of the voters is under way"));
+            outcome.accept(new ProposalOutcome.Unknown("another change of the voters is in progress"));
             return;
         }
         pendingChange = Optional.of(new PendingChange(List.copyOf(names), now, outcome));
     }
 
-    /** This gateway is not the leader any more. */
+    /** This gateway is no longer the leader. */
     void end(Optional<String> leader) {
         isStepRunning = false;
         finish(new ProposalOutcome.NotLeader(leader));
@@ -88,7 +88,7 @@
     private void finish(ProposalOutcome outcome) {
         Optional<PendingChange> finished = pendingChange;
         pendingChange = Optional.empty();
-        finished.ifPresent(a -> a.outcome().accept(outcome));
+        finished.ifPresent(change -> change.outcome().accept(outcome));
     }
 
     long nextRunAtUs() {
@@ -101,16 +101,16 @@
         }
         nextStepAtUs = now + STEP_INTERVAL_US;
         GroupMembers members = incarnation.committedMembers();
-        abandoned.retainAll(members.all()); // others have left already, or are not members yet
+        abandoned.retainAll(members.all()); // others were removed already, or are not members yet
         if (pendingChange.isPresent() && now - pendingChange.get().startedAtUs() > TIMEOUT_US) {
-            finish(new ProposalOutcome.Unknown(
-                    "the voters are " + members.voting() + " after " + TIMEOUT_US / 1_000_000 + " s"));
+            finish(new ProposalOutcome.Unknown("the change of the voters did not complete within "
+                    + TIMEOUT_US / 1_000_000 + " s; voters are " + members.voting()));
         }
         if (pendingChange.isEmpty() && abandoned.isEmpty() && members.all().equals(members.voting())) {
             return;
         }
         if (members.index() != incarnation.effectiveMembers().index()) {
-            return; // a change is under way
+            return; // a change is not committed yet
         }
         isStepRunning = true;
         incarnation.report((report, failure) -> {
@@ -126,14 +126,15 @@
                 .map(PendingChange::names)
                 .orElseGet(() -> new ArrayList<>(new LinkedHashSet<>(names(members.voting()))));
         Function<String, FleetMembership.EndpointNumbers> numbers = callbacks::numbers;
-        Set<VoterEndpoint> met = requested.stream()
-                .map(n -> new VoterEndpoint(n, numbers.apply(n).issued()))
+        Set<VoterEndpoint> accepted = requested.stream()
+                .map(name -> new VoterEndpoint(name, numbers.apply(name).issued()))
                 .filter(callbacks::hasAccepted)
                 .collect(Collectors.toSet());
-        Map<VoterEndpoint, Long> matched = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
-        for (Map.Entry<RaftEndpoint, Long> e :
+        Map<VoterEndpoint, Long> matchIndexes =
+                new TreeMap<>((left, right) -> left.toString().compareTo(right.toString()));
+        for (Map.Entry<RaftEndpoint, Long> entry :
                 report.getLog().getFollowerMatchIndices().entrySet()) {
-            matched.put((VoterEndpoint) e.getKey(), e.getValue());
+            matchIndexes.put((VoterEndpoint) entry.getKey(), entry.getValue());
         }
         VoterChangePlan.Step step = VoterChangePlan.next(new VoterChangePlan.GroupView(
                 self,
@@ -141,8 +142,8 @@
                 members.voting(),
                 requested,
                 abandoned,
-                met,
-                matched,
+                accepted,
+                matchIndexes,
                 report.getLog().getLastLogOrSnapshotIndex(),
                 numbers));
         execute(incarnation, members, step);
@@ -160,7 +161,7 @@
         } else if (step instanceof VoterChangePlan.Step.ChangeMember change) {
             change(incarnation, members, change);
         } else if (step instanceof VoterChangePlan.Step.TransferLeadership transfer) {
-            callbacks.log("hands the leadership to " + transfer.to() + ", to leave the voters");
+            callbacks.log("transfers the leadership to " + transfer.to() + ", since this voter is to be removed");
             incarnation.transferLeadership(transfer.to());
         } else if (step instanceof VoterChangePlan.Step.Complete) {
             finish(new ProposalOutcome.Committed(members.index(), new byte[0]));
@@ -169,8 +170,8 @@
 
     private void change(RaftIncarnation incarnation, GroupMembers members, VoterChangePlan.Step.ChangeMember change) {
         isStepRunning = true;
-        callbacks.log("changes the voters " + members.voting() + ": " + change.mode() + " " + change.endpoint());
-        incarnation.changeMember(change.endpoint(), change.mode(), members.index(), (done, failure) -> {
+        callbacks.log("changes the voters from " + members.voting() + ": " + change.mode() + " " + change.endpoint());
+        incarnation.changeMember(change.endpoint(), change.mode(), members.index(), (result, failure) -> {
             isStepRunning = false;
             if (failure == null && change.mode() == MembershipChangeMode.REMOVE_MEMBER) {
                 abandoned.remove(change.endpoint());
@@ -184,6 +185,6 @@
 
     private void replicate(RaftIncarnation incarnation, byte[] command) {
         isStepRunning = true;
-        incarnation.replicate(membership.command(command), (done, failure) -> isStepRunning = false);
+        incarnation.replicate(membership.command(command), (result, failure) -> isStepRunning = false);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/PendingProposals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/PendingProposals.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.state.raft.VoterEndpoint;
 
 /**
- * Proposals that have no outcome yet. Each gets exactly one, also if MicroRaft drops it since its store failed. Owned
+ * Proposals that have no outcome yet. Each gets exactly one, even if MicroRaft drops it because its store failed. Owned
  * by {@link VoterState}.
  */
 final class PendingProposals {
@@ -40,7 +40,7 @@
         PendingProposal proposal = new PendingProposal(outcome);
         pending.add(proposal);
         incarnation.replicate(
-                command, (done, failure) -> finish(proposal, failure == null ? done(done) : failed(failure)));
+                command, (result, failure) -> finish(proposal, failure == null ? committed(result) : failed(failure)));
     }
 
     private void finish(PendingProposal proposal, ProposalOutcome outcome) {
@@ -49,8 +49,8 @@
         }
     }
 
-    private static ProposalOutcome done(Ordered<Object> done) {
-        return new ProposalOutcome.Committed(done.getCommitIndex(), (byte[]) done.getResult());
+    private static ProposalOutcome committed(Ordered<Object> result) {
+        return new ProposalOutcome.Committed(result.getCommitIndex(), (byte[]) result.getResult());
     }
 
     private static ProposalOutcome failed(Throwable failure) {
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/Voter.java
@@ -16,22 +16,22 @@
 
 /**
  * One gateway's participation in the consensus: Raft (Ongaro and Ousterhout, 2014) by MicroRaft on the fleet's store
- * and links. It adds what Raft assumes: that a voter's disk never loses data. A gateway whose disk is empty, restored
- * or failing does not vote; a failing one votes again once it accepts writes, the others come back under a new number
- * when the leader invites them.
+ * and links. It enforces what Raft assumes: that a voter's disk never loses data. A gateway whose disk is empty,
+ * restored or failing does not vote; a failing one votes again once it accepts writes, the others return under a new
+ * endpoint number when the leader invites them.
  *
- * <p>Not thread-safe and without a thread or clock: the fleet's thread passes in messages and monotonic time (us);
- * writes to the store are made in these calls. Cost of a command: one message to and from each voter, one flush each.
- * Bounds: 512 pending proposals, snapshots of 16 MiB.
+ * <p>Not thread-safe and without a thread or clock: the owning thread passes in messages and monotonic time (us);
+ * writes to the store are made in these calls. Cost of a command: one message to and from each voter, one flush on
+ * each. Bounds: 512 pending proposals, snapshots of 16 MiB.
  */
 public final class Voter implements Consensus {
-    /** The role of this gateway in the group. */
+    /** The role of this gateway in the group; logs show the names. */
     public enum VoterPhase {
         /** Its store is empty: it does not vote until it is invited. */
         IDLE,
         /** Its store fails: it neither votes nor acknowledges until the store accepts writes again. */
         FAILED,
-        /** It requests to take part from the other voters, which check whether its disk lost data. */
+        /** It sends join requests to the other voters, which check whether its disk lost data. */
         ASKING,
         /** It takes part, as a voter or as a learner that will become one. */
         VOTING,
@@ -45,12 +45,15 @@
         void send(String to, byte[] message);
 
         /** Logs a line; at most a few for each event. */
-        void log(String what);
+        void log(String message);
     }
 
     /**
+     * Settings of a voter.
+     *
      * @param cluster name of the fleet
      * @param name name of this gateway
+     * @param raft settings of Raft
      * @param membership the part of the state machine that issues endpoint numbers
      */
     public record VoterSettings(String cluster, String name, RaftSettings raft, StateMachinePart membership) {}
@@ -61,10 +64,19 @@
     private boolean wasLeader;
     private long nowUs;
     private long nextProbeAtUs;
-    private long membersIndex = -1; // log index of the members that were looked at last
+    private long membersIndex = -1; // log index of the members that were processed last
     private long highestTerm;
 
-    /** Opens the store; {@code machine} is in its initial state and changed only by this from now on. */
+    /**
+     * Opens the voter, which requests to take part if its store has an endpoint.
+     *
+     * @param settings settings of the voter
+     * @param store the open store
+     * @param machine the state machine in its initial state; only this voter may change it from now on
+     * @param callbacks sends messages and writes log lines
+     * @param random draws incarnations and election timeouts
+     * @param now monotonic time (us)
+     */
     public Voter(
             VoterSettings settings,
             VoterStore store,
@@ -82,17 +94,27 @@
                 now);
     }
 
-    /** The same with another local state; a test shows with one what happens without stored incarnations. */
+    /**
+     * As the other constructor, with another local state.
+     *
+     * @param settings settings of the voter
+     * @param store the open store
+     * @param localState the stored state besides Raft's; a test shows by another one what happens without it
+     * @param machine the state machine in its initial state; only this voter may change it from now on
+     * @param callbacks sends messages and writes log lines
+     * @param random draws incarnations and election timeouts
+     * @param now monotonic time (us)
+     */
     public Voter(
             VoterSettings settings,
             VoterStore store,
-            LocalVoterState disk,
+            LocalVoterState localState,
             ReplicatedState machine,
             VoterCallbacks callbacks,
             Random random,
             long now) {
         this.nowUs = now;
-        this.voterState = new VoterState(settings, store, disk, machine, callbacks, random);
+        this.voterState = new VoterState(settings, store, localState, machine, callbacks, random);
         voterState.open(now);
     }
 
@@ -110,14 +132,20 @@
         applyChanges();
     }
 
-    /** Receives a message of the gateway {@code from}. */
+    /**
+     * Receives a message of a peer.
+     *
+     * @param from name of the gateway at the other end of the link
+     * @param message the encoded message
+     * @param atUs monotonic time (us)
+     */
     public void receive(String from, byte[] message, long atUs) {
         nowUs = Math.max(nowUs, atUs);
         voterState.transport().receive(from, message, nowUs);
         applyChanges();
     }
 
-    /** Reacts to the changes of a step. */
+    /** Processes the changes of a step: members, leadership, the end of the incarnation. */
     private void applyChanges() {
         if (!voterState.isActive()) {
             wasLeader = false;
@@ -149,9 +177,9 @@
                 next, voterState.incarnation().map(RaftIncarnation::nextRunAtUs).orElse(Long.MAX_VALUE));
     }
 
-    /** Ends it for good; the store is not closed. */
+    /** Stops taking part; the store is not closed. */
     public void close() {
-        voterState.stop("this gateway ends");
+        voterState.stop("this gateway shuts down");
     }
 
     /** The role of this gateway in the group. */
@@ -195,8 +223,8 @@
     @Override
     public void propose(byte[] command, Consumer<ProposalOutcome> outcome) {
         if (command.length > ReplicatedStateAdapter.MAX_COMMAND_BYTES) {
-            throw new IllegalArgumentException(
-                    "a command of " + command.length + " bytes, more than " + ReplicatedStateAdapter.MAX_COMMAND_BYTES);
+            throw new IllegalArgumentException("command has " + command.length + " bytes; at most "
+                    + ReplicatedStateAdapter.MAX_COMMAND_BYTES + " are allowed");
         }
         if (!isLeader()) {
             outcome.accept(new ProposalOutcome.NotLeader(leader()));
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterChangePlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterChangePlan.java
@@ -12,9 +12,9 @@
 
 /**
  * Plans the next step from the current voters to the requested ones, one member at a time (Ongaro's thesis, chapter 4):
- * a number is issued by the log, the gateway is invited under it, it catches up as a learner until it has nearly all of
- * the log, it is promoted, and only then is the voter that it replaces removed. So there are never fewer voters than
- * before, and a new voter without a log never counts for a majority.
+ * an endpoint number is issued through the log, the gateway is invited under it, catches up as a learner until it has
+ * nearly all of the log, and is promoted; only then is the voter that it replaces removed. So there are never fewer
+ * voters than before, and a new voter without a log never counts towards a majority.
  */
 public final class VoterChangePlan {
     /** Max number of entries that a learner may lack when it is promoted. */
@@ -50,7 +50,7 @@
         }
 
         boolean votes(String name) {
-            return voting.stream().anyMatch(v -> v.name().equals(name) && !abandoned.contains(v));
+            return voting.stream().anyMatch(voter -> voter.name().equals(name) && !abandoned.contains(voter));
         }
 
         boolean isLearner(VoterEndpoint endpoint) {
@@ -60,19 +60,41 @@
 
     /** A step of the plan. */
     public sealed interface Step {
-        /** Replicate the issue of this number. */
+        /**
+         * Replicate the issue of an endpoint number.
+         *
+         * @param name name of the gateway
+         * @param number the number to issue
+         */
         record IssueNumber(String name, int number) implements Step {}
 
-        /** Invite the gateway to take part under this endpoint. */
+        /**
+         * Invite a gateway.
+         *
+         * @param endpoint the endpoint to take part as
+         */
         record Invite(VoterEndpoint endpoint) implements Step {}
 
-        /** Change this member of the group. */
+        /**
+         * Change one member of the group.
+         *
+         * @param endpoint the member
+         * @param mode the kind of change
+         */
         record ChangeMember(VoterEndpoint endpoint, MembershipChangeMode mode) implements Step {}
 
-        /** Transfer the leadership; the next leader continues the change. */
+        /**
+         * Transfer the leadership; the next leader continues the change.
+         *
+         * @param to the voter that becomes the leader
+         */
         record TransferLeadership(VoterEndpoint to) implements Step {}
 
-        /** Wait until a learner has caught up. */
+        /**
+         * Wait until a learner has caught up.
+         *
+         * @param learner the learner
+         */
         record AwaitLearner(VoterEndpoint learner) implements Step {}
 
         /** The voters are the requested ones. */
@@ -95,10 +117,10 @@
             if (!view.isRequested(endpoint) || view.votes(endpoint.name())) {
                 return Optional.of(new Step.ChangeMember(endpoint, MembershipChangeMode.REMOVE_MEMBER));
             }
-            boolean ready = view.matchIndexes().getOrDefault(endpoint, 0L) + MAX_LEARNER_LAG >= view.lastIndex()
+            boolean caughtUp = view.matchIndexes().getOrDefault(endpoint, 0L) + MAX_LEARNER_LAG >= view.lastIndex()
                     && view.matchIndexes().getOrDefault(endpoint, 0L) > 0;
             return Optional.of(
-                    ready
+                    caughtUp
                             ? new Step.ChangeMember(endpoint, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER)
                             : new Step.AwaitLearner(endpoint));
         }
@@ -129,14 +151,14 @@
     }
 
     private static Optional<Step> nextForSurplus(GroupView view) {
-        Optional<VoterEndpoint> bad = view.voting().stream()
+        Optional<VoterEndpoint> surplus = view.voting().stream()
                 .filter(endpoint -> !view.isRequested(endpoint))
                 .min(Comparator.comparing((VoterEndpoint endpoint) -> endpoint.equals(view.self())));
-        if (bad.isEmpty() || view.voting().size() == 1) {
+        if (surplus.isEmpty() || view.voting().size() == 1) {
             return Optional.empty();
         }
-        if (!bad.get().equals(view.self())) {
-            return Optional.of(new Step.ChangeMember(bad.get(), MembershipChangeMode.REMOVE_MEMBER));
+        if (!surplus.get().equals(view.self())) {
+            return Optional.of(new Step.ChangeMember(surplus.get(), MembershipChangeMode.REMOVE_MEMBER));
         }
         return view.voting().stream().filter(view::isRequested).findFirst().map(Step.TransferLeadership::new);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterEnvelope.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterEnvelope.java
@@ -8,12 +8,16 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * The envelope of each message between voters: format version, the sender's endpoint and incarnation, and the
- * receiver's endpoint. So a message to a former endpoint of this gateway, or from a former incarnation of a peer, is
- * never mistaken for a current one.
+ * The envelope of each message between voters. It names endpoints and the incarnation, so that a message to a former
+ * endpoint of this gateway, or from a former incarnation of a peer, is never mistaken for a current one.
+ *
+ * @param type the type of the message
+ * @param from endpoint of the sender; empty only for {@link VoterMessageType#UNKNOWN_ENDPOINT}
+ * @param incarnation incarnation of the sender
+ * @param to endpoint of the receiver
  */
 record VoterEnvelope(VoterMessageType type, Optional<VoterEndpoint> from, long incarnation, VoterEndpoint to) {
-    /** Incremented with any change of a message's format; links refuse another version already. */
+    /** Incremented with any change of the format; the handshake of links refuses another version before. */
     static final int VERSION = 1;
 
     /** The type of a message; its ordinal is its number on the wire. */
@@ -48,7 +52,7 @@
         VoterMessageType type = VoterMessageType.values()[(int) in.number(0, VoterMessageType.values().length - 1)];
         Optional<VoterEndpoint> from = endpoint(in);
         if (from.isPresent() && !from.get().name().equals(sender)) {
-            throw in.wrong("is " + from.get() + ", but comes from " + sender);
+            throw in.wrong("names the sender " + from.get() + ", but was received from " + sender);
         }
         if (from.isEmpty() && type != VoterMessageType.UNKNOWN_ENDPOINT) {
             throw in.wrong("names no sender");
@@ -63,7 +67,7 @@
         try {
             return id.isEmpty() ? Optional.empty() : Optional.of(VoterEndpoint.parse(id));
         } catch (IllegalArgumentException e) {
-            throw in.wrong("is no endpoint: " + e.getMessage());
+            throw in.wrong("is not an endpoint: " + e.getMessage());
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterState.java
@@ -20,7 +20,7 @@
 
 /**
  * The state of a gateway as a voter: its phase, its endpoint, and the Raft incarnation that it runs while it takes
- * part. Owned by {@link Voter} and, like it, by the fleet's thread.
+ * part. Owned by {@link Voter}, and not thread-safe either.
  */
 final class VoterState {
     private final Voter.VoterSettings settings;
@@ -45,13 +45,13 @@
     VoterState(
             Voter.VoterSettings settings,
             VoterStore store,
-            LocalVoterState disk,
+            LocalVoterState localState,
             ReplicatedState machine,
             Voter.VoterCallbacks callbacks,
             Random random) {
         this.settings = settings;
         this.store = store;
-        this.localState = disk;
+        this.localState = localState;
         this.machine = machine;
         this.initialSnapshot = machine.snapshot();
         this.callbacks = callbacks;
@@ -59,7 +59,7 @@
         this.transport = new VoterTransport(this, callbacks);
     }
 
-    /** Reads the disk, and requests to take part if this gateway votes by it. */
+    /** Reads the store, and requests to take part if it has an endpoint that may vote. */
     void open(long at) {
         nowUs = at;
         if (!store.state().isWritable()) {
@@ -69,12 +69,12 @@
         try {
             RecoveredState recovered = store.recover();
             self = localState.endpoint(recovered);
-            Optional<String> unfit =
+            Optional<String> disqualification =
                     self.isEmpty() ? Optional.empty() : localState.disqualification(self.get(), recovered);
             if (self.isEmpty()) {
                 phase = VoterPhase.IDLE;
-            } else if (unfit.isPresent()) {
-                retire(unfit.get());
+            } else if (disqualification.isPresent()) {
+                retire(disqualification.get());
             } else {
                 requestToJoin(recovered, StateRestorer.members(store, recovered));
             }
@@ -101,13 +101,13 @@
         if (phase != VoterPhase.ASKING || !joinProtocol.orElseThrow().isAdmitted(nowUs)) {
             return;
         }
-        callbacks.log("takes part in the agreement as " + self.orElseThrow());
+        callbacks.log("takes part in the consensus as " + self.orElseThrow());
         startRaft();
     }
 
     private void startRaft() throws StoreException {
         VoterEndpoint endpoint = self.orElseThrow();
-        machine.install(initialSnapshot); // the log is applied again from the snapshot on
+        machine.install(initialSnapshot); // the snapshot and the log are applied again
         incarnation = Optional.of(new RaftIncarnation(
                 new RaftIncarnation.RaftGroup(settings.cluster(), endpoint, settings.raft()),
                 store,
@@ -120,7 +120,7 @@
         incarnation.get().start();
     }
 
-    /** Reacts to the end of the Raft incarnation. Returns whether one is still running. */
+    /** Handles the end of the Raft incarnation. Returns whether one is running afterwards. */
     boolean isActive() {
         if (incarnation.isEmpty()) {
             return false;
@@ -133,17 +133,18 @@
         } else if (raft.startFault().isPresent()) {
             fail(new StoreException(
                     StoreException.Kind.CORRUPT,
-                    "what was stored cannot be taken up: " + raft.startFault().get()));
+                    "Raft cannot start from the stored state: "
+                            + raft.startFault().get()));
         } else if (raft.isRemoved()) {
-            retire("the group removed it");
+            retire("it was removed from the group");
         }
         return incarnation.isPresent();
     }
 
     private void restartRaft(RaftIncarnation former) {
-        changer.ifPresent(c -> c.end(Optional.empty()));
+        changer.ifPresent(current -> current.end(Optional.empty()));
         former.end();
-        proposals.failAll("this gateway follows another leader");
+        proposals.failAll("the Raft node was restarted from its store");
         leadershipCheck.failAll();
         try {
             startRaft();
@@ -157,34 +158,35 @@
         enterFailed(failure.kind() + ": " + failure.getMessage());
     }
 
-    /** Enters the phase FAILED; logs each reason once, however often the disk is probed. */
-    private void enterFailed(String why) {
+    /** Enters the phase FAILED; logs a reason only if it differs from the last one, since the disk is probed often. */
+    private void enterFailed(String reason) {
         phase = VoterPhase.FAILED;
-        if (!why.equals(lastFailure)) {
-            lastFailure = why;
-            callbacks.log("neither votes nor acknowledges: " + why);
+        if (!reason.equals(lastFailure)) {
+            lastFailure = reason;
+            callbacks.log("does not vote or acknowledge entries: " + reason);
         }
     }
 
-    void stop(String why) {
+    void stop(String reason) {
         incarnation.ifPresent(raft -> {
-            Optional<String> leader = raft.leader().map(VoterEndpoint::name).filter(n -> !n.equals(settings.name()));
+            Optional<String> leader =
+                    raft.leader().map(VoterEndpoint::name).filter(name -> !name.equals(settings.name()));
             raft.end();
-            changer.ifPresent(c -> c.end(leader));
+            changer.ifPresent(current -> current.end(leader));
         });
         incarnation = Optional.empty();
         changer = Optional.empty();
         joinProtocol = Optional.empty();
-        proposals.failAll(why);
+        proposals.failAll(reason);
         leadershipCheck.failAll();
     }
 
     /** Marks this endpoint as never voting again: durably, or the voter fails. */
-    void retire(String why) {
+    void retire(String reason) {
         VoterEndpoint old = self.orElseThrow();
-        stop(old + " is out of use: " + why);
+        stop(old + " is retired: " + reason);
         phase = VoterPhase.RETIRED;
-        callbacks.log(old + " votes no more, and waits to be invited under a new number: " + why);
+        callbacks.log(old + " is retired and does not vote until it is invited under a new number: " + reason);
         try {
             localState.retire(old);
         } catch (StoreException e) {
@@ -192,17 +194,17 @@
         }
     }
 
-    /** A leader invites this gateway to vote as {@code endpoint}. */
-    void onInvited(VoterEndpoint endpoint, List<VoterEndpoint> first, List<VoterEndpoint> voters)
+    /** A leader invites this gateway to vote as {@code endpoint}, among {@code voters}. */
+    void onInvited(VoterEndpoint endpoint, List<VoterEndpoint> initialVoters, List<VoterEndpoint> voters)
             throws StoreException {
         if (phase == VoterPhase.FAILED
                 || !endpoint.name().equals(settings.name())
                 || self.isPresent() && self.get().number() >= endpoint.number()) {
             return;
         }
-        stop("this gateway votes as " + endpoint + " from now on");
+        stop("this gateway was invited to vote as " + endpoint);
         phase = VoterPhase.IDLE;
-        localState.adoptEndpoint(endpoint, first, store.recover());
+        localState.adoptEndpoint(endpoint, initialVoters, store.recover());
         self = Optional.of(endpoint);
         requestToJoin(store.recover(), new GroupMembers(0, voters, voters));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/voter/VoterTransport.java
@@ -19,11 +19,11 @@
  * Receives and sends the consensus messages of this gateway: only messages of accepted incarnations are delivered to
  * Raft. Owned by {@link VoterState}.
  */
-final class VoterTransport implements MembershipChanger.Environment {
+final class VoterTransport implements MembershipChanger.Callbacks {
     private static final int MAX_REASON_BYTES = 500;
     private static final int MAX_MEMBERS = 16;
-    /** Number of malformed messages that are logged one by one; after that each thousandth is. */
-    private static final int MAX_LOGGED_SINGLY = 10;
+    /** Number of malformed messages that are each logged; after that only every thousandth is. */
+    private static final int MAX_LOGGED_EACH = 10;
 
     private final VoterState voter;
     private final Voter.VoterCallbacks callbacks;
@@ -43,9 +43,9 @@
             CborIn in = new CborIn(message);
             dispatch(VoterEnvelope.read(from, in), from, in, now);
         } catch (FaultyMessageException e) {
-            if (malformedCount++ < MAX_LOGGED_SINGLY || malformedCount % 1000 == 0) {
-                callbacks.log("dropped a message of the consensus from " + from + ": " + e.getMessage() + " (the "
-                        + malformedCount + "th)");
+            if (malformedCount++ < MAX_LOGGED_EACH || malformedCount % 1000 == 0) {
+                callbacks.log("dropped a malformed consensus message from " + from + ": " + e.getMessage() + " ("
+                        + malformedCount + " so far)");
             }
         } catch (StoreException e) {
             voter.fail(e);
@@ -82,14 +82,14 @@
         }
         if (voter.incarnation().isEmpty()
                 || !voter.joinProtocol().orElseThrow().admits(envelope.from().orElseThrow(), envelope.incarnation())) {
-            return; // the sender will send a join request, or was refused
+            return; // the sender will send a join request again, or was refused
         }
         RaftIncarnation.SenderProgress progress =
                 voter.incarnation().get().receive(envelope.from().get(), in, now);
         voter.joinProtocol().orElseThrow().recordProgress(envelope.from().get(), progress);
     }
 
-    /** Whether this gateway certainly does not have that endpoint any more. */
+    /** Whether this gateway certainly no longer has that endpoint; unknown while its store fails. */
     private boolean isForFormerEndpoint(VoterEndpoint to) {
         if (voter.phase() == Voter.VoterPhase.FAILED || !to.name().equals(voter.name())) {
             return false;
@@ -104,12 +104,13 @@
         JoinRequest request = JoinRequest.read(endpoint, envelope.incarnation(), in);
         in.end();
         if (voter.joinProtocol().isEmpty() || !envelope.to().name().equals(voter.name())) {
-            return; // a gateway that does not take part has no records that another could rely on
+            return; // a gateway that does not take part has no records of peers to check against
         }
         Optional<PeerIncarnations.JoinRefusal> refusal =
-                voter.joinProtocol().get().judge(request);
+                voter.joinProtocol().get().check(request);
         if (refusal.isPresent()) {
-            callbacks.log("refuses " + endpoint + ": " + refusal.get().reason());
+            callbacks.log("refuses the join request of " + endpoint + ": "
+                    + refusal.get().reason());
             send(
                     endpoint.name(),
                     envelopeTo(VoterEnvelope.VoterMessageType.JOIN_REFUSED, endpoint)
@@ -130,14 +131,14 @@
                         .startMessage()
                         .number(envelope.incarnation())
                         .number(index)
-                        .list(members, (o, m) -> o.text(m.toString())));
+                        .list(members, (item, member) -> item.text(member.toString())));
     }
 
-    private VoterEnvelope envelopeTo(VoterEnvelope.VoterMessageType what, VoterEndpoint to) {
+    private VoterEnvelope envelopeTo(VoterEnvelope.VoterMessageType type, VoterEndpoint to) {
         long incarnation = voter.joinProtocol()
                 .map(protocol -> protocol.request().incarnation())
                 .orElse(0L);
-        return new VoterEnvelope(what, voter.self(), incarnation, to);
+        return new VoterEnvelope(type, voter.self(), incarnation, to);
     }
 
     private boolean answersOwnRequest(VoterEnvelope envelope, long incarnation) {
@@ -163,29 +164,29 @@
 
     private void onJoinRefused(VoterEnvelope envelope, CborIn in) throws FaultyMessageException {
         long incarnation = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
-        String why = in.text(MAX_REASON_BYTES);
+        String reason = in.text(MAX_REASON_BYTES);
         in.number(0, VoterEndpoint.MAX_NUMBER);
         in.end();
         if (answersOwnRequest(envelope, incarnation)) {
-            voter.retire("refused by " + envelope.from().orElseThrow() + ": " + why);
+            voter.retire("refused by " + envelope.from().orElseThrow() + ": " + reason);
         }
     }
 
     private void onInvitation(VoterEnvelope envelope, CborIn in) throws FaultyMessageException, StoreException {
-        List<VoterEndpoint> first = members(in);
+        List<VoterEndpoint> initialVoters = members(in);
         List<VoterEndpoint> voters = members(in);
         in.end();
-        if (first.isEmpty() || voters.isEmpty()) {
+        if (initialVoters.isEmpty() || voters.isEmpty()) {
             throw in.wrong("ends an invitation without voters");
         }
-        voter.onInvited(envelope.to(), first, voters);
+        voter.onInvited(envelope.to(), initialVoters, voters);
     }
 
     private void send(String to, CborOut message) {
         callbacks.send(to, message.done());
     }
 
-    /** Sends a message of Raft. */
+    /** Sends a Raft message; {@code message} appends it to the envelope. */
     void sendRaft(VoterEndpoint to, Consumer<CborOut> message) {
         CborOut out = envelopeTo(VoterEnvelope.VoterMessageType.RAFT, to).startMessage();
         message.accept(out);
@@ -204,8 +205,8 @@
         try {
             CborOut out = envelopeTo(VoterEnvelope.VoterMessageType.INVITE, endpoint)
                     .startMessage()
-                    .list(StateRestorer.first(voter.store()), (o, m) -> o.text(m.toString()))
-                    .list(voters, (o, m) -> o.text(m.toString()));
+                    .list(StateRestorer.initialVoters(voter.store()), (item, member) -> item.text(member.toString()))
+                    .list(voters, (item, member) -> item.text(member.toString()));
             callbacks.log("invites " + endpoint + " to vote");
             send(endpoint.name(), out);
         } catch (StoreException e) {
@@ -226,7 +227,7 @@
     }
 
     @Override
-    public void log(String what) {
-        callbacks.log(what);
+    public void log(String message) {
+        callbacks.log(message);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/state/machine/FleetStateMachineTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/machine/FleetStateMachineTest.java
@@ -15,23 +15,23 @@
 
 class FleetStateMachineTest {
     private final FleetMembership members = new FleetMembership();
-    private final VersionedDocuments policy = new VersionedDocuments();
+    private final VersionedDocuments documents = new VersionedDocuments();
     private final List<String> faults = new ArrayList<>();
-    private final FleetStateMachine.ApplyListener watcher = new FleetStateMachine.ApplyListener() {
+    private final FleetStateMachine.ApplyListener listener = new FleetStateMachine.ApplyListener() {
         @Override
-        public void onApplied(long index, StateMachinePart part, byte[] answer) {}
+        public void onApplied(long index, StateMachinePart part, byte[] result) {}
 
         @Override
         public void onInstalled() {}
 
         @Override
-        public void onPartFailed(long index, StateMachinePart part, RuntimeException how) {
+        public void onPartFailed(long index, StateMachinePart part, RuntimeException exception) {
             faults.add(index + " " + part.name());
         }
     };
     private final StateMachinePart membership = new StateMachinePart(FleetMembership.TAG, "membership", members);
-    private final StateMachinePart texts = new StateMachinePart(VersionedDocuments.TAG, "policy", policy);
-    private final FleetStateMachine machine = new FleetStateMachine(List.of(membership, texts), watcher);
+    private final StateMachinePart documentsPart = new StateMachinePart(VersionedDocuments.TAG, "policy", documents);
+    private final FleetStateMachine machine = new FleetStateMachine(List.of(membership, documentsPart), listener);
     private long index;
 
     private CommandResult apply(StateMachinePart part, byte[] body) {
@@ -68,7 +68,7 @@
         assertEquals(
                 "the fleet has 1024 members already",
                 apply(membership, FleetMembership.joinCommand(member("z", 1))).reason());
-        assertTrue(machine.snapshot().length < 256 << 10, "a full membership fits into one chunk");
+        assertTrue(machine.snapshot().length < 256 << 10, "a full membership must fit into one chunk");
     }
 
     @Test
@@ -84,22 +84,25 @@
     }
 
     @Test
-    void highestEpochOfADocumentIsInForce() {
-        assertTrue(apply(texts, VersionedDocuments.putCommand("pool", 0, "one")).isAccepted());
+    void documentIsReplacedOnlyFromItsCurrentEpoch() {
+        assertTrue(apply(documentsPart, VersionedDocuments.putCommand("pool", 0, "one"))
+                .isAccepted());
         assertEquals(
                 "the text pool has epoch 1 now, not 0",
-                apply(texts, VersionedDocuments.putCommand("pool", 0, "two")).reason());
-        assertTrue(apply(texts, VersionedDocuments.putCommand("pool", 1, "two")).isAccepted());
-        assertEquals(Optional.of(new VersionedDocuments.VersionedDocument(2, "two")), policy.document("pool"));
+                apply(documentsPart, VersionedDocuments.putCommand("pool", 0, "two"))
+                        .reason());
+        assertTrue(apply(documentsPart, VersionedDocuments.putCommand("pool", 1, "two"))
+                .isAccepted());
+        assertEquals(Optional.of(new VersionedDocuments.VersionedDocument(2, "two")), documents.document("pool"));
         assertFalse(apply(
-                        texts,
+                        documentsPart,
                         VersionedDocuments.putCommand("pool", 2, "x".repeat(VersionedDocuments.MAX_TEXT_BYTES + 1)))
                 .isAccepted());
-        assertEquals(2, policy.document("pool").orElseThrow().epoch());
+        assertEquals(2, documents.document("pool").orElseThrow().epoch());
     }
 
     @Test
-    void unknownTagsAreRefusedByResult() {
+    void commandsWithUnknownTagsAreRefused() {
         assertEquals(
                 "no part has the tag 99 in this version",
                 CommandResult.parse(machine.apply(1, new byte[] {99, 1})).reason());
@@ -112,7 +115,7 @@
     }
 
     @Test
-    void exceptionOfAPartIsARefusalAndIsReported() {
+    void exceptionOfAPartIsRefusedAndReported() {
         ReplicatedState broken = new ReplicatedState() {
             @Override
             public byte[] apply(long at, byte[] command) {
@@ -129,7 +132,7 @@
         };
         StateMachinePart part = new StateMachinePart((byte) 7, "broken", broken);
         assertFalse(
-                CommandResult.parse(new FleetStateMachine(List.of(part), watcher).apply(5, part.command(new byte[1])))
+                CommandResult.parse(new FleetStateMachine(List.of(part), listener).apply(5, part.command(new byte[1])))
                         .isAccepted());
         assertEquals(List.of("5 broken"), faults);
     }
@@ -138,15 +141,15 @@
     void snapshotRestoresTheState() {
         apply(membership, FleetMembership.joinCommand(member("a", 1)));
         apply(membership, FleetMembership.issueCommand("a", 2));
-        apply(texts, VersionedDocuments.putCommand("pool", 0, "one"));
+        apply(documentsPart, VersionedDocuments.putCommand("pool", 0, "one"));
         byte[] snapshot = machine.snapshot();
         FleetMembership otherMembers = new FleetMembership();
         FleetStateMachine other = new FleetStateMachine(
-                List.of(new StateMachinePart(FleetMembership.TAG, "membership", otherMembers)), watcher);
+                List.of(new StateMachinePart(FleetMembership.TAG, "membership", otherMembers)), listener);
         other.install(snapshot);
         assertEquals(members.numbers("a"), otherMembers.numbers("a"));
         assertEquals(3, other.appliedIndex());
-        assertArrayEquals(snapshot, other.snapshot(), "what a version does not know it hands on");
+        assertArrayEquals(snapshot, other.snapshot(), "snapshots of unknown parts are retained");
         assertThrows(IllegalArgumentException.class, () -> other.install(new byte[] {1, 2, 3}));
         assertEquals(1, otherMembers.members().size());
     }
--- a/gateway/src/test/java/sandpaddle/fleet/state/machine/RecordedMachineTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/machine/RecordedMachineTest.java
@@ -9,32 +9,32 @@
 import sandpaddle.fleet.member.Member;
 import sandpaddle.recorded.RecordedFile;
 
-/** Commands, results and snapshots of the replicated machine have the bytes that an earlier version wrote. */
+/** Commands, results and snapshots of the state machine have the bytes that an earlier version wrote. */
 class RecordedMachineTest {
     private static final RecordedFile COMMANDS = new RecordedFile("machine-commands.txt");
     private static final RecordedFile RESULTS = new RecordedFile("machine-results.txt");
     private static final RecordedFile SNAPSHOT = new RecordedFile("machine-snapshot.txt");
 
-    private static final class NoWatcher implements FleetStateMachine.ApplyListener {
+    private static final class FailingListener implements FleetStateMachine.ApplyListener {
         @Override
-        public void onApplied(long index, StateMachinePart part, byte[] answer) {
-            // nobody waits for it
+        public void onApplied(long index, StateMachinePart part, byte[] result) {
+            // not needed: the results are returned as well
         }
 
         @Override
         public void onInstalled() {
-            // nobody waits for it
+            // not needed
         }
 
         @Override
-        public void onPartFailed(long index, StateMachinePart part, RuntimeException how) {
-            throw how;
+        public void onPartFailed(long index, StateMachinePart part, RuntimeException exception) {
+            throw exception;
         }
     }
 
     private final StateMachinePart members =
             new StateMachinePart(FleetMembership.TAG, "members", new FleetMembership());
-    private final StateMachinePart texts =
+    private final StateMachinePart documents =
             new StateMachinePart(VersionedDocuments.TAG, "texts", new VersionedDocuments());
 
     private static FleetStateMachine machine() {
@@ -42,7 +42,7 @@
                 List.of(
                         new StateMachinePart(FleetMembership.TAG, "members", new FleetMembership()),
                         new StateMachinePart(VersionedDocuments.TAG, "texts", new VersionedDocuments())),
-                new NoWatcher());
+                new FailingListener());
     }
 
     @Test
@@ -57,8 +57,8 @@
         commands.put("issue again", members.command(FleetMembership.issueCommand("a", 2)));
         commands.put("retire", members.command(FleetMembership.retireCommand("b", 1)));
         commands.put("leave", members.command(FleetMembership.leaveCommand("b")));
-        commands.put("put", texts.command(VersionedDocuments.putCommand("agreed", 0, "text \u6771")));
-        commands.put("put stale", texts.command(VersionedDocuments.putCommand("agreed", 0, "other")));
+        commands.put("put", documents.command(VersionedDocuments.putCommand("agreed", 0, "text \u6771")));
+        commands.put("put stale", documents.command(VersionedDocuments.putCommand("agreed", 0, "other")));
         commands.put("unknown part", new byte[] {9, 1});
         commands.put("empty", new byte[0]);
         COMMANDS.checkBytes(commands);
--- a/gateway/src/test/java/sandpaddle/fleet/state/raft/RaftMessageCodecTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/raft/RaftMessageCodecTest.java
@@ -164,28 +164,31 @@
     }
 
     @Test
-    void messagesSurviveARoundTrip() throws Exception {
+    void decodedMessagesEncodeToTheSameBytes() throws Exception {
         for (RaftMessage message : oneOfEach()) {
-            RaftMessage back = read(write(message));
-            assertEquals(message.getClass(), back.getClass());
-            assertEquals(5, back.getTerm());
-            assertArrayEquals(write(message), write(back), message::toString);
+            RaftMessage decoded = read(write(message));
+            assertEquals(message.getClass(), decoded.getClass());
+            assertEquals(5, decoded.getTerm());
+            assertArrayEquals(write(message), write(decoded), message::toString);
         }
     }
 
     @Test
-    void damagedMessagesAreRefusedOrValid() {
+    void corruptedMessagesAreRefusedOrDecoded() {
         Random random = new Random(1);
         int refused = 0;
         for (RaftMessage message : oneOfEach()) {
-            byte[] good = write(message);
+            byte[] valid = write(message);
             for (int i = 0; i < 400; i++) {
-                byte[] bad = good.clone();
+                byte[] corrupted = valid.clone();
                 for (int flips = 1 + random.nextInt(3); flips > 0; flips--) {
-                    bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
+                    corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
                 }
                 try {
-                    read(random.nextBoolean() ? bad : java.util.Arrays.copyOf(bad, random.nextInt(bad.length)));
+                    read(
+                            random.nextBoolean()
+                                    ? corrupted
+                                    : java.util.Arrays.copyOf(corrupted, random.nextInt(corrupted.length)));
                 } catch (FaultyMessageException e) {
                     refused++;
                 }
@@ -200,8 +203,8 @@
         assertTrue(assertThrows(FaultyMessageException.class, () -> read(gap))
                 .getMessage()
                 .endsWith("ends entries out of order at 9 of term 5"));
-        byte[] future = write(append(List.of(entry(8, 6, new LogOperation.NewTerm()))));
-        assertThrows(FaultyMessageException.class, () -> read(future));
+        byte[] laterTerm = write(append(List.of(entry(8, 6, new LogOperation.NewTerm()))));
+        assertThrows(FaultyMessageException.class, () -> read(laterTerm));
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/state/raft/RecordedRaftMessagesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/raft/RecordedRaftMessagesTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import sandpaddle.recorded.RecordedFile;
 
-/** Raft messages have the bytes that an earlier version wrote, and those are read and written again as they are. */
+/** Raft messages have the bytes that an earlier version wrote, which are decoded and encoded without a change. */
 class RecordedRaftMessagesTest {
-    private static final RecordedFile RECORD = new RecordedFile("raft-messages.txt");
+    private static final RecordedFile MESSAGES = new RecordedFile("raft-messages.txt");
 
     @Test
     void messagesAreWrittenAsRecorded() {
@@ -18,12 +18,12 @@
         for (RaftMessage message : RaftMessageCodecTest.oneOfEach()) {
             messages.put("message " + messages.size(), RaftMessageCodecTest.write(message));
         }
-        RECORD.checkBytes(messages);
+        MESSAGES.checkBytes(messages);
     }
 
     @Test
     void recordedMessagesAreReadAndWrittenAgain() throws Exception {
-        for (byte[] recorded : RECORD.bytes().values()) {
+        for (byte[] recorded : MESSAGES.bytes().values()) {
             assertArrayEquals(recorded, RaftMessageCodecTest.write(RaftMessageCodecTest.read(recorded)));
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/Register.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/NumberLog.java
@@ -9,18 +9,18 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 import sandpaddle.fleet.wire.CborOut;
 
-/** A log of numbers: what was applied, in its order. */
-public final class Register implements ReplicatedState {
-    public static final FleetStateMachine.ApplyListener WATCHER = new FleetStateMachine.ApplyListener() {
+/** Replicated state that records the applied numbers in their order. */
+public final class NumberLog implements ReplicatedState {
+    public static final FleetStateMachine.ApplyListener FAIL_ON_EXCEPTION = new FleetStateMachine.ApplyListener() {
         @Override
-        public void onApplied(long index, StateMachinePart part, byte[] answer) {}
+        public void onApplied(long index, StateMachinePart part, byte[] result) {}
 
         @Override
         public void onInstalled() {}
 
         @Override
-        public void onPartFailed(long index, StateMachinePart part, RuntimeException how) {
-            throw new AssertionError("part " + part.name() + " failed", how);
+        public void onPartFailed(long index, StateMachinePart part, RuntimeException exception) {
+            throw new AssertionError("part " + part.name() + " failed", exception);
         }
     };
 
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimDisk.java
@@ -12,9 +12,11 @@
 import sandpaddle.fleet.store.VoterIdentity;
 import sandpaddle.fleet.store.VoterStore;
 
-/** A disk in memory: what was flushed stays, what was only staged is gone with its store; it fails when told to. */
+/**
+ * A disk in memory: flushed writes survive the closing of its store, staged ones are lost. Its writes can be made fail.
+ */
 public final class SimDisk {
-    /** What the disk does with writes. */
+    /** Whether writes succeed. */
     public enum Health {
         GOOD,
         FULL,
@@ -33,35 +35,35 @@
         private TreeMap<String, byte[]> values = new TreeMap<>();
 
         Content copy() {
-            Content c = new Content();
-            c.identity = identity;
-            c.generation = generation;
-            c.term = term;
-            c.vote = vote;
-            c.firstKept = firstKept;
-            c.entries = new TreeMap<>(entries);
-            chunks.forEach((i, all) -> c.chunks.put(i, new TreeMap<>(all)));
-            c.snapshots = new TreeMap<>(snapshots);
-            c.values = new TreeMap<>(values);
-            return c;
+            Content copy = new Content();
+            copy.identity = identity;
+            copy.generation = generation;
+            copy.term = term;
+            copy.vote = vote;
+            copy.firstKept = firstKept;
+            copy.entries = new TreeMap<>(entries);
+            chunks.forEach((i, all) -> copy.chunks.put(i, new TreeMap<>(all)));
+            copy.snapshots = new TreeMap<>(snapshots);
+            copy.values = new TreeMap<>(values);
+            return copy;
         }
     }
 
     private Content durable = new Content();
     private Health health = Health.GOOD;
     private long flushes;
-    private boolean liesAboutFlush;
+    private boolean ignoresFlush;
 
-    public void health(Health to) {
-        health = to;
+    public void health(Health next) {
+        health = next;
     }
 
-    /** A flush that returns without having made anything durable: the guard that a test removes. */
-    public void lieAboutFlush() {
-        liesAboutFlush = true;
+    /** Lets flushes return without making anything durable, to show what depends on them. */
+    public void ignoreFlush() {
+        ignoresFlush = true;
     }
 
-    /** An old copy: what is durable now, to be put back later. */
+    /** A copy of what is durable now, to be restored later. */
     public SimDisk copy() {
         SimDisk copy = new SimDisk();
         copy.durable = durable.copy();
@@ -72,16 +74,16 @@
         return flushes;
     }
 
-    /** Opens it, as a process does at its start. */
+    /** Opens the store, as a process does at its start. */
     public VoterStore open() {
-        return new Opened();
+        return new OpenStore();
     }
 
-    private final class Opened implements VoterStore {
+    private final class OpenStore implements VoterStore {
         private Content staged;
         private StoreException fault;
 
-        Opened() {
+        OpenStore() {
             reopen();
         }
 
@@ -91,15 +93,15 @@
                 staged = durable.copy();
                 fault = null;
             } else {
-                fault = new StoreException(StoreException.Kind.FULL, "no room");
+                fault = new StoreException(StoreException.Kind.FULL, "the simulated disk accepts no writes");
             }
         }
 
-        private void writable() throws StoreException {
+        private void checkWritable() throws StoreException {
             if (fault == null && health != Health.GOOD) {
                 fault = new StoreException(
                         health == Health.FULL ? StoreException.Kind.FULL : StoreException.Kind.IO,
-                        "the disk is " + health);
+                        "the simulated disk is " + health);
             }
             if (fault != null) {
                 throw fault;
@@ -108,42 +110,42 @@
 
         @Override
         public RecoveredState recover() {
-            Content c = staged == null ? durable : staged;
+            Content content = staged == null ? durable : staged;
             Optional<StoredSnapshot> snapshot = Optional.empty();
-            for (var e : c.snapshots.entrySet()) {
-                TreeMap<Integer, byte[]> all = c.chunks.get(e.getKey());
-                if (all != null && all.size() == e.getValue()[1]) {
-                    snapshot =
-                            Optional.of(new StoredSnapshot(e.getKey(), e.getValue()[0], new ArrayList<>(all.values())));
+            for (var entry : content.snapshots.entrySet()) {
+                TreeMap<Integer, byte[]> all = content.chunks.get(entry.getKey());
+                if (all != null && all.size() == entry.getValue()[1]) {
+                    snapshot = Optional.of(
+                            new StoredSnapshot(entry.getKey(), entry.getValue()[0], new ArrayList<>(all.values())));
                 }
             }
             long after = snapshot.map(StoredSnapshot::index).orElse(0L);
             return new RecoveredState(
-                    Optional.ofNullable(c.identity),
-                    c.generation,
+                    Optional.ofNullable(content.identity),
+                    content.generation,
                     flushes,
-                    c.term,
-                    Optional.ofNullable(c.vote),
+                    content.term,
+                    Optional.ofNullable(content.vote),
                     snapshot,
-                    new ArrayList<>(c.entries.tailMap(after, false).values()),
+                    new ArrayList<>(content.entries.tailMap(after, false).values()),
                     List.of());
         }
 
         @Override
         public void setIdentity(VoterIdentity id) throws StoreException {
-            writable();
+            checkWritable();
             staged.identity = id;
             flush();
         }
 
         @Override
-        public void distrust(String why) {
-            throw new UnsupportedOperationException(why);
+        public void distrust(String reason) {
+            throw new UnsupportedOperationException(reason);
         }
 
         @Override
         public void setTerm(int term, String votedFor) throws StoreException {
-            writable();
+            checkWritable();
             staged.term = term;
             staged.vote = votedFor;
             flush();
@@ -151,52 +153,53 @@
 
         @Override
         public void append(long index, int term, byte[] entry) throws StoreException {
-            writable();
+            checkWritable();
             long last = staged.entries.isEmpty() ? recover().lastIndex() : staged.entries.lastKey();
             if (index != last + 1) {
-                throw new IllegalStateException("entry " + index + " after " + last);
+                throw new IllegalStateException(
+                        "entry index " + index + " follows " + last + "; expected " + (last + 1));
             }
             staged.entries.put(index, new StoredEntry(index, term, entry));
         }
 
         @Override
         public void truncateFrom(long index) throws StoreException {
-            writable();
+            checkWritable();
             staged.entries.tailMap(index, true).clear();
         }
 
         @Override
         public void truncateUntil(long index) throws StoreException {
-            writable();
+            checkWritable();
             staged.entries.headMap(index, true).clear();
         }
 
         @Override
         public void snapshotChunk(long index, int term, int chunk, int chunks, byte[] data) throws StoreException {
-            writable();
+            checkWritable();
             staged.snapshots.put(index, new int[] {term, chunks});
             staged.chunks.computeIfAbsent(index, i -> new TreeMap<>()).put(chunk, data);
         }
 
         @Override
         public void dropSnapshot(long index) throws StoreException {
-            writable();
+            checkWritable();
             staged.snapshots.remove(index);
             staged.chunks.remove(index);
         }
 
         @Override
         public void flush() throws StoreException {
-            writable();
+            checkWritable();
             flushes++;
-            if (!liesAboutFlush) {
+            if (!ignoresFlush) {
                 durable = staged.copy();
             }
         }
 
         @Override
         public void put(String key, byte[] value) throws StoreException {
-            writable();
+            checkWritable();
             staged.values.put(key, value);
             flush();
         }
--- a/gateway/src/test/java/sandpaddle/fleet/state/sim/SimFleet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/sim/SimFleet.java
@@ -21,17 +21,17 @@
 import sandpaddle.fleet.store.StoreException;
 import sandpaddle.fleet.store.VoterStore;
 
-/** Gateways of one fleet in virtual time, and what their clients were told. */
+/** Simulates the voters of one fleet in virtual time (us), and records what was acknowledged to their clients. */
 public final class SimFleet {
     public static final long SECOND = 1_000_000;
-    private static final byte REGISTER = 9;
+    private static final byte NUMBER_LOG_TAG = 9;
 
-    /** One gateway: its disk outlives its process. */
+    /** One gateway; its disk survives a crash of its process. */
     public final class Gateway {
         private final String name;
         private SimDisk disk = new SimDisk();
-        private Voter voter; // null while it is down
-        private Register register;
+        private Voter voter; // null while the process is down
+        private NumberLog numberLog;
         private long stalledUntil;
 
         Gateway(String name) {
@@ -50,11 +50,11 @@
             return voter;
         }
 
-        public Register register() {
-            return register;
+        public NumberLog numberLog() {
+            return numberLog;
         }
 
-        /** The process ends at once: what was staged is lost. */
+        /** Ends the process; writes that were not flushed are lost. */
         public void crash() {
             voter = null;
         }
@@ -63,24 +63,26 @@
             disk = other;
         }
 
-        /** Its writes take until then, so its thread does nothing. */
+        /** Blocks its thread until then, as a write that takes long does. */
         public void stall(long until) {
             stalledUntil = until;
         }
 
         public void start() {
             VoterStore store = disk.open();
-            register = new Register();
+            numberLog = new NumberLog();
             StateMachinePart membership =
                     new StateMachinePart(FleetMembership.TAG, "membership", new FleetMembership());
             FleetStateMachine machine = new FleetStateMachine(
-                    List.of(membership, new StateMachinePart(REGISTER, "register", register)), Register.WATCHER);
-            LocalVoterState own = trusting ? new Trusting(store, name) : new LocalVoterState(store, "c", name);
+                    List.of(membership, new StateMachinePart(NUMBER_LOG_TAG, "register", numberLog)),
+                    NumberLog.FAIL_ON_EXCEPTION);
+            LocalVoterState localState =
+                    acceptsAll ? new AcceptingVoterState(store, name) : new LocalVoterState(store, "c", name);
             Voter.VoterSettings settings = new Voter.VoterSettings("c", name, RAFT, membership);
             voter = new Voter(
                     settings,
                     store,
-                    own,
+                    localState,
                     machine,
                     new Voter.VoterCallbacks() {
                         @Override
@@ -89,8 +91,8 @@
                         }
 
                         @Override
-                        public void log(String what) {
-                            said.add(now / 1000 + " ms " + name + ": " + what);
+                        public void log(String message) {
+                            logLines.add(now / 1000 + " ms " + name + ": " + message);
                         }
                     },
                     new Random(random.nextLong()),
@@ -98,9 +100,9 @@
         }
     }
 
-    /** A memory that welcomes everybody: the guard against disks that forgot, removed. */
-    private static final class Trusting extends LocalVoterState {
-        Trusting(VoterStore store, String name) {
+    /** Accepts all join requests: removes the check for disks that lost data. */
+    private static final class AcceptingVoterState extends LocalVoterState {
+        AcceptingVoterState(VoterStore store, String name) {
             super(store, "c", name);
         }
 
@@ -108,7 +110,7 @@
         public PeerIncarnations peerIncarnations() {
             return new PeerIncarnations() {
                 @Override
-                public Optional<JoinRefusal> judge(JoinRequest request) {
+                public Optional<JoinRefusal> check(JoinRequest request) {
                     accept(request);
                     return Optional.empty();
                 }
@@ -119,31 +121,38 @@
     private static final RaftSettings RAFT = new RaftSettings(1, 3, 1000, 50);
 
     private final Random random;
-    private final SimNet net;
+    private final SimNetwork net;
     private final Map<String, Gateway> gateways = new TreeMap<>();
-    private final List<String> said = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private final TreeSet<Long> acknowledged = new TreeSet<>();
-    private final TreeMap<Long, Long> firstSeen = new TreeMap<>();
-    private final boolean trusting;
+    private final TreeMap<Long, Long> firstSeenLeadingAt = new TreeMap<>();
+    private final boolean acceptsAll;
     private long now;
     private long nextValue = 1;
-    private int unknown;
+    private int unknownOutcomes;
 
     public SimFleet(long seed, List<String> founders, List<String> others) throws StoreException {
         this(seed, founders, others, false);
     }
 
-    /** {@code trusting}: without the memory of who was met. */
-    public SimFleet(long seed, List<String> founders, List<String> others, boolean trusting) throws StoreException {
-        this.trusting = trusting;
+    /**
+     * Creates and starts a fleet.
+     *
+     * @param seed seed of all random decisions
+     * @param founders names of the initial voters
+     * @param others names of gateways with empty stores
+     * @param acceptsAll whether voters accept all join requests, without the check for lost data
+     */
+    public SimFleet(long seed, List<String> founders, List<String> others, boolean acceptsAll) throws StoreException {
+        this.acceptsAll = acceptsAll;
         random = new Random(seed);
-        net = new SimNet(random);
+        net = new SimNetwork(random);
         for (String name : founders) {
             Gateway g = add(name);
             VoterStore store = g.disk.open();
-            Optional<String> refused = GroupBootstrap.format(store, "c", name, founders);
-            if (refused.isPresent()) {
-                throw new IllegalStateException(refused.get());
+            Optional<String> problem = GroupBootstrap.format(store, "c", name, founders);
+            if (problem.isPresent()) {
+                throw new IllegalStateException(problem.get());
             }
             store.close();
             g.start();
@@ -165,7 +174,7 @@
         return List.copyOf(gateways.values());
     }
 
-    public SimNet net() {
+    public SimNetwork net() {
         return net;
     }
 
@@ -177,24 +186,24 @@
         return random;
     }
 
-    public List<String> said() {
-        return said;
+    public List<String> logLines() {
+        return logLines;
     }
 
     public TreeSet<Long> acknowledged() {
         return acknowledged;
     }
 
-    /** Lets time pass. */
+    /** Advances the time. */
     public void run(long us) {
         runUntil(() -> false, us);
     }
 
-    /** Lets time pass until something holds, or so long; whether it holds. */
-    public boolean runUntil(BooleanSupplier holds, long us) {
+    /** Advances the time until a condition holds, but at most so long; returns whether it holds. */
+    public boolean runUntil(BooleanSupplier condition, long us) {
         long end = now + us;
-        while (!holds.getAsBoolean()) {
-            long next = Math.min(end, net.next());
+        while (!condition.getAsBoolean()) {
+            long next = Math.min(end, net.nextArrivalAtUs());
             for (Gateway g : gateways.values()) {
                 if (g.voter != null) {
                     next = Math.min(next, Math.max(g.stalledUntil, g.voter.nextRunAtUs()));
@@ -202,19 +211,19 @@
             }
             now = Math.max(now, next);
             if (now >= end) {
-                return holds.getAsBoolean();
+                return condition.getAsBoolean();
             }
-            turn();
+            step();
         }
         return true;
     }
 
-    private void turn() {
-        while (net.next() <= now) {
-            SimNet.InFlightMessage p = net.take();
-            Gateway g = gateways.get(p.to());
-            if (g != null && g.voter != null && g.stalledUntil <= now && !net.isCut(p.from(), p.to())) {
-                g.voter.receive(p.from(), p.message(), now);
+    private void step() {
+        while (net.nextArrivalAtUs() <= now) {
+            SimNetwork.InFlightMessage message = net.take();
+            Gateway g = gateways.get(message.to());
+            if (g != null && g.voter != null && g.stalledUntil <= now && !net.isCut(message.from(), message.to())) {
+                g.voter.receive(message.from(), message.message(), now);
             }
         }
         for (Gateway g : gateways.values()) {
@@ -222,7 +231,7 @@
                 g.voter.step(now);
             }
             if (g.voter != null && g.voter.isLeader()) {
-                firstSeen.putIfAbsent(g.voter.term(), now);
+                firstSeenLeadingAt.putIfAbsent(g.voter.term(), now);
             }
         }
     }
@@ -230,29 +239,30 @@
     public Optional<Gateway> leader() {
         return gateways.values().stream()
                 .filter(g -> g.voter != null && g.stalledUntil <= now && g.voter.isLeader())
-                .max((a, b) -> Long.compare(a.voter.term(), b.voter.term()));
+                .max((left, right) -> Long.compare(left.voter.term(), right.voter.term()));
     }
 
-    /** Whether a leader of a later term than this was seen before a time. */
+    /** Whether a leader of a later term was seen before a time. */
     public boolean wasElected(long afterTerm, long before) {
-        return firstSeen.tailMap(afterTerm, false).values().stream().anyMatch(t -> t < before);
+        return firstSeenLeadingAt.tailMap(afterTerm, false).values().stream().anyMatch(time -> time < before);
     }
 
-    /** A client adds a number at a gateway; what was acknowledged is remembered. */
+    /** Proposes the next number at a gateway; records whether it was acknowledged. */
     public long propose(Gateway g) {
         long value = nextValue++;
         g.voter.propose(
-                new StateMachinePart(REGISTER, "register", g.register).command(Register.add(value)), outcome -> {
+                new StateMachinePart(NUMBER_LOG_TAG, "register", g.numberLog).command(NumberLog.add(value)),
+                outcome -> {
                     if (outcome instanceof ProposalOutcome.Committed) {
                         acknowledged.add(value);
                     } else if (outcome instanceof ProposalOutcome.Unknown) {
-                        unknown++;
+                        unknownOutcomes++;
                     }
                 });
         return value;
     }
 
-    public int unknown() {
-        return unknown;
+    public int unknownOutcomes() {
+        return unknownOutcomes;
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/GuardsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/DataLossTest.java
@@ -12,26 +12,30 @@
 import sandpaddle.fleet.state.sim.SimFleet;
 import sandpaddle.fleet.state.sim.SimFleet.Gateway;
 
-/** Each guard, and what is lost without it. */
-class GuardsTest {
+/**
+ * Shows that acknowledged entries survive the loss of a disk and a crash of all voters, and that they are lost without
+ * the mechanism that protects them: join requests, and flushes before an acknowledgement.
+ */
+class DataLossTest {
     private static final long SECOND = SimFleet.SECOND;
     private static final List<String> THREE = List.of("a", "b", "c");
 
-    /** What is done to the disk of the voter that is to forget. */
-    private interface Forgetting {
+    /** Replaces the disk of the voter that loses data. */
+    private interface DataLoss {
         SimDisk disk(SimDisk before, String name) throws Exception;
     }
 
-    /** Acknowledged numbers that no longer are in the log once a leader has added one more. */
+    /** The acknowledged numbers that are missing from the leader's log after one more was committed. */
     private static Set<Long> lost(SimFleet fleet) {
         int before = fleet.acknowledged().size();
         for (int i = 0; i < 120 && fleet.acknowledged().size() == before; i++) {
             fleet.leader().ifPresent(fleet::propose);
             fleet.run(SECOND);
         }
-        assertTrue(fleet.acknowledged().size() > before, () -> "nothing more is acknowledged: " + fleet.said());
+        assertTrue(
+                fleet.acknowledged().size() > before, () -> "no further proposal is acknowledged: " + fleet.logLines());
         Set<Long> lost = new HashSet<>(fleet.acknowledged());
-        lost.removeAll(fleet.leader().orElseThrow().register().values());
+        lost.removeAll(fleet.leader().orElseThrow().numberLog().values());
         return lost;
     }
 
@@ -44,29 +48,29 @@
         }
     }
 
-    /** One voter misses what the two others acknowledge; then one of these forgets, and the other is down. */
-    private static Set<Long> lostAfter(boolean trusting, Forgetting how) throws Exception {
-        SimFleet fleet = new SimFleet(11, THREE, List.of(), trusting);
+    /** One voter is isolated while the two others commit; then one of these loses data, and the other is down. */
+    private static Set<Long> lostAfter(boolean acceptsAll, DataLoss dataLoss) throws Exception {
+        SimFleet fleet = new SimFleet(11, THREE, List.of(), acceptsAll);
         add(fleet, 3);
         Gateway leader = fleet.leader().orElseThrow();
         List<Gateway> others = fleet.all().stream().filter(g -> g != leader).toList();
-        Gateway forgets = others.get(0);
-        Gateway misses = others.get(1);
-        SimDisk before = forgets.disk().copy();
-        forgets.crash(); // its next incarnation is met by both others
-        forgets.start();
+        Gateway faulty = others.get(0);
+        Gateway isolated = others.get(1);
+        SimDisk before = faulty.disk().copy();
+        faulty.crash(); // so that both others accept its next incarnation
+        faulty.start();
         fleet.run(10 * SECOND);
-        for (Gateway g : List.of(leader, forgets)) {
-            fleet.net().cut(misses.name(), g.name());
-            fleet.net().cut(g.name(), misses.name());
+        for (Gateway g : List.of(leader, faulty)) {
+            fleet.net().cut(isolated.name(), g.name());
+            fleet.net().cut(g.name(), isolated.name());
         }
         fleet.run(5 * SECOND);
         add(fleet, 3);
         leader.crash();
-        forgets.crash();
-        forgets.disk(how.disk(before, forgets.name()));
+        faulty.crash();
+        faulty.disk(dataLoss.disk(before, faulty.name()));
         fleet.net().heal();
-        forgets.start();
+        faulty.start();
         fleet.run(20 * SECOND);
         fleet.leader().ifPresent(fleet::propose);
         fleet.run(2 * SECOND);
@@ -74,37 +78,37 @@
         return lost(fleet);
     }
 
-    private static SimDisk formattedAgain(SimDisk before, String name) throws Exception {
+    private static SimDisk reformatted(SimDisk before, String name) throws Exception {
         SimDisk disk = new SimDisk();
         assertEquals(Optional.empty(), GroupBootstrap.format(disk.open(), "c", name, THREE));
         return disk;
     }
 
     @Test
-    void reformattedDiskLosesNothing() throws Exception {
-        assertEquals(Set.of(), lostAfter(false, GuardsTest::formattedAgain));
+    void reformattedDiskIsRefusedAndNothingIsLost() throws Exception {
+        assertEquals(Set.of(), lostAfter(false, DataLossTest::reformatted));
     }
 
     @Test
-    void withoutJoinRequestsALostDiskVotesAgainAndLoses() throws Exception {
-        assertTrue(lostAfter(true, GuardsTest::formattedAgain).size() >= 3);
+    void reformattedDiskLosesCommittedEntriesWithoutJoinChecks() throws Exception {
+        assertTrue(lostAfter(true, DataLossTest::reformatted).size() >= 3);
     }
 
     @Test
-    void restoredCopyLosesNothing() throws Exception {
+    void restoredCopyIsRefusedAndNothingIsLost() throws Exception {
         assertEquals(Set.of(), lostAfter(false, (before, name) -> before));
     }
 
     @Test
-    void withoutJoinRequestsARestoredCopyVotesAgainAndLoses() throws Exception {
+    void restoredCopyLosesCommittedEntriesWithoutJoinChecks() throws Exception {
         assertTrue(lostAfter(true, (before, name) -> before).size() >= 3);
     }
 
-    private static Set<Long> lostAfterAllCrash(boolean lies) throws Exception {
+    private static Set<Long> lostAfterAllCrash(boolean ignoresFlush) throws Exception {
         SimFleet fleet = new SimFleet(12, THREE, List.of());
         add(fleet, 3);
-        if (lies) {
-            fleet.all().forEach(g -> g.disk().lieAboutFlush());
+        if (ignoresFlush) {
+            fleet.all().forEach(g -> g.disk().ignoreFlush());
         }
         add(fleet, 3);
         fleet.all().forEach(Gateway::crash);
@@ -113,12 +117,12 @@
     }
 
     @Test
-    void acknowledgedCommandsAreDurable() throws Exception {
+    void acknowledgedCommandsSurviveACrashOfAllVoters() throws Exception {
         assertEquals(Set.of(), lostAfterAllCrash(false));
     }
 
     @Test
-    void acknowledgingBeforeItIsDurableLoses() throws Exception {
+    void acknowledgedCommandsAreLostWithoutFlushes() throws Exception {
         assertTrue(lostAfterAllCrash(true).size() >= 3);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/RecordedVoterBytesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/RecordedVoterBytesTest.java
@@ -22,32 +22,32 @@
 import sandpaddle.fleet.wire.CborOut;
 import sandpaddle.recorded.RecordedFile;
 
-/** The heads of a voter's messages and its named values have the bytes that an earlier version wrote. */
+/** The envelopes of voter messages and the values in the store have the bytes that an earlier version wrote. */
 class RecordedVoterBytesTest {
-    private static final RecordedFile HEADS = new RecordedFile("voter-message-heads.txt");
+    private static final RecordedFile ENVELOPES = new RecordedFile("voter-message-heads.txt");
     private static final RecordedFile VALUES = new RecordedFile("voter-values.txt");
-    private static final List<String> NAMES =
+    private static final List<String> KEYS =
             List.of("raft.lives", "raft.retired", "raft.faults", "raft.seen", "raft.initial", "raft.voting");
     private static final VoterEndpoint SELF = new VoterEndpoint("a", 2);
     private static final VoterEndpoint PEER = new VoterEndpoint("b", 1);
 
     @Test
     void envelopesAreWrittenAndReadAsRecorded() throws Exception {
-        Map<String, byte[]> heads = new LinkedHashMap<>();
+        Map<String, byte[]> envelopes = new LinkedHashMap<>();
         for (VoterEnvelope.VoterMessageType type : VoterEnvelope.VoterMessageType.values()) {
-            heads.put(
+            envelopes.put(
                     "head " + type.ordinal(),
                     new VoterEnvelope(type, Optional.of(SELF), -77, PEER)
                             .startMessage()
                             .done());
         }
-        heads.put(
+        envelopes.put(
                 "head without sender",
                 new VoterEnvelope(VoterEnvelope.VoterMessageType.UNKNOWN_ENDPOINT, Optional.empty(), 0, PEER)
                         .startMessage()
                         .done());
-        HEADS.checkBytes(heads);
-        for (byte[] recorded : HEADS.bytes().values()) {
+        ENVELOPES.checkBytes(envelopes);
+        for (byte[] recorded : ENVELOPES.bytes().values()) {
             assertArrayEquals(
                     recorded,
                     VoterEnvelope.read("a", new CborIn(recorded)).startMessage().done());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void namedValuesAreWrittenAsRecorded() throws Exception {
+    void storedValuesAreWrittenAsRecorded() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
         StoreSettings settings = new StoreSettings(128 << 10, 256 << 10, 500_000, 1_000_000);
         Map<String, byte[]> values = new LinkedHashMap<>();
@@ -75,16 +75,16 @@
             local.adoptEndpoint(SELF, List.of(SELF, PEER), store.recover());
             local.beginIncarnation(SELF, store.recover(), new Random(5));
             PeerIncarnations peers = local.peerIncarnations();
-            peers.judge(new JoinRequest(PEER, 99, List.of(98L), 3, 40));
+            peers.check(new JoinRequest(PEER, 99, List.of(98L), 3, 40));
             peers.recordProgress(PEER, 4, 41);
             local.savePeerIncarnations(peers);
             local.retire(SELF);
-            for (String name : NAMES) {
-                values.put(name, store.get(name).orElse(new byte[0]));
+            for (String key : KEYS) {
+                values.put(key, store.get(key).orElse(new byte[0]));
             }
         }
         VALUES.checkBytes(values);
-        byte[] seen = VALUES.bytes().get("raft.seen");
-        assertArrayEquals(seen, PeerIncarnations.read(seen).write());
+        byte[] recordedPeers = VALUES.bytes().get("raft.seen");
+        assertArrayEquals(recordedPeers, PeerIncarnations.read(recordedPeers).write());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/StoredVoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/StoredVoterTest.java
@@ -14,13 +14,13 @@
 import sandpaddle.fleet.state.machine.FleetStateMachine;
 import sandpaddle.fleet.state.machine.StateMachinePart;
 import sandpaddle.fleet.state.raft.RaftSettings;
-import sandpaddle.fleet.state.sim.Register;
+import sandpaddle.fleet.state.sim.NumberLog;
 import sandpaddle.fleet.store.StoreSettings;
 import sandpaddle.fleet.store.VoterStore;
 import sandpaddle.fleet.store.disk.NioDisk;
 import sandpaddle.fleet.store.mv.MvVoterStore;
 
-/** A voter on the store that the program has: through snapshots and a restart. */
+/** A voter on the store that the gateway uses, through snapshots and a restart. */
 class StoredVoterTest {
     private static final long SECOND = 1_000_000;
 
@@ -32,20 +32,20 @@
                 new NioDisk(directory), "c", "a", StoreSettings.DEFAULTS, () -> System.nanoTime() / 1000);
     }
 
-    private Register run(VoterStore store, int from, int to) {
+    private NumberLog run(VoterStore store, int from, int to) {
         StateMachinePart membership = new StateMachinePart(FleetMembership.TAG, "membership", new FleetMembership());
-        Register register = new Register();
-        StateMachinePart numbers = new StateMachinePart((byte) 9, "register", register);
+        NumberLog numberLog = new NumberLog();
+        StateMachinePart numbers = new StateMachinePart((byte) 9, "register", numberLog);
         Voter voter = new Voter(
                 new Voter.VoterSettings("c", "a", new RaftSettings(1, 3, 1000, 50), membership),
                 store,
-                new FleetStateMachine(List.of(membership, numbers), Register.WATCHER),
+                new FleetStateMachine(List.of(membership, numbers), NumberLog.FAIL_ON_EXCEPTION),
                 new Voter.VoterCallbacks() {
                     @Override
                     public void send(String to, byte[] message) {}
 
                     @Override
-                    public void log(String what) {}
+                    public void log(String message) {}
                 },
                 new Random(1),
                 now);
@@ -55,11 +55,11 @@
         assertTrue(voter.isLeader(), voter::toString);
         for (int i = from; i < to; i++) {
             long value = i;
-            voter.propose(numbers.command(Register.add(value)), o -> acknowledged.add(value));
+            voter.propose(numbers.command(NumberLog.add(value)), o -> acknowledged.add(value));
             voter.step(now += 1000);
         }
         store.close();
-        return register;
+        return numberLog;
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/state/voter/VoterTest.java
@@ -21,22 +21,23 @@
     private static final List<String> THREE = List.of("a", "b", "c");
 
     private static Gateway leader(SimFleet fleet) {
-        assertTrue(fleet.runUntil(() -> fleet.leader().isPresent(), 30 * SECOND), () -> "no leader: " + fleet.said());
+        assertTrue(
+                fleet.runUntil(() -> fleet.leader().isPresent(), 30 * SECOND), () -> "no leader: " + fleet.logLines());
         return fleet.leader().orElseThrow();
     }
 
-    /** Adds until one is acknowledged. */
+    /** Proposes numbers until one is acknowledged. */
     private static void add(SimFleet fleet) {
         int before = fleet.acknowledged().size();
         for (int i = 0; i < 40 && fleet.acknowledged().size() == before; i++) {
             fleet.propose(leader(fleet));
             fleet.runUntil(() -> fleet.acknowledged().size() > before, SECOND);
         }
-        assertNotEquals(before, fleet.acknowledged().size(), () -> "nothing is acknowledged: " + fleet.said());
+        assertNotEquals(before, fleet.acknowledged().size(), () -> "no proposal is acknowledged: " + fleet.logLines());
     }
 
-    private static List<Gateway> others(SimFleet fleet, Gateway than) {
-        return fleet.all().stream().filter(g -> g != than).toList();
+    private static List<Gateway> others(SimFleet fleet, Gateway excluded) {
+        return fleet.all().stream().filter(gateway -> gateway != excluded).toList();
     }
 
     @Test
@@ -47,12 +48,12 @@
         for (String name : THREE) {
             assertEquals(
                     List.copyOf(fleet.acknowledged()),
-                    fleet.gateway(name).register().values());
+                    fleet.gateway(name).numberLog().values());
         }
         assertEquals(VoterPhase.IDLE, fleet.gateway("d").voter().phase());
-        List<ProposalOutcome> told = new ArrayList<>();
-        fleet.gateway("d").voter().propose(new byte[] {9}, told::add);
-        assertEquals(List.of(new ProposalOutcome.NotLeader(Optional.empty())), told);
+        List<ProposalOutcome> outcomes = new ArrayList<>();
+        fleet.gateway("d").voter().propose(new byte[] {9}, outcomes::add);
+        assertEquals(List.of(new ProposalOutcome.NotLeader(Optional.empty())), outcomes);
     }
 
     @Test
@@ -66,7 +67,7 @@
         first.start();
         fleet.run(10 * SECOND);
         assertEquals(VoterPhase.VOTING, first.voter().phase());
-        assertTrue(first.register().values().containsAll(fleet.acknowledged()));
+        assertTrue(first.numberLog().values().containsAll(fleet.acknowledged()));
     }
 
     @Test
@@ -86,7 +87,7 @@
         assertEquals(
                 new VoterEndpoint(first.voter().endpoint().orElseThrow().name(), 1),
                 first.voter().endpoint().orElseThrow());
-        assertTrue(first.register().values().containsAll(fleet.acknowledged()));
+        assertTrue(first.numberLog().values().containsAll(fleet.acknowledged()));
     }
 
     @Test
@@ -103,7 +104,7 @@
                         () -> lost.voter().phase() == VoterPhase.VOTING
                                 && !lost.voter().incarnation().orElseThrow().isLearner(),
                         60 * SECOND),
-                () -> fleet.said().toString());
+                () -> fleet.logLines().toString());
         assertEquals(new VoterEndpoint(name, 2), lost.voter().endpoint().orElseThrow());
         fleet.run(10 * SECOND);
         assertEquals(THREE, leader(fleet).voter().voters());
@@ -116,7 +117,7 @@
                         .committedMembers()
                         .all()
                         .size());
-        assertTrue(lost.register().values().containsAll(fleet.acknowledged()));
+        assertTrue(lost.numberLog().values().containsAll(fleet.acknowledged()));
     }
 
     @Test
@@ -131,49 +132,49 @@
         lost.start();
         assertTrue(
                 fleet.runUntil(() -> lost.voter().phase() == VoterPhase.RETIRED, 5 * SECOND),
-                () -> fleet.said().toString());
+                () -> fleet.logLines().toString());
         assertTrue(
                 fleet.runUntil(
                         () -> lost.voter().endpoint().equals(Optional.of(new VoterEndpoint(name, 2))), 60 * SECOND),
-                () -> fleet.said().toString());
+                () -> fleet.logLines().toString());
     }
 
     @Test
     void restoredCopyOfADiskIsRefused() throws Exception {
         SimFleet fleet = new SimFleet(6, THREE, List.of());
         add(fleet);
-        Gateway old = others(fleet, leader(fleet)).get(0);
-        SimDisk copy = old.disk().copy();
+        Gateway restored = others(fleet, leader(fleet)).get(0);
+        SimDisk copy = restored.disk().copy();
         add(fleet);
-        old.crash();
-        old.disk(copy);
-        old.start();
+        restored.crash();
+        restored.disk(copy);
+        restored.start();
         assertTrue(
-                fleet.runUntil(() -> old.voter().phase() == VoterPhase.RETIRED, 5 * SECOND),
-                () -> fleet.said().toString());
+                fleet.runUntil(() -> restored.voter().phase() == VoterPhase.RETIRED, 5 * SECOND),
+                () -> fleet.logLines().toString());
     }
 
     @Test
     void lostVoterIsReplaced() throws Exception {
         SimFleet fleet = new SimFleet(7, THREE, List.of("d"));
         add(fleet);
-        Gateway gone = others(fleet, leader(fleet)).get(0);
-        String name = gone.voter().endpoint().orElseThrow().name();
-        gone.crash();
-        List<String> wanted = new ArrayList<>(THREE);
-        wanted.remove(name);
-        wanted.add("d");
-        List<ProposalOutcome> told = new ArrayList<>();
-        leader(fleet).voter().changeVoters(wanted, told::add);
+        Gateway crashed = others(fleet, leader(fleet)).get(0);
+        String name = crashed.voter().endpoint().orElseThrow().name();
+        crashed.crash();
+        List<String> requested = new ArrayList<>(THREE);
+        requested.remove(name);
+        requested.add("d");
+        List<ProposalOutcome> outcomes = new ArrayList<>();
+        leader(fleet).voter().changeVoters(requested, outcomes::add);
         assertTrue(
-                fleet.runUntil(() -> !told.isEmpty(), 60 * SECOND),
-                () -> fleet.said().toString());
-        assertTrue(told.get(0) instanceof ProposalOutcome.Committed, told::toString);
-        assertEquals(wanted.stream().sorted().toList(), leader(fleet).voter().voters());
+                fleet.runUntil(() -> !outcomes.isEmpty(), 60 * SECOND),
+                () -> fleet.logLines().toString());
+        assertTrue(outcomes.get(0) instanceof ProposalOutcome.Committed, outcomes::toString);
+        assertEquals(requested.stream().sorted().toList(), leader(fleet).voter().voters());
         add(fleet);
-        gone.start();
+        crashed.start();
         fleet.run(20 * SECOND);
-        assertNotEquals(VoterPhase.VOTING, gone.voter().phase());
+        assertNotEquals(VoterPhase.VOTING, crashed.voter().phase());
         assertEquals(3, leader(fleet).voter().voters().size());
     }
 
@@ -181,14 +182,14 @@
     void followerFarBehindGetsASnapshot() throws Exception {
         SimFleet fleet = new SimFleet(8, THREE, List.of());
         add(fleet);
-        Gateway away = others(fleet, leader(fleet)).get(0);
-        away.crash();
+        Gateway lagging = others(fleet, leader(fleet)).get(0);
+        lagging.crash();
         for (int i = 0; i < 200; i++) {
             add(fleet);
         }
-        away.start();
+        lagging.start();
         fleet.run(10 * SECOND);
-        assertTrue(away.register().values().containsAll(fleet.acknowledged()));
-        assertFalse(away.register().values().size() > fleet.acknowledged().size() + fleet.unknown());
+        assertTrue(lagging.numberLog().values().containsAll(fleet.acknowledged()));
+        assertFalse(lagging.numberLog().values().size() > fleet.acknowledged().size() + fleet.unknownOutcomes());
     }
 }
