--- a/gateway/src/main/java/sandpaddle/config/OutageSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/OutageSettingsReader.java
@@ -67,11 +67,11 @@
 
     private static PhaseSettings phases(SectionReader section) {
         PhaseSettings defaults = OutageSettings.OFF.phase();
-        long lossConfirmUs = durationUs(section, "loss_held_ms", defaults.lossHeldUs());
+        long lossConfirmUs = durationUs(section, "loss_held_ms", defaults.lossConfirmUs());
         long unannouncedLossConfirmUs = durationUs(
-                section, "loss_unannounced_held_ms", Math.max(lossConfirmUs, defaults.lossHeldUnannouncedUs()));
-        long expectMs = section.integer("expect_ms", defaults.expectMs(), 0, 7 * DAY.toMillis());
-        long fillMs = section.integer("fill_ms", Math.min(expectMs, defaults.fillMs()), 0, 7 * DAY.toMillis());
+                section, "loss_unannounced_held_ms", Math.max(lossConfirmUs, defaults.unannouncedLossConfirmUs()));
+        long expectMs = section.integer("expect_ms", defaults.expectLeadMs(), 0, 7 * DAY.toMillis());
+        long fillMs = section.integer("fill_ms", Math.min(expectMs, defaults.prefetchLeadMs()), 0, 7 * DAY.toMillis());
         if (unannouncedLossConfirmUs < lossConfirmUs) {
             section.addError("loss_unannounced_held_ms", "at least 'loss_held_ms'");
             unannouncedLossConfirmUs = lossConfirmUs;
@@ -83,7 +83,7 @@
         return new PhaseSettings(
                 lossConfirmUs,
                 unannouncedLossConfirmUs,
-                durationUs(section, "return_held_ms", defaults.returnHeldUs()),
+                durationUs(section, "return_held_ms", defaults.returnConfirmUs()),
                 durationUs(section, "returning_ms", defaults.returningUs()),
                 expectMs,
                 fillMs,
@@ -120,8 +120,8 @@
                     rule.string("rrule", "", IS_SHORT, ALLOWED_TEXT),
                     rule.strings("exdates", MAX_EXDATES, IS_SHORT, ALLOWED_TEXT)));
         }
-        RuleReader.Read readRules = RuleReader.read(rules);
-        for (RuleReader.Fault error : readRules.faults()) {
+        RuleReader.Result readRules = RuleReader.read(rules);
+        for (RuleReader.RuleError error : readRules.errors()) {
             int bracket = error.path().indexOf(']');
             int index = bracket > 1 ? Integer.parseInt(error.path().substring(1, bracket)) : -1;
             String key = error.path().substring(error.path().lastIndexOf('.') + 1);
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -231,7 +231,7 @@
 
     /** Sets the service that runs the queries of the prefetcher. */
     public void setQueryService(QueryService through) {
-        fetcher.serves(through);
+        fetcher.setQueryService(through);
     }
 
     /** Takes over a changed operator's file while serving: only its fleet-wide part. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -131,7 +131,7 @@
             wanted.stream()
                     .filter(member -> member.zone().equals(zone))
                     .forEach(member -> neighbours.add(member.name()));
-            components.outage().neighbours(neighbours);
+            components.outage().updateNeighbours(neighbours);
         }
         zoneOf = Map.copyOf(zones);
         components.links().setPeers(wanted);
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -40,7 +40,7 @@
     private void dispatch(String from, MessageKind kind, byte[] payload) throws FaultyMessageException {
         long nowUs = components.clock().now();
         if (components.outage() != null && !components.self().zone().equals(topology.zoneOf(from))) {
-            components.outage().heardOutside(nowUs);
+            components.outage().recordOutsideContact(nowUs);
         }
         switch (kind) {
             case RAFT -> {
@@ -88,7 +88,7 @@
                         incarnation,
                         nowUs - components.settings().links().handshakeTimeoutUs());
         if (components.outage() != null) {
-            components.outage().up(peer.name());
+            components.outage().peerUp(peer.name());
         }
         if (components.leader() != null) {
             components.leader().met(peer.name(), nowUs);
@@ -101,7 +101,7 @@
         boolean wasUp = topology.peerDown(peer);
         components.evidence().linkDown(peer);
         if (components.outage() != null) {
-            components.outage().down(peer);
+            components.outage().peerDown(peer);
         }
         if (components.leader() != null) {
             components.leader().lost(peer);
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -49,7 +49,7 @@
         for (LoopEvent event = loopEvents.poll(); event != null; event = loopEvents.poll()) {
             components.evidence().eventReceived(event);
             if (components.outage() != null) {
-                components.outage().heard(event);
+                components.outage().handle(event);
             }
             if (event instanceof LoopEvent.TenantSeen tenantSeen) {
                 components.quotas().met(tenantSeen.tenant());
@@ -124,8 +124,8 @@
         long nowUs = components.clock().now();
         components.evidence().tick(nowUs);
         if (components.outage() != null) {
-            components.outage().link(components.evidence().ownZoneLink());
-            components.evidence().forEachLoadedGroup(nowUs, components.outage()::changed);
+            components.outage().updateLink(components.evidence().ownZoneLink());
+            components.evidence().forEachLoadedGroup(nowUs, components.outage()::dataChanged);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/AnswerFetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/AnswerFetcher.java
@@ -5,7 +5,14 @@
 import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.query.ResultSet;
 
-/** Fetches an answer from an engine by the path of every query; the result is reported on any thread, once. */
+/** Fetches an answer from an engine as an ordinary query. */
 public interface AnswerFetcher {
-    void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> done);
+    /**
+     * Fetches an answer.
+     *
+     * @param key the statement and its class, tenant and user
+     * @param workUs expected engine work in microseconds
+     * @param callback receives the result, or empty if there is none; called once, on any thread
+     */
+    void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> callback);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -9,30 +9,33 @@
 import sandpaddle.query.Answer;
 
 /**
- * Builds the response for a decision about a stored answer: rows with a note, or a refusal until the link is expected
- * back.
+ * Creates the response for a decision on a stored answer: its rows with a note, or a rejection with a Retry-After up to
+ * the expected return of the link. Counts the responses.
  */
 final class OutageResponses {
     private static final long SECOND_MS = 1000;
 
-    private final RefusalPause pauses;
+    private final RefusalPause retryAfter;
     private final SplittableRandom random;
-    private long served, refused;
+    private long servedCount, rejectedCount;
 
-    OutageResponses(RefusalPause pauses, long seed) {
-        this.pauses = pauses;
+    OutageResponses(RefusalPause retryAfter, long seed) {
+        this.retryAfter = retryAfter;
         random = new SplittableRandom(seed);
     }
 
     /**
-     * Empty where the query goes its usual way.
+     * Returns the response; empty if the query is processed as usual.
      *
-     * @param mayRunInside whether an engine within the zone may answer it
-     * @param returnAt when (wall, ms) the link is expected back
+     * @param decision decision on the stored answer
+     * @param isolated whether the zone is isolated
+     * @param canRunInZone whether an engine within the zone may answer the query
+     * @param wallMs wall-clock time in milliseconds
+     * @param returnAtMs expected return of the link (wall clock, ms)
      */
-    Optional<Answer> answer(Decision decision, boolean isolated, boolean mayRunInside, long wallMs, long returnAt) {
+    Optional<Answer> respond(Decision decision, boolean isolated, boolean canRunInZone, long wallMs, long returnAtMs) {
         if (decision instanceof Decision.Stored stored) {
-            served++;
+            servedCount++;
             return Optional.of(new Answer.Served(
                     stored.rows(),
                     String.format(
@@ -41,16 +44,17 @@
                             stored.ageMs() / SECOND_MS,
                             stored.unknownMs() / SECOND_MS)));
         }
-        if (!isolated || mayRunInside) {
+        if (!isolated || canRunInZone) {
             return Optional.empty();
         }
-        refused++;
-        return Optional.of(new Answer.Rejected(Duration.ofMillis(pauses.pause(wallMs, returnAt, random.nextDouble()))));
+        rejectedCount++;
+        return Optional.of(
+                new Answer.Rejected(Duration.ofMillis(retryAfter.pause(wallMs, returnAtMs, random.nextDouble()))));
     }
 
-    /** For the log. */
+    /** Describes the counters for the log. */
     @Override
     public String toString() {
-        return served + " served stored, " + refused + " refused";
+        return servedCount + " served stored, " + rejectedCount + " refused";
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -33,11 +33,11 @@
 import sandpaddle.fleet.outage.phase.Evidence;
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.phase.ZonePhase;
-import sandpaddle.fleet.outage.plan.Allowance;
-import sandpaddle.fleet.outage.plan.AskHistory;
-import sandpaddle.fleet.outage.plan.Budget;
-import sandpaddle.fleet.outage.plan.Catalogue;
+import sandpaddle.fleet.outage.plan.Candidates;
+import sandpaddle.fleet.outage.plan.DemandHistory;
 import sandpaddle.fleet.outage.plan.Fetch;
+import sandpaddle.fleet.outage.plan.FetchLimit;
+import sandpaddle.fleet.outage.plan.PrefetchBudget;
 import sandpaddle.fleet.outage.plan.Prefetcher;
 import sandpaddle.fleet.outage.plan.ReplicaOwners;
 import sandpaddle.fleet.outage.schedule.TimeRange;
@@ -47,254 +47,335 @@
 import sandpaddle.query.ResultSet;
 
 /**
- * One gateway's part in its zone's outages: stores what was answered, fetches what the plan names, replicates it to the
- * neighbour that owns it too, and answers from it while the zone is cut off. All calls come from the thread {@code
- * fleet-content}, which may wait for the disk.
+ * Outage handling of one gateway: stores answers, fetches the planned ones, replicates them to the other owner in the
+ * zone, and serves them while the zone is isolated. All calls come from the thread {@code fleet-content}, which may
+ * wait for the disk.
  */
 public final class OutageService {
-    private static final double NEWEST = 0.3; // of a day in the history of asks
-    private static final long REPLAN_US = 30_000_000;
-    private static final long WANTS_US = 60_000_000; // between two tellings of what is expected to be asked
+    private static final double NEWEST_DAY_WEIGHT = 0.3; // weight of the newest day in the demand history
+    private static final long REPLAN_INTERVAL_US = 30_000_000;
+    private static final long DEMAND_REPORT_INTERVAL_US = 60_000_000;
     private static final long HOUR_MS = 3_600_000;
-    private static final long SAFETY_MS = 5_000;
-    private static final int CATALOGUE = 20_000;
-    private static final long CATALOGUE_BYTES = 16L << 20;
-    private static final int FETCHES = 2; // running at one time
-    private static final long MIN_RETURN_MS = 2_000;
+    private static final double PLANNED_WORK_FRACTION = 0.9;
+    private static final long PREFETCH_SAFETY_MS = 5_000;
+    private static final int MAX_CANDIDATES = 20_000;
+    private static final long MAX_CANDIDATE_BYTES = 16L << 20;
+    private static final int MAX_CONCURRENT_FETCHES = 2;
+    private static final long MIN_RETRY_AFTER_MS = 1;
+    private static final long MIN_REMAINING_MS = 2_000;
 
     private final OutageSettings settings;
     private final String self;
-    private final StorableClasses storable;
+    private final StorableClasses storableClasses;
     private final MonotonicClock clock;
-    private final long process;
-    private final AnswerFetcher fetching;
-    private final ZonePhase phase;
+    private final long incarnation;
+    private final AnswerFetcher fetcher;
+    private final ZonePhase zonePhase;
     private final Margins margins;
     private final ContentStore store;
-    private final ContentReplicaStore shelf;
-    private final ReplicationLinks links;
-    private final AnswerReplication copies;
-    private final Prefetcher prefetch;
-    private final DataChanges changes;
-    private final OutageResponses answers;
-    private final Set<String> live = new TreeSet<>();
-    private long wantsAt = Long.MIN_VALUE / 2;
-    private long heardAt;
+    private final ContentReplicaStore replicaStore;
+    private final ReplicationLinks replicationLinks;
+    private final AnswerReplication replication;
+    private final Prefetcher prefetcher;
+    private final DataChanges dataChanges;
+    private final OutageResponses responses;
+    private final Set<String> liveGateways = new TreeSet<>();
+    private long demandReportedAtUs = Long.MIN_VALUE / 2;
+    private long lastContactUs;
 
-    /** {@code over}: carries copies to neighbours. */
+    /**
+     * Creates the service.
+     *
+     * @param settings settings of outages and stored answers
+     * @param localNode identity and settings of this gateway
+     * @param store store of answers
+     * @param fleetLinks links that carry replication messages to neighbours
+     * @param fetcher fetches answers from engines
+     * @param seed seed of the jitter of Retry-After
+     */
     public OutageService(
             OutageSettings settings,
-            LocalNode itself,
+            LocalNode localNode,
             ContentStore store,
-            Links over,
-            AnswerFetcher fetching,
+            Links fleetLinks,
+            AnswerFetcher fetcher,
             long seed) {
         this.settings = settings;
-        self = itself.name();
-        storable = new StorableClasses(settings.maxAgeMs(), itself.classes(), itself.site());
-        clock = itself.clock();
-        process = itself.incarnation();
+        self = localNode.name();
+        storableClasses = new StorableClasses(settings.maxAgeMs(), localNode.classes(), localNode.site());
+        clock = localNode.clock();
+        incarnation = localNode.incarnation();
         this.store = store;
-        this.fetching = fetching;
+        this.fetcher = fetcher;
         margins = new Margins(settings.margins());
-        phase = new ZonePhase(
-                itself.zone(), settings.schedule(), margins, settings.margins().maxMs(), settings.phase());
-        shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
-        copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
-        links = new ReplicationLinks(over, copies);
-        changes = new DataChanges(process, settings.content().wallSlackMs() * 1000);
-        prefetch = new Prefetcher(
+        zonePhase = new ZonePhase(
+                localNode.zone(),
+                settings.schedule(),
+                margins,
+                settings.margins().maxMs(),
+                settings.phase());
+        replicaStore =
+                new ContentReplicaStore(store, incarnation, settings.content().wallSlackMs());
+        replication = new AnswerReplication(
+                ReplicationSettings.DEFAULT, replicaStore, replicaStore::age, this::receiveDemand);
+        replicationLinks = new ReplicationLinks(fleetLinks, replication);
+        dataChanges = new DataChanges(incarnation, settings.content().wallSlackMs() * 1000);
+        prefetcher = new Prefetcher(
                 self,
-                new Budget(
-                        settings.content().memoryBytes() / ReplicaOwners.COPIES, settings.fillWorkUs(), 0.9, SAFETY_MS),
-                REPLAN_US,
-                new AskHistory(NEWEST),
-                new Catalogue(CATALOGUE, CATALOGUE_BYTES));
-        answers = new OutageResponses(
+                new PrefetchBudget(
+                        settings.content().memoryBytes() / ReplicaOwners.REPLICA_COUNT,
+                        settings.fillWorkUs(),
+                        PLANNED_WORK_FRACTION,
+                        PREFETCH_SAFETY_MS),
+                REPLAN_INTERVAL_US,
+                new DemandHistory(NEWEST_DAY_WEIGHT),
+                new Candidates(MAX_CANDIDATES, MAX_CANDIDATE_BYTES));
+        responses = new OutageResponses(
                 new RefusalPause(
-                        1,
-                        Math.max(1, itself.site().limits().maxRetryAfterUs() / 1000),
+                        MIN_RETRY_AFTER_MS,
+                        Math.max(1, localNode.site().limits().maxRetryAfterUs() / 1000),
                         settings.phase().returningUs() / 1000),
                 seed);
-        live.add(self);
-        heardAt = clock.now();
+        liveGateways.add(self);
+        lastContactUs = clock.now();
     }
 
-    private static long wall() {
+    private static long wallClockMs() {
         return System.currentTimeMillis();
     }
 
-    /** The zone's gateways that live, this one among them. */
-    public void neighbours(Set<String> names) {
-        Set<String> before = new TreeSet<>(live);
-        live.clear();
-        live.addAll(names);
-        live.add(self);
-        before.stream().filter(n -> !live.contains(n)).forEach(copies::forget);
-        if (!before.equals(live)) {
-            for (ContentId id : store.ids()) { // what a dead one held has a new holder
-                ReplicaOwners.afterChange(id, before, live, self).forEach(to -> copies.offer(to, id));
+    /** Updates the live gateways of the zone; the set may contain this gateway. */
+    public void updateNeighbours(Set<String> names) {
+        Set<String> previousGateways = new TreeSet<>(liveGateways);
+        liveGateways.clear();
+        liveGateways.addAll(names);
+        liveGateways.add(self);
+        previousGateways.stream().filter(name -> !liveGateways.contains(name)).forEach(replication::forget);
+        if (!previousGateways.equals(liveGateways)) {
+            for (ContentId id : store.ids()) { // the answers of a gateway that is gone have a new owner
+                ReplicaOwners.replicationTargetsAfterChange(id, previousGateways, liveGateways, self)
+                        .forEach(to -> replication.offer(to, id));
             }
         }
     }
 
-    public void up(String peer) {
-        copies.up(peer);
+    /** Records that the link to a peer came up. */
+    public void peerUp(String peer) {
+        replication.up(peer);
     }
 
-    public void down(String peer) {
-        copies.down(peer);
+    /** Records that the link to a peer ended. */
+    public void peerDown(String peer) {
+        replication.down(peer);
     }
 
+    /**
+     * Handles a replication message of a neighbour.
+     *
+     * @throws FaultyMessageException if the message is invalid
+     */
     public void received(String from, byte[] payload) throws FaultyMessageException {
-        shelf.at(clock.now(), wall());
-        links.received(from, payload, clock.now());
+        replicaStore.at(clock.now(), wallClockMs());
+        replicationLinks.received(from, payload, clock.now());
     }
 
-    private void wanted(String from, ReplicationMessage.Want want) {
-        prefetch.wanted(from, want.what(), want.asks());
+    private void receiveDemand(String from, ReplicationMessage.Want report) {
+        prefetcher.receiveDemand(from, report.what(), report.asks());
     }
 
-    /** What the loop heard. */
-    public void heard(LoopEvent event) {
+    /** Handles an event of the event loop: a query received, or an attempt that ended. */
+    public void handle(LoopEvent event) {
         if (event instanceof LoopEvent.QueryReceived query
-                && storable.repeats(query.classIndex())
-                && storable.maxAgeMs(query.classIndex()) > 0) {
-            prefetch.asked(
-                    wall(), storable.key(query.classIndex(), query.query()).id().a());
+                && storableClasses.isRepeatable(query.classIndex())
+                && storableClasses.maxAgeMs(query.classIndex()) > 0) {
+            prefetcher.recordRequest(
+                    wallClockMs(),
+                    storableClasses
+                            .keyOf(query.classIndex(), query.query())
+                            .id()
+                            .a());
         } else if (event instanceof LoopEvent.AttemptEnded attempt && attempt.rows() != null) {
-            if (storable.repeats(attempt.classIndex())) {
-                take(
+            if (storableClasses.isRepeatable(attempt.classIndex())) {
+                recordAnswer(
                         attempt.classIndex(),
-                        storable.key(attempt.classIndex(), attempt.query()),
+                        storableClasses.keyOf(attempt.classIndex(), attempt.query()),
                         attempt.query().dataGroup(),
                         attempt.rows(),
                         attempt.nowUs(),
                         attempt.latencyUs());
             } else {
-                changed(attempt.query().dataGroup(), attempt.nowUs());
+                dataChanged(attempt.query().dataGroup(), attempt.nowUs());
             }
         }
     }
 
-    /** Another gateway's load has changed a data group; below 0: any. */
-    public void changed(long group, long loadUs) {
-        long wallMs = wall() - (clock.now() - loadUs) / 1000;
+    /**
+     * Records that a load changed a data group.
+     *
+     * @param group the data group; negative if it is not known
+     * @param loadEndUs end of the load in microseconds of monotonic time
+     */
+    public void dataChanged(long group, long loadEndUs) {
+        long wallMs = wallClockMs() - (clock.now() - loadEndUs) / 1000;
         if (group < 0) {
-            changes.changedUnknown(loadUs, wallMs);
+            dataChanges.changedUnknown(loadEndUs, wallMs);
         } else {
-            changes.changed(group, loadUs, wallMs);
+            dataChanges.changed(group, loadEndUs, wallMs);
         }
     }
 
-    private void take(int classIndex, ContentKey key, long group, ResultSet rows, long loadUs, long latencyUs) {
-        if (storable.maxAgeMs(classIndex) > 0 && key.isStorable()) {
-            Candidate candidate = storable.candidate(classIndex, key, group, rows, latencyUs, store.askedAt(key.id()));
-            prefetch.served(candidate);
-            put(candidate, rows, loadUs - latencyUs);
+    private void recordAnswer(
+            int classIndex, ContentKey key, long group, ResultSet rows, long endedAtUs, long latencyUs) {
+        if (storableClasses.maxAgeMs(classIndex) > 0 && key.isStorable()) {
+            Candidate candidate =
+                    storableClasses.toCandidate(classIndex, key, group, rows, latencyUs, store.askedAt(key.id()));
+            prefetcher.recordAnswer(candidate);
+            storeAnswer(candidate, rows, endedAtUs - latencyUs);
         }
     }
 
-    /** {@code askedAt}: when (us, monotonic) an engine was asked. */
-    private boolean put(Candidate candidate, ResultSet rows, long askedAt) {
+    /**
+     * Stores an answer and offers it to the other owner; returns whether it was stored.
+     *
+     * @param fetchedAtUs when an engine was asked, in microseconds of monotonic time
+     */
+    private boolean storeAnswer(Candidate candidate, ResultSet rows, long fetchedAtUs) {
         long nowUs = clock.now();
-        long wallMs = wall();
-        long askedWall = wallMs - (nowUs - askedAt) / 1000;
-        TimeRange ahead = ahead(nowUs, wallMs).orElse(new TimeRange(wallMs, wallMs + HOUR_MS));
+        long wallMs = wallClockMs();
+        long fetchedAtMs = wallMs - (nowUs - fetchedAtUs) / 1000;
+        TimeRange outage = expectedOutage(nowUs, wallMs).orElse(new TimeRange(wallMs, wallMs + HOUR_MS));
         StoredAnswer answer = new StoredAnswer(
                 new AnswerMetadata(
                         candidate.key(),
                         candidate.groups(),
-                        askedWall,
-                        askedAt,
-                        process,
+                        fetchedAtMs,
+                        fetchedAtUs,
+                        incarnation,
                         candidate.maxAgeMs(),
-                        prefetch.worth(candidate, askedWall, ahead)),
+                        prefetcher.value(candidate, fetchedAtMs, outage)),
                 rows);
         if (!store.put(answer, nowUs, wallMs)) {
             return false;
         }
-        ReplicaOwners.copyTo(candidate.key().id(), live, self)
-                .ifPresent(to -> copies.offer(to, candidate.key().id()));
+        ReplicaOwners.replicationTarget(candidate.key().id(), liveGateways, self)
+                .ifPresent(to -> replication.offer(to, candidate.key().id()));
         return true;
     }
 
-    /** The outage that is expected, with the margins that were learnt. */
-    private Optional<TimeRange> ahead(long nowUs, long wallMs) {
-        return phase.lossAt()
-                .map(at -> new TimeRange(at, Math.max(at + 1, phase.returnAt(nowUs, wallMs, MIN_RETURN_MS))));
+    /** Returns the expected outage, margins included. */
+    private Optional<TimeRange> expectedOutage(long nowUs, long wallMs) {
+        return zonePhase
+                .expectedLossMs()
+                .map(lossMs -> new TimeRange(
+                        lossMs, Math.max(lossMs + 1, zonePhase.expectedReturnMs(nowUs, wallMs, MIN_REMAINING_MS))));
     }
 
-    /** Time passes; {@code busy}: live traffic or a storm needs what filling would take. */
-    public void tick(Evidence evidence, long heardOutsideAt, boolean busy) {
+    /**
+     * Updates the phase, starts fetches that are due, and sends replication messages.
+     *
+     * @param evidence what is known of the zone's link
+     * @param outsideContactUs last receipt of a message from outside the zone, in microseconds of monotonic time
+     * @param busy whether live traffic or a retry storm needs the capacity that prefetching would use
+     */
+    public void tick(Evidence evidence, long outsideContactUs, boolean busy) {
         long nowUs = clock.now();
-        long wallMs = wall();
-        heardAt = Math.max(heardAt, heardOutsideAt);
-        phase.turn(nowUs, wallMs, evidence)
-                .ifPresent(
-                        m -> Logger.info("fleet: hall moves: {} -> {} ({}), {}", m.from(), m.to(), m.why(), answers));
-        phase.endings().forEach(margins::learn);
-        shelf.at(nowUs, wallMs);
-        Optional<TimeRange> ahead = ahead(nowUs, wallMs);
-        Allowance allowance =
-                busy ? Allowance.NONE : new Allowance(FETCHES, settings.fillWorkUs() / Math.max(1, live.size()));
-        for (Fetch fetch : prefetch.turn(
-                nowUs, wallMs, new Prefetcher.View(phase.phase(), ahead, live), allowance, store::askedAt)) {
-            fetch(fetch);
+        long wallMs = wallClockMs();
+        lastContactUs = Math.max(lastContactUs, outsideContactUs);
+        zonePhase
+                .update(nowUs, wallMs, evidence)
+                .ifPresent(transition -> Logger.info(
+                        "fleet: hall moves: {} -> {} ({}), {}",
+                        transition.from(),
+                        transition.to(),
+                        transition.reason(),
+                        responses));
+        zonePhase.drainOutcomes().forEach(margins::learn);
+        replicaStore.at(nowUs, wallMs);
+        Optional<TimeRange> outage = expectedOutage(nowUs, wallMs);
+        FetchLimit limit = busy
+                ? FetchLimit.NONE
+                : new FetchLimit(MAX_CONCURRENT_FETCHES, settings.fillWorkUs() / Math.max(1, liveGateways.size()));
+        for (Fetch fetch : prefetcher.startDueFetches(
+                nowUs,
+                wallMs,
+                new Prefetcher.ZoneState(zonePhase.phase(), outage, liveGateways),
+                limit,
+                store::askedAt)) {
+            startFetch(fetch);
         }
-        if (ahead.isPresent() && phase.phase() != Phase.ISOLATED && nowUs - wantsAt >= WANTS_US) {
-            wantsAt = nowUs;
-            List<OutgoingMessage> told = new ArrayList<>();
-            prefetch.wants(ahead.get(), live)
-                    .forEach(w ->
-                            told.add(new OutgoingMessage(w.to(), new ReplicationMessage.Want(w.what(), w.asks()))));
-            links.send(told);
+        if (outage.isPresent()
+                && zonePhase.phase() != Phase.ISOLATED
+                && nowUs - demandReportedAtUs >= DEMAND_REPORT_INTERVAL_US) {
+            demandReportedAtUs = nowUs;
+            List<OutgoingMessage> messages = new ArrayList<>();
+            prefetcher
+                    .demandReports(outage.get(), liveGateways)
+                    .forEach(report -> messages.add(new OutgoingMessage(
+                            report.recipient(), new ReplicationMessage.Want(report.candidate(), report.demand()))));
+            replicationLinks.send(messages);
         }
-        links.tick(nowUs);
+        replicationLinks.tick(nowUs);
         store.tick(nowUs, wallMs);
-        store.faults().forEach(f -> Logger.warn("fleet: stored answers, disk {}: {} {}", f.kind(), f.file(), f.what()));
+        store.faults()
+                .forEach(fault -> Logger.warn(
+                        "fleet: answer store disk fault {}, file '{}': {}", fault.kind(), fault.file(), fault.what()));
     }
 
-    private void fetch(Fetch fetch) {
-        long loadUs = clock.now();
-        fetching.fetch(fetch.what().key(), fetch.what().workUs(), rows -> {
-            boolean stored = rows.isPresent() && put(fetch.what(), rows.get(), loadUs);
-            prefetch.ended(fetch.what().key().id(), stored);
+    private void startFetch(Fetch fetch) {
+        long startedAtUs = clock.now();
+        fetcher.fetch(fetch.candidate().key(), fetch.candidate().workUs(), rows -> {
+            boolean stored = rows.isPresent() && storeAnswer(fetch.candidate(), rows.get(), startedAtUs);
+            prefetcher.fetchEnded(fetch.candidate().key().id(), stored);
         });
     }
 
-    /** Whether the zone is cut off, as of the last {@link #tick}. */
+    /** Whether the zone was isolated at the last {@link #tick}. */
     public boolean isIsolated() {
-        return phase.phase() == Phase.ISOLATED;
+        return zonePhase.phase() == Phase.ISOLATED;
     }
 
+    /** Returns the phase of the zone. */
     public Phase phase() {
-        return phase.phase();
+        return zonePhase.phase();
     }
 
-    /** The answer to a query while the zone is cut off; empty where it goes its usual way after all. */
-    public void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> answer) {
+    /**
+     * Looks up the response to a query while the zone is isolated.
+     *
+     * @param classIndex index of the query's class
+     * @param query the query
+     * @param enginesInZone whether there are engines within the zone
+     * @param callback receives the response; empty if the query is processed as usual
+     */
+    public void lookUp(int classIndex, Query query, boolean enginesInZone, Consumer<Optional<Answer>> callback) {
         long nowUs = clock.now();
-        long wallMs = wall();
-        ContentKey key = storable.key(classIndex, query);
+        long wallMs = wallClockMs();
+        ContentKey key = storableClasses.keyOf(classIndex, query);
         Optional<StoredAnswer> found =
-                storable.repeats(classIndex) && storable.maxAgeMs(classIndex) > 0 ? store.find(key) : Optional.empty();
-        ServeContext s = new ServeContext(
+                storableClasses.isRepeatable(classIndex) && storableClasses.maxAgeMs(classIndex) > 0
+                        ? store.find(key)
+                        : Optional.empty();
+        ServeContext context = new ServeContext(
                 isIsolated(),
                 nowUs,
                 wallMs,
-                process,
+                incarnation,
                 store.trusts(wallMs),
                 settings.content().wallSlackMs(),
-                heardAt,
+                lastContactUs,
                 settings.content().maxUnheardMs());
-        Decision decision =
-                ServeRule.decide(key, storable.repeats(classIndex), storable.maxAgeMs(classIndex), found, s, changes);
-        answer.accept(answers.answer(
+        Decision decision = ServeRule.decide(
+                key,
+                storableClasses.isRepeatable(classIndex),
+                storableClasses.maxAgeMs(classIndex),
+                found,
+                context,
+                dataChanges);
+        callback.accept(responses.respond(
                 decision,
                 isIsolated(),
-                enginesInside && storable.repeats(classIndex),
+                enginesInZone && storableClasses.isRepeatable(classIndex),
                 wallMs,
-                phase.returnAt(nowUs, wallMs, MIN_RETURN_MS)));
+                zonePhase.expectedReturnMs(nowUs, wallMs, MIN_REMAINING_MS)));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -25,8 +25,8 @@
 import sandpaddle.query.Query;
 
 /**
- * The zone's outages on a thread of their own ({@code fleet-content}), which waits for the disk so that nobody else
- * does. What it finds is published for the fleet's thread; what it is told is queued, bounded, and may be lost.
+ * Runs {@link OutageService} on its own thread ({@code fleet-content}), so that disk waits delay no other thread. Calls
+ * are queued; the queue is bounded, and a call may be dropped. Results are published for the fleet's thread.
  */
 public final class OutageThread implements AutoCloseable {
     private static final long TICK_US = 200_000;
@@ -35,45 +35,56 @@
     private final OutageService service;
     private final MonotonicClock clock;
     private volatile FleetView.Isolation isolation = FleetView.Isolation.NONE;
-    private volatile ZoneLink link;
-    private volatile long heardOutsideAt;
-
-    /** {@code directory}: of this gateway, null for none; {@code busy}: whether live traffic needs all there is. */
+    private volatile ZoneLink latestLink;
+    private volatile long outsideContactUs;
+
+    /**
+     * Creates and starts the thread.
+     *
+     * @param settings settings of outages and stored answers
+     * @param self identity and settings of this gateway
+     * @param directory directory of this gateway; null to store in memory only
+     * @param links links that carry replication messages to neighbours
+     * @param fetcher fetches answers from engines
+     * @param busy whether live traffic needs all capacity
+     * @param seed seed of the jitter of Retry-After
+     */
     public OutageThread(
             OutageSettings settings,
             LocalNode self,
             Path directory,
-            Links over,
-            AnswerFetcher fetching,
+            Links links,
+            AnswerFetcher fetcher,
             BooleanSupplier busy,
             long seed) {
         clock = self.clock();
-        heardOutsideAt = clock.now();
-        OutageSettings.Content c = settings.content();
-        Optional<DiskTier> disk = c.diskBytes() == 0 || directory == null
+        outsideContactUs = clock.now();
+        OutageSettings.Content content = settings.content();
+        Optional<DiskTier> disk = content.diskBytes() == 0 || directory == null
                 ? Optional.empty()
                 : Optional.of(DiskTier.open(
                         new DirectoryFiles(directory.resolve("content")),
                         new DiskSettings(
-                                c.diskBytes(),
-                                c.segmentBytes(),
-                                c.entries(),
+                                content.diskBytes(),
+                                content.segmentBytes(),
+                                content.entries(),
                                 DiskSettings.DEFAULT.maxFiles(),
                                 DiskSettings.DEFAULT.retryUs()),
                         System.currentTimeMillis()));
         service = new OutageService(
                 settings,
                 self,
-                new ContentStore(new MemoryTier(c.memoryBytes()), disk, c.flushUs()),
-                over,
-                (key, work, done) -> fetching.fetch(key, work, rows -> thread.execute(() -> done.accept(rows))),
+                new ContentStore(new MemoryTier(content.memoryBytes()), disk, content.flushUs()),
+                links,
+                (key, workUs, callback) ->
+                        fetcher.fetch(key, workUs, rows -> thread.execute(() -> callback.accept(rows))),
                 seed);
         thread.start();
         thread.scheduleEvery(TICK_US, () -> tick(busy.getAsBoolean()));
     }
 
     private void tick(boolean busy) {
-        ZoneLink zoneLink = link;
+        ZoneLink zoneLink = latestLink;
         Evidence evidence = zoneLink == null || zoneLink.state() == ZoneLink.State.UNKNOWN
                 ? Evidence.NONE
                 : new Evidence(
@@ -81,62 +92,80 @@
                                 ? Evidence.Link.REACHABLE
                                 : Evidence.Link.UNREACHABLE,
                         zoneLink.sinceUs());
-        service.tick(evidence, heardOutsideAt, busy);
+        service.tick(evidence, outsideContactUs, busy);
         if (service.isIsolated() != isolation.isIsolated()) {
             isolation = new FleetView.Isolation(service.isIsolated(), clock.now(), 0);
         }
     }
 
-    /** What the fleet's thread knows of the zone's link now. */
-    public void link(ZoneLink now) {
-        link = now;
+    /** Updates the state of the zone's link as known to the fleet's thread. */
+    public void updateLink(ZoneLink link) {
+        latestLink = link;
     }
 
-    /** Something came from outside the zone. */
-    public void heardOutside(long at) {
-        heardOutsideAt = at;
+    /** Records the receipt of a message from outside the zone. */
+    public void recordOutsideContact(long nowUs) {
+        outsideContactUs = nowUs;
     }
 
+    /** Returns whether the zone is isolated, as of the last tick. */
     public FleetView.Isolation isolation() {
         return isolation;
     }
 
-    public void heard(LoopEvent event) {
+    /** Queues an event of the event loop; other events than received queries and ended attempts are ignored. */
+    public void handle(LoopEvent event) {
         if (event instanceof LoopEvent.QueryReceived || event instanceof LoopEvent.AttemptEnded) {
-            thread.execute(() -> service.heard(event));
+            thread.execute(() -> service.handle(event));
         }
     }
 
-    /** Another gateway's load has changed a data group. */
-    public void changed(long group, long at) {
-        thread.execute(() -> service.changed(group, at));
+    /**
+     * Records that a load of another gateway changed a data group.
+     *
+     * @param group the data group; negative if it is not known
+     * @param loadEndUs end of the load in microseconds of monotonic time
+     */
+    public void dataChanged(long group, long loadEndUs) {
+        thread.execute(() -> service.dataChanged(group, loadEndUs));
     }
 
-    public void neighbours(Set<String> names) {
-        thread.execute(() -> service.neighbours(names));
+    /** Updates the live gateways of the zone. */
+    public void updateNeighbours(Set<String> names) {
+        thread.execute(() -> service.updateNeighbours(names));
     }
 
-    public void up(String peer) {
-        thread.execute(() -> service.up(peer));
+    /** Records that the link to a peer came up. */
+    public void peerUp(String peer) {
+        thread.execute(() -> service.peerUp(peer));
     }
 
-    public void down(String peer) {
-        thread.execute(() -> service.down(peer));
+    /** Records that the link to a peer ended. */
+    public void peerDown(String peer) {
+        thread.execute(() -> service.peerDown(peer));
     }
 
+    /** Handles a replication message of a neighbour; an invalid one is logged and dropped. */
     public void received(String from, byte[] payload) {
         thread.execute(() -> {
             try {
                 service.received(from, payload);
             } catch (FaultyMessageException e) {
-                Logger.warn("fleet: dropped a message of stored answers from {}: {}", from, e.getMessage());
+                Logger.warn("fleet: dropped an invalid message about stored answers from {}: {}", from, e.getMessage());
             }
         });
     }
 
-    /** {@code then} is told on this thread. */
-    public void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> then) {
-        thread.execute(() -> service.lookUp(classIndex, query, enginesInside, then));
+    /**
+     * Looks up the response to a query while the zone is isolated.
+     *
+     * @param classIndex index of the query's class
+     * @param query the query
+     * @param enginesInZone whether there are engines within the zone
+     * @param callback receives the response on this thread; empty if the query is processed as usual
+     */
+    public void lookUp(int classIndex, Query query, boolean enginesInZone, Consumer<Optional<Answer>> callback) {
+        thread.execute(() -> service.lookUp(classIndex, query, enginesInZone, callback));
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
@@ -13,45 +13,54 @@
 import sandpaddle.query.QueryService;
 import sandpaddle.query.ResultSet;
 
-/** Fetches by the path of every query, under a trace of its own, and under the tenant of what is fetched ahead. */
+/** Fetches answers as ordinary queries with a trace of their own, under the tenant {@value #TENANT}. */
 public final class QueryPathFetcher implements AnswerFetcher {
-    /** The tenant that it counts as, for limits and pools. */
+    /** Tenant of the queries for limits and pools. */
     public static final String TENANT = "prefetch";
 
     private final List<String> classes;
-    private final DecisionSettings site;
-    private final Queue<Runnable> loop; // tasks for the loop's thread
-    private final Runnable wake;
-    private final SplittableRandom random; // of the loop's thread
-    private volatile QueryService service; // null until it is there
+    private final DecisionSettings settings;
+    private final Queue<Runnable> loopTasks;
+    private final Runnable wakeUp;
+    private final SplittableRandom random; // used on the event loop's thread only
+    private volatile QueryService service; // null until set
 
+    /**
+     * Creates a fetcher; fetches fail until {@link #setQueryService} is called.
+     *
+     * @param classes names of the query classes by index
+     * @param settings settings of the decision module
+     * @param loopTasks queue of tasks for the event loop's thread
+     * @param wakeUp wakes the event loop
+     * @param seed seed of the trace identifiers
+     */
     public QueryPathFetcher(
-            List<String> classes, DecisionSettings site, Queue<Runnable> loop, Runnable wake, long seed) {
+            List<String> classes, DecisionSettings settings, Queue<Runnable> loopTasks, Runnable wakeUp, long seed) {
         this.classes = classes;
-        this.site = site;
-        this.loop = loop;
-        this.wake = wake;
+        this.settings = settings;
+        this.loopTasks = loopTasks;
+        this.wakeUp = wakeUp;
         random = new SplittableRandom(seed);
     }
 
-    /** What queries are asked of, from now on. */
-    public void serves(QueryService through) {
-        service = through;
+    /** Sets the service that answers the queries. */
+    public void setQueryService(QueryService newService) {
+        service = newService;
     }
 
     @Override
-    public void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> done) {
-        loop.add(() -> {
+    public void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> callback) {
+        loopTasks.add(() -> {
             int classIndex = classes.indexOf(key.cls());
-            QueryService to = service;
-            if (to == null || classIndex < 0) {
-                done.accept(Optional.empty());
+            QueryService target = service;
+            if (target == null || classIndex < 0) {
+                callback.accept(Optional.empty());
                 return;
             }
             Query query = new Query(
                     key.cls(),
                     "%016x".formatted(random.nextLong()),
-                    Micros.span(site.classes().get(classIndex).deadlineUs()),
+                    Micros.span(settings.classes().get(classIndex).deadlineUs()),
                     Micros.span(workUs),
                     0,
                     -1,
@@ -62,8 +71,11 @@
                     key.user(),
                     "",
                     "");
-            to.submit(query, a -> done.accept(a instanceof Answer.Served s ? Optional.of(s.rows()) : Optional.empty()));
+            target.submit(
+                    query,
+                    answer -> callback.accept(
+                            answer instanceof Answer.Served served ? Optional.of(served.rows()) : Optional.empty()));
         });
-        wake.run();
+        wakeUp.run();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
@@ -10,33 +10,49 @@
 import sandpaddle.query.Query;
 import sandpaddle.query.ResultSet;
 
-/** Which answers may be stored: those of classes that may be repeated and whose age is stated, by class's name. */
-record StorableClasses(Map<String, Long> maxAge, List<String> classes, DecisionSettings site) {
+/**
+ * Query classes whose answers may be stored: those that are repeatable and have a maximum age.
+ *
+ * @param maxAgeMsByClass maximum age of stored answers in milliseconds, by name of the class
+ * @param classes names of the query classes by index
+ * @param settings settings of the decision module
+ */
+record StorableClasses(Map<String, Long> maxAgeMsByClass, List<String> classes, DecisionSettings settings) {
 
-    /** How old an answer of a class may be handed out; 0: it is never stored. */
+    /** Returns the maximum age (ms) at which a stored answer of a class may be served; 0 if it is never stored. */
     long maxAgeMs(int classIndex) {
-        return maxAge.getOrDefault(classes.get(classIndex), 0L);
+        return maxAgeMsByClass.getOrDefault(classes.get(classIndex), 0L);
     }
 
-    boolean repeats(int classIndex) {
-        return site.classes().get(classIndex).idempotency() == Idempotency.IDEMPOTENT;
+    boolean isRepeatable(int classIndex) {
+        return settings.classes().get(classIndex).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    ContentKey key(int classIndex, Query query) {
+    ContentKey keyOf(int classIndex, Query query) {
         return new ContentKey(query.tenant(), query.user(), classes.get(classIndex), query.statement());
     }
 
-    /** {@code group}: the data group that it reads, below 0 where none is known. */
-    Candidate candidate(int classIndex, ContentKey key, long group, ResultSet rows, long latencyUs, long storedAt) {
-        long bytes = rows.pages().stream().mapToLong(p -> p.length).sum() + key.size();
+    /**
+     * Creates a candidate from an answer.
+     *
+     * @param classIndex index of the class
+     * @param key key of the answer
+     * @param dataGroup data group that the answer is read from; negative if it is not known
+     * @param rows the answer
+     * @param latencyUs latency of the attempt, taken as its engine work, in microseconds
+     * @param storedAtMs when the stored copy was fetched (wall clock, ms), or -1 without one
+     */
+    Candidate toCandidate(
+            int classIndex, ContentKey key, long dataGroup, ResultSet rows, long latencyUs, long storedAtMs) {
+        long bytes = rows.pages().stream().mapToLong(page -> page.length).sum() + key.size();
         return new Candidate(
                 key,
                 key.id().a(),
-                group < 0 ? Set.of() : Set.of(group),
+                dataGroup < 0 ? Set.of() : Set.of(dataGroup),
                 bytes,
                 latencyUs,
                 maxAgeMs(classIndex),
-                site.classes().get(classIndex).priorityWeight(),
-                storedAt);
+                settings.classes().get(classIndex).priorityWeight(),
+                storedAtMs);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/Margins.java
@@ -9,126 +9,142 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * How far outages stray from their plan, by zone and rule: the margin before is the quantile of how early earlier
- * ones began, the margin after that of how late they ended, each clipped to the settings. Exact quantiles over the
- * last {@value OffsetHistory#SIZE} windows: a sketch as KLL would save nothing at so few, and never forget. A missed
- * window moves no margin, nor does one in which the clock was set; an offset beyond the longest margin counts as that,
- * so that one strange window moves a quantile by one place and no further. At most {@value #MAX_RULES} rules of
- * {@code 2 * 8 * SIZE} bytes are known; the one not heard of for longest goes first.
+ * Learned margins around outage windows, by zone and rule. The margin before a window is a quantile of how early the
+ * outages of earlier windows began, the margin after it a quantile of how late they ended; both are clamped to the
+ * settings.
+ *
+ * <p>Quantiles are exact over the last {@value OffsetHistory#CAPACITY} windows: a sketch such as KLL would save no
+ * memory at this size and would never discard old windows. Missed windows and windows in which the wall clock was set
+ * change no margin. An offset beyond the longest margin counts as the longest margin, so that one outlier shifts the
+ * quantile by one rank only. At most {@value #MAX_RULES} rules are kept, with {@code 2 * 8 * CAPACITY} bytes of offsets
+ * each; the least recently used rule is evicted. Not thread-safe.
  */
 public final class Margins {
     static final int MAX_RULES = 1024;
-    private static final int VERSION = 1;
-    private static final int MAX_NAME = 64;
+    private static final int FORMAT_VERSION = 1;
+    private static final int MAX_NAME_BYTES = 64;
 
-    private static final class Learnt {
-        private final OffsetHistory early = new OffsetHistory();
-        private final OffsetHistory late = new OffsetHistory();
+    private static final class RuleHistory {
+        private final OffsetHistory earlyStarts = new OffsetHistory();
+        private final OffsetHistory lateEnds = new OffsetHistory();
         private long missed;
     }
 
     private record RuleKey(String zone, String rule) {}
 
     private final MarginSettings settings;
-    private final Map<RuleKey, Learnt> byRule = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<RuleKey, RuleHistory> byRule = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<RuleKey, Learnt> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<RuleKey, RuleHistory> eldest) {
             return size() > MAX_RULES;
         }
     };
 
+    /** Creates margins without history. */
     public Margins(MarginSettings settings) {
         this.settings = settings;
     }
 
-    /** Learns from a window that is over; one that several rules made teaches each of them. */
-    public void learn(WindowOutcome e) {
-        for (String rule : e.rules()) {
-            Learnt l = byRule.computeIfAbsent(new RuleKey(e.zone(), rule), p -> new Learnt());
-            if (e.doubtful()) {
+    /** Records the outcome of a window that is over for each rule that the window came from. */
+    public void learn(WindowOutcome outcome) {
+        for (String rule : outcome.rules()) {
+            RuleHistory history = byRule.computeIfAbsent(new RuleKey(outcome.zone(), rule), key -> new RuleHistory());
+            if (outcome.unreliable()) {
                 continue;
             }
-            if (e.missed()) {
-                l.missed++;
+            if (outcome.missed()) {
+                history.missed++;
             } else {
-                l.early.add(clipped(-e.startLateMs()));
-                l.late.add(clipped(e.endLateMs()));
+                history.earlyStarts.add(clamp(-outcome.startDelayMs()));
+                history.lateEnds.add(clamp(outcome.endDelayMs()));
             }
         }
     }
 
-    private long clipped(long ms) {
-        return Math.max(-settings.maxMs(), Math.min(settings.maxMs(), ms));
+    private long clamp(long offsetMs) {
+        return Math.max(-settings.maxMs(), Math.min(settings.maxMs(), offsetMs));
     }
 
-    /** How long (ms) before its planned beginning a window may begin: the longest of its rules' margins. */
-    public long before(String zone, Iterable<String> rules) {
-        return max(zone, rules, l -> l.early.isEmpty() ? 0 : l.early.quantile(settings.quantile()));
+    /**
+     * Returns by how many milliseconds an outage may begin before the planned start: the longest margin of the rules.
+     */
+    public long startMarginMs(String zone, Iterable<String> rules) {
+        return maxMarginMs(
+                zone,
+                rules,
+                history -> history.earlyStarts.isEmpty() ? 0 : history.earlyStarts.quantile(settings.quantile()));
     }
 
-    /** How long (ms) after its planned end a window may end. */
-    public long after(String zone, Iterable<String> rules) {
-        return max(zone, rules, l -> l.late.isEmpty() ? 0 : l.late.quantile(settings.quantile()));
+    /** Returns by how many milliseconds an outage may end after the planned end: the longest margin of the rules. */
+    public long endMarginMs(String zone, Iterable<String> rules) {
+        return maxMarginMs(
+                zone,
+                rules,
+                history -> history.lateEnds.isEmpty() ? 0 : history.lateEnds.quantile(settings.quantile()));
     }
 
-    private long max(String zone, Iterable<String> rules, ToLongFunction<Learnt> margin) {
-        long max = settings.minMs();
+    private long maxMarginMs(String zone, Iterable<String> rules, ToLongFunction<RuleHistory> margin) {
+        long maxMs = settings.minMs();
         for (String rule : rules) {
-            Learnt l = byRule.get(new RuleKey(zone, rule));
-            max = Math.max(max, settings.clip(l == null ? 0 : margin.applyAsLong(l)));
+            RuleHistory history = byRule.get(new RuleKey(zone, rule));
+            maxMs = Math.max(maxMs, settings.clamp(history == null ? 0 : margin.applyAsLong(history)));
         }
-        return max;
+        return maxMs;
     }
 
-    /** Windows of a rule that passed without a loss. */
-    public long missed(String zone, String rule) {
-        Learnt l = byRule.get(new RuleKey(zone, rule));
-        return l == null ? 0 : l.missed;
+    /** Returns how many windows of a rule passed without a loss of the link. */
+    public long missedWindows(String zone, String rule) {
+        RuleHistory history = byRule.get(new RuleKey(zone, rule));
+        return history == null ? 0 : history.missed;
     }
 
-    /** All that was learnt, for {@link #take}. */
-    public byte[] export() {
+    /** Encodes the learned margins as CBOR, for {@link #restore}. */
+    public byte[] encode() {
         return new CborOut()
-                .number(VERSION)
-                .list(new ArrayList<>(byRule.entrySet()), (out, e) -> {
-                    out.text(e.getKey().zone).text(e.getKey().rule).number(e.getValue().missed);
-                    offsets(out, e.getValue().early);
-                    offsets(out, e.getValue().late);
+                .number(FORMAT_VERSION)
+                .list(new ArrayList<>(byRule.entrySet()), (output, entry) -> {
+                    output.text(entry.getKey().zone).text(entry.getKey().rule).number(entry.getValue().missed);
+                    writeOffsets(output, entry.getValue().earlyStarts);
+                    writeOffsets(output, entry.getValue().lateEnds);
                 })
                 .done();
     }
 
-    private static void offsets(CborOut out, OffsetHistory ring) {
-        long[] all = ring.oldestFirst();
-        out.number(all.length);
-        for (long v : all) {
-            out.number(v);
+    private static void writeOffsets(CborOut output, OffsetHistory offsets) {
+        long[] ordered = offsets.oldestFirst();
+        output.number(ordered.length);
+        for (long offsetMs : ordered) {
+            output.number(offsetMs);
         }
     }
 
-    /** Takes what was exported in place of what is known; a fault leaves what is known as it was. */
-    public void take(byte[] exported) throws CborIn.FaultyMessageException {
-        CborIn in = new CborIn(exported);
-        in.number(VERSION, VERSION);
-        List<Map.Entry<RuleKey, Learnt>> all = in.list(MAX_RULES, i -> {
-            RuleKey place = new RuleKey(i.text(MAX_NAME), i.text(MAX_NAME));
-            Learnt l = new Learnt();
-            l.missed = i.number(0, Long.MAX_VALUE);
-            offsets(i, l.early);
-            offsets(i, l.late);
-            return Map.entry(place, l);
+    /**
+     * Replaces the learned margins by encoded ones.
+     *
+     * @throws CborIn.FaultyMessageException if the encoding is invalid; the margins are unchanged then
+     */
+    public void restore(byte[] encoded) throws CborIn.FaultyMessageException {
+        CborIn input = new CborIn(encoded);
+        input.number(FORMAT_VERSION, FORMAT_VERSION);
+        List<Map.Entry<RuleKey, RuleHistory>> entries = input.list(MAX_RULES, item -> {
+            RuleKey key = new RuleKey(item.text(MAX_NAME_BYTES), item.text(MAX_NAME_BYTES));
+            RuleHistory history = new RuleHistory();
+            history.missed = item.number(0, Long.MAX_VALUE);
+            readOffsets(item, history.earlyStarts);
+            readOffsets(item, history.lateEnds);
+            return Map.entry(key, history);
         });
-        in.end();
+        input.end();
         byRule.clear();
-        all.forEach(e -> byRule.put(e.getKey(), e.getValue()));
+        entries.forEach(entry -> byRule.put(entry.getKey(), entry.getValue()));
     }
 
-    private void offsets(CborIn in, OffsetHistory ring) throws CborIn.FaultyMessageException {
-        long count = in.number(0, OffsetHistory.SIZE);
+    private void readOffsets(CborIn input, OffsetHistory offsets) throws CborIn.FaultyMessageException {
+        long count = input.number(0, OffsetHistory.CAPACITY);
         for (int i = 0; i < count; i++) {
-            ring.add(clipped(in.number(Long.MIN_VALUE + 1, Long.MAX_VALUE)));
+            offsets.add(clamp(input.number(Long.MIN_VALUE + 1, Long.MAX_VALUE)));
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/OffsetHistory.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/OffsetHistory.java
@@ -2,38 +2,41 @@
 
 import java.util.Arrays;
 
-/** The last few offsets (ms) of one rule, with exact quantiles. */
+/** Ring buffer of the latest offsets (ms) of one rule, with exact quantiles. */
 final class OffsetHistory {
-    /** A quarter's worth of weekly windows and a bit: older ones tell little about the next. */
-    static final int SIZE = 16;
+    /** Slightly more than a quarter of a year of weekly windows; older ones say little about the next. */
+    static final int CAPACITY = 16;
 
-    private final long[] values = new long[SIZE];
+    private final long[] offsetsMs = new long[CAPACITY];
     private int count;
-    private int next;
+    private int nextIndex;
 
-    void add(long value) {
-        values[next] = value;
-        next = (next + 1) % SIZE;
-        count = Math.min(count + 1, SIZE);
+    void add(long offsetMs) {
+        offsetsMs[nextIndex] = offsetMs;
+        nextIndex = (nextIndex + 1) % CAPACITY;
+        count = Math.min(count + 1, CAPACITY);
     }
 
     boolean isEmpty() {
         return count == 0;
     }
 
-    /** The least value that so large a part of the values does not exceed. */
-    long quantile(double part) {
-        long[] sorted = Arrays.copyOf(values, count);
+    /**
+     * Returns the smallest offset that at least this fraction of the offsets does not exceed. The history must not be
+     * empty.
+     */
+    long quantile(double fraction) {
+        long[] sorted = Arrays.copyOf(offsetsMs, count);
         Arrays.sort(sorted);
-        return sorted[Math.max(0, (int) Math.ceil(part * count) - 1)];
+        return sorted[Math.max(0, (int) Math.ceil(fraction * count) - 1)];
     }
 
-    /** Oldest first. */
+    /** Returns the offsets, the oldest first. */
     long[] oldestFirst() {
-        long[] all = new long[count];
+        long[] ordered = new long[count];
         for (int i = 0; i < count; i++) {
-            all[i] = values[(next - count + i + SIZE) % SIZE];
+            ordered[i] = offsetsMs[(nextIndex - count + i + CAPACITY) % CAPACITY];
         }
-        return all;
+        return ordered;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
@@ -3,9 +3,15 @@
 import java.util.Set;
 
 /**
- * How a window truly went. {@code startLateMs} and {@code endLateMs} are how much later than planned the loss and the
- * return came, negative where earlier; meaningless where {@code missed}. {@code doubtful}: the wall clock was set
- * meanwhile, or the outage was under way before the window or ran into the next: the offsets tell nothing of it.
+ * The observed course of an outage window that is over.
+ *
+ * @param zone zone that the window was planned for
+ * @param rules names of the schedule's rules that the window came from
+ * @param missed whether the link was not lost at all; the delays are meaningless then
+ * @param unreliable whether the delays must not be learned from: the wall clock was set during the window, the outage
+ *     had begun before the window was tracked, or it lasted into the next window
+ * @param startDelayMs milliseconds from the planned start to the loss; negative if the loss came early
+ * @param endDelayMs milliseconds from the planned end to the return; negative if the link returned early
  */
 public record WindowOutcome(
-        String zone, Set<String> rules, boolean missed, boolean doubtful, long startLateMs, long endLateMs) {}
+        String zone, Set<String> rules, boolean missed, boolean unreliable, long startDelayMs, long endDelayMs) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Evidence.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Evidence.java
@@ -1,20 +1,27 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * What is known of a zone's link to the engines. {@code since}: monotonic time (us) from which on it has been so
- * without a break; a verdict without fresh evidence is {@link Link#UNKNOWN}.
+ * What is known of the link between a zone and the engines outside it.
+ *
+ * @param link state of the link; {@link Link#UNKNOWN} without a recent verdict
+ * @param sinceUs monotonic time in microseconds since which the state has held without interruption
  */
-public record Evidence(Link link, long since) {
-    /** Whether engines outside the zone answer. */
+public record Evidence(Link link, long sinceUs) {
+    /** Reachability of the engines outside the zone. */
     public enum Link {
+        /** Engines outside the zone answer. */
         REACHABLE,
+        /** No engine outside the zone answers. */
         UNREACHABLE,
+        /** There is no recent evidence. */
         UNKNOWN
     }
 
+    /** No evidence. */
     public static final Evidence NONE = new Evidence(Link.UNKNOWN, 0);
 
-    boolean heldFor(Link which, long now, long us) {
-        return link == which && now - since >= us;
+    /** Whether the link has been in the expected state for at least this time. */
+    boolean hasHeldFor(Link expected, long nowUs, long durationUs) {
+        return link == expected && nowUs - sinceUs >= durationUs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/Phase.java
@@ -1,46 +1,53 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * Where a zone stands. The schedule moves it between the first three only; into and out of {@link #ISOLATED} leads
- * evidence alone, so that a clock that was set, or a schedule that is wrong, never makes a zone serve stored answers.
+ * Phase of a zone in the course of an outage. The schedule causes transitions among the first three phases only. A zone
+ * enters and leaves {@link #ISOLATED} by evidence alone, so a wall clock that was set or a wrong schedule never makes a
+ * zone serve stored answers. The constants appear in log lines.
  */
 public enum Phase {
-    /** The zone reaches the engines, and nothing else is expected soon. */
+    /** The zone reaches the engines and no outage is expected soon. */
     CONNECTED {
         @Override
-        Phase next(PhaseInputs s) {
-            return s.lost() ? ISOLATED : s.due() ? EXPECTING : CONNECTED;
+        Phase next(PhaseInputs inputs) {
+            return inputs.lossConfirmed() ? ISOLATED : inputs.windowDue() ? EXPECTING : CONNECTED;
         }
     },
-    /** A window comes: quotas are moved, the plan is made. */
+    /** An outage window is near: quotas are moved and the prefetch is planned. */
     EXPECTING {
         @Override
-        Phase next(PhaseInputs s) {
-            return s.lost() ? ISOLATED : !s.due() ? CONNECTED : s.filling() ? FILLING : EXPECTING;
+        Phase next(PhaseInputs inputs) {
+            return inputs.lossConfirmed()
+                    ? ISOLATED
+                    : !inputs.windowDue() ? CONNECTED : inputs.prefetchDue() ? FILLING : EXPECTING;
         }
     },
-    /** Results are fetched for the window; also while it is open and the loss has not come. */
+    /** Answers are prefetched for the window; lasts into the window while the link has not been lost. */
     FILLING {
         @Override
-        Phase next(PhaseInputs s) {
-            return s.lost() ? ISOLATED : !s.due() ? CONNECTED : s.filling() ? FILLING : EXPECTING;
+        Phase next(PhaseInputs inputs) {
+            return inputs.lossConfirmed()
+                    ? ISOLATED
+                    : !inputs.windowDue() ? CONNECTED : inputs.prefetchDue() ? FILLING : EXPECTING;
         }
     },
-    /** The engines cannot be reached; stored answers may be served. */
+    /** The zone does not reach the engines; stored answers may be served. */
     ISOLATED {
         @Override
-        Phase next(PhaseInputs s) {
-            return s.back() ? RETURNING : ISOLATED;
+        Phase next(PhaseInputs inputs) {
+            return inputs.returnConfirmed() ? RETURNING : ISOLATED;
         }
     },
-    /** The engines are back; clients and refreshes come back spread. */
+    /** The link has returned; the requests of clients and the refreshes of stored answers are spread over time. */
     RETURNING {
         @Override
-        Phase next(PhaseInputs s) {
-            return s.lost() ? ISOLATED : s.dwelt() >= s.settings().returningUs() ? CONNECTED : RETURNING;
+        Phase next(PhaseInputs inputs) {
+            return inputs.lossConfirmed()
+                    ? ISOLATED
+                    : inputs.timeInPhaseUs() >= inputs.settings().returningUs() ? CONNECTED : RETURNING;
         }
     };
 
-    /** The phase that the signs lead to; this one where they lead nowhere else. */
+    /** Returns the phase that follows from the inputs, or this one if there is no transition. */
     abstract Phase next(PhaseInputs inputs);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseInputs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseInputs.java
@@ -1,12 +1,19 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * What a zone's phase is judged by in one turn.
+ * Inputs that determine the next phase of a zone.
  *
- * @param lost evidence of loss held long enough
- * @param back evidence of return held long enough
- * @param due a window is expected, or open
- * @param filling the time to fill for it has come, or it is open
- * @param dwelt how long (us, monotonic) this phase has lasted
+ * @param lossConfirmed whether the link has been unreachable for the confirmation time
+ * @param returnConfirmed whether the link has been reachable for the confirmation time
+ * @param windowDue whether an outage window is expected soon or open
+ * @param prefetchDue whether prefetching for the window should run
+ * @param timeInPhaseUs monotonic time since the current phase began, in microseconds
+ * @param settings durations of the phases
  */
-record PhaseInputs(boolean lost, boolean back, boolean due, boolean filling, long dwelt, PhaseSettings settings) {}
+record PhaseInputs(
+        boolean lossConfirmed,
+        boolean returnConfirmed,
+        boolean windowDue,
+        boolean prefetchDue,
+        long timeInPhaseUs,
+        PhaseSettings settings) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseSettings.java
@@ -1,36 +1,48 @@
 package sandpaddle.fleet.outage.phase;
 
 /**
- * Dwell times in microseconds of monotonic time, and lead times in milliseconds of the schedule.
+ * Confirmation and lead times of the phases. Confirmation times are in microseconds of monotonic time, lead times in
+ * milliseconds of the schedule's wall-clock time.
  *
- * @param lossHeldUs evidence of loss must hold so long while a window is expected or open
- * @param lossHeldUnannouncedUs and so long where none is: a short break must not look like an outage
- * @param returnHeldUs evidence of return must hold so long
- * @param returningUs how long clients and refreshes are spread after the return
- * @param expectMs a window is expected from so long before its earliest loss
- * @param fillMs and filled for from so long before it; not longer than {@code expectMs}
- * @param settleMs a window's end counts once the link has been back so long: flaps belong to the window
+ * @param lossConfirmUs time for which the link must be unreachable before a loss counts while a window is open or
+ *     clients are returning
+ * @param unannouncedLossConfirmUs the same at any other time; longer, so that a short interruption is not taken for an
+ *     outage
+ * @param returnConfirmUs time for which the link must be reachable before a return counts
+ * @param returningUs duration over which clients and refreshes are spread after the return
+ * @param expectLeadMs how long before its earliest loss a window is expected
+ * @param prefetchLeadMs how long before the earliest loss prefetching starts; at most {@code expectLeadMs}
+ * @param settleMs how long the link must have been back before a window counts as over, so that a flapping link is part
+ *     of the window
  */
 public record PhaseSettings(
-        long lossHeldUs,
-        long lossHeldUnannouncedUs,
-        long returnHeldUs,
+        long lossConfirmUs,
+        long unannouncedLossConfirmUs,
+        long returnConfirmUs,
         long returningUs,
-        long expectMs,
-        long fillMs,
+        long expectLeadMs,
+        long prefetchLeadMs,
         long settleMs) {
+    /** Windows are expected two hours ahead and prefetched for half an hour ahead. */
     public static final PhaseSettings DEFAULT =
             new PhaseSettings(2_000_000, 10_000_000, 5_000_000, 60_000_000, 2 * 3_600_000, 30 * 60_000, 120_000);
 
+    /**
+     * Validates the values.
+     *
+     * @throws IllegalArgumentException if a value is negative or two values contradict each other
+     */
     public PhaseSettings {
-        if (lossHeldUs < 0
-                || lossHeldUnannouncedUs < lossHeldUs
-                || returnHeldUs < 0
+        if (lossConfirmUs < 0
+                || unannouncedLossConfirmUs < lossConfirmUs
+                || returnConfirmUs < 0
                 || returningUs < 0
-                || fillMs < 0
-                || expectMs < fillMs
+                || prefetchLeadMs < 0
+                || expectLeadMs < prefetchLeadMs
                 || settleMs < 0) {
-            throw new IllegalArgumentException("dwell and lead times that contradict each other");
+            throw new IllegalArgumentException(
+                    "confirmation or lead times out of range; expected none negative, lossConfirmUs <="
+                            + " unannouncedLossConfirmUs and prefetchLeadMs <= expectLeadMs");
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseTransition.java
@@ -1,28 +1,34 @@
 package sandpaddle.fleet.outage.phase;
 
-/** A zone's transition from one phase to another, with its reason. */
-public record PhaseTransition(Phase from, Phase to, Why why) {
-    /** What led there. */
-    public enum Why {
-        /** A window is near enough. */
+/**
+ * Transition of a zone from one phase to another.
+ *
+ * @param from phase before the transition
+ * @param to phase after the transition
+ * @param reason cause of the transition
+ */
+public record PhaseTransition(Phase from, Phase to, Reason reason) {
+    /** Cause of a transition. The constants appear in log lines. */
+    public enum Reason {
+        /** An outage window is within the lead time. */
         WINDOW_NEARS,
-        /** The time to fill has come. */
+        /** Prefetching for the window is due. */
         FILL_DUE,
-        /** The schedule changed or the clock was set: the window is further away. */
+        /** The window is further away than before: the schedule was changed or the clock was set. */
         WINDOW_LATER,
-        /** The window is over, was withdrawn, or passed without a loss. */
+        /** The window is over, was withdrawn from the schedule, or passed without a loss. */
         WINDOW_GONE,
-        /** The loss came within a window, margins included. */
+        /** The link was lost within a window, margins included. */
         LOST_EXPECTED,
-        /** The loss came before the margin of a window that was expected. */
+        /** The link was lost before the margin of an expected window. */
         LOST_EARLY,
-        /** The loss came with no window near. */
+        /** The link was lost and no window was near. */
         LOST_UNANNOUNCED,
-        /** The link is back. */
+        /** The link returned. */
         BACK,
-        /** The link was lost again while clients came back. */
+        /** The link was lost again while clients were returning. */
         LOST_AGAIN,
-        /** Clients have come back. */
+        /** The time over which clients return has passed. */
         SETTLED
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/ZonePhase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/ZonePhase.java
@@ -11,32 +11,44 @@
 import sandpaddle.fleet.outage.schedule.Window;
 
 /**
- * The state machine of one zone: from the schedule it learns what to expect, from evidence on the zone's link what is
- * so. The wall clock serves the schedule alone; dwell times run on monotonic time. A wall clock that moves against the
- * monotonic one by more than {@value #STEP_MS} ms between two turns counts as set: what is expected is judged anew, a
- * window under way teaches nothing, and the zone is neither cut off nor back because of it. A turn costs a look at
- * the windows of the next hours; memory is one window and {@value #MAX_ENDINGS} endings.
+ * State machine of the outage phases of one zone. The schedule tells which outage windows to expect, evidence on the
+ * zone's link tells whether an outage is in progress.
+ *
+ * <p>The wall clock is used for the schedule only; confirmation times are measured in monotonic time. If the wall clock
+ * moves against the monotonic clock by more than {@value #CLOCK_STEP_MS} ms between two updates, it counts as set: the
+ * expected windows are evaluated again and the outcome of the current window is unreliable, but the zone does not
+ * become isolated or connected because of it. An update evaluates the windows of the next hours. Memory is bounded by
+ * one window and {@value #MAX_OUTCOMES} outcomes. Not thread-safe.
  */
 public final class ZonePhase {
-    static final long STEP_MS = 2000;
-    static final int MAX_ENDINGS = 64;
+    static final long CLOCK_STEP_MS = 2000;
+    static final int MAX_OUTCOMES = 64;
 
     private final String zone;
     private final PhaseSettings settings;
     private final Margins margins;
     private final long maxMarginMs;
-    private final Deque<WindowOutcome> endings = new ArrayDeque<>();
+    private final Deque<WindowOutcome> outcomes = new ArrayDeque<>();
     private Schedule schedule;
     private Phase phase = Phase.CONNECTED;
-    private long since;
-    private boolean ran;
-    private long lastNow;
-    private long lastWall;
-    private long steps;
-    private Episode episode;
-    private TimeRange done; // the window that ended last, so that its margin does not begin it again
-
-    /** {@code maxMarginMs}: the longest margin that {@code margins} gives; windows so long past still count. */
+    private long phaseStartUs;
+    private boolean hasUpdated;
+    private long lastNowUs;
+    private long lastWallMs;
+    private long clockSteps;
+    private WindowTracker tracker;
+    private TimeRange lastRange; // the latest finished window; its margin must not start it again
+
+    /**
+     * Creates the state machine in {@link Phase#CONNECTED}.
+     *
+     * @param zone name of the zone
+     * @param schedule expected outage windows
+     * @param margins learned margins around the windows
+     * @param maxMarginMs longest margin that {@code margins} returns; windows that ended this long ago are still
+     *     evaluated
+     * @param settings confirmation and lead times
+     */
     public ZonePhase(String zone, Schedule schedule, Margins margins, long maxMarginMs, PhaseSettings settings) {
         this.zone = zone;
         this.schedule = schedule;
@@ -45,203 +57,227 @@
         this.settings = settings;
     }
 
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** Since when (us, monotonic) this phase lasts. */
-    public long since() {
-        return since;
+    /** Returns when the current phase began, in microseconds of monotonic time. */
+    public long phaseStartUs() {
+        return phaseStartUs;
     }
 
-    /** How often the wall clock was seen to be set. */
+    /** Returns how often the wall clock was found to have been set. */
     public long clockSteps() {
-        return steps;
+        return clockSteps;
     }
 
-    /** The window that is expected or under way. */
+    /** Returns the window that is expected or in progress. */
     public Optional<Window> window() {
-        return Optional.ofNullable(episode).map(Episode::window);
+        return Optional.ofNullable(tracker).map(WindowTracker::window);
     }
 
-    /** Takes a changed schedule; what a running outage showed stays. */
-    public void reschedule(Schedule changed) {
-        schedule = changed;
+    /** Replaces the schedule. The observations of an outage in progress are kept. */
+    public void reschedule(Schedule newSchedule) {
+        schedule = newSchedule;
     }
 
-    /** Windows that ended since this was last asked, for {@link Margins#learn}. */
-    public List<WindowOutcome> endings() {
-        List<WindowOutcome> all = List.copyOf(endings);
-        endings.clear();
-        return all;
+    /** Returns and removes the outcomes of the windows that ended since the last call, for {@link Margins#learn}. */
+    public List<WindowOutcome> drainOutcomes() {
+        List<WindowOutcome> drained = List.copyOf(outcomes);
+        outcomes.clear();
+        return drained;
     }
 
-    /** One turn: monotonic time (us), wall clock (ms), what is known of the link; at most one move. */
-    public Optional<PhaseTransition> turn(long now, long wall, Evidence evidence) {
-        noticeSteps(now, wall);
-        follow(wall);
-        boolean open = episode != null && wall >= earliestLoss();
-        PhaseInputs s = inputs(now, wall, evidence, open);
-        Phase next = phase.next(s);
+    /**
+     * Evaluates schedule and evidence, and makes at most one transition.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @param wallMs wall-clock time in milliseconds
+     * @param evidence what is known of the zone's link
+     * @return the transition, if there was one
+     */
+    public Optional<PhaseTransition> update(long nowUs, long wallMs, Evidence evidence) {
+        detectClockStep(nowUs, wallMs);
+        updateWindow(wallMs);
+        boolean isWindowOpen = tracker != null && wallMs >= earliestLossMs();
+        PhaseInputs inputs = inputs(nowUs, wallMs, evidence, isWindowOpen);
+        Phase next = phase.next(inputs);
         if (next == phase) {
             return Optional.empty();
         }
-        PhaseTransition move = new PhaseTransition(phase, next, why(next, open));
-        if (next == Phase.ISOLATED && episode != null) {
-            episode.lost(wall - (now - evidence.since()) / 1000);
-        } else if (phase == Phase.ISOLATED && episode != null) {
-            episode.back(wall - (now - evidence.since()) / 1000, earliestLoss());
+        PhaseTransition transition = new PhaseTransition(phase, next, reason(next, isWindowOpen));
+        if (next == Phase.ISOLATED && tracker != null) {
+            tracker.recordLoss(wallMs - (nowUs - evidence.sinceUs()) / 1000);
+        } else if (phase == Phase.ISOLATED && tracker != null) {
+            tracker.recordReturn(wallMs - (nowUs - evidence.sinceUs()) / 1000, earliestLossMs());
         }
         phase = next;
-        since = now;
-        return Optional.of(move);
+        phaseStartUs = nowUs;
+        return Optional.of(transition);
     }
 
-    private PhaseInputs inputs(long now, long wall, Evidence evidence, boolean open) {
-        long lossHeld = open || phase == Phase.RETURNING ? settings.lossHeldUs() : settings.lossHeldUnannouncedUs();
-        // one that was lost and is back early may be lost again until its planned end, and no longer
-        boolean due = episode != null
-                && (episode.hasLost() ? wall < episode.window().span().to() : isDue(episode.window(), wall));
+    private PhaseInputs inputs(long nowUs, long wallMs, Evidence evidence, boolean isWindowOpen) {
+        long lossConfirmUs = isWindowOpen || phase == Phase.RETURNING
+                ? settings.lossConfirmUs()
+                : settings.unannouncedLossConfirmUs();
+        // after a loss, a second loss belongs to the window until its planned end only
+        boolean windowDue = tracker != null
+                && (tracker.hasLoss() ? wallMs < tracker.window().range().endMs() : isDue(tracker.window(), wallMs));
         return new PhaseInputs(
-                evidence.heldFor(Evidence.Link.UNREACHABLE, now, lossHeld),
-                evidence.heldFor(Evidence.Link.REACHABLE, now, settings.returnHeldUs()),
-                due,
-                due && wall >= earliestLoss() - settings.fillMs(),
-                now - since,
+                evidence.hasHeldFor(Evidence.Link.UNREACHABLE, nowUs, lossConfirmUs),
+                evidence.hasHeldFor(Evidence.Link.REACHABLE, nowUs, settings.returnConfirmUs()),
+                windowDue,
+                windowDue && wallMs >= earliestLossMs() - settings.prefetchLeadMs(),
+                nowUs - phaseStartUs,
                 settings);
     }
 
-    private void noticeSteps(long now, long wall) {
-        if (ran && Math.abs(wall - lastWall - (now - lastNow) / 1000) > STEP_MS) {
-            steps++;
-            if (episode != null) {
-                episode.doubtful();
+    private void detectClockStep(long nowUs, long wallMs) {
+        if (hasUpdated && Math.abs(wallMs - lastWallMs - (nowUs - lastNowUs) / 1000) > CLOCK_STEP_MS) {
+            clockSteps++;
+            if (tracker != null) {
+                tracker.markUnreliable();
             }
-            if (done != null && wall < done.from()) {
-                done = null; // set back to before it: as far as anybody knows it comes again
+            if (lastRange != null && wallMs < lastRange.startMs()) {
+                lastRange = null; // the clock was set back to before the window, so it is expected again
             }
         }
-        ran = true;
-        lastNow = now;
-        lastWall = wall;
+        hasUpdated = true;
+        lastNowUs = nowUs;
+        lastWallMs = wallMs;
     }
 
-    /** Ends, replans, begins or drops the episode as the schedule has it. */
-    private void follow(long wall) {
-        if (episode != null) {
-            episode.ended(wall, after(episode.window()), settings.settleMs()).ifPresent(e -> {
-                if (endings.size() < MAX_ENDINGS) {
-                    endings.add(e);
-                }
-                done = episode.window().span();
-                episode = null;
-            });
+    /** Finishes, reschedules, starts or drops the tracked window according to the schedule. */
+    private void updateWindow(long wallMs) {
+        if (tracker != null) {
+            tracker.outcome(wallMs, endMarginMs(tracker.window()), settings.settleMs())
+                    .ifPresent(outcome -> {
+                        if (outcomes.size() < MAX_OUTCOMES) {
+                            outcomes.add(outcome);
+                        }
+                        lastRange = tracker.window().range();
+                        tracker = null;
+                    });
         }
-        List<Window> windows = schedule.windows(zone, wall - maxMarginMs, settings.expectMs() + 2 * maxMarginMs);
-        if (episode != null) {
-            replan(windows, wall);
+        List<Window> windows = schedule.windows(zone, wallMs - maxMarginMs, settings.expectLeadMs() + 2 * maxMarginMs);
+        if (tracker != null) {
+            followSchedule(windows, wallMs);
         }
-        if (episode == null) {
-            windows.stream().filter(w -> isDue(w, wall)).findFirst().ifPresent(w -> {
-                episode = new Episode(w);
-                if (wall > earliestLoss()) {
-                    episode.doubtful(); // this process, or this rule, was not there when it began
+        if (tracker == null) {
+            windows.stream().filter(window -> isDue(window, wallMs)).findFirst().ifPresent(window -> {
+                tracker = new WindowTracker(window);
+                if (wallMs > earliestLossMs()) {
+                    // the start was not observed: the process or the rule is newer than the window
+                    tracker.markUnreliable();
                 }
                 if (phase == Phase.ISOLATED || phase == Phase.RETURNING) {
-                    episode.doubtful();
-                    episode.lost(wall);
+                    tracker.markUnreliable();
+                    tracker.recordLoss(wallMs);
                 }
             });
         }
     }
 
-    private boolean isDue(Window w, long wall) {
-        boolean over = done != null && w.span().from() <= done.to();
-        return !over && wall < w.span().to() + after(w) && wall >= w.span().from() - before(w) - settings.expectMs();
+    private boolean isDue(Window window, long wallMs) {
+        boolean alreadyEnded = lastRange != null && window.range().startMs() <= lastRange.endMs();
+        return !alreadyEnded
+                && wallMs < window.range().endMs() + endMarginMs(window)
+                && wallMs >= window.range().startMs() - startMarginMs(window) - settings.expectLeadMs();
     }
 
-    private void replan(List<Window> windows, long wall) {
-        Window old = episode.window();
-        Window same = windows.stream()
-                .filter(w -> w.span().equals(old.span()) || overlap(w.span(), old.span()))
+    private void followSchedule(List<Window> windows, long wallMs) {
+        Window current = tracker.window();
+        Window replacement = windows.stream()
+                .filter(window -> window.range().equals(current.range()) || overlap(window.range(), current.range()))
                 .findFirst()
                 .or(() -> windows.stream()
-                        .filter(w -> isDue(w, wall) && w.rules().equals(old.rules()))
+                        .filter(window ->
+                                isDue(window, wallMs) && window.rules().equals(current.rules()))
                         .findFirst())
                 .orElse(null);
-        if (same != null && !same.equals(old)) {
-            episode.replan(same);
-        } else if (same == null && !episode.hasLost()) {
-            episode = null;
+        if (replacement != null && !replacement.equals(current)) {
+            tracker.reschedule(replacement);
+        } else if (replacement == null && !tracker.hasLoss()) {
+            tracker = null;
             return;
         }
-        if (phase == Phase.ISOLATED && episode.hasLost()) {
-            TimeRange planned = episode.window().span();
+        if (phase == Phase.ISOLATED && tracker.hasLoss()) {
+            TimeRange planned = tracker.window().range();
             windows.stream()
-                    .filter(w -> w.span().from() > planned.to()
-                            && w.span().from() <= wall
-                            && wall < w.span().to())
+                    .filter(window -> window.range().startMs() > planned.endMs()
+                            && window.range().startMs() <= wallMs
+                            && wallMs < window.range().endMs())
                     .findFirst()
-                    .ifPresent(w -> {
-                        episode.replan(w); // it lasted into the next: that one's end is what can be foreseen now
-                        episode.doubtful();
+                    .ifPresent(window -> {
+                        // the outage lasts into the next window, whose end is the best estimate
+                        tracker.reschedule(window);
+                        tracker.markUnreliable();
                     });
         }
     }
 
-    private static boolean overlap(TimeRange a, TimeRange b) {
-        return a.from() < b.to() && b.from() < a.to();
+    private static boolean overlap(TimeRange first, TimeRange second) {
+        return first.startMs() < second.endMs() && second.startMs() < first.endMs();
     }
 
-    private PhaseTransition.Why why(Phase next, boolean open) {
+    private PhaseTransition.Reason reason(Phase next, boolean isWindowOpen) {
         return switch (next) {
-            case CONNECTED -> phase == Phase.RETURNING ? PhaseTransition.Why.SETTLED : PhaseTransition.Why.WINDOW_GONE;
+            case CONNECTED ->
+                phase == Phase.RETURNING ? PhaseTransition.Reason.SETTLED : PhaseTransition.Reason.WINDOW_GONE;
             case EXPECTING ->
-                phase == Phase.FILLING ? PhaseTransition.Why.WINDOW_LATER : PhaseTransition.Why.WINDOW_NEARS;
-            case FILLING -> PhaseTransition.Why.FILL_DUE;
+                phase == Phase.FILLING ? PhaseTransition.Reason.WINDOW_LATER : PhaseTransition.Reason.WINDOW_NEARS;
+            case FILLING -> PhaseTransition.Reason.FILL_DUE;
             case ISOLATED ->
                 phase == Phase.RETURNING
-                        ? PhaseTransition.Why.LOST_AGAIN
-                        : open
-                                ? PhaseTransition.Why.LOST_EXPECTED
-                                : episode != null
-                                        ? PhaseTransition.Why.LOST_EARLY
-                                        : PhaseTransition.Why.LOST_UNANNOUNCED;
-            case RETURNING -> PhaseTransition.Why.BACK;
+                        ? PhaseTransition.Reason.LOST_AGAIN
+                        : isWindowOpen
+                                ? PhaseTransition.Reason.LOST_EXPECTED
+                                : tracker != null
+                                        ? PhaseTransition.Reason.LOST_EARLY
+                                        : PhaseTransition.Reason.LOST_UNANNOUNCED;
+            case RETURNING -> PhaseTransition.Reason.BACK;
         };
     }
 
-    private long before(Window w) {
-        return margins.before(zone, w.rules());
+    private long startMarginMs(Window window) {
+        return margins.startMarginMs(zone, window.rules());
     }
 
-    private long after(Window w) {
-        return margins.after(zone, w.rules());
+    private long endMarginMs(Window window) {
+        return margins.endMarginMs(zone, window.rules());
     }
 
-    private long earliestLoss() {
-        Window w = episode.window();
-        return w.span().from() - before(w);
+    private long earliestLossMs() {
+        Window window = tracker.window();
+        return window.range().startMs() - startMarginMs(window);
     }
 
-    /** When (wall, ms) the loss may come at the earliest, where a window is expected and the zone is not cut off. */
-    public Optional<Long> lossAt() {
-        return episode == null || phase == Phase.ISOLATED ? Optional.empty() : Optional.of(earliestLoss());
+    /**
+     * Returns the earliest expected loss (wall clock, ms); empty without an expected window and while the zone is
+     * isolated.
+     */
+    public Optional<Long> expectedLossMs() {
+        return tracker == null || phase == Phase.ISOLATED ? Optional.empty() : Optional.of(earliestLossMs());
     }
 
     /**
-     * When (wall, ms) the link is expected back, margins included. Past that, or with no window, an outage is taken to
-     * last once more as long as it has overrun, but at least {@code minMs}.
+     * Returns when the link is expected to return (wall clock, ms), margin included. Without a window, or past its end,
+     * an outage is expected to last as long again as it has exceeded its expected end.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @param wallMs wall-clock time in milliseconds
+     * @param minRemainingMs shortest time until the return where it is extrapolated
      */
-    public long returnAt(long now, long wall, long minMs) {
-        long overrun = phase == Phase.ISOLATED ? (now - since) / 1000 : 0;
-        if (episode != null && episode.hasLost()) {
-            long planned = episode.window().span().to() + after(episode.window());
-            if (planned > wall) {
-                return planned;
+    public long expectedReturnMs(long nowUs, long wallMs, long minRemainingMs) {
+        long overrunMs = phase == Phase.ISOLATED ? (nowUs - phaseStartUs) / 1000 : 0;
+        if (tracker != null && tracker.hasLoss()) {
+            long plannedEndMs = tracker.window().range().endMs() + endMarginMs(tracker.window());
+            if (plannedEndMs > wallMs) {
+                return plannedEndMs;
             }
-            overrun = Math.min(overrun, wall - planned);
+            overrunMs = Math.min(overrunMs, wallMs - plannedEndMs);
         }
-        return wall + Math.max(minMs, overrun);
+        return wallMs + Math.max(minRemainingMs, overrunMs);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Fetch.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Fetch.java
@@ -2,5 +2,11 @@
 
 import sandpaddle.fleet.content.Candidate;
 
-/** An answer to fetch, not before {@code beginAt} (wall, ms); {@code gain}: worth beyond that of the copy at hand. */
-public record Fetch(Candidate what, long beginAt, double gain) {}
+/**
+ * A planned fetch of an answer.
+ *
+ * @param candidate answer to fetch
+ * @param startAtMs earliest start by the wall clock, in milliseconds
+ * @param marginalValue expected value of the fetched answer beyond that of the stored copy
+ */
+public record Fetch(Candidate candidate, long startAtMs, double marginalValue) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -9,89 +9,99 @@
 import sandpaddle.fleet.content.ContentId;
 
 /**
- * Executes a plan: which fetches to begin now, within what live capacity leaves. A token bucket in engine work of at
- * most {@value #BURST_US} us keeps a pause from being made up for in one burst. A fetch is begun at most {@value
- * #MAX_TRIES} times in one plan; failed fetches queue behind those not yet tried. Replanning keeps what runs.
+ * Starts the fetches of a plan within the limit that live traffic leaves. A token bucket of engine work, of at most
+ * {@value #MAX_BURST_WORK_US} us, prevents a burst after a time in which fetching was throttled. A fetch is attempted
+ * at most {@value #MAX_ATTEMPTS} times in one plan; a failed one is queued behind the others. A new plan does not
+ * affect running fetches. Not thread-safe.
  */
 public final class PlanExecutor {
-    static final long BURST_US = 1_000_000;
-    static final int MAX_TRIES = 2;
+    static final long MAX_BURST_WORK_US = 1_000_000;
+    static final int MAX_ATTEMPTS = 2;
 
-    private record Waiting(Fetch fetch, int tried) {}
+    private record QueuedFetch(Fetch fetch, int attempts) {}
 
-    private final Map<ContentId, Waiting> running = new HashMap<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private double tokens; // us of work
-    private long filledAt = Long.MIN_VALUE;
-    private long pausedUs;
-    private boolean paused;
+    private final Map<ContentId, QueuedFetch> running = new HashMap<>();
+    private final Deque<QueuedFetch> waiting = new ArrayDeque<>();
+    private double tokensUs; // engine work
+    private long refilledAtUs = Long.MIN_VALUE;
+    private long throttledUs;
+    private boolean throttled;
 
-    /** Takes a plan in place of the one before; what runs is not begun again by it. */
-    public void plan(Plan plan) {
+    /** Replaces the plan. Fetches that are running are not started again. */
+    public void setPlan(Plan plan) {
         waiting.clear();
-        for (Fetch f : plan.fetches()) {
-            if (!running.containsKey(f.what().key().id())) {
-                waiting.add(new Waiting(f, 0));
+        for (Fetch fetch : plan.fetches()) {
+            if (!running.containsKey(fetch.candidate().key().id())) {
+                waiting.add(new QueuedFetch(fetch, 0));
             }
         }
     }
 
-    /** Nothing more is to be begun: the link is lost, or the window gone. What runs ends by itself. */
+    /** Clears the queue, after the link was lost or the window is gone. Running fetches continue. */
     public void stop() {
         waiting.clear();
-        paused = false;
+        throttled = false;
     }
 
-    /** The fetches to begin now: monotonic time (us), wall clock (ms), what live capacity leaves. */
-    public List<Fetch> next(long now, long wall, Allowance allowance) {
-        refill(now, allowance);
-        List<Fetch> begun = new ArrayList<>();
-        paused = false;
-        while (!waiting.isEmpty() && waiting.peek().fetch.beginAt() <= wall) {
-            Waiting w = waiting.peek();
-            boolean room = running.size() < allowance.running() && tokens > 0;
-            if (!room) {
-                paused = allowance.running() == 0 || allowance.workPerSecond() == 0;
+    /**
+     * Returns the fetches to start now and counts them as running.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @param wallMs wall-clock time in milliseconds
+     * @param limit limit that live traffic leaves
+     */
+    public List<Fetch> startDueFetches(long nowUs, long wallMs, FetchLimit limit) {
+        refill(nowUs, limit);
+        List<Fetch> started = new ArrayList<>();
+        throttled = false;
+        while (!waiting.isEmpty() && waiting.peek().fetch.startAtMs() <= wallMs) {
+            QueuedFetch queued = waiting.peek();
+            boolean hasCapacity = running.size() < limit.maxConcurrent() && tokensUs > 0;
+            if (!hasCapacity) {
+                throttled = limit.maxConcurrent() == 0 || limit.workUsPerSecond() == 0;
                 break;
             }
             waiting.poll();
-            tokens -= w.fetch.what().workUs(); // below zero: a large one is paid for by a longer rest after it
-            running.put(w.fetch.what().key().id(), new Waiting(w.fetch, w.tried + 1));
-            begun.add(w.fetch);
+            tokensUs -= queued.fetch.candidate().workUs(); // may become negative: a large fetch delays the next ones
+            running.put(queued.fetch.candidate().key().id(), new QueuedFetch(queued.fetch, queued.attempts + 1));
+            started.add(queued.fetch);
         }
-        return begun;
+        return started;
     }
 
-    private void refill(long now, Allowance allowance) {
-        if (filledAt == Long.MIN_VALUE) {
-            tokens = Math.min(BURST_US, allowance.workPerSecond());
+    private void refill(long nowUs, FetchLimit limit) {
+        if (refilledAtUs == Long.MIN_VALUE) {
+            tokensUs = Math.min(MAX_BURST_WORK_US, limit.workUsPerSecond());
         } else {
-            long passed = Math.max(0, now - filledAt);
-            tokens = Math.min(
-                    Math.min(BURST_US, allowance.workPerSecond()), tokens + passed / 1e6 * allowance.workPerSecond());
-            pausedUs += paused ? passed : 0;
+            long elapsedUs = Math.max(0, nowUs - refilledAtUs);
+            tokensUs = Math.min(
+                    Math.min(MAX_BURST_WORK_US, limit.workUsPerSecond()),
+                    tokensUs + elapsedUs / 1e6 * limit.workUsPerSecond());
+            throttledUs += throttled ? elapsedUs : 0;
         }
-        filledAt = now;
+        refilledAtUs = nowUs;
     }
 
-    /** A fetch ended; one that gave no answer may be tried again behind the others. */
-    public void ended(ContentId id, boolean stored) {
-        Waiting w = running.remove(id);
-        if (w != null && !stored && w.tried < MAX_TRIES) {
-            waiting.add(w);
+    /** Records the end of a fetch. One that stored no answer is queued again if attempts are left. */
+    public void fetchEnded(ContentId id, boolean stored) {
+        QueuedFetch queued = running.remove(id);
+        if (queued != null && !stored && queued.attempts < MAX_ATTEMPTS) {
+            waiting.add(queued);
         }
     }
 
-    public int running() {
+    /** Returns the number of running fetches. */
+    public int runningCount() {
         return running.size();
     }
 
-    public int waiting() {
+    /** Returns the number of queued fetches. */
+    public int waitingCount() {
         return waiting.size();
     }
 
-    /** How long (us) fetches that were due have stood still because live traffic or a storm needed the room. */
-    public long pausedUs() {
-        return pausedUs;
+    /** Returns for how long (us) due fetches waited because live traffic or a retry storm left no capacity. */
+    public long throttledUs() {
+        return throttledUs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -8,128 +8,176 @@
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
- * Chooses what to store for an outage and when to fetch it. Chosen is by worth for what it takes of both budgets
- * (greedy by surrogate density, Pirkul 1987; size and work are each a part of their budget, and summed), or the one
- * best candidate where that is worth more: at least a quarter of the best choice, as the design page proves, and near
- * it where each takes little. Fetched is backwards from the loss: what may be kept shortest comes last, so that it is
- * youngest when the loss comes. O(n log n) for n candidates.
+ * Chooses the answers to prefetch for an outage and schedules their fetches.
+ *
+ * <p>The choice is greedy by surrogate density (Pirkul 1987): marginal value divided by the sum of the fractions of the
+ * byte budget and of the work budget that a candidate takes. If the single best candidate has more value than all of
+ * those together, it is chosen alone. The value is at least a quarter of the optimum, as the design page proves, and
+ * close to it if each candidate takes little of the budgets. Fetches are scheduled backwards from the expected loss by
+ * maximum age: the answers with the shortest one are fetched last, so that they are youngest at the loss. O(n log n)
+ * for n candidates.
  */
 public final class Planner {
-    /** Candidates looked at in one plan; what is beyond is left out. */
+    /** Largest number of candidates in one plan; the rest of the list is ignored. */
     public static final int MAX_CANDIDATES = 50_000;
 
-    /** Asks of one statement expected in a time (wall, ms). */
+    /** Demand forecast for statements. */
     public interface Forecast {
-        double asks(long fingerprint, TimeRange span);
+        /** Returns the number of requests of a statement expected in a time range (wall clock, ms). */
+        double demand(long fingerprint, TimeRange range);
     }
 
-    /** A copy at hand that is nearly as good as a fresh one is not fetched again: work is better spent on others. */
-    private static final double MIN_GAIN = 0.05;
+    /**
+     * Smallest marginal value of a fetch as a fraction of the value of a fresh answer: a stored copy that is nearly as
+     * good is not fetched again, since the work is better spent on other answers.
+     */
+    private static final double MIN_MARGINAL_FRACTION = 0.05;
 
-    private record Choice(Candidate what, double gain, double density) {}
+    private record Choice(Candidate candidate, double marginalValue, double density) {}
 
     private Planner() {}
 
-    /** Plans at {@code wall} (ms) for an outage from {@code loss.from()}, the earliest loss, to {@code loss.to()}. */
-    public static Plan plan(long wall, TimeRange loss, List<Candidate> candidates, Budget budget, Forecast forecast) {
-        long until = loss.from() - budget.safetyMs();
-        boolean isLate = until - wall < budget.lateMs();
-        TimeRange outage = isLate ? new TimeRange(Math.max(loss.from(), wall), Math.max(loss.to(), wall + 1)) : loss;
-        double work = budget.work(isLate ? budget.lateMs() : until - wall);
-        double atHand = 0;
+    /**
+     * Plans the prefetch for an expected outage.
+     *
+     * @param wallMs wall-clock time in milliseconds
+     * @param expectedOutage from the earliest expected loss to the expected return
+     * @param candidates answers that may be fetched
+     * @param budget limits of the prefetch
+     * @param forecast demand forecast
+     */
+    public static Plan plan(
+            long wallMs,
+            TimeRange expectedOutage,
+            List<Candidate> candidates,
+            PrefetchBudget budget,
+            Forecast forecast) {
+        long deadlineMs = expectedOutage.startMs() - budget.safetyMs();
+        boolean isDelayed = deadlineMs - wallMs < budget.delayedOnsetMs();
+        TimeRange outage = isDelayed
+                ? new TimeRange(
+                        Math.max(expectedOutage.startMs(), wallMs), Math.max(expectedOutage.endMs(), wallMs + 1))
+                : expectedOutage;
+        double workUs = budget.workUs(isDelayed ? budget.delayedOnsetMs() : deadlineMs - wallMs);
+        double storedValueSum = 0;
         long bytes = budget.bytes();
-        List<Choice> all = new ArrayList<>();
-        for (Candidate c : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
-            double has = has(c, outage, forecast);
-            atHand += has;
-            bytes -= has > 0 ? c.size() : 0; // a copy that still serves keeps its place
-            double fresh = worth(c, isLate ? wall : until, outage, forecast);
-            if (fresh - has > MIN_GAIN * fresh) {
-                all.add(new Choice(c, fresh - has, 0));
+        List<Choice> eligible = new ArrayList<>();
+        for (Candidate candidate : candidates.subList(0, Math.min(MAX_CANDIDATES, candidates.size()))) {
+            double storedValue = storedValue(candidate, outage, forecast);
+            storedValueSum += storedValue;
+            // a stored copy that is still valid in the outage keeps its bytes
+            bytes -= storedValue > 0 ? candidate.size() : 0;
+            double freshValue = value(candidate, isDelayed ? wallMs : deadlineMs, outage, forecast);
+            if (freshValue - storedValue > MIN_MARGINAL_FRACTION * freshValue) {
+                eligible.add(new Choice(candidate, freshValue - storedValue, 0));
             }
         }
-        List<Choice> chosen = choose(all, Math.max(0, bytes), work, budget);
+        List<Choice> chosen = choose(eligible, Math.max(0, bytes), workUs, budget);
         List<Fetch> fetches = new ArrayList<>();
-        double gained = isLate ? atOnce(chosen, wall, fetches) : lay(chosen, until, outage, budget, forecast, fetches);
-        return new Plan(fetches, atHand + gained, all.size() - fetches.size());
+        double plannedValue = isDelayed
+                ? scheduleImmediately(chosen, wallMs, fetches)
+                : scheduleBackwards(chosen, deadlineMs, outage, budget, forecast, fetches);
+        return new Plan(fetches, storedValueSum + plannedValue, eligible.size() - fetches.size());
     }
 
-    private static double has(Candidate c, TimeRange outage, Forecast forecast) {
-        return c.storedAt() < 0 ? 0 : worth(c, c.storedAt(), outage, forecast);
+    /** Returns the value of the stored copy, 0 if there is none. */
+    private static double storedValue(Candidate candidate, TimeRange outage, Forecast forecast) {
+        return candidate.storedAt() < 0 ? 0 : value(candidate, candidate.storedAt(), outage, forecast);
     }
 
-    /** The loss may come at any moment: what gains most for its work goes first, whatever its age may be. */
-    private static double atOnce(List<Choice> chosen, long wall, List<Fetch> fetches) {
-        List<Choice> densest = new ArrayList<>(chosen);
-        densest.sort(Comparator.comparingDouble((Choice c) -> -c.gain / Math.max(1, c.what.workUs()))
-                .thenComparing(c -> c.what.key().id()));
-        densest.forEach(c -> fetches.add(new Fetch(c.what, wall, c.gain)));
-        return chosen.stream().mapToDouble(Choice::gain).sum();
+    /**
+     * Schedules all fetches at once, by marginal value per engine work and regardless of maximum age, since the loss
+     * may come at any moment.
+     */
+    private static double scheduleImmediately(List<Choice> chosen, long wallMs, List<Fetch> fetches) {
+        List<Choice> byDensity = new ArrayList<>(chosen);
+        byDensity.sort(Comparator.comparingDouble(
+                        (Choice choice) -> -choice.marginalValue / Math.max(1, choice.candidate.workUs()))
+                .thenComparing(choice -> choice.candidate.key().id()));
+        byDensity.forEach(choice -> fetches.add(new Fetch(choice.candidate, wallMs, choice.marginalValue)));
+        return chosen.stream().mapToDouble(Choice::marginalValue).sum();
     }
 
-    /** What a copy asked for at a time gives in the outage: asks that find it no older than it may be. */
-    static double worth(Candidate c, long askedAt, TimeRange loss, Forecast forecast) {
-        long to = Math.min(loss.to(), askedAt + c.maxAgeMs());
-        return to <= loss.from() ? 0 : c.worthEach() * forecast.asks(c.fingerprint(), new TimeRange(loss.from(), to));
+    /**
+     * Returns the value of an answer fetched at a time: the requests expected in the outage until its maximum age is
+     * reached, times the priority weight.
+     */
+    static double value(Candidate candidate, long fetchedAtMs, TimeRange expectedOutage, Forecast forecast) {
+        long endMs = Math.min(expectedOutage.endMs(), fetchedAtMs + candidate.maxAgeMs());
+        return endMs <= expectedOutage.startMs()
+                ? 0
+                : candidate.worthEach()
+                        * forecast.demand(candidate.fingerprint(), new TimeRange(expectedOutage.startMs(), endMs));
     }
 
-    /** A refresh of a copy at hand takes no bytes beyond those that the copy has. */
-    private static long newBytes(Candidate c) {
-        return c.storedAt() < 0 ? c.size() : 0;
+    /** Returns the bytes that a fetch adds to the store; a refreshed copy replaces the stored one. */
+    private static long additionalBytes(Candidate candidate) {
+        return candidate.storedAt() < 0 ? candidate.size() : 0;
     }
 
-    private static List<Choice> choose(List<Choice> all, long bytes, double work, Budget budget) {
+    private static List<Choice> choose(List<Choice> eligible, long bytes, double workUs, PrefetchBudget budget) {
         List<Choice> byDensity = new ArrayList<>();
         Choice best = null;
-        for (Choice c : all) {
-            long size = newBytes(c.what);
-            if (size > bytes || c.what.workUs() > work) {
+        for (Choice choice : eligible) {
+            long size = additionalBytes(choice.candidate);
+            if (size > bytes || choice.candidate.workUs() > workUs) {
                 continue;
             }
-            double part = part(size, bytes) + part(c.what.workUs(), work);
-            byDensity.add(new Choice(c.what, c.gain, c.gain / Math.max(part, 1e-12)));
-            best = best == null || c.gain > best.gain ? c : best;
+            double fractionSum = fraction(size, bytes) + fraction(choice.candidate.workUs(), workUs);
+            byDensity.add(new Choice(
+                    choice.candidate, choice.marginalValue, choice.marginalValue / Math.max(fractionSum, 1e-12)));
+            best = best == null || choice.marginalValue > best.marginalValue ? choice : best;
         }
+        // deterministic order, so that replanning alone changes nothing
         byDensity.sort(Comparator.comparingDouble(Choice::density)
                 .reversed()
-                .thenComparing(c -> c.what.key().id())); // a fixed order, so that replanning changes nothing by itself
+                .thenComparing(choice -> choice.candidate.key().id()));
         List<Choice> chosen = new ArrayList<>();
-        double sum = 0;
-        long freeBytes = bytes;
-        double freeWork = work;
-        for (Choice c : byDensity) {
-            if (newBytes(c.what) <= freeBytes && c.what.workUs() <= freeWork) {
-                freeBytes -= newBytes(c.what);
-                freeWork -= c.what.workUs();
-                sum += c.gain;
-                chosen.add(c);
+        double totalValue = 0;
+        long remainingBytes = bytes;
+        double remainingWorkUs = workUs;
+        for (Choice choice : byDensity) {
+            if (additionalBytes(choice.candidate) <= remainingBytes && choice.candidate.workUs() <= remainingWorkUs) {
+                remainingBytes -= additionalBytes(choice.candidate);
+                remainingWorkUs -= choice.candidate.workUs();
+                totalValue += choice.marginalValue;
+                chosen.add(choice);
             }
         }
-        return best != null && best.gain > sum ? List.of(best) : chosen;
+        return best != null && best.marginalValue > totalValue ? List.of(best) : chosen;
     }
 
-    private static double part(double taken, double budget) {
-        return taken <= 0 ? 0 : taken / budget;
+    private static double fraction(double required, double budget) {
+        return required <= 0 ? 0 : required / budget;
     }
 
-    /** Lays the chosen out backwards from {@code until}; returns the gain of what is worth fetching at its time. */
-    private static double lay(
-            List<Choice> chosen, long until, TimeRange loss, Budget budget, Forecast forecast, List<Fetch> fetches) {
-        List<Choice> shortestFirst = new ArrayList<>(chosen);
-        shortestFirst.sort(Comparator.comparingLong((Choice c) -> c.what.maxAgeMs())
-                .thenComparing(c -> c.what.key().id()));
-        double workAfter = 0;
-        double gained = 0;
-        for (Choice c : shortestFirst) {
-            long begin = until - budget.millis(workAfter + c.what.workUs());
-            double gain = worth(c.what, begin, loss, forecast) - has(c.what, loss, forecast);
-            if (gain > 0) {
-                workAfter += c.what.workUs();
-                gained += gain;
-                fetches.add(new Fetch(c.what, begin, gain));
+    /**
+     * Schedules the chosen candidates backwards from the deadline and returns their marginal value at their start
+     * times. Candidates without marginal value at their start time are dropped.
+     */
+    private static double scheduleBackwards(
+            List<Choice> chosen,
+            long deadlineMs,
+            TimeRange expectedOutage,
+            PrefetchBudget budget,
+            Forecast forecast,
+            List<Fetch> fetches) {
+        List<Choice> byMaxAge = new ArrayList<>(chosen);
+        byMaxAge.sort(Comparator.comparingLong((Choice choice) -> choice.candidate.maxAgeMs())
+                .thenComparing(choice -> choice.candidate.key().id()));
+        double laterWorkUs = 0;
+        double plannedValue = 0;
+        for (Choice choice : byMaxAge) {
+            long startAtMs = deadlineMs - budget.durationMs(laterWorkUs + choice.candidate.workUs());
+            double marginalValue = value(choice.candidate, startAtMs, expectedOutage, forecast)
+                    - storedValue(choice.candidate, expectedOutage, forecast);
+            if (marginalValue > 0) {
+                laterWorkUs += choice.candidate.workUs();
+                plannedValue += marginalValue;
+                fetches.add(new Fetch(choice.candidate, startAtMs, marginalValue));
             }
         }
         Collections.reverse(fetches);
-        return gained;
+        return plannedValue;
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PrefetchBudget.java
@@ -0,0 +1,62 @@
+package sandpaddle.fleet.outage.plan;
+
+/**
+ * Limits of a prefetch.
+ *
+ * @param bytes bytes that may be stored
+ * @param workUsPerSecond engine work, in microseconds per second
+ * @param plannedFraction fraction of the engine work that a plan may use, above 0 and at most 1; the rest makes up for
+ *     times in which fetching is throttled
+ * @param safetyMs time between the last planned fetch and the earliest loss
+ * @param delayedOnsetMs planning horizon for a delayed onset: if less time than this is left, or the loss is overdue,
+ *     the plan starts the work of this time immediately
+ */
+public record PrefetchBudget(
+        long bytes, long workUsPerSecond, double plannedFraction, long safetyMs, long delayedOnsetMs) {
+    /**
+     * Creates a budget without a horizon for a delayed onset.
+     *
+     * @param bytes bytes that may be stored
+     * @param workUsPerSecond engine work, in microseconds per second
+     * @param plannedFraction fraction of the engine work that a plan may use
+     * @param safetyMs time between the last planned fetch and the earliest loss
+     */
+    public PrefetchBudget(long bytes, long workUsPerSecond, double plannedFraction, long safetyMs) {
+        this(bytes, workUsPerSecond, plannedFraction, safetyMs, 0);
+    }
+
+    /**
+     * Validates the values.
+     *
+     * @throws IllegalArgumentException if a value is out of its range
+     */
+    public PrefetchBudget {
+        if (bytes < 0
+                || workUsPerSecond < 0
+                || !(plannedFraction > 0 && plannedFraction <= 1)
+                || safetyMs < 0
+                || delayedOnsetMs < 0) {
+            throw new IllegalArgumentException(
+                    "invalid prefetch budget: bytes " + bytes + ", workUsPerSecond " + workUsPerSecond
+                            + ", plannedFraction " + plannedFraction + ", safetyMs " + safetyMs + ", delayedOnsetMs "
+                            + delayedOnsetMs + "; expected none negative and 0 < plannedFraction <= 1");
+        }
+    }
+
+    /** Returns this budget with another horizon for a delayed onset. */
+    PrefetchBudget withDelayedOnset(long horizonMs) {
+        return new PrefetchBudget(bytes, workUsPerSecond, plannedFraction, safetyMs, horizonMs);
+    }
+
+    /** Returns the engine work (us) that may be planned within a duration (ms). */
+    double workUs(long durationMs) {
+        return Math.max(0, durationMs) / 1000.0 * workUsPerSecond * plannedFraction;
+    }
+
+    /** Returns how long planned engine work takes, in milliseconds. */
+    long durationMs(double workUs) {
+        return workUsPerSecond == 0
+                ? Long.MAX_VALUE / 4
+                : (long) Math.ceil(workUs / (workUsPerSecond * plannedFraction) * 1000);
+    }
+}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -11,125 +11,179 @@
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
- * Prefetching of one gateway: hears what is asked and what answers cost, and while its zone expects to be cut off says
- * which answers to fetch now. Every answer is fetched by one gateway of the zone, the first of its {@link
- * ReplicaOwners}; the others tell that one how often they expect it to be asked. The plan is made anew every {@code
- * replanUs}, so that it follows what was fetched, what was not, and how near the loss is. A turn costs O(n log n) for n
- * candidates when it plans, and next to nothing otherwise.
+ * Prefetching of one gateway: records which statements clients request and what their answers cost, and returns the
+ * answers to fetch while an outage of the zone is expected.
+ *
+ * <p>Each answer is fetched by one gateway of the zone, the first of its {@link ReplicaOwners}; the others report to it
+ * how many requests they expect. The plan is recomputed at a fixed interval, so that it follows the results of fetches
+ * and the time to the loss. A call takes O(n log n) for n candidates when it plans; otherwise its cost is that of the
+ * fetches that it starts. Not thread-safe.
  */
 public final class Prefetcher {
-    /** Expectations told to neighbours at one time. */
-    static final int MAX_WANTS = 2000;
+    /** Largest number of reports to neighbours at one time. */
+    static final int MAX_DEMAND_REPORTS = 2000;
 
-    /** An expectation for the gateway that fetches the answer. */
-    public record Want(String to, Candidate what, double asks) {}
+    /**
+     * Expected demand, reported to the gateway that fetches the answer.
+     *
+     * @param recipient gateway that fetches the answer
+     * @param candidate the answer
+     * @param demand requests that the sender expects in the outage
+     */
+    public record DemandReport(String recipient, Candidate candidate, double demand) {}
 
-    /** What surrounds a turn: the zone's phase, the expected outage (wall, ms), its live gateways, this one among. */
-    public record View(Phase phase, Optional<TimeRange> outage, Collection<String> live) {}
+    /**
+     * State of the zone at one time.
+     *
+     * @param phase phase of the zone
+     * @param outage expected outage (wall clock, ms), margins included
+     * @param liveGateways live gateways of the zone, including this one
+     */
+    public record ZoneState(Phase phase, Optional<TimeRange> outage, Collection<String> liveGateways) {}
 
     private final String self;
-    private final Budget budget;
-    private final long replanUs;
-    private final AskHistory history;
-    private final Catalogue catalogue;
+    private final PrefetchBudget budget;
+    private final long replanIntervalUs;
+    private final DemandHistory history;
+    private final Candidates candidates;
     private final PlanExecutor planExecutor = new PlanExecutor();
     private Plan plan = Plan.EMPTY;
-    private long plannedAt = Long.MIN_VALUE;
-    private boolean heard; // expectations of neighbours, for the window that comes
+    private long plannedAtUs = Long.MIN_VALUE;
+    private boolean hasNeighbourDemand; // since the last window
 
     /**
-     * {@code budget}: of this gateway alone. Its bytes are the store's, divided by {@link ReplicaOwners#COPIES}, since
-     * as much again comes from neighbours; its work is the zone's, divided by its gateways.
+     * Creates a prefetcher without history.
+     *
+     * @param self name of this gateway
+     * @param budget budget of this gateway alone: its bytes are those of the store divided by {@link
+     *     ReplicaOwners#REPLICA_COUNT}, since neighbours send as many bytes; its work is the zone's divided by its
+     *     gateways
+     * @param replanIntervalUs time between two plans, in microseconds
+     * @param history request frequency of statements
+     * @param candidates answers that may be fetched
      */
-    public Prefetcher(String self, Budget budget, long replanUs, AskHistory history, Catalogue catalogue) {
+    public Prefetcher(
+            String self, PrefetchBudget budget, long replanIntervalUs, DemandHistory history, Candidates candidates) {
         this.self = self;
-        this.budget = budget.late(replanUs / 1000);
-        this.replanUs = replanUs;
+        this.budget = budget.withDelayedOnset(replanIntervalUs / 1000);
+        this.replanIntervalUs = replanIntervalUs;
         this.history = history;
-        this.catalogue = catalogue;
+        this.candidates = candidates;
     }
 
-    /** A client asked, of a class that may repeat, whatever it was answered. */
-    public void asked(long wall, long fingerprint) {
-        history.asked(wall, fingerprint);
+    /**
+     * Records a client's request of a repeatable class, whatever its response.
+     *
+     * @param wallMs wall-clock time in milliseconds
+     * @param fingerprint fingerprint of the statement
+     */
+    public void recordRequest(long wallMs, long fingerprint) {
+        history.recordRequest(wallMs, fingerprint);
     }
 
-    /** An engine answered such an ask. */
-    public void served(Candidate what) {
-        catalogue.served(what);
+    /** Records that an engine answered such a request. */
+    public void recordAnswer(Candidate candidate) {
+        candidates.recordAnswer(candidate);
     }
 
-    /** A neighbour told what it expects; it counts until the window is over. Before one is expected it is not heard. */
-    public void wanted(String neighbour, Candidate what, double asks) {
-        catalogue.wanted(neighbour, what, asks);
-        heard = true;
+    /**
+     * Records the demand that a neighbour reports, until the window is over. Reports that arrive while no window is
+     * expected are discarded at the next call of {@link #startDueFetches}.
+     */
+    public void receiveDemand(String neighbour, Candidate candidate, double demand) {
+        candidates.recordDemand(neighbour, candidate, demand);
+        hasNeighbourDemand = true;
     }
 
     /**
-     * What is to be fetched now; {@code storedAt} tells when (wall, ms) the copy at hand was asked for, and -1 where
-     * there is none or a load has outdated it.
+     * Returns the fetches to start now.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @param wallMs wall-clock time in milliseconds
+     * @param zoneState state of the zone
+     * @param limit limit that live traffic leaves
+     * @param storedAtMs returns when the stored copy was fetched (wall clock, ms), or -1 if there is none or a load has
+     *     made it outdated
      */
-    public List<Fetch> turn(long now, long wall, View view, Allowance allowance, ToLongFunction<ContentId> storedAt) {
-        if (view.phase() != Phase.FILLING || view.outage().isEmpty()) {
-            if (planExecutor.waiting() > 0 || !plan.fetches().isEmpty()) {
+    public List<Fetch> startDueFetches(
+            long nowUs, long wallMs, ZoneState zoneState, FetchLimit limit, ToLongFunction<ContentId> storedAtMs) {
+        if (zoneState.phase() != Phase.FILLING || zoneState.outage().isEmpty()) {
+            if (planExecutor.waitingCount() > 0 || !plan.fetches().isEmpty()) {
                 planExecutor.stop();
                 plan = Plan.EMPTY;
             }
-            if (heard && view.phase() != Phase.EXPECTING) {
-                catalogue.forgetAll();
-                heard = false;
+            if (hasNeighbourDemand && zoneState.phase() != Phase.EXPECTING) {
+                candidates.clearDemand();
+                hasNeighbourDemand = false;
             }
-            plannedAt = Long.MIN_VALUE;
+            plannedAtUs = Long.MIN_VALUE;
             return List.of();
         }
-        if (plannedAt == Long.MIN_VALUE || now - plannedAt >= replanUs) {
-            plannedAt = now;
-            replan(wall, view, storedAt);
+        if (plannedAtUs == Long.MIN_VALUE || nowUs - plannedAtUs >= replanIntervalUs) {
+            plannedAtUs = nowUs;
+            replan(wallMs, zoneState, storedAtMs);
         }
-        return planExecutor.next(now, wall, allowance);
+        return planExecutor.startDueFetches(nowUs, wallMs, limit);
     }
 
-    private void replan(long wall, View view, ToLongFunction<ContentId> storedAt) {
-        TimeRange outage = view.outage().get();
-        TimeRange ahead =
-                new TimeRange(Math.max(outage.from(), wall), Math.max(outage.to(), Math.max(outage.from(), wall) + 1));
-        List<Candidate> mine = catalogue.candidates(storedAt).stream()
-                .filter(c -> ReplicaOwners.asks(c.key().id(), view.live(), self))
+    private void replan(long wallMs, ZoneState zoneState, ToLongFunction<ContentId> storedAtMs) {
+        TimeRange outage = zoneState.outage().get();
+        TimeRange remainingOutage = new TimeRange(
+                Math.max(outage.startMs(), wallMs), Math.max(outage.endMs(), Math.max(outage.startMs(), wallMs) + 1));
+        List<Candidate> owned = candidates.list(storedAtMs).stream()
+                .filter(candidate -> ReplicaOwners.isFetcher(candidate.key().id(), zoneState.liveGateways(), self))
                 .toList();
-        plan = Planner.plan(wall, ahead, mine, budget, catalogue.forecast(history.forecast(ahead), ahead));
-        planExecutor.plan(plan);
+        plan = Planner.plan(
+                wallMs,
+                remainingOutage,
+                owned,
+                budget,
+                candidates.forecast(history.forecast(remainingOutage), remainingOutage));
+        planExecutor.setPlan(plan);
     }
 
-    /** A fetch ended; {@code stored}: its answer is at hand now. */
-    public void ended(ContentId id, boolean stored) {
-        planExecutor.ended(id, stored);
+    /**
+     * Records the end of a fetch.
+     *
+     * @param id answer that was fetched
+     * @param stored whether the answer is stored now
+     */
+    public void fetchEnded(ContentId id, boolean stored) {
+        planExecutor.fetchEnded(id, stored);
     }
 
-    /** What this gateway expects to be asked in an outage and another fetches, the likeliest first. */
-    public List<Want> wants(TimeRange outage, Collection<String> live) {
+    /**
+     * Returns the demand that this gateway expects for answers that other gateways fetch, by value, at most {@value
+     * #MAX_DEMAND_REPORTS} reports.
+     */
+    public List<DemandReport> demandReports(TimeRange outage, Collection<String> liveGateways) {
         Planner.Forecast forecast = history.forecast(outage);
-        List<Want> wants = new ArrayList<>();
-        for (Candidate c : catalogue.candidates(id -> -1)) {
-            double asks = forecast.asks(c.fingerprint(), outage);
-            List<String> owners = ReplicaOwners.of(c.key().id(), live);
-            if (asks > 0 && !owners.isEmpty() && !owners.get(0).equals(self)) {
-                wants.add(new Want(owners.get(0), c, asks));
+        List<DemandReport> reports = new ArrayList<>();
+        for (Candidate candidate : candidates.list(id -> -1)) {
+            double demand = forecast.demand(candidate.fingerprint(), outage);
+            List<String> owners = ReplicaOwners.of(candidate.key().id(), liveGateways);
+            if (demand > 0 && !owners.isEmpty() && !owners.get(0).equals(self)) {
+                reports.add(new DemandReport(owners.get(0), candidate, demand));
             }
         }
-        wants.sort((a, b) -> Double.compare(b.asks * b.what.worthEach(), a.asks * a.what.worthEach()));
-        return List.copyOf(wants.subList(0, Math.min(MAX_WANTS, wants.size())));
+        reports.sort((first, second) -> Double.compare(
+                second.demand * second.candidate.worthEach(), first.demand * first.candidate.worthEach()));
+        return List.copyOf(reports.subList(0, Math.min(MAX_DEMAND_REPORTS, reports.size())));
     }
 
-    /** What a copy asked for at a time (wall, ms) is worth in an outage: by it the store keeps and drops. */
-    public double worth(Candidate what, long askedWall, TimeRange outage) {
-        return Planner.worth(what, askedWall, outage, history::expected);
+    /**
+     * Returns the expected value of an answer fetched at a time (wall clock, ms) in an outage; the store evicts by it.
+     */
+    public double value(Candidate candidate, long fetchedAtMs, TimeRange outage) {
+        return Planner.value(candidate, fetchedAtMs, outage, history::expectedDemand);
     }
 
-    /** The plan in force, for the log and the operator. */
+    /** Returns the current plan. */
     public Plan plan() {
         return plan;
     }
 
+    /** Returns the executor of the plan. */
     public PlanExecutor planExecutor() {
         return planExecutor;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
@@ -8,67 +8,73 @@
 import sandpaddle.fleet.content.ContentId;
 
 /**
- * Which gateways of a zone hold an answer: rendezvous hashing (Thaler and Ravishankar 1998) ranks the live ones for
- * each answer, and the first {@value #COPIES} hold it; the first of them asks the engine. When a gateway dies, only
- * what it held finds a new holder, and the one left copies it there. O(gateways) for an answer.
+ * Assigns stored answers to the gateways of a zone by rendezvous hashing (Thaler and Ravishankar 1998). The hash ranks
+ * the live gateways for each answer; the first {@value #REPLICA_COUNT} own a replica, and the first of them fetches the
+ * answer. If a gateway fails, only its answers get a new owner, and the remaining owner copies them there. O(n log n)
+ * per answer for n gateways.
  */
 public final class ReplicaOwners {
-    public static final int COPIES = 2;
+    /** Number of gateways that store an answer. */
+    public static final int REPLICA_COUNT = 2;
 
     private ReplicaOwners() {}
 
-    /** The holders of an answer among the zone's live gateways, the one that asks first. */
-    public static List<String> of(ContentId id, Collection<String> live) {
-        List<String> ranked = new ArrayList<>(live);
+    /** Returns the owners of an answer among the live gateways of the zone, the one that fetches it first. */
+    public static List<String> of(ContentId id, Collection<String> liveGateways) {
+        List<String> ranked = new ArrayList<>(liveGateways);
         ranked.sort(Comparator.comparingLong((String name) -> score(id, name))
                 .reversed()
                 .thenComparing(Comparator.naturalOrder()));
-        return List.copyOf(ranked.subList(0, Math.min(COPIES, ranked.size())));
+        return List.copyOf(ranked.subList(0, Math.min(REPLICA_COUNT, ranked.size())));
     }
 
-    /** Whether this gateway is the one to ask an engine for it. */
-    public static boolean asks(ContentId id, Collection<String> live, String self) {
-        List<String> owners = of(id, live);
+    /** Whether this gateway is the one that fetches an answer from an engine. */
+    public static boolean isFetcher(ContentId id, Collection<String> liveGateways, String self) {
+        List<String> owners = of(id, liveGateways);
         return !owners.isEmpty() && owners.get(0).equals(self);
     }
 
     /**
-     * To whom this gateway, which has a copy, must send one: the other holder, if it is not already known to have it.
-     * Empty where this gateway is no holder and two others are: they copy between themselves.
+     * Returns the gateway to which this gateway, which has a copy, must send one: the other owner. Empty if this
+     * gateway is not an owner, since the owners copy between themselves, or if it is the only one.
      */
-    public static Optional<String> copyTo(ContentId id, Collection<String> live, String self) {
-        List<String> owners = of(id, live);
+    public static Optional<String> replicationTarget(ContentId id, Collection<String> liveGateways, String self) {
+        List<String> owners = of(id, liveGateways);
         return owners.contains(self)
-                ? owners.stream().filter(o -> !o.equals(self)).findFirst()
+                ? owners.stream().filter(owner -> !owner.equals(self)).findFirst()
                 : Optional.empty();
     }
 
     /**
-     * To whom copies of what this gateway has go after the live gateways changed. A holder of before, first of those
-     * still there, sends to each holder that is new: so one sender for each copy, and none where nothing changed.
+     * Returns the gateways to which this gateway must copy an answer after the set of live gateways changed. The first
+     * previous owner that is still live sends to each new owner, so each copy has one sender; without a new owner the
+     * result is empty.
      */
-    public static List<String> afterChange(
-            ContentId id, Collection<String> before, Collection<String> live, String self) {
-        List<String> old = of(id, before);
-        Optional<String> sender = old.stream().filter(live::contains).findFirst();
+    public static List<String> replicationTargetsAfterChange(
+            ContentId id, Collection<String> previousGateways, Collection<String> liveGateways, String self) {
+        List<String> previousOwners = of(id, previousGateways);
+        Optional<String> sender =
+                previousOwners.stream().filter(liveGateways::contains).findFirst();
         if (sender.isEmpty() || !sender.get().equals(self)) {
             return List.of();
         }
-        return of(id, live).stream().filter(o -> !old.contains(o)).toList();
+        return of(id, liveGateways).stream()
+                .filter(owner -> !previousOwners.contains(owner))
+                .toList();
     }
 
-    /** Murmur's finaliser over both: well spread for names that differ in one digit. */
+    /** Hashes answer and gateway with the finalizer of MurmurHash3, which spreads names that differ in one digit. */
     private static long score(ContentId id, String name) {
-        long h = id.a() ^ Long.rotateLeft(id.b(), 17);
+        long hash = id.a() ^ Long.rotateLeft(id.b(), 17);
         for (int i = 0; i < name.length(); i++) {
-            h = mix(h ^ name.charAt(i) * 0x9E3779B97F4A7C15L);
+            hash = mix(hash ^ name.charAt(i) * 0x9E3779B97F4A7C15L);
         }
-        return mix(h);
+        return mix(hash);
     }
 
-    private static long mix(long x) {
-        long h = (x ^ x >>> 33) * 0xff51afd7ed558ccdL;
-        h = (h ^ h >>> 33) * 0xc4ceb9fe1a85ec53L;
-        return h ^ h >>> 33;
+    private static long mix(long value) {
+        long hash = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
+        hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
+        return hash ^ hash >>> 33;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RawRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/RawRule.java
@@ -3,8 +3,16 @@
 import java.util.List;
 
 /**
- * A rule as the operator wrote it: every value as text, empty where it is absent. {@code path} is the key that it
- * stands under, as {@code fleet.outages[2]}, so that a fault can name it.
+ * An unvalidated rule of the operator's file. Values are texts, empty if absent.
+ *
+ * @param path key of the rule in the file, such as {@code fleet.outages[2]}, for error messages
+ * @param name name of the rule
+ * @param zone zone that loses its uplink
+ * @param timeZone time zone of {@code start} and {@code exdates}
+ * @param start start of the first window, in local time
+ * @param duration duration of a window (ISO 8601)
+ * @param rrule recurrence rule (RFC 5545); empty for a single window
+ * @param exdates starts of recurrences that are omitted, in local time
  */
 public record RawRule(
         String path,
@@ -12,6 +20,6 @@
         String zone,
         String timeZone,
         String start,
-        String length,
+        String duration,
         String rrule,
         List<String> exdates) {}
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Rule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Rule.java
@@ -8,33 +8,40 @@
 import org.dmfs.rfc5545.recur.RecurrenceRule;
 
 /**
- * When a zone is expected to lose its uplink: once, or by a recurrence of RFC 5545. {@code first} is the first
- * window's beginning by the clocks of {@code timeZone}; {@code recurrence} is empty for a window that comes once. Each
- * window lasts {@code length} of elapsed time, whatever the clocks are set to meanwhile. {@code except} names
- * beginnings that do not come (EXDATE), by the clocks of the time zone.
+ * A rule for expected losses of a zone's uplink: a single window or a recurrence (RFC 5545).
+ *
+ * @param name name of the rule
+ * @param zone zone that loses its uplink
+ * @param timeZone time zone of {@code start} and {@code excludedStarts}
+ * @param start start of the first window, in local time
+ * @param duration elapsed time of each window, regardless of changes of the local time
+ * @param recurrence recurrence rule; empty for a single window
+ * @param excludedStarts starts of recurrences that are omitted (EXDATE), in local time
  */
 public record Rule(
         String name,
         String zone,
         ZoneId timeZone,
-        LocalDateTime first,
-        Duration length,
+        LocalDateTime start,
+        Duration duration,
         String recurrence,
-        Set<LocalDateTime> except) {
+        Set<LocalDateTime> excludedStarts) {
+    /** Copies the set. */
     public Rule {
-        except = Set.copyOf(except);
+        excludedStarts = Set.copyOf(excludedStarts);
     }
 
-    boolean recurs() {
+    boolean isRecurring() {
         return !recurrence.isEmpty();
     }
 
-    /** The recurrence as the library has it; it was read once before, so that it can be read. */
-    RecurrenceRule parsed() {
+    /** Parses the recurrence, which {@link RuleReader} has validated. */
+    RecurrenceRule parsedRecurrence() {
         try {
             return parse(recurrence);
         } catch (InvalidRecurrenceRuleException e) {
-            throw new IllegalStateException("rule " + name + " was never checked: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "rule " + name + " has a recurrence that was not validated: " + e.getMessage(), e);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Schedule.java
@@ -8,70 +8,78 @@
 import java.util.TreeSet;
 
 /**
- * When zones are expected to lose their uplink: windows that come once and recurrences (RFC 5545, by lib-recur),
- * placed by time zone and merged by zone where they overlap. It only says what is expected; that a zone is cut off
- * takes evidence. A look-ahead is expanded once and kept until it no longer covers what is asked; it costs at most
- * {@value Expansion#MAX_OCCURRENCES} steps a rule and holds at most {@value #MAX_WINDOWS} windows a zone.
+ * Expected losses of the uplinks of zones: single windows and recurrences (RFC 5545, by lib-recur), resolved in their
+ * time zones and merged by zone where they overlap. The schedule only says what is expected; whether a zone is isolated
+ * is decided by evidence.
+ *
+ * <p>The windows of a zone are expanded for {@code LOOKAHEAD_MS} and cached until the cache no longer covers a request.
+ * An expansion evaluates at most {@value OccurrenceExpander#MAX_OCCURRENCES} occurrences per rule and keeps at most
+ * {@value #MAX_WINDOWS} windows per zone. Not thread-safe.
  */
 public final class Schedule {
-    /** Rules in one schedule. */
+    /** Largest number of rules in a schedule. */
     public static final int MAX_RULES = 256;
 
     static final int MAX_WINDOWS = 2048;
-    private static final long AHEAD_MS = 35L * 24 * 3600 * 1000;
-    private static final long BEHIND_MS = 8L * 24 * 3600 * 1000;
+    private static final long LOOKAHEAD_MS = 35L * 24 * 3600 * 1000;
+    private static final long LOOKBEHIND_MS = 8L * 24 * 3600 * 1000;
 
-    /** Without any rule. */
+    /** The schedule without rules. */
     public static final Schedule NONE = new Schedule(List.of());
 
-    private record Ahead(TimeRange covered, List<Window> windows) {}
+    private record Lookahead(TimeRange covered, List<Window> windows) {}
 
     private final List<Rule> rules;
-    private final Map<String, Ahead> byZone = new HashMap<>(); // an entry a zone that a rule names
+    private final Map<String, Lookahead> byZone = new HashMap<>(); // one entry for each zone with a rule
 
+    /** Creates a schedule of validated rules. */
     public Schedule(List<Rule> rules) {
         this.rules = List.copyOf(rules);
     }
 
+    /** Returns the rules. */
     public List<Rule> rules() {
         return rules;
     }
 
-    /** The merged windows of a zone that end after {@code wall} (ms) and begin within {@code ahead} (ms) of it. */
-    public List<Window> windows(String zone, long wall, long ahead) {
-        long until = wall + Math.min(ahead, AHEAD_MS / 2);
-        Ahead known = byZone.get(zone);
-        if (known == null || known.covered.from() + BEHIND_MS / 2 > wall || known.covered.to() < until) {
-            if (rules.stream().noneMatch(r -> r.zone().equals(zone))) {
+    /** Returns the merged windows of a zone that end after {@code wallMs} and start within {@code aheadMs} of it. */
+    public List<Window> windows(String zone, long wallMs, long aheadMs) {
+        long untilMs = wallMs + Math.min(aheadMs, LOOKAHEAD_MS / 2);
+        Lookahead cached = byZone.get(zone);
+        if (cached == null
+                || cached.covered.startMs() + LOOKBEHIND_MS / 2 > wallMs
+                || cached.covered.endMs() < untilMs) {
+            if (rules.stream().noneMatch(rule -> rule.zone().equals(zone))) {
                 return List.of();
             }
-            known = expand(zone, new TimeRange(wall - BEHIND_MS, wall + AHEAD_MS));
-            byZone.put(zone, known);
+            cached = expand(zone, new TimeRange(wallMs - LOOKBEHIND_MS, wallMs + LOOKAHEAD_MS));
+            byZone.put(zone, cached);
         }
-        return known.windows.stream()
-                .filter(w -> w.span().to() > wall && w.span().from() <= until)
+        return cached.windows.stream()
+                .filter(window ->
+                        window.range().endMs() > wallMs && window.range().startMs() <= untilMs)
                 .toList();
     }
 
-    private Ahead expand(String zone, TimeRange asked) {
+    private Lookahead expand(String zone, TimeRange requested) {
         List<Window> all = new ArrayList<>();
-        for (Rule r : rules) {
-            if (r.zone().equals(zone)) {
-                for (TimeRange s : Expansion.of(r, asked)) {
-                    all.add(new Window(zone, s, new TreeSet<>(List.of(r.name()))));
+        for (Rule rule : rules) {
+            if (rule.zone().equals(zone)) {
+                for (TimeRange range : OccurrenceExpander.expand(rule, requested)) {
+                    all.add(new Window(zone, range, new TreeSet<>(List.of(rule.name()))));
                 }
             }
         }
-        all.sort(Comparator.comparingLong(w -> w.span().from()));
+        all.sort(Comparator.comparingLong(window -> window.range().startMs()));
         List<Window> merged = new ArrayList<>();
-        for (Window w : all) {
+        for (Window window : all) {
             Window last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
-            if (last != null && last.span().meets(w.span())) {
-                merged.set(merged.size() - 1, last.with(w));
+            if (last != null && last.range().touches(window.range())) {
+                merged.set(merged.size() - 1, last.mergedWith(window));
             } else if (merged.size() < MAX_WINDOWS) {
-                merged.add(w);
+                merged.add(window);
             }
         }
-        return new Ahead(asked, merged);
+        return new Lookahead(requested, merged);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/TimeRange.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/TimeRange.java
@@ -1,13 +1,19 @@
 package sandpaddle.fleet.outage.schedule;
 
-/** A time by the wall clock, in milliseconds since 1970 (UTC): {@code from} is within, {@code to} is not. */
-public record TimeRange(long from, long to) {
-    public boolean has(long wall) {
-        return from <= wall && wall < to;
+/**
+ * Half-open range of wall-clock time, in milliseconds since 1970 (UTC).
+ *
+ * @param startMs first millisecond of the range
+ * @param endMs first millisecond after the range
+ */
+public record TimeRange(long startMs, long endMs) {
+    /** Whether the range contains a time. */
+    public boolean contains(long wallMs) {
+        return startMs <= wallMs && wallMs < endMs;
     }
 
-    /** Whether they share a time or touch. */
-    boolean meets(TimeRange other) {
-        return from <= other.to && other.from <= to;
+    /** Whether two ranges overlap or adjoin. */
+    boolean touches(TimeRange other) {
+        return startMs <= other.endMs && other.startMs <= endMs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/schedule/Window.java
@@ -3,14 +3,21 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** An expected outage of a zone: overlapping windows made one, with the names of the rules that it came from. */
-public record Window(String zone, TimeRange span, SortedSet<String> rules) {
-    Window with(Window other) {
+/**
+ * An expected outage of a zone, merged from overlapping windows.
+ *
+ * @param zone name of the zone
+ * @param range planned time
+ * @param rules names of the rules that the window came from
+ */
+public record Window(String zone, TimeRange range, SortedSet<String> rules) {
+    Window mergedWith(Window other) {
         SortedSet<String> all = new TreeSet<>(rules);
         all.addAll(other.rules);
         return new Window(
                 zone,
-                new TimeRange(Math.min(span.from(), other.span.from()), Math.max(span.to(), other.span.to())),
+                new TimeRange(
+                        Math.min(range.startMs(), other.range.startMs()), Math.max(range.endMs(), other.range.endMs())),
                 all);
     }
 }
--- a/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
@@ -124,8 +124,8 @@
                 settings.agreed().limits());
         OutageSettings outages = settings.outages();
         Rule rule = outages.schedule().rules().get(0);
-        assertEquals(Duration.ofMinutes(90), rule.length());
-        assertEquals(Set.of(LocalDateTime.parse("2026-11-08T02:30")), rule.except());
+        assertEquals(Duration.ofMinutes(90), rule.duration());
+        assertEquals(Set.of(LocalDateTime.parse("2026-11-08T02:30")), rule.excludedStarts());
         assertEquals(
                 new PhaseSettings(100_000, 200_000, 300_000, 400_000, 5000, 4000, PhaseSettings.DEFAULT.settleMs()),
                 outages.phase());
--- a/gateway/src/test/java/sandpaddle/fleet/content/replication/AnswerReplicationProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/replication/AnswerReplicationProperties.java
@@ -198,7 +198,7 @@
                 nodes.get(asker).store(a);
                 nodes.get(asker)
                         .copies
-                        .offer(ReplicaOwners.copyTo(id, live, asker).orElseThrow(), id);
+                        .offer(ReplicaOwners.replicationTarget(id, live, asker).orElseThrow(), id);
             }
             for (int i = 0; i < 100; i++) {
                 step();
@@ -209,7 +209,7 @@
                 node.copies.down(dead);
                 node.copies.forget(dead);
                 List.copyOf(node.held.keySet())
-                        .forEach(id -> ReplicaOwners.afterChange(id, live, left, name)
+                        .forEach(id -> ReplicaOwners.replicationTargetsAfterChange(id, live, left, name)
                                 .forEach(to -> node.copies.offer(to, id)));
             });
             for (int i = 0; i < 100; i++) {
--- a/gateway/src/test/java/sandpaddle/fleet/outage/OutageLayersTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/OutageLayersTest.java
@@ -7,14 +7,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Outages are decided, and answers judged, without files, sockets, threads, clock or log. */
+/** Decisions on outages and on stored answers use no files, sockets, threads, clock or log. */
 class OutageLayersTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses FLEET_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("sandpaddle.fleet");
 
     @Test
-    void decisionsAreFreeOfInputOutputAndClock() {
+    void decisionPackagesUseNoInputOutputThreadsClockOrLog() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -35,17 +35,17 @@
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
-                .check(ALL);
+                .check(FLEET_CLASSES);
     }
 
     @Test
-    void storedAnswersKnowNothingOfOutages() {
+    void storedAnswersDoNotDependOnOutagePackages() {
         noClasses()
                 .that()
                 .resideInAPackage("sandpaddle.fleet.content..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("sandpaddle.fleet.outage..")
-                .check(ALL);
+                .check(FLEET_CLASSES);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/margin/MarginsTest.java
@@ -10,96 +10,96 @@
 import sandpaddle.fleet.wire.CborIn;
 
 class MarginsTest {
-    private static final long MIN = 60_000;
+    private static final long MINUTE_MS = 60_000;
     private static final Set<String> RULE = Set.of("r");
 
-    private final Margins margins = new Margins(new MarginSettings(MIN, 20 * MIN, 0.8));
+    private final Margins margins = new Margins(new MarginSettings(MINUTE_MS, 20 * MINUTE_MS, 0.8));
 
-    private static WindowOutcome went(long startLate, long endLate) {
-        return new WindowOutcome("ship", RULE, false, false, startLate, endLate);
+    private static WindowOutcome outcome(long startDelayMs, long endDelayMs) {
+        return new WindowOutcome("ship", RULE, false, false, startDelayMs, endDelayMs);
     }
 
     @Test
-    void knowsOnlyTheLeastAtFirst() {
-        assertEquals(MIN, margins.before("ship", RULE));
-        assertEquals(MIN, margins.after("ship", RULE));
+    void returnsMinimumMarginWithoutHistory() {
+        assertEquals(MINUTE_MS, margins.startMarginMs("ship", RULE));
+        assertEquals(MINUTE_MS, margins.endMarginMs("ship", RULE));
     }
 
     @Test
-    void coversTheQuantileOfEarlierWindows() {
+    void marginCoversQuantileOfEarlierWindows() {
         for (int i = 1; i <= 10; i++) {
-            margins.learn(went(-i * MIN, i * MIN / 2));
+            margins.learn(outcome(-i * MINUTE_MS, i * MINUTE_MS / 2));
         }
-        assertEquals(8 * MIN, margins.before("ship", RULE));
-        assertEquals(4 * MIN, margins.after("ship", RULE));
-        assertEquals(MIN, margins.before("other", RULE));
-        assertEquals(8 * MIN, margins.before("ship", Set.of("r", "unknown")));
+        assertEquals(8 * MINUTE_MS, margins.startMarginMs("ship", RULE));
+        assertEquals(4 * MINUTE_MS, margins.endMarginMs("ship", RULE));
+        assertEquals(MINUTE_MS, margins.startMarginMs("other", RULE));
+        assertEquals(8 * MINUTE_MS, margins.startMarginMs("ship", Set.of("r", "unknown")));
     }
 
     @Test
-    void oneStrangeWindowMovesAQuantileByOnePlace() {
+    void outlierShiftsQuantileByOneRank() {
         for (int i = 0; i < 9; i++) {
-            margins.learn(went(-2 * MIN, 2 * MIN));
+            margins.learn(outcome(-2 * MINUTE_MS, 2 * MINUTE_MS));
         }
-        margins.learn(went(-1000 * MIN, 1000 * MIN));
-        assertEquals(2 * MIN, margins.before("ship", RULE));
+        margins.learn(outcome(-1000 * MINUTE_MS, 1000 * MINUTE_MS));
+        assertEquals(2 * MINUTE_MS, margins.startMarginMs("ship", RULE));
         for (int i = 0; i < 9; i++) {
-            margins.learn(went(-1000 * MIN, 1000 * MIN));
+            margins.learn(outcome(-1000 * MINUTE_MS, 1000 * MINUTE_MS));
         }
-        assertEquals(20 * MIN, margins.before("ship", RULE), "the longest that the settings allow");
+        assertEquals(20 * MINUTE_MS, margins.startMarginMs("ship", RULE), "longest margin of the settings");
     }
 
     @Test
-    void missedAndDoubtfulWindowsMoveNoMargin() {
-        margins.learn(went(-5 * MIN, 5 * MIN));
+    void missedAndUnreliableWindowsLeaveMarginsUnchanged() {
+        margins.learn(outcome(-5 * MINUTE_MS, 5 * MINUTE_MS));
         for (int i = 0; i < 50; i++) {
             margins.learn(new WindowOutcome("ship", RULE, true, false, 0, 0));
-            margins.learn(new WindowOutcome("ship", RULE, false, true, -15 * MIN, 15 * MIN));
+            margins.learn(new WindowOutcome("ship", RULE, false, true, -15 * MINUTE_MS, 15 * MINUTE_MS));
         }
-        assertEquals(5 * MIN, margins.before("ship", RULE));
-        assertEquals(50, margins.missed("ship", "r"));
+        assertEquals(5 * MINUTE_MS, margins.startMarginMs("ship", RULE));
+        assertEquals(50, margins.missedWindows("ship", "r"));
     }
 
     @Test
-    void forgetsWhatIsOlderThanTheRing() {
-        for (int i = 0; i < OffsetHistory.SIZE; i++) {
-            margins.learn(went(-15 * MIN, 0));
+    void discardsOffsetsBeyondHistoryCapacity() {
+        for (int i = 0; i < OffsetHistory.CAPACITY; i++) {
+            margins.learn(outcome(-15 * MINUTE_MS, 0));
         }
-        for (int i = 0; i < OffsetHistory.SIZE; i++) {
-            margins.learn(went(-3 * MIN, 0));
+        for (int i = 0; i < OffsetHistory.CAPACITY; i++) {
+            margins.learn(outcome(-3 * MINUTE_MS, 0));
         }
-        assertEquals(3 * MIN, margins.before("ship", RULE));
+        assertEquals(3 * MINUTE_MS, margins.startMarginMs("ship", RULE));
     }
 
     @Test
-    void knowsAfterARestartWhatItKnewBefore() throws Exception {
+    void restoresEncodedMargins() throws Exception {
         for (int i = 1; i <= 20; i++) {
-            margins.learn(went(-i * MIN / 2, i * MIN / 3));
+            margins.learn(outcome(-i * MINUTE_MS / 2, i * MINUTE_MS / 3));
         }
-        Margins next = new Margins(new MarginSettings(MIN, 20 * MIN, 0.8));
-        next.take(margins.export());
-        assertEquals(margins.before("ship", RULE), next.before("ship", RULE));
-        assertArrayEquals(margins.export(), next.export());
+        Margins restored = new Margins(new MarginSettings(MINUTE_MS, 20 * MINUTE_MS, 0.8));
+        restored.restore(margins.encode());
+        assertEquals(margins.startMarginMs("ship", RULE), restored.startMarginMs("ship", RULE));
+        assertArrayEquals(margins.encode(), restored.encode());
     }
 
     @Test
-    void aFaultyExportChangesNothing() {
-        margins.learn(went(-5 * MIN, 5 * MIN));
-        byte[] whole = margins.export();
-        for (int n = 0; n < whole.length; n++) {
-            byte[] torn = Arrays.copyOf(whole, n);
-            assertThrows(CborIn.FaultyMessageException.class, () -> margins.take(torn));
+    void restoreOfTruncatedDataLeavesMarginsUnchanged() {
+        margins.learn(outcome(-5 * MINUTE_MS, 5 * MINUTE_MS));
+        byte[] complete = margins.encode();
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(CborIn.FaultyMessageException.class, () -> margins.restore(truncated));
         }
-        assertEquals(5 * MIN, margins.before("ship", RULE));
+        assertEquals(5 * MINUTE_MS, margins.startMarginMs("ship", RULE));
     }
 
     @Test
-    void holdsABoundedNumberOfRules() throws Exception {
+    void evictsLeastRecentlyUsedRule() throws Exception {
         for (int i = 0; i < 2 * Margins.MAX_RULES; i++) {
-            margins.learn(new WindowOutcome("ship", Set.of("r" + i), false, false, -5 * MIN, 0));
+            margins.learn(new WindowOutcome("ship", Set.of("r" + i), false, false, -5 * MINUTE_MS, 0));
         }
-        assertEquals(MIN, margins.before("ship", Set.of("r0")));
-        assertEquals(5 * MIN, margins.before("ship", Set.of("r" + (2 * Margins.MAX_RULES - 1))));
-        new Margins(MarginSettings.DEFAULT).take(margins.export());
+        assertEquals(MINUTE_MS, margins.startMarginMs("ship", Set.of("r0")));
+        assertEquals(5 * MINUTE_MS, margins.startMarginMs("ship", Set.of("r" + (2 * Margins.MAX_RULES - 1))));
+        new Margins(MarginSettings.DEFAULT).restore(margins.encode());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
@@ -17,115 +17,117 @@
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
-/** Three gateways of a zone; each statement is asked at one of them only. */
+/** Three gateways of one zone; each statement is requested at one of them only. */
 class PrefetcherTest {
-    private static final long HOUR = 3_600_000;
-    private static final TimeRange OUTAGE = new TimeRange(36 * HOUR, 38 * HOUR);
-    private static final List<String> LIVE = List.of("a", "b", "c");
+    private static final long HOUR_MS = 3_600_000;
+    private static final TimeRange OUTAGE = new TimeRange(36 * HOUR_MS, 38 * HOUR_MS);
+    private static final List<String> GATEWAYS = List.of("a", "b", "c");
 
     private final Map<String, Prefetcher> gateways = new TreeMap<>();
     private final Set<Long> fetched = new HashSet<>();
-    private final Map<ContentId, Long> at = new HashMap<>();
+    private final Map<ContentId, Long> storedAtMs = new HashMap<>();
 
     private static Candidate candidate(int n) {
-        return new Candidate(Stored.key(n), n, Set.of(), 100, 10_000, 5 * HOUR, 1, -1);
+        return new Candidate(Stored.key(n), n, Set.of(), 100, 10_000, 5 * HOUR_MS, 1, -1);
     }
 
-    private void learn(int statements) {
-        for (String name : LIVE) {
+    private void createGateways(int statements) {
+        for (String name : GATEWAYS) {
             gateways.put(
                     name,
                     new Prefetcher(
                             name,
-                            new Budget(1_000_000, 1_000_000, 0.9, 10_000),
+                            new PrefetchBudget(1_000_000, 1_000_000, 0.9, 10_000),
                             60_000_000,
-                            new AskHistory(0.3),
-                            new Catalogue(1000, 1_000_000)));
+                            new DemandHistory(0.3),
+                            new Candidates(1000, 1_000_000)));
         }
         for (int n = 0; n < statements; n++) {
-            Prefetcher p = gateways.get(LIVE.get(n % 3));
-            p.asked(12 * HOUR, n);
-            p.served(candidate(n));
+            Prefetcher prefetcher = gateways.get(GATEWAYS.get(n % 3));
+            prefetcher.recordRequest(12 * HOUR_MS, n);
+            prefetcher.recordAnswer(candidate(n));
         }
     }
 
-    private void turn(Phase phase, List<String> live, long wall) {
-        gateways.forEach((name, p) -> {
-            for (Fetch f : p.turn(
-                    wall * 1000,
-                    wall,
-                    new Prefetcher.View(phase, Optional.of(OUTAGE), live),
-                    new Allowance(10, 1_000_000),
-                    id -> at.getOrDefault(id, -1L))) {
-                assertTrue(fetched.add(f.what().fingerprint()), "fetched twice");
-                at.put(f.what().key().id(), wall);
-                p.ended(f.what().key().id(), true);
+    private void startFetches(Phase phase, List<String> liveGateways, long wallMs) {
+        gateways.forEach((name, prefetcher) -> {
+            for (Fetch fetch : prefetcher.startDueFetches(
+                    wallMs * 1000,
+                    wallMs,
+                    new Prefetcher.ZoneState(phase, Optional.of(OUTAGE), liveGateways),
+                    new FetchLimit(10, 1_000_000),
+                    id -> storedAtMs.getOrDefault(id, -1L))) {
+                assertTrue(fetched.add(fetch.candidate().fingerprint()), "fetched twice");
+                storedAtMs.put(fetch.candidate().key().id(), wallMs);
+                prefetcher.fetchEnded(fetch.candidate().key().id(), true);
             }
         });
     }
 
-    private void tell() {
-        gateways.forEach((from, p) ->
-                p.wants(OUTAGE, LIVE).forEach(w -> gateways.get(w.to()).wanted(from, w.what(), w.asks())));
+    private void exchangeDemandReports() {
+        gateways.forEach((from, prefetcher) -> prefetcher
+                .demandReports(OUTAGE, GATEWAYS)
+                .forEach(report ->
+                        gateways.get(report.recipient()).receiveDemand(from, report.candidate(), report.demand())));
     }
 
     @Test
-    void whatAnyOfThemIsAskedIsFetchedByOneOfThem() {
-        learn(60);
-        turn(Phase.EXPECTING, LIVE, OUTAGE.from() - HOUR);
-        tell();
+    void fetchesEachAnswerOnceAcrossGateways() {
+        createGateways(60);
+        startFetches(Phase.EXPECTING, GATEWAYS, OUTAGE.startMs() - HOUR_MS);
+        exchangeDemandReports();
         assertEquals(0, fetched.size());
-        for (long wall = OUTAGE.from() - HOUR / 2; wall < OUTAGE.from() - 10_000; wall += 1000) {
-            turn(Phase.FILLING, LIVE, wall);
+        for (long wallMs = OUTAGE.startMs() - HOUR_MS / 2; wallMs < OUTAGE.startMs() - 10_000; wallMs += 1000) {
+            startFetches(Phase.FILLING, GATEWAYS, wallMs);
         }
-        assertEquals(60, fetched.size(), "all are there before the loss, and none was fetched long before");
+        assertEquals(60, fetched.size(), "all answers are fetched before the loss");
     }
 
     @Test
-    void aLossThatIsLateIsFilledForUntilItComes() {
-        learn(60);
-        turn(Phase.EXPECTING, LIVE, OUTAGE.from() - HOUR);
-        tell();
-        turn(Phase.FILLING, LIVE, OUTAGE.from() + 600_000);
-        assertTrue(fetched.size() >= 3, "begun at once");
-        for (int s = 1; s < 10; s++) {
-            turn(Phase.FILLING, LIVE, OUTAGE.from() + 600_000 + s * 1000);
+    void continuesFetchingAfterDelayedOnset() {
+        createGateways(60);
+        startFetches(Phase.EXPECTING, GATEWAYS, OUTAGE.startMs() - HOUR_MS);
+        exchangeDemandReports();
+        startFetches(Phase.FILLING, GATEWAYS, OUTAGE.startMs() + 600_000);
+        assertTrue(fetched.size() >= 3, "fetches start immediately");
+        for (int second = 1; second < 10; second++) {
+            startFetches(Phase.FILLING, GATEWAYS, OUTAGE.startMs() + 600_000 + second * 1000);
         }
         assertEquals(60, fetched.size());
     }
 
     @Test
-    void withoutWantsOnlyWhatIsAskedAtItsOwnerIs() {
-        learn(60);
-        for (long wall = OUTAGE.from() - 50_000; wall < OUTAGE.from() - 5000; wall += 1000) {
-            turn(Phase.FILLING, LIVE, wall);
+    void fetchesOnlyOwnDemandWithoutDemandReports() {
+        createGateways(60);
+        for (long wallMs = OUTAGE.startMs() - 50_000; wallMs < OUTAGE.startMs() - 5000; wallMs += 1000) {
+            startFetches(Phase.FILLING, GATEWAYS, wallMs);
         }
-        long own = java.util.stream.IntStream.range(0, 60)
-                .filter(n -> ReplicaOwners.asks(Stored.key(n).id(), LIVE, LIVE.get(n % 3)))
+        long ownedByRequester = java.util.stream.IntStream.range(0, 60)
+                .filter(n -> ReplicaOwners.isFetcher(Stored.key(n).id(), GATEWAYS, GATEWAYS.get(n % 3)))
                 .count();
-        assertEquals(own, fetched.size());
+        assertEquals(ownedByRequester, fetched.size());
     }
 
     @Test
-    void whatNeighboursExpectedIsForgottenAfterTheWindow() {
-        learn(60);
-        turn(Phase.EXPECTING, LIVE, OUTAGE.from() - HOUR);
-        tell();
-        turn(Phase.CONNECTED, LIVE, OUTAGE.to());
-        for (long wall = OUTAGE.from() - 50_000; wall < OUTAGE.from() - 5000; wall += 1000) {
-            turn(Phase.FILLING, LIVE, wall);
+    void discardsNeighbourDemandAfterWindow() {
+        createGateways(60);
+        startFetches(Phase.EXPECTING, GATEWAYS, OUTAGE.startMs() - HOUR_MS);
+        exchangeDemandReports();
+        startFetches(Phase.CONNECTED, GATEWAYS, OUTAGE.endMs());
+        for (long wallMs = OUTAGE.startMs() - 50_000; wallMs < OUTAGE.startMs() - 5000; wallMs += 1000) {
+            startFetches(Phase.FILLING, GATEWAYS, wallMs);
         }
         assertTrue(fetched.size() < 60 / 2, fetched.size() + " fetched");
     }
 
     @Test
-    void nothingIsBegunOnceTheZoneIsCutOff() {
-        learn(60);
-        turn(Phase.FILLING, LIVE, OUTAGE.from() - 10_500);
-        int before = fetched.size();
-        for (long wall = OUTAGE.from(); wall < OUTAGE.from() + 60_000; wall += 1000) {
-            turn(Phase.ISOLATED, LIVE, wall);
+    void startsNoFetchOnceZoneIsIsolated() {
+        createGateways(60);
+        startFetches(Phase.FILLING, GATEWAYS, OUTAGE.startMs() - 10_500);
+        int fetchedBeforeIsolation = fetched.size();
+        for (long wallMs = OUTAGE.startMs(); wallMs < OUTAGE.startMs() + 60_000; wallMs += 1000) {
+            startFetches(Phase.ISOLATED, GATEWAYS, wallMs);
         }
-        assertEquals(before, fetched.size());
+        assertEquals(fetchedBeforeIsolation, fetched.size());
     }
 }
