--- a/gateway/src/main/java/sandpaddle/fleet/content/Candidate.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/Candidate.java
@@ -3,24 +3,27 @@
 import java.util.Set;
 
 /**
- * An answer that may be stored for an outage.
+ * A result that may be prefetched and cached for an outage; immutable.
  *
- * @param groups the data groups that it is read from
- * @param size bytes that it takes when stored
- * @param workUs what an engine spends on it
- * @param maxAgeMs how old it may be handed out
- * @param worthEach what one ask that finds it is worth
- * @param storedAt when (wall, ms) the copy at hand was asked for, or -1 where there is none
+ * @param key what the result answers
+ * @param fingerprint identifies the statement in the history of request frequencies
+ * @param groups data groups that the statement reads; empty if unknown
+ * @param size size of the cached result in bytes
+ * @param workUs engine time (us) that one execution takes
+ * @param maxAgeMs maximum age at which the result may be served
+ * @param priorityWeight priority weight of one request that the result answers
+ * @param cachedRequestedAtMs wall-clock time (ms) at which the copy in the cache was requested, or -1 if there is none
  */
 public record Candidate(
-        ContentKey key,
+        CacheKey key,
         long fingerprint,
         Set<Long> groups,
         long size,
         long workUs,
         long maxAgeMs,
-        double worthEach,
-        long storedAt) {
+        double priorityWeight,
+        long cachedRequestedAtMs) {
+    /** Copies the data groups. */
     public Candidate {
         groups = Set.copyOf(groups);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskFault.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskFault.java
@@ -1,22 +1,28 @@
 package sandpaddle.fleet.content.disk;
 
-/** What went wrong on disk, for the log; no fault reaches a client. {@code file} is empty where it is the directory. */
-public record DiskFault(Kind kind, String file, String what) {
-    /** What it means. */
+/**
+ * A fault of the disk tier, for the log; clients never receive one.
+ *
+ * @param kind class of the fault
+ * @param file name of the file, or empty if the fault concerns the directory or an entry
+ * @param detail what was found and what was done
+ */
+public record DiskFault(Kind kind, String file, String detail) {
+    /** Class of a fault. */
     public enum Kind {
-        /** No room: the least valuable went, or what waits was kept in memory only. */
+        /** The disk is full: the least valuable segments were evicted, or the write buffer stays in memory. */
         FULL,
-        /** It could not be written, synced or renamed; writing rests for a while. */
+        /** A file could not be written, synced, renamed or deleted; a failed write is retried after a delay. */
         WRITE,
-        /** It could not be read; the answer counts as not stored. */
+        /** A file or directory could not be read; its entries count as not cached. */
         READ,
-        /** Its checksum or form is wrong; the answer, or the file, is set aside. */
+        /** A checksum or format does not match; the entry is dropped, or the file is quarantined. */
         CORRUPT,
-        /** A file is shorter than it says; the answers beyond its end are lost. */
+        /** A file is shorter than its header states; the entries beyond its end are lost. */
         TORN,
-        /** A file of somebody else's, left alone. */
+        /** A file that the disk tier did not create; it is ignored. */
         FOREIGN,
-        /** More files than are looked at. */
+        /** More files or entries than the settings allow. */
         MANY
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/DiskTier.java
@@ -5,160 +5,190 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.wire.CborIn;
 
 /**
- * Stored answers on disk within a quota, in immutable segments (the log-structured idea of Rosenblum and Ousterhout
- * 1992): answers gather in memory, and are written together as one file, synced, renamed, and the directory synced.
- * So a crash loses at most what gathered, never a part of a file, and a hundred thousand small answers are a few
- * hundred files. Room is made by removing the segments with the least worth a byte; what is in them competes by worth
- * a byte with what is being written, for the room that they leave, so that the good answers of a poor segment stay; a
- * flush writes again at most what it removes. Every answer is checked by checksum when read. No call throws for a
- * fault of the disk: it is told, the answer counts as not stored, and writing rests for the settings' time. In memory
- * are 250 bytes an answer and at most four segments' bytes. Not for the event loop: calls wait for the disk.
+ * Cached results on disk within a quota, in immutable segments (the log-structured layout of Rosenblum and Ousterhout
+ * 1992). Entries are buffered in memory and written together as one file, which is synced and renamed before the
+ * directory is synced. A crash therefore loses at most the buffered entries and leaves no partial segment, and a
+ * hundred thousand small entries take a few hundred files.
+ *
+ * <p>Eviction removes the segments with the lowest value per byte. Their entries compete by value per byte with the
+ * entries being written for the freed space, so valuable entries of a poor segment survive; a flush rewrites at most as
+ * much as it removes.
+ *
+ * <p>The checksum of an entry is verified on each read. A disk fault never makes a call throw: it is recorded, the
+ * entry counts as not cached, and writing is retried after {@link DiskSettings#retryUs}. Memory: 250 bytes for each
+ * entry and at most four times the segment size. Calls block on the disk, so they must not come from the event loop;
+ * not thread-safe.
  */
 public final class DiskTier {
-    private static final int FULL_TRIES = 3; // segments given up for one write before it is given up itself
+    /** Number of segments evicted for one write on a full disk before the write is abandoned. */
+    private static final int MAX_EVICTIONS_ON_FULL_DISK = 3;
+
+    /** The write buffer holds at most the maximum number of entries of a segment divided by this. */
+    private static final int BUFFERED_ENTRIES_DIVISOR = 4;
 
     private final DiskSettings settings;
     private final FaultLog faults = new FaultLog();
     private final Index index = new Index();
     private final WriteBuffer writeBuffer = new WriteBuffer();
-    private final Segments segments;
-    private long number;
-    private long restsUntil = Long.MIN_VALUE;
+    private final SegmentStore segments;
+    private long lastSegmentNumber;
+    private long writesPausedUntilUs = Long.MIN_VALUE;
 
-    private DiskTier(Files files, DiskSettings settings) {
+    private DiskTier(StorageDirectory files, DiskSettings settings) {
         this.settings = settings;
-        segments = new Segments(files, settings, faults, index);
-        number = new Recovery(files, settings, faults, index).run();
+        segments = new SegmentStore(files, settings, faults, index);
+        lastSegmentNumber = new Recovery(files, settings, faults, index).run();
     }
 
-    /** Opens what is there; {@code wall} (ms) tells what is too old to be worth keeping. */
-    public static DiskTier open(Files files, DiskSettings settings, long wall) {
+    /**
+     * Opens a tier with the segments that the directory contains, and evicts down to the settings.
+     *
+     * @param files directory of the segments
+     * @param settings bounds
+     * @param wallMs wall-clock time; results that are too old by it have no value
+     */
+    public static DiskTier open(StorageDirectory files, DiskSettings settings, long wallMs) {
         DiskTier tier = new DiskTier(files, settings);
-        tier.segments.makeRoom(tier.writeBuffer, wall);
+        tier.segments.makeRoom(tier.writeBuffer, wallMs);
         return tier;
     }
 
-    /** Faults since this was last asked. */
+    /** Returns and clears the faults since the last call. */
     public List<DiskFault> faults() {
-        return faults.take();
+        return faults.drain();
     }
 
-    /** Takes an answer, which is on disk after the next {@link #flush}; writes where enough has gathered. */
-    public void put(StoredAnswer answer, long now, long wall) {
-        writeBuffer.put(EncodedAnswer.of(answer));
-        if (writeBuffer.diskBytes() >= settings.segmentBytes() || writeBuffer.size() >= SegmentCodec.MAX_ANSWERS / 4) {
-            flush(now, wall);
+    /**
+     * Buffers a result, which is durable after the next successful {@link #flush}; flushes if the buffer is full.
+     *
+     * @param result the result
+     * @param nowUs monotonic time
+     * @param wallMs wall-clock time
+     */
+    public void put(CachedResult result, long nowUs, long wallMs) {
+        writeBuffer.put(EncodedEntry.of(result));
+        if (writeBuffer.diskBytes() >= settings.segmentBytes()
+                || writeBuffer.size() >= SegmentCodec.MAX_ENTRIES / BUFFERED_ENTRIES_DIVISOR) {
+            flush(nowUs, wallMs);
         }
     }
 
-    /** Reads and checks an answer; one that cannot be read, or is not what it says, is dropped and told. */
-    public Optional<StoredAnswer> get(ContentId id) {
+    /** Reads and verifies a result; an unreadable or corrupt entry is dropped and recorded as a fault. */
+    public Optional<CachedResult> get(ResultId id) {
         byte[] bytes = writeBuffer
                 .get(id)
-                .map(EncodedAnswer::bytes)
+                .map(EncodedEntry::bytes)
                 .or(() -> segments.read(id))
                 .orElse(null);
         if (bytes == null) {
             return Optional.empty();
         }
         try {
-            StoredAnswer answer = StoredAnswer.read(bytes);
-            if (answer.meta().key().id().equals(id)) {
-                return Optional.of(answer);
+            CachedResult result = CachedResult.decode(bytes);
+            if (result.metadata().key().id().equals(id)) {
+                return Optional.of(result);
             }
-            faults.add(DiskFault.Kind.CORRUPT, "", "answer " + id + " is another's");
+            faults.add(DiskFault.Kind.CORRUPT, "", "entry " + id + " has the key of another result");
         } catch (CborIn.FaultyMessageException e) {
-            faults.add(DiskFault.Kind.CORRUPT, "", "answer " + id + ": " + e.getMessage());
+            faults.add(DiskFault.Kind.CORRUPT, "", "entry " + id + ": " + e.getMessage());
         }
         remove(id);
         return Optional.empty();
     }
 
-    public void remove(ContentId id) {
+    /** Removes a result; its bytes on disk are freed with its segment. */
+    public void remove(ResultId id) {
         writeBuffer.remove(id);
-        index.drop(id);
+        index.markDead(id);
     }
 
-    /** Writes what has gathered as a segment; whether nothing waits to be durable after it. */
-    public boolean flush(long now, long wall) {
-        if (writeBuffer.size() > 0 && now >= restsUntil) {
-            segments.retryRemovals();
+    /** Writes the buffered entries as a segment; returns whether all of them are durable or were evicted. */
+    public boolean flush(long nowUs, long wallMs) {
+        if (writeBuffer.size() > 0 && nowUs >= writesPausedUntilUs) {
+            segments.retryDeletions();
             WriteBuffer batch = writeBuffer.copy();
-            List<Segment> joined = segments.join(batch);
-            if (write(batch, wall)) {
-                joined.forEach(segments::remove);
+            List<Segment> compacted = segments.collectForCompaction(batch);
+            if (write(batch, wallMs)) {
+                compacted.forEach(segments::remove);
                 writeBuffer.clear();
             } else {
-                writeBuffer.putAll(batch); // what was saved from segments given up may still win a place
-                restsUntil = now + settings.retryUs();
+                writeBuffer.putAll(batch); // entries of evicted segments may be written by the next flush
+                writesPausedUntilUs = nowUs + settings.retryUs();
             }
         }
-        writeBuffer.trim(settings.segmentBytes(), SegmentCodec.MAX_ANSWERS / 4, wall);
+        writeBuffer.trim(settings.segmentBytes(), SegmentCodec.MAX_ENTRIES / BUFFERED_ENTRIES_DIVISOR, wallMs);
         return writeBuffer.size() == 0;
     }
 
-    /** Guards against a disk fuller than the quota says: the least valuable segments make room, a few a write. */
-    private boolean write(WriteBuffer batch, long wall) {
-        for (int tried = 0; ; tried++) {
-            segments.makeRoom(batch, wall);
+    /** Writes a segment; if the disk is full although the quota is not, evicts a few of the least valuable segments. */
+    private boolean write(WriteBuffer batch, long wallMs) {
+        for (int evictions = 0; ; evictions++) {
+            segments.makeRoom(batch, wallMs);
             if (batch.size() == 0) {
                 return true;
             }
-            String name = Recovery.name(++number);
+            String name = Recovery.segmentName(++lastSegmentNumber);
             try {
                 segments.write(name, batch);
                 return true;
-            } catch (Files.NoRoomException e) {
+            } catch (StorageDirectory.DiskFullException e) {
                 faults.add(DiskFault.Kind.FULL, name, e);
-                segments.clean(name, batch.diskBytes());
-                long left = tried == FULL_TRIES ? 0 : segments.minGiveUp(wall, batch);
-                if (left == 0) {
+                segments.deletePartialWrite(name, batch.diskBytes());
+                long freedBytes =
+                        evictions == MAX_EVICTIONS_ON_FULL_DISK ? 0 : segments.evictLeastValuable(wallMs, batch);
+                if (freedBytes == 0) {
                     return false;
                 }
-                batch.trim(left, SegmentCodec.MAX_ANSWERS, wall); // no more than what was just removed took
-            } catch (IOException | SegmentCodec.BrokenException e) {
+                batch.trim(freedBytes, SegmentCodec.MAX_ENTRIES, wallMs); // at most the space that was just freed
+            } catch (IOException | SegmentCodec.CorruptSegmentException e) {
                 faults.add(DiskFault.Kind.WRITE, name, e.toString());
-                segments.clean(name, batch.diskBytes());
+                segments.deletePartialWrite(name, batch.diskBytes());
                 return false;
             }
         }
     }
 
-    /** When (wall, ms) an answer here was asked for, -1 where there is none. */
-    public long askedAt(ContentId id) {
+    /** Returns the wall-clock time (ms) at which the result was requested, or -1 if there is none. */
+    public long requestedAtMs(ResultId id) {
         return writeBuffer
                 .get(id)
-                .map(EncodedAnswer::askedWall)
-                .or(() -> index.find(id).map(s -> s.live().get(id).askedWall()))
+                .map(EncodedEntry::requestedAtWallMs)
+                .or(() -> index.find(id).map(segment -> segment.live().get(id).requestedAtWallMs()))
                 .orElse(-1L);
     }
 
-    /** All answers on disk or about to be, at most {@code maxEntries} and what gathers. */
-    public Set<ContentId> ids() {
-        Set<ContentId> all = new TreeSet<>(index.ids());
-        all.addAll(writeBuffer.ids());
-        return all;
+    /** Returns the ids of the entries on disk, at most {@code maxEntries}, and of the buffered entries. */
+    public Set<ResultId> ids() {
+        Set<ResultId> ids = new TreeSet<>(index.ids());
+        ids.addAll(writeBuffer.ids());
+        return ids;
     }
 
-    public int answers() {
+    /** Returns the number of entries on disk. */
+    public int entryCount() {
         return index.entries();
     }
 
+    /** Returns the size of all segments in bytes. */
     public long bytes() {
         return index.bytes();
     }
 
-    public int segments() {
+    /** Returns the number of segments. */
+    public int segmentCount() {
         return index.segments().size();
     }
 
-    /** The latest time (wall, ms) at which an answer on disk was asked for: a clock before it has been set back. */
-    public long newestWall() {
-        return index.newestWall();
+    /**
+     * Returns the latest wall-clock time (ms) at which a result on disk was requested; a clock that shows less was set
+     * back.
+     */
+    public long newestWallMs() {
+        return index.newestWallMs();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/FaultLog.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/FaultLog.java
@@ -5,25 +5,25 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Faults not yet logged, the first {@value #MAX_FAULTS} since they were last taken. */
+/** Faults that are not yet logged: the first {@value #MAX_FAULTS} since the last {@link #drain}. */
 final class FaultLog {
     static final int MAX_FAULTS = 100;
 
-    private final Deque<DiskFault> waiting = new ArrayDeque<>();
+    private final Deque<DiskFault> pending = new ArrayDeque<>();
 
-    void add(DiskFault.Kind kind, String file, String what) {
-        if (waiting.size() < MAX_FAULTS) {
-            waiting.add(new DiskFault(kind, file, what));
+    void add(DiskFault.Kind kind, String file, String detail) {
+        if (pending.size() < MAX_FAULTS) {
+            pending.add(new DiskFault(kind, file, detail));
         }
     }
 
-    void add(DiskFault.Kind kind, String file, IOException e) {
-        add(e instanceof Files.NoRoomException ? DiskFault.Kind.FULL : kind, file, e.toString());
+    void add(DiskFault.Kind kind, String file, IOException fault) {
+        add(fault instanceof StorageDirectory.DiskFullException ? DiskFault.Kind.FULL : kind, file, fault.toString());
     }
 
-    List<DiskFault> take() {
-        List<DiskFault> all = List.copyOf(waiting);
-        waiting.clear();
-        return all;
+    List<DiskFault> drain() {
+        List<DiskFault> drained = List.copyOf(pending);
+        pending.clear();
+        return drained;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/DirectoryFiles.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/FileSystemDirectory.java
@@ -11,11 +11,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The files of a directory of the operating system, which is made where it is not there. */
-public final class DirectoryFiles implements Files {
+/** A directory of the local file system, which is created if it does not exist. */
+public final class FileSystemDirectory implements StorageDirectory {
     private final Path directory;
 
-    public DirectoryFiles(Path directory) {
+    /** Creates an accessor; no I/O is done yet. */
+    public FileSystemDirectory(Path directory) {
         this.directory = directory;
     }
 
@@ -23,12 +24,12 @@
     public List<String> list(int max) throws IOException {
         java.nio.file.Files.createDirectories(directory);
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> all = java.nio.file.Files.newDirectoryStream(directory)) {
-            for (Path p : all) {
+        try (DirectoryStream<Path> paths = java.nio.file.Files.newDirectoryStream(directory)) {
+            for (Path path : paths) {
                 if (names.size() == max) {
                     break;
                 }
-                names.add(p.getFileName().toString());
+                names.add(path.getFileName().toString());
             }
         }
         return names;
@@ -40,10 +41,10 @@
     }
 
     @Override
-    public byte[] read(String name, long at, int length) throws IOException {
+    public byte[] read(String name, long offset, int length) throws IOException {
         try (FileChannel file = FileChannel.open(directory.resolve(name), StandardOpenOption.READ)) {
-            ByteBuffer into = ByteBuffer.allocate((int) Math.max(0, Math.min(length, file.size() - at)));
-            while (into.hasRemaining() && file.read(into, at + into.position()) >= 0) {
+            ByteBuffer into = ByteBuffer.allocate((int) Math.max(0, Math.min(length, file.size() - offset)));
+            while (into.hasRemaining() && file.read(into, offset + into.position()) >= 0) {
                 continue;
             }
             byte[] bytes = new byte[into.position()];
@@ -55,7 +56,7 @@
     @Override
     public void write(String name, byte[] bytes) throws IOException {
         try {
-            java.nio.file.Files.createDirectories(directory); // it may have been removed while this runs
+            java.nio.file.Files.createDirectories(directory); // it may have been removed since the start
             try (FileChannel file = FileChannel.open(
                     directory.resolve(name),
                     StandardOpenOption.CREATE,
@@ -67,17 +68,19 @@
                 }
             }
         } catch (IOException e) {
-            throw told(e);
+            throw withDiskFullType(e);
         }
     }
 
-    /** The system's words for ENOSPC, EDQUOT and EFBIG; Java has no type for them. */
-    private static IOException told(IOException e) {
-        String what = String.valueOf(e.getMessage());
-        String low = what.toLowerCase(Locale.ROOT);
-        return low.contains("no space left") || low.contains("quota exceeded") || low.contains("file too large")
-                ? new NoRoomException(what)
-                : e;
+    /** Recognizes ENOSPC, EDQUOT and EFBIG by their message, since Java has no exception type for them. */
+    private static IOException withDiskFullType(IOException fault) {
+        String message = String.valueOf(fault.getMessage());
+        String lowerCase = message.toLowerCase(Locale.ROOT);
+        return lowerCase.contains("no space left")
+                        || lowerCase.contains("quota exceeded")
+                        || lowerCase.contains("file too large")
+                ? new DiskFullException(message)
+                : fault;
     }
 
     @Override
@@ -85,14 +88,14 @@
         try (FileChannel file = FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE)) {
             file.force(true);
         } catch (IOException e) {
-            throw told(e);
+            throw withDiskFullType(e);
         }
     }
 
     @Override
-    public void syncNames() throws IOException {
-        try (FileChannel dir = FileChannel.open(directory, StandardOpenOption.READ)) {
-            dir.force(true);
+    public void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
@@ -105,7 +108,7 @@
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            throw told(e);
+            throw withDiskFullType(e);
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Index.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Index.java
@@ -6,60 +6,62 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
-/** Which segment holds which answer, and how much they take; the younger copy of an answer counts. */
+/** Maps each entry on disk to its segment; of several copies of an entry the one requested last is live. */
 final class Index {
-    private final Map<ContentId, Segment> byId = new HashMap<>();
-    private final TreeMap<String, Segment> segments = new TreeMap<>(); // by name, which is by age
+    private final Map<ResultId, Segment> byId = new HashMap<>();
+    private final TreeMap<String, Segment> segments = new TreeMap<>(); // by name, whose order is that of creation
     private long bytes;
-    private long newestWall;
+    private long newestWallMs;
 
+    /** Adds a segment; of two versions of an entry the older one is no longer live. */
     void add(Segment added) {
         segments.put(added.name(), added);
         bytes += added.size();
-        added.live().values().removeIf(s -> {
-            Segment other = byId.get(s.id());
-            boolean older = other != null && other.live().get(s.id()).askedWall() > s.askedWall();
-            if (!older) {
-                if (other != null) {
-                    other.live().remove(s.id());
+        added.live().values().removeIf(location -> {
+            Segment previous = byId.get(location.id());
+            boolean isOlder = previous != null
+                    && previous.live().get(location.id()).requestedAtWallMs() > location.requestedAtWallMs();
+            if (!isOlder) {
+                if (previous != null) {
+                    previous.live().remove(location.id());
                 }
-                byId.put(s.id(), added);
-                newestWall = Math.max(newestWall, s.askedWall());
+                byId.put(location.id(), added);
+                newestWallMs = Math.max(newestWallMs, location.requestedAtWallMs());
             }
-            return older;
+            return isOlder;
         });
     }
 
-    void remove(Segment gone) {
-        if (segments.remove(gone.name(), gone)) {
-            bytes -= gone.size();
-            gone.live().keySet().forEach(byId::remove);
+    void remove(Segment segment) {
+        if (segments.remove(segment.name(), segment)) {
+            bytes -= segment.size();
+            segment.live().keySet().forEach(byId::remove);
         }
     }
 
-    /** An answer no longer counts; its bytes go with its segment. */
-    void drop(ContentId id) {
-        Segment s = byId.remove(id);
-        if (s != null) {
-            s.live().remove(id);
+    /** Marks an entry as dead; its bytes are freed with its segment. */
+    void markDead(ResultId id) {
+        Segment segment = byId.remove(id);
+        if (segment != null) {
+            segment.live().remove(id);
         }
     }
 
-    Optional<Segment> find(ContentId id) {
+    Optional<Segment> find(ResultId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
-    Optional<Segment> leastValuable(long wall) {
-        return segments.values().stream().min(Comparator.comparingDouble(s -> s.density(wall)));
+    Optional<Segment> leastValuable(long wallMs) {
+        return segments.values().stream().min(Comparator.comparingDouble(segment -> segment.valuePerByte(wallMs)));
     }
 
     Collection<Segment> segments() {
         return segments.values();
     }
 
-    Collection<ContentId> ids() {
+    Collection<ResultId> ids() {
         return byId.keySet();
     }
 
@@ -71,8 +73,8 @@
         return bytes;
     }
 
-    /** The latest time (wall, ms) at which an answer on disk was asked for. */
-    long newestWall() {
-        return newestWall;
+    /** Returns the latest wall-clock time (ms) at which a result on disk was requested. */
+    long newestWallMs() {
+        return newestWallMs;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Recovery.java
@@ -8,36 +8,36 @@
 import java.util.regex.Pattern;
 
 /**
- * Builds the index when a gateway starts: at most {@code maxFiles} names are looked at, and of each segment the head
- * is read alone, so at most {@code maxEntries * 128} bytes and two reads a segment. Files half written are removed; a
- * segment whose head is wrong is set aside under another name, the last {@value #MAX_ASIDE} of them; other files are
- * left alone. Each is told as a fault, none stops the start.
+ * Builds the index when a gateway starts. It reads at most {@code maxFiles} names, and of each segment only the header:
+ * at most {@code maxEntries * 128} bytes with two reads per segment. Partial files are deleted; a segment with a
+ * corrupt header is quarantined under another name, and the last {@value #MAX_QUARANTINED} of these are kept; other
+ * files are ignored. Faults are recorded; none stops the start.
  */
 final class Recovery {
-    static final int MAX_ASIDE = 4;
-    static final String PART = ".part";
-    static final String ASIDE = ".aside";
-    private static final Pattern SEGMENT =
-            Pattern.compile("content-([0-9a-f]{16})\\.seg(" + Pattern.quote(PART) + "|" + Pattern.quote(ASIDE) + ")?");
+    static final int MAX_QUARANTINED = 4;
+    static final String TEMPORARY_SUFFIX = ".part";
+    static final String QUARANTINE_SUFFIX = ".aside";
+    private static final Pattern FILE_NAME = Pattern.compile("content-([0-9a-f]{16})\\.seg("
+            + Pattern.quote(TEMPORARY_SUFFIX) + "|" + Pattern.quote(QUARANTINE_SUFFIX) + ")?");
 
-    private final Files files;
+    private final StorageDirectory files;
     private final DiskSettings settings;
     private final FaultLog faults;
     private final Index index;
-    private long last; // the highest number that a name has
+    private long lastSegmentNumber; // highest segment number in use
 
-    Recovery(Files files, DiskSettings settings, FaultLog faults, Index index) {
+    Recovery(StorageDirectory files, DiskSettings settings, FaultLog faults, Index index) {
         this.files = files;
         this.settings = settings;
         this.faults = faults;
         this.index = index;
     }
 
-    static String name(long number) {
+    static String segmentName(long number) {
         return String.format("content-%016x.seg", number);
     }
 
-    /** Fills the index; returns the highest number in use. */
+    /** Fills the index; returns the highest segment number in use. */
     long run() {
         List<String> names;
         try {
@@ -47,60 +47,63 @@
             return 0;
         }
         if (names.size() > settings.maxFiles()) {
-            faults.add(DiskFault.Kind.MANY, "", "more than " + settings.maxFiles() + " files; the rest is not read");
+            faults.add(DiskFault.Kind.MANY, "", "more than " + settings.maxFiles() + " files; the others are ignored");
         }
-        Deque<String> aside = new ArrayDeque<>();
-        names.stream().sorted().limit(settings.maxFiles()).forEach(n -> one(n, aside));
-        return last;
+        Deque<String> quarantined = new ArrayDeque<>();
+        names.stream().sorted().limit(settings.maxFiles()).forEach(name -> recoverFile(name, quarantined));
+        return lastSegmentNumber;
     }
 
-    private void one(String name, Deque<String> aside) {
-        Matcher m = SEGMENT.matcher(name);
-        if (!m.matches()) {
-            faults.add(DiskFault.Kind.FOREIGN, name, "not of this store, left alone");
+    private void recoverFile(String name, Deque<String> quarantined) {
+        Matcher matcher = FILE_NAME.matcher(name);
+        if (!matcher.matches()) {
+            faults.add(DiskFault.Kind.FOREIGN, name, "not a segment of this cache; ignored");
             return;
         }
         try {
-            last = Math.max(last, Long.parseUnsignedLong(m.group(1), 16) & Long.MAX_VALUE);
-            if (PART.equals(m.group(2))) {
+            lastSegmentNumber =
+                    Math.max(lastSegmentNumber, Long.parseUnsignedLong(matcher.group(1), 16) & Long.MAX_VALUE);
+            if (TEMPORARY_SUFFIX.equals(matcher.group(2))) {
                 files.delete(name);
-            } else if (ASIDE.equals(m.group(2))) {
-                keepLast(name, aside);
+            } else if (QUARANTINE_SUFFIX.equals(matcher.group(2))) {
+                limitQuarantined(name, quarantined);
             } else {
-                segment(name, aside);
+                recoverSegment(name, quarantined);
             }
         } catch (IOException e) {
             faults.add(DiskFault.Kind.READ, name, e);
         }
     }
 
-    private void segment(String name, Deque<String> aside) throws IOException {
+    private void recoverSegment(String name, Deque<String> quarantined) throws IOException {
         long size = files.size(name);
         try {
-            SegmentCodec.Read read = SegmentCodec.read(files, name, size);
-            if (read.torn()) {
+            SegmentCodec.Contents contents = SegmentCodec.read(files, name, size);
+            if (contents.torn()) {
                 faults.add(
                         DiskFault.Kind.TORN,
                         name,
-                        "shorter than it says; " + read.slots().size() + " answers in it are whole");
+                        size + " bytes, shorter than its header states; "
+                                + contents.locations().size() + " complete entries are kept");
             }
-            if (index.entries() + read.slots().size() > settings.maxEntries()) {
-                faults.add(DiskFault.Kind.MANY, name, "more than " + settings.maxEntries() + " answers; removed");
+            if (index.entries() + contents.locations().size() > settings.maxEntries()) {
+                faults.add(
+                        DiskFault.Kind.MANY, name, "more than " + settings.maxEntries() + " entries; segment deleted");
                 files.delete(name);
             } else {
-                index.add(new Segment(name, size, read.slots()));
+                index.add(new Segment(name, size, contents.locations()));
             }
-        } catch (SegmentCodec.BrokenException e) {
-            faults.add(DiskFault.Kind.CORRUPT, name, e.getMessage() + "; set aside");
-            files.rename(name, name + ASIDE);
-            keepLast(name + ASIDE, aside);
+        } catch (SegmentCodec.CorruptSegmentException e) {
+            faults.add(DiskFault.Kind.CORRUPT, name, e.getMessage() + "; quarantined");
+            files.rename(name, name + QUARANTINE_SUFFIX);
+            limitQuarantined(name + QUARANTINE_SUFFIX, quarantined);
         }
     }
 
-    private void keepLast(String name, Deque<String> aside) throws IOException {
-        aside.add(name);
-        if (aside.size() > MAX_ASIDE) {
-            files.delete(aside.remove());
+    private void limitQuarantined(String name, Deque<String> quarantined) throws IOException {
+        quarantined.add(name);
+        if (quarantined.size() > MAX_QUARANTINED) {
+            files.delete(quarantined.remove());
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/Segment.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/Segment.java
@@ -3,18 +3,18 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
-/** A segment on disk and the answers in it that still count; it is never changed, only removed as a whole. */
+/** An immutable segment on disk and its live entries. */
 final class Segment {
     private final String name;
     private final long size;
-    private final Map<ContentId, AnswerLocation> live = new HashMap<>();
+    private final Map<ResultId, EntryLocation> live = new HashMap<>();
 
-    Segment(String name, long size, Collection<AnswerLocation> slots) {
+    Segment(String name, long size, Collection<EntryLocation> locations) {
         this.name = name;
         this.size = size;
-        slots.forEach(s -> live.put(s.id(), s));
+        locations.forEach(location -> live.put(location.id(), location));
     }
 
     String name() {
@@ -25,12 +25,15 @@
         return size;
     }
 
-    Map<ContentId, AnswerLocation> live() {
+    Map<ResultId, EntryLocation> live() {
         return live;
     }
 
-    /** Worth a byte of disk, dead bytes counted: what is lost least is removed first. */
-    double density(long wall) {
-        return live.values().stream().mapToDouble(s -> s.worth(wall)).sum() / Math.max(1, size);
+    /** Returns the value of the live entries per byte of the file; segments with the lowest are evicted first. */
+    double valuePerByte(long wallMs) {
+        return live.values().stream()
+                        .mapToDouble(location -> location.value(wallMs))
+                        .sum()
+                / Math.max(1, size);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/SegmentCodec.java
@@ -6,100 +6,115 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * The format of a segment: eight letters, the length and the CRC-32C of its head, the head (which answers lie in it,
- * and where), then their bodies. A start reads heads alone; a body is checked when it is read.
+ * The format of a segment: a preamble of magic number, length and CRC-32C of the header; the header, a CBOR list of the
+ * entries with their lengths and checksums; then the entries. The start reads only headers; an entry is verified when
+ * it is read.
  */
 final class SegmentCodec {
-    static final int PRELUDE = 16;
-    static final int MAX_ANSWERS = 65_536;
+    static final int PREAMBLE_BYTES = 16;
+    static final int MAX_ENTRIES = 65_536;
     private static final long MAGIC = 0x5350_434F_4E54_3031L; // "SPCONT01"
-    private static final int MAX_ENTRY = 128; // bytes of one answer in the head
     private static final int VERSION = 1;
 
-    /** Something that is no segment, or a broken one. */
-    static final class BrokenException extends Exception {
+    /** Maximum size of the description of one entry in the header. */
+    private static final int MAX_ENTRY_HEADER_BYTES = 128;
+
+    /** A file is not a segment, or its header is corrupt. */
+    static final class CorruptSegmentException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BrokenException(String what) {
-            super(what);
+        CorruptSegmentException(String message) {
+            super(message);
         }
     }
 
-    /** The answers that lie whole in a segment; {@code torn}: it is shorter than its head says. */
-    record Read(List<AnswerLocation> slots, boolean torn) {}
+    /**
+     * The contents of a segment.
+     *
+     * @param locations locations of the complete entries
+     * @param torn whether the file is shorter than its header states
+     */
+    record Contents(List<EntryLocation> locations, boolean torn) {}
 
     private SegmentCodec() {}
 
-    static byte[] write(Collection<EncodedAnswer> bodies) {
-        byte[] head = new CborOut()
+    static byte[] write(Collection<EncodedEntry> entries) {
+        byte[] header = new CborOut()
                 .number(VERSION)
-                .list(bodies, (out, b) -> {
-                    b.id().write(out);
-                    out.number(b.bytes().length)
-                            .number(StoredAnswer.crc(b.bytes()))
-                            .number(b.askedWall())
-                            .number(b.maxAgeMs())
-                            .real(b.worth());
+                .list(entries, (out, entry) -> {
+                    entry.id().write(out);
+                    out.number(entry.bytes().length)
+                            .number(CachedResult.crc32c(entry.bytes()))
+                            .number(entry.requestedAtWallMs())
+                            .number(entry.maxAgeMs())
+                            .real(entry.value());
                 })
                 .done();
-        ByteArrayOutputStream all = new ByteArrayOutputStream(PRELUDE
-                + head.length
-                + bodies.stream().mapToInt(b -> b.bytes().length).sum());
-        all.writeBytes(ByteBuffer.allocate(PRELUDE)
+        ByteArrayOutputStream segment = new ByteArrayOutputStream(PREAMBLE_BYTES
+                + header.length
+                + entries.stream().mapToInt(entry -> entry.bytes().length).sum());
+        segment.writeBytes(ByteBuffer.allocate(PREAMBLE_BYTES)
                 .putLong(MAGIC)
-                .putInt(head.length)
-                .putInt(StoredAnswer.crc(head))
+                .putInt(header.length)
+                .putInt(CachedResult.crc32c(header))
                 .array());
-        all.writeBytes(head);
-        bodies.forEach(b -> all.writeBytes(b.bytes()));
-        return all.toByteArray();
+        segment.writeBytes(header);
+        entries.forEach(entry -> segment.writeBytes(entry.bytes()));
+        return segment.toByteArray();
     }
 
-    /** Reads what lies in a segment of so many bytes. */
-    static Read read(Files files, String name, long size) throws IOException, BrokenException {
-        byte[] prelude = files.read(name, 0, PRELUDE);
-        if (prelude.length < PRELUDE || ByteBuffer.wrap(prelude).getLong() != MAGIC) {
-            throw new BrokenException("does not begin as a segment does");
+    /** Reads the header of a segment file of {@code size} bytes. */
+    static Contents read(StorageDirectory files, String name, long size) throws IOException, CorruptSegmentException {
+        byte[] preamble = files.read(name, 0, PREAMBLE_BYTES);
+        if (preamble.length < PREAMBLE_BYTES || ByteBuffer.wrap(preamble).getLong() != MAGIC) {
+            throw new CorruptSegmentException("does not start with the magic number of a segment");
         }
-        int length = ByteBuffer.wrap(prelude).getInt(8);
-        if (length < 0 || length > size - PRELUDE || length > MAX_ANSWERS * MAX_ENTRY) {
-            throw new BrokenException("says that its head has " + length + " bytes, of " + size);
+        int length = ByteBuffer.wrap(preamble).getInt(8);
+        if (length < 0 || length > size - PREAMBLE_BYTES || length > MAX_ENTRIES * MAX_ENTRY_HEADER_BYTES) {
+            throw new CorruptSegmentException("header length " + length + "; expected 0 to "
+                    + Math.min(size - PREAMBLE_BYTES, MAX_ENTRIES * MAX_ENTRY_HEADER_BYTES));
         }
-        byte[] head = files.read(name, PRELUDE, length);
-        if (head.length < length
-                || StoredAnswer.crc(head) != ByteBuffer.wrap(prelude).getInt(12)) {
-            throw new BrokenException("has a head with a wrong checksum");
+        byte[] header = files.read(name, PREAMBLE_BYTES, length);
+        if (header.length < length
+                || CachedResult.crc32c(header) != ByteBuffer.wrap(preamble).getInt(12)) {
+            throw new CorruptSegmentException("header checksum does not match");
         }
         try {
-            return slots(new CborIn(head), PRELUDE + length, size);
+            return readLocations(new CborIn(header), PREAMBLE_BYTES + length, size);
         } catch (CborIn.FaultyMessageException e) {
-            throw new BrokenException("has a head whose " + e.getMessage());
+            throw new CorruptSegmentException("header: " + e.getMessage());
         }
     }
 
-    private static Read slots(CborIn in, long from, long size) throws CborIn.FaultyMessageException {
+    private static Contents readLocations(CborIn in, long from, long size) throws CborIn.FaultyMessageException {
         in.number(VERSION, VERSION);
-        long[] at = {from};
-        List<AnswerLocation> whole = new ArrayList<>();
-        in.list(MAX_ANSWERS, i -> {
-            ContentId id = ContentId.read(i);
-            int length = (int) i.number(0, StoredAnswer.MAX_BODY);
-            int crc = (int) i.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
-            AnswerLocation slot = new AnswerLocation(
-                    id, at[0], length, crc, i.number(0, Long.MAX_VALUE / 4), i.number(0, Long.MAX_VALUE / 4), i.real());
-            at[0] += length;
-            if (at[0] <= size) {
-                whole.add(slot);
+        long[] offset = {from};
+        List<EntryLocation> complete = new ArrayList<>();
+        in.list(MAX_ENTRIES, item -> {
+            ResultId id = ResultId.read(item);
+            int length = (int) item.number(0, CachedResult.MAX_ENCODED_BYTES);
+            int crc32c = (int) item.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
+            EntryLocation location = new EntryLocation(
+                    id,
+                    offset[0],
+                    length,
+                    crc32c,
+                    item.number(0, Long.MAX_VALUE / 4),
+                    item.number(0, Long.MAX_VALUE / 4),
+                    item.real());
+            offset[0] += length;
+            if (offset[0] <= size) {
+                complete.add(location);
             }
-            return slot;
+            return location;
         });
         in.end();
-        return new Read(whole, at[0] > size);
+        return new Contents(complete, offset[0] > size);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/disk/WriteBuffer.java
@@ -7,25 +7,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
-/** Answers buffered to be written together, the latest version of each. */
+/** Entries that are buffered to be written as one segment, the latest version of each. */
 final class WriteBuffer {
-    /** What one answer takes in a segment's head, at most. */
-    private static final int HEAD_EACH = 128;
+    /** Maximum size of the description of one entry in the header of a segment. */
+    private static final int MAX_ENTRY_HEADER_BYTES = 128;
 
-    private final Map<ContentId, EncodedAnswer> byId = new LinkedHashMap<>();
+    private final Map<ResultId, EncodedEntry> byId = new LinkedHashMap<>();
     private long bytes;
 
-    void put(EncodedAnswer body) {
-        remove(body.id());
-        byId.put(body.id(), body);
-        bytes += body.bytes().length;
+    void put(EncodedEntry entry) {
+        remove(entry.id());
+        byId.put(entry.id(), entry);
+        bytes += entry.bytes().length;
     }
 
-    /** Adds those that it has not. */
-    void putAll(WriteBuffer others) {
-        others.byId.values().stream().filter(b -> !has(b.id())).forEach(this::put);
+    /** Adds the entries that this buffer lacks. */
+    void putAll(WriteBuffer other) {
+        other.byId.values().stream().filter(entry -> !contains(entry.id())).forEach(this::put);
     }
 
     WriteBuffer copy() {
@@ -34,17 +34,17 @@
         return copy;
     }
 
-    Optional<EncodedAnswer> get(ContentId id) {
+    Optional<EncodedEntry> get(ResultId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
-    boolean has(ContentId id) {
+    boolean contains(ResultId id) {
         return byId.containsKey(id);
     }
 
-    void remove(ContentId id) {
-        EncodedAnswer old = byId.remove(id);
-        bytes -= old == null ? 0 : old.bytes().length;
+    void remove(ResultId id) {
+        EncodedEntry previous = byId.remove(id);
+        bytes -= previous == null ? 0 : previous.bytes().length;
     }
 
     void clear() {
@@ -52,11 +52,11 @@
         bytes = 0;
     }
 
-    Collection<EncodedAnswer> bodies() {
+    Collection<EncodedEntry> entries() {
         return byId.values();
     }
 
-    Collection<ContentId> ids() {
+    Collection<ResultId> ids() {
         return byId.keySet();
     }
 
@@ -64,23 +64,23 @@
         return byId.size();
     }
 
-    /** Bytes that they take on disk, head and all, at most. */
+    /** Returns an upper bound for the size of the segment in bytes. */
     long diskBytes() {
-        return SegmentCodec.PRELUDE + bytes + (long) HEAD_EACH * byId.size();
+        return SegmentCodec.PREAMBLE_BYTES + bytes + (long) MAX_ENTRY_HEADER_BYTES * byId.size();
     }
 
-    /** Drops the least valuable until no more than so many bytes and answers are left. */
-    void trim(long maxBytes, int maxAnswers, long wall) {
-        if (diskBytes() <= maxBytes && size() <= maxAnswers) {
+    /** Evicts the entries with the lowest value per byte until the buffer is within the bounds. */
+    void trim(long maxBytes, int maxEntries, long wallMs) {
+        if (diskBytes() <= maxBytes && size() <= maxEntries) {
             return;
         }
-        List<EncodedAnswer> byDensity = new ArrayList<>(byId.values());
-        byDensity.sort(Comparator.comparingDouble(b -> b.density(wall)));
-        for (EncodedAnswer b : byDensity) {
-            if (diskBytes() <= maxBytes && size() <= maxAnswers) {
+        List<EncodedEntry> byValuePerByte = new ArrayList<>(byId.values());
+        byValuePerByte.sort(Comparator.comparingDouble(entry -> entry.valuePerByte(wallMs)));
+        for (EncodedEntry entry : byValuePerByte) {
+            if (diskBytes() <= maxBytes && size() <= maxEntries) {
                 return;
             }
-            remove(b.id());
+            remove(entry.id());
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/memory/MemoryTier.java
@@ -9,76 +9,82 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
 
 /**
- * Stored answers in memory, within so many bytes; where there is no room the ones with the least worth a byte go. An
- * entry costs its rows, its key and about {@value #OVERHEAD} bytes besides. O(log n) a change.
+ * Cached results in memory within a bound of bytes; evicts the entries with the lowest value per byte. An entry takes
+ * its rows, its key and about {@value #ENTRY_OVERHEAD_BYTES} bytes. A change is O(log n). Not thread-safe.
  */
 public final class MemoryTier {
-    /** Of the two indexes and the objects of one entry. */
-    static final int OVERHEAD = 300;
+    /** Estimated size in memory of one entry in both indexes. */
+    static final int ENTRY_OVERHEAD_BYTES = 300;
 
-    private record Entry(StoredAnswer answer, double density) {
+    private record Entry(CachedResult result, double valuePerByte) {
         long size() {
-            return answer.size() + OVERHEAD;
+            return result.memoryBytes() + ENTRY_OVERHEAD_BYTES;
         }
 
-        ContentId id() {
-            return answer.meta().key().id();
+        ResultId id() {
+            return result.metadata().key().id();
         }
     }
 
-    private static final Comparator<Entry> MIN_FIRST =
-            Comparator.comparingDouble(Entry::density).thenComparing(Entry::id);
+    private static final Comparator<Entry> BY_VALUE_PER_BYTE =
+            Comparator.comparingDouble(Entry::valuePerByte).thenComparing(Entry::id);
 
     private final long maxBytes;
-    private final Map<ContentId, Entry> byId = new HashMap<>();
-    private final TreeSet<Entry> byDensity = new TreeSet<>(MIN_FIRST);
+    private final Map<ResultId, Entry> byId = new HashMap<>();
+    private final TreeSet<Entry> byValuePerByte = new TreeSet<>(BY_VALUE_PER_BYTE);
     private long bytes;
 
+    /** Creates an empty tier of at most {@code maxBytes} bytes. */
     public MemoryTier(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Takes an answer in place of an older one; returns what had to go for it, itself where it is worth least. */
-    public List<StoredAnswer> put(StoredAnswer answer) {
-        remove(answer.meta().key().id());
-        Entry held = new Entry(answer, answer.meta().worth() / (answer.size() + OVERHEAD));
-        byId.put(held.id(), held);
-        byDensity.add(held);
-        bytes += held.size();
-        List<StoredAnswer> gone = new ArrayList<>();
+    /** Stores a result in place of one of the same key; returns the evicted results, which may include this one. */
+    public List<CachedResult> put(CachedResult result) {
+        remove(result.metadata().key().id());
+        Entry entry = new Entry(result, result.metadata().value() / (result.memoryBytes() + ENTRY_OVERHEAD_BYTES));
+        byId.put(entry.id(), entry);
+        byValuePerByte.add(entry);
+        bytes += entry.size();
+        List<CachedResult> evicted = new ArrayList<>();
         while (bytes > maxBytes) {
-            Entry min = byDensity.first();
-            remove(min.id());
-            gone.add(min.answer);
+            Entry leastValuable = byValuePerByte.first();
+            remove(leastValuable.id());
+            evicted.add(leastValuable.result);
         }
-        return gone;
+        return evicted;
     }
 
-    public Optional<StoredAnswer> get(ContentId id) {
-        return Optional.ofNullable(byId.get(id)).map(Entry::answer);
+    /** Returns the result with this id. */
+    public Optional<CachedResult> get(ResultId id) {
+        return Optional.ofNullable(byId.get(id)).map(Entry::result);
     }
 
-    public boolean remove(ContentId id) {
-        Entry held = byId.remove(id);
-        if (held != null) {
-            byDensity.remove(held);
-            bytes -= held.size();
+    /** Removes a result; returns whether it was present. */
+    public boolean remove(ResultId id) {
+        Entry entry = byId.remove(id);
+        if (entry != null) {
+            byValuePerByte.remove(entry);
+            bytes -= entry.size();
         }
-        return held != null;
+        return entry != null;
     }
 
-    public Set<ContentId> ids() {
+    /** Returns an unmodifiable view of the ids of all entries. */
+    public Set<ResultId> ids() {
         return Collections.unmodifiableSet(byId.keySet());
     }
 
+    /** Returns the number of entries. */
     public int size() {
         return byId.size();
     }
 
+    /** Returns the estimated size in memory of all entries in bytes. */
     public long bytes() {
         return bytes;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaReceiver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaReceiver.java
@@ -5,202 +5,215 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.AnswerMetadata;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.ResultMetadata;
 import sandpaddle.fleet.wire.CborIn;
 
 /**
- * Transfers coming in. The receiver requests each part, so that what is in flight is bounded by what it requested, and
- * a transfer resumes where it stopped after a link was lost, from whoever offers the same bytes again. A duplicate or
- * misplaced part changes nothing.
+ * Incoming transfers. The receiver requests each chunk, which bounds the bytes in flight. After a lost link a transfer
+ * resumes where it stopped, from any gateway that offers the same bytes. Duplicate and reordered chunks are ignored.
  */
 final class ReplicaReceiver {
-    private static final class Partial {
+    /** A transfer in progress. */
+    private static final class Transfer {
         private String from;
-        private final int crc;
+        private final int crc32c;
         private final byte[] bytes;
-        private int have;
-        private final long ageMs; // when it was offered
-        private final long offeredAt;
-        private long askedAt;
-        private int tries;
+        private int received;
+        private final long ageMs; // age when the result was offered
+        private final long offeredAtUs;
+        private long lastRequestUs;
+        private int attempts;
 
-        Partial(String from, ReplicationMessage.Offer o, long offeredAt) {
+        Transfer(String from, ReplicationMessage.Offer offer, long offeredAtUs) {
             this.from = from;
-            crc = o.crc();
-            bytes = new byte[o.length()];
-            ageMs = o.ageMs();
-            this.offeredAt = offeredAt;
+            crc32c = offer.crc32c();
+            bytes = new byte[offer.length()];
+            ageMs = offer.ageMs();
+            this.offeredAtUs = offeredAtUs;
         }
     }
 
-    /** An offer that found no room; its copy is begun as others end. */
-    private record Deferred(String from, ReplicationMessage.Offer offer, long at) {}
+    /** An offer that exceeded the bounds; its transfer starts once others have ended. */
+    private record Deferred(String from, ReplicationMessage.Offer offer, long atUs) {}
 
     private static final int MAX_DEFERRED = 1024;
 
     private final ReplicationSettings settings;
     private final ReplicaStore store;
-    private final Map<ContentId, Deferred> deferred = new LinkedHashMap<>();
-    private final Map<ContentId, Partial> partials = new LinkedHashMap<>();
+    private final Map<ResultId, Deferred> deferred = new LinkedHashMap<>();
+    private final Map<ResultId, Transfer> transfers = new LinkedHashMap<>();
     private long bytes;
-    private long broken;
+    private long corruptCount;
 
     ReplicaReceiver(ReplicationSettings settings, ReplicaStore store) {
         this.settings = settings;
         this.store = store;
     }
 
-    List<OutgoingMessage> offered(String from, ReplicationMessage.Offer o, long now) {
-        if (store.askedAt(o.id()) >= o.askedWall()) {
-            return List.of(new OutgoingMessage(from, new ReplicationMessage.Have(o.id())));
+    List<OutgoingMessage> offered(String from, ReplicationMessage.Offer offer, long nowUs) {
+        if (store.requestedAtMs(offer.id()) >= offer.requestedAtWallMs()) {
+            return List.of(new OutgoingMessage(from, new ReplicationMessage.Acknowledgement(offer.id())));
         }
-        Partial p = partials.get(o.id());
-        if (p != null && (p.crc != o.crc() || p.bytes.length != o.length())) {
-            if (!p.from.equals(from)) {
-                return List.of(); // another's copy is under way; this one is offered again after it
+        Transfer transfer = transfers.get(offer.id());
+        if (transfer != null && (transfer.crc32c != offer.crc32c() || transfer.bytes.length != offer.length())) {
+            if (!transfer.from.equals(from)) {
+                return List.of(); // a transfer from another gateway is in progress; the sender repeats the offer
             }
-            drop(o.id());
-            p = null;
+            drop(offer.id());
+            transfer = null;
         }
-        if (p == null) {
-            if (!hasRoom(o)) {
-                if (o.length() <= settings.maxBytes() && deferred.size() < MAX_DEFERRED) {
-                    deferred.put(o.id(), new Deferred(from, o, now));
+        if (transfer == null) {
+            if (!isWithinBounds(offer)) {
+                if (offer.length() <= settings.maxIncomingBytes() && deferred.size() < MAX_DEFERRED) {
+                    deferred.put(offer.id(), new Deferred(from, offer, nowUs));
                 }
-                return List.of(); // no room: it is begun later, or offered again
+                return List.of(); // the transfer starts later, or the sender repeats the offer
             }
-            p = begin(from, o, now);
+            transfer = start(from, offer, nowUs);
         }
-        p.from = from;
-        p.tries = 0;
-        return List.of(need(o.id(), p, now));
+        transfer.from = from;
+        transfer.attempts = 0;
+        return List.of(requestNextChunk(offer.id(), transfer, nowUs));
     }
 
-    private boolean hasRoom(ReplicationMessage.Offer o) {
-        return partials.size() < settings.maxParts() && bytes + o.length() <= settings.maxBytes();
+    private boolean isWithinBounds(ReplicationMessage.Offer offer) {
+        return transfers.size() < settings.maxIncoming() && bytes + offer.length() <= settings.maxIncomingBytes();
     }
 
-    private Partial begin(String from, ReplicationMessage.Offer o, long offeredAt) {
-        Partial p = new Partial(from, o, offeredAt);
-        partials.put(o.id(), p);
-        bytes += o.length();
-        return p;
+    private Transfer start(String from, ReplicationMessage.Offer offer, long offeredAtUs) {
+        Transfer transfer = new Transfer(from, offer, offeredAtUs);
+        transfers.put(offer.id(), transfer);
+        bytes += offer.length();
+        return transfer;
     }
 
-    /** Begins what found no room before; what waited so long that it was offered again meanwhile is let go. */
-    private List<OutgoingMessage> beginDeferred(long now) {
+    /**
+     * Starts deferred transfers that are now within the bounds. Drops offers so old that the sender has repeated
+     * them, and those whose result is in transfer or cached.
+     */
+    private List<OutgoingMessage> startDeferred(long nowUs) {
         List<OutgoingMessage> out = new ArrayList<>();
-        for (Iterator<Deferred> i = deferred.values().iterator(); i.hasNext(); ) {
-            Deferred d = i.next();
-            boolean isOver = now - d.at > settings.answerUs() * settings.tries()
-                    || partials.containsKey(d.offer.id())
-                    || store.askedAt(d.offer.id()) >= d.offer.askedWall();
-            if (!isOver && !hasRoom(d.offer)) {
+        for (Iterator<Deferred> iterator = deferred.values().iterator(); iterator.hasNext(); ) {
+            Deferred deferredOffer = iterator.next();
+            boolean isObsolete = nowUs - deferredOffer.atUs > settings.responseTimeoutUs() * settings.maxAttempts()
+                    || transfers.containsKey(deferredOffer.offer.id())
+                    || store.requestedAtMs(deferredOffer.offer.id()) >= deferredOffer.offer.requestedAtWallMs();
+            if (!isObsolete && !isWithinBounds(deferredOffer.offer)) {
                 break;
             }
-            i.remove();
-            if (!isOver) {
-                out.add(need(d.offer.id(), begin(d.from, d.offer, d.at), now));
+            iterator.remove();
+            if (!isObsolete) {
+                out.add(requestNextChunk(
+                        deferredOffer.offer.id(),
+                        start(deferredOffer.from, deferredOffer.offer, deferredOffer.atUs),
+                        nowUs));
             }
         }
         return out;
     }
 
-    private static OutgoingMessage need(ContentId id, Partial p, long now) {
-        p.askedAt = now;
-        p.tries++;
+    private static OutgoingMessage requestNextChunk(ResultId id, Transfer transfer, long nowUs) {
+        transfer.lastRequestUs = nowUs;
+        transfer.attempts++;
         return new OutgoingMessage(
-                p.from,
-                new ReplicationMessage.Need(
-                        id, p.crc, p.have, Math.min(ReplicationMessageCodec.MAX_CHUNK, p.bytes.length - p.have)));
+                transfer.from,
+                new ReplicationMessage.ChunkRequest(
+                        id,
+                        transfer.crc32c,
+                        transfer.received,
+                        Math.min(ReplicationMessageCodec.MAX_CHUNK_BYTES, transfer.bytes.length - transfer.received)));
     }
 
-    List<OutgoingMessage> chunk(String from, ReplicationMessage.Chunk c, long now) {
-        Partial p = partials.get(c.id());
-        if (p == null
-                || p.crc != c.crc()
-                || p.have != c.from()
-                || !p.from.equals(from)
-                || c.bytes().length == 0
-                || c.bytes().length > p.bytes.length - p.have) {
+    List<OutgoingMessage> chunkReceived(String from, ReplicationMessage.Chunk chunk, long nowUs) {
+        Transfer transfer = transfers.get(chunk.id());
+        if (transfer == null
+                || transfer.crc32c != chunk.crc32c()
+                || transfer.received != chunk.offset()
+                || !transfer.from.equals(from)
+                || chunk.bytes().length == 0
+                || chunk.bytes().length > transfer.bytes.length - transfer.received) {
             return List.of();
         }
-        System.arraycopy(c.bytes(), 0, p.bytes, p.have, c.bytes().length);
-        p.have += c.bytes().length;
-        p.tries = 0;
-        if (p.have < p.bytes.length) {
-            return List.of(need(c.id(), p, now));
+        System.arraycopy(chunk.bytes(), 0, transfer.bytes, transfer.received, chunk.bytes().length);
+        transfer.received += chunk.bytes().length;
+        transfer.attempts = 0;
+        if (transfer.received < transfer.bytes.length) {
+            return List.of(requestNextChunk(chunk.id(), transfer, nowUs));
         }
-        drop(c.id());
+        drop(chunk.id());
         List<OutgoingMessage> out = new ArrayList<>();
-        if (isTaken(c.id(), p, now)) {
-            out.add(new OutgoingMessage(from, new ReplicationMessage.Have(c.id())));
+        if (storeIfValid(chunk.id(), transfer, nowUs)) {
+            out.add(new OutgoingMessage(from, new ReplicationMessage.Acknowledgement(chunk.id())));
         }
-        out.addAll(beginDeferred(now));
+        out.addAll(startDeferred(nowUs));
         return out;
     }
 
-    /** What came whole is checked as if it came from a disk; what is broken is offered again after a while. */
-    private boolean isTaken(ContentId id, Partial p, long now) {
+    /**
+     * Verifies a complete transfer and stores its result; a corrupt one is counted, and the sender repeats its offer.
+     */
+    private boolean storeIfValid(ResultId id, Transfer transfer, long nowUs) {
         try {
-            if (StoredAnswer.crc(p.bytes) == p.crc) {
-                StoredAnswer answer = StoredAnswer.read(p.bytes);
-                AnswerMetadata m = answer.meta();
-                if (m.key().id().equals(id)) {
-                    store.take(answer, p.ageMs + Math.max(0, now - p.offeredAt) / 1000);
+            if (CachedResult.crc32c(transfer.bytes) == transfer.crc32c) {
+                CachedResult result = CachedResult.decode(transfer.bytes);
+                ResultMetadata metadata = result.metadata();
+                if (metadata.key().id().equals(id)) {
+                    store.put(result, transfer.ageMs + Math.max(0, nowUs - transfer.offeredAtUs) / 1000);
                     return true;
                 }
             }
         } catch (CborIn.FaultyMessageException e) {
-            // counted below, with a wrong checksum and a wrong name
+            // counted below, like a wrong checksum or key
         }
-        broken++;
+        corruptCount++;
         return false;
     }
 
-    /** The sender no longer has it. */
-    void gone(String from, ContentId id) {
-        Partial p = partials.get(id);
-        if (p != null && p.from.equals(from)) {
+    /** The sender does not have the result any more. */
+    void notFound(String from, ResultId id) {
+        Transfer transfer = transfers.get(id);
+        if (transfer != null && transfer.from.equals(from)) {
             drop(id);
         }
     }
 
-    List<OutgoingMessage> tick(long now) {
+    List<OutgoingMessage> tick(long nowUs) {
         List<OutgoingMessage> out = new ArrayList<>();
-        for (Iterator<Map.Entry<ContentId, Partial>> i = partials.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<ContentId, Partial> e = i.next();
-            Partial p = e.getValue();
-            if (now - p.askedAt < settings.answerUs()) {
+        for (Iterator<Map.Entry<ResultId, Transfer>> iterator =
+                        transfers.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<ResultId, Transfer> entry = iterator.next();
+            Transfer transfer = entry.getValue();
+            if (nowUs - transfer.lastRequestUs < settings.responseTimeoutUs()) {
                 continue;
             }
-            if (p.tries >= settings.tries()) {
-                bytes -= p.bytes.length;
-                i.remove();
+            if (transfer.attempts >= settings.maxAttempts()) {
+                bytes -= transfer.bytes.length;
+                iterator.remove();
             } else {
-                out.add(need(e.getKey(), p, now));
+                out.add(requestNextChunk(entry.getKey(), transfer, nowUs));
             }
         }
-        out.addAll(beginDeferred(now));
+        out.addAll(startDeferred(nowUs));
         return out;
     }
 
-    private void drop(ContentId id) {
-        Partial p = partials.remove(id);
-        bytes -= p == null ? 0 : p.bytes.length;
+    private void drop(ResultId id) {
+        Transfer transfer = transfers.remove(id);
+        bytes -= transfer == null ? 0 : transfer.bytes.length;
     }
 
     int size() {
-        return partials.size();
+        return transfers.size();
     }
 
     long bytes() {
         return bytes;
     }
 
-    long broken() {
-        return broken;
+    long corruptCount() {
+        return corruptCount;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaSender.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaSender.java
@@ -10,175 +10,187 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.ToLongFunction;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
 
 /**
- * Transfers going out: ids queue for each neighbour, some of them are offered, and parts are sent on request. Apart
- * from ids nothing is kept but the body last read, since its parts are requested one after the other.
+ * Outgoing transfers. Ids are queued for each gateway, a bounded number of them is offered, and chunks are sent on
+ * request. Besides ids only the encoded result read last is kept, since its chunks are requested one after the other.
  */
 final class ReplicaSender {
-    private static final int MAX_NEIGHBOURS = 256;
+    private static final int MAX_PEERS = 256;
 
-    private static final class Offered {
-        private long at;
-        private int tries;
+    /** State of an offer that is not acknowledged. */
+    private static final class PendingOffer {
+        private long sentAtUs;
+        private int attempts;
     }
 
-    private static final class Neighbour {
-        private final Set<ContentId> waiting = new LinkedHashSet<>();
-        private final Map<ContentId, Offered> offered = new LinkedHashMap<>();
-        private boolean up;
+    /** Queue and offers of one gateway. */
+    private static final class PeerState {
+        private final Set<ResultId> queued = new LinkedHashSet<>();
+        private final Map<ResultId, PendingOffer> pendingOffers = new LinkedHashMap<>();
+        private boolean isConnected;
     }
 
-    private record Body(ContentId id, byte[] bytes, int crc, long askedWall) {}
+    /** An encoded result. */
+    private record EncodedResult(ResultId id, byte[] bytes, int crc32c, long requestedAtWallMs) {}
 
     private final ReplicationSettings settings;
     private final ReplicaStore store;
-    private final ToLongFunction<StoredAnswer> age;
-    private final Map<String, Neighbour> neighbours = new TreeMap<>();
-    private Body last;
+    private final ToLongFunction<CachedResult> ageOf;
+    private final Map<String, PeerState> peers = new TreeMap<>();
+    private EncodedResult lastRead;
 
-    ReplicaSender(ReplicationSettings settings, ReplicaStore store, ToLongFunction<StoredAnswer> age) {
+    ReplicaSender(ReplicationSettings settings, ReplicaStore store, ToLongFunction<CachedResult> ageOf) {
         this.settings = settings;
         this.store = store;
-        this.age = age;
+        this.ageOf = ageOf;
     }
 
-    /** Puts a copy in line for a neighbour; false where its line is full. */
-    boolean offer(String to, ContentId id) {
-        Neighbour n = neighbour(to);
-        if (n == null || n.waiting.size() >= settings.maxQueued()) {
+    /** Queues a result to be offered to a gateway; returns false if the queue is full. */
+    boolean offer(String to, ResultId id) {
+        PeerState state = peerState(to);
+        if (state == null || state.queued.size() >= settings.maxQueued()) {
             return false;
         }
-        if (!n.offered.containsKey(id)) {
-            n.waiting.add(id);
+        if (!state.pendingOffers.containsKey(id)) {
+            state.queued.add(id);
         }
         return true;
     }
 
-    private Neighbour neighbour(String name) {
-        return neighbours.size() < MAX_NEIGHBOURS
-                ? neighbours.computeIfAbsent(name, p -> new Neighbour())
-                : neighbours.get(name);
+    private PeerState peerState(String name) {
+        return peers.size() < MAX_PEERS ? peers.computeIfAbsent(name, key -> new PeerState()) : peers.get(name);
     }
 
-    void up(String peer, boolean isUp) {
-        Neighbour n = neighbour(peer);
-        if (n == null) {
+    void setConnected(String peer, boolean isConnected) {
+        PeerState state = peerState(peer);
+        if (state == null) {
             return;
         }
-        n.up = isUp;
-        if (!isUp) { // what was on its way is offered again once it is back
-            Set<ContentId> again = new LinkedHashSet<>(n.offered.keySet());
-            again.addAll(n.waiting);
-            n.waiting.clear();
-            n.waiting.addAll(again);
-            n.offered.clear();
+        state.isConnected = isConnected;
+        if (!isConnected) { // unfinished transfers are offered again once the gateway is connected
+            Set<ResultId> requeued = new LinkedHashSet<>(state.pendingOffers.keySet());
+            requeued.addAll(state.queued);
+            state.queued.clear();
+            state.queued.addAll(requeued);
+            state.pendingOffers.clear();
         }
     }
 
-    /** A gateway that left the zone for good. */
+    /** A gateway left the zone. */
     void forget(String peer) {
-        neighbours.remove(peer);
+        peers.remove(peer);
     }
 
-    ReplicationMessage asked(ContentId id) {
-        return body(id, true).map(this::offerOf).orElse(new ReplicationMessage.Not(id));
+    ReplicationMessage resultRequested(ResultId id) {
+        return readEncoded(id, true).map(this::offerOf).orElse(new ReplicationMessage.NotFound(id));
     }
 
-    private ReplicationMessage offerOf(Body b) {
-        long ageMs = store.find(b.id).map(age::applyAsLong).orElse(0L);
-        return new ReplicationMessage.Offer(b.id, b.askedWall, Math.max(0, ageMs), b.bytes.length, b.crc);
+    private ReplicationMessage offerOf(EncodedResult encoded) {
+        long ageMs = store.find(encoded.id).map(ageOf::applyAsLong).orElse(0L);
+        return new ReplicationMessage.Offer(
+                encoded.id, encoded.requestedAtWallMs, Math.max(0, ageMs), encoded.bytes.length, encoded.crc32c);
     }
 
-    private Optional<Body> body(ContentId id, boolean fresh) {
-        if (last == null || !last.id.equals(id) || fresh && last.askedWall != store.askedAt(id)) {
-            last = store.find(id)
-                    .map(a -> {
-                        byte[] bytes = a.body();
-                        return new Body(
-                                id, bytes, StoredAnswer.crc(bytes), a.meta().askedWall());
+    private Optional<EncodedResult> readEncoded(ResultId id, boolean mustBeCurrent) {
+        if (lastRead == null
+                || !lastRead.id.equals(id)
+                || mustBeCurrent && lastRead.requestedAtWallMs != store.requestedAtMs(id)) {
+            lastRead = store.find(id)
+                    .map(result -> {
+                        byte[] bytes = result.encode();
+                        return new EncodedResult(
+                                id,
+                                bytes,
+                                CachedResult.crc32c(bytes),
+                                result.metadata().requestedAtWallMs());
                     })
                     .orElse(null);
         }
-        return Optional.ofNullable(last);
+        return Optional.ofNullable(lastRead);
     }
 
-    ReplicationMessage needed(String from, ReplicationMessage.Need n, long now) {
-        Neighbour who = neighbours.get(from);
-        Offered o = who == null ? null : who.offered.get(n.id());
-        if (o != null) {
-            o.at = now; // it goes on: the offer is not to be sent again
-            o.tries = 1;
+    ReplicationMessage chunkRequested(String from, ReplicationMessage.ChunkRequest request, long nowUs) {
+        PeerState state = peers.get(from);
+        PendingOffer offer = state == null ? null : state.pendingOffers.get(request.id());
+        if (offer != null) {
+            offer.sentAtUs = nowUs; // the transfer progresses, so the offer is not repeated
+            offer.attempts = 1;
         }
-        Body b = body(n.id(), false).orElse(null);
-        if (b == null || b.crc != n.crc() || n.from() >= b.bytes.length) {
-            return new ReplicationMessage.Not(n.id());
+        EncodedResult encoded = readEncoded(request.id(), false).orElse(null);
+        if (encoded == null || encoded.crc32c != request.crc32c() || request.offset() >= encoded.bytes.length) {
+            return new ReplicationMessage.NotFound(request.id());
         }
-        int length = Math.min(Math.min(n.max(), ReplicationMessageCodec.MAX_CHUNK), b.bytes.length - n.from());
-        byte[] part = new byte[length];
-        System.arraycopy(b.bytes, n.from(), part, 0, length);
-        return new ReplicationMessage.Chunk(n.id(), b.crc, n.from(), part);
-    }
-
-    void had(String from, ContentId id) {
-        Neighbour n = neighbours.get(from);
-        if (n != null) {
-            n.offered.remove(id);
-            n.waiting.remove(id);
+        int length = Math.min(
+                Math.min(request.maxLength(), ReplicationMessageCodec.MAX_CHUNK_BYTES),
+                encoded.bytes.length - request.offset());
+        byte[] chunk = new byte[length];
+        System.arraycopy(encoded.bytes, request.offset(), chunk, 0, length);
+        return new ReplicationMessage.Chunk(request.id(), encoded.crc32c, request.offset(), chunk);
+    }
+
+    void acknowledged(String from, ResultId id) {
+        PeerState state = peers.get(from);
+        if (state != null) {
+            state.pendingOffers.remove(id);
+            state.queued.remove(id);
         }
     }
 
-    List<OutgoingMessage> tick(long now) {
+    List<OutgoingMessage> tick(long nowUs) {
         List<OutgoingMessage> out = new ArrayList<>();
-        neighbours.forEach((name, n) -> {
-            if (n.up) {
-                again(name, n, now, out);
-                first(name, n, now, out);
+        peers.forEach((name, state) -> {
+            if (state.isConnected) {
+                repeatOffers(name, state, nowUs, out);
+                sendFirstOffers(name, state, nowUs, out);
             }
         });
         return out;
     }
 
-    private void again(String name, Neighbour n, long now, List<OutgoingMessage> out) {
-        List<ContentId> behind = new ArrayList<>();
-        for (Iterator<Map.Entry<ContentId, Offered>> i = n.offered.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<ContentId, Offered> e = i.next();
-            if (now - e.getValue().at >= settings.answerUs()) {
-                if (e.getValue().tries >= settings.tries()) {
-                    behind.add(e.getKey()); // others first: it may be busy with larger ones
-                    i.remove();
+    private void repeatOffers(String name, PeerState state, long nowUs, List<OutgoingMessage> out) {
+        List<ResultId> postponed = new ArrayList<>();
+        for (Iterator<Map.Entry<ResultId, PendingOffer>> iterator =
+                        state.pendingOffers.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<ResultId, PendingOffer> entry = iterator.next();
+            if (nowUs - entry.getValue().sentAtUs >= settings.responseTimeoutUs()) {
+                if (entry.getValue().attempts >= settings.maxAttempts()) {
+                    postponed.add(entry.getKey()); // after the others: the peer may be busy with larger results
+                    iterator.remove();
                 } else {
-                    send(name, e.getKey(), e.getValue(), now, out);
+                    send(name, entry.getKey(), entry.getValue(), nowUs, out);
                 }
             }
         }
-        behind.forEach(id -> offer(name, id));
+        postponed.forEach(id -> offer(name, id));
     }
 
-    private void first(String name, Neighbour n, long now, List<OutgoingMessage> out) {
-        for (Iterator<ContentId> i = n.waiting.iterator(); i.hasNext() && n.offered.size() < settings.maxOffers(); ) {
-            ContentId id = i.next();
-            i.remove();
-            Offered o = new Offered();
-            if (send(name, id, o, now, out)) {
-                n.offered.put(id, o);
+    private void sendFirstOffers(String name, PeerState state, long nowUs, List<OutgoingMessage> out) {
+        for (Iterator<ResultId> iterator = state.queued.iterator();
+                iterator.hasNext() && state.pendingOffers.size() < settings.maxOffers(); ) {
+            ResultId id = iterator.next();
+            iterator.remove();
+            PendingOffer offer = new PendingOffer();
+            if (send(name, id, offer, nowUs, out)) {
+                state.pendingOffers.put(id, offer);
             }
         }
     }
 
-    private boolean send(String name, ContentId id, Offered o, long now, List<OutgoingMessage> out) {
-        Optional<Body> b = body(id, true);
-        o.at = now;
-        o.tries++;
-        b.ifPresent(body -> out.add(new OutgoingMessage(name, offerOf(body))));
-        return b.isPresent();
+    private boolean send(String name, ResultId id, PendingOffer offer, long nowUs, List<OutgoingMessage> out) {
+        Optional<EncodedResult> encoded = readEncoded(id, true);
+        offer.sentAtUs = nowUs;
+        offer.attempts++;
+        encoded.ifPresent(found -> out.add(new OutgoingMessage(name, offerOf(found))));
+        return encoded.isPresent();
     }
 
-    /** Copies that a neighbour has not yet said to have. */
-    int open(String peer) {
-        Neighbour n = neighbours.get(peer);
-        return n == null ? 0 : n.waiting.size() + n.offered.size();
+    /** Returns the number of results that a gateway has not acknowledged. */
+    int pendingCount(String peer) {
+        PeerState state = peers.get(peer);
+        return state == null ? 0 : state.queued.size() + state.pendingOffers.size();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicaStore.java
@@ -1,16 +1,17 @@
 package sandpaddle.fleet.content.replication;
 
 import java.util.Optional;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultId;
 
-/** The stored answers of this gateway, as replication sees them. */
+/** The cached results of this gateway, as replication accesses them. */
 public interface ReplicaStore {
-    /** When (wall, ms) the copy here was asked for, -1 where there is none. */
-    long askedAt(ContentId id);
+    /** Returns the wall-clock time (ms) at which the cached result was requested, or -1 if there is none. */
+    long requestedAtMs(ResultId id);
 
-    Optional<StoredAnswer> find(ContentId id);
+    /** Returns a result that may be sent to other gateways. */
+    Optional<CachedResult> find(ResultId id);
 
-    /** Takes a copy whose age (ms) was told; whether it is kept. */
-    boolean take(StoredAnswer answer, long ageMs);
+    /** Stores a received result that has the given age (ms); returns whether it was stored. */
+    boolean put(CachedResult result, long ageMs);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationLinks.java
@@ -6,32 +6,40 @@
 import sandpaddle.fleet.wire.CborIn;
 
 /**
- * Carries the messages of {@link AnswerReplication} over the fleet's links. What a full queue refuses is repaired by a
- * repeat.
+ * Sends and receives the messages of {@link ResultReplication} over the links of the fleet. A message that a full queue
+ * rejects is sent again as a repetition.
  */
 public final class ReplicationLinks {
     private final Links links;
-    private final AnswerReplication copies;
+    private final ResultReplication replication;
 
-    public ReplicationLinks(Links links, AnswerReplication copies) {
+    /** Connects replication to the links of this gateway. */
+    public ReplicationLinks(Links links, ResultReplication replication) {
         this.links = links;
-        this.copies = copies;
+        this.replication = replication;
     }
 
-    /** Hears a payload of {@link MessageKind#CONTENT}; a fault names what is wrong in it, for the link to be ended. */
-    public void received(String from, byte[] payload, long now) throws CborIn.FaultyMessageException {
-        send(copies.received(from, ReplicationMessageCodec.read(payload), now));
+    /**
+     * Handles a payload of {@link MessageKind#CONTENT}.
+     *
+     * @throws CborIn.FaultyMessageException if the payload is invalid; the caller has to close the link
+     */
+    public void received(String from, byte[] payload, long nowUs) throws CborIn.FaultyMessageException {
+        send(replication.received(from, ReplicationMessageCodec.read(payload), nowUs));
     }
 
-    public void tick(long now) {
-        send(copies.tick(now));
+    /** Sends the messages that are due. */
+    public void tick(long nowUs) {
+        send(replication.tick(nowUs));
     }
 
+    /** Sends messages; returns whether all of them were queued. */
     public boolean send(List<OutgoingMessage> messages) {
-        boolean all = true;
-        for (OutgoingMessage m : messages) {
-            all &= links.send(m.to(), MessageKind.CONTENT, ReplicationMessageCodec.write(m.message()));
+        boolean allQueued = true;
+        for (OutgoingMessage message : messages) {
+            allQueued &=
+                    links.send(message.to(), MessageKind.CONTENT, ReplicationMessageCodec.write(message.message()));
         }
-        return all;
+        return allQueued;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationMessageCodec.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationMessageCodec.java
@@ -3,126 +3,137 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.content.AnswerMetadata;
+import sandpaddle.fleet.content.CacheKey;
+import sandpaddle.fleet.content.CachedResult;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.ResultMetadata;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
-/** Encodes replication messages: version, number of the message, its values. */
+/** Encodes replication messages as CBOR: format version, number of the message type, values of the message. */
 public final class ReplicationMessageCodec {
-    /** Bytes of a part: four of them and their heads stay under a frame's 1 MiB. */
-    public static final int MAX_CHUNK = 256 * 1024;
+    /** Maximum length of a chunk in bytes; a message with one chunk stays below the 1 MiB of a frame. */
+    public static final int MAX_CHUNK_BYTES = 256 * 1024;
 
     private static final int VERSION = 1;
-    private static final int WANT = 1;
+    private static final int DEMAND = 1;
     private static final int OFFER = 2;
-    private static final int NEED = 3;
-    private static final int HAVE = 4;
+    private static final int CHUNK_REQUEST = 3;
+    private static final int ACKNOWLEDGEMENT = 4;
     private static final int CHUNK = 5;
-    private static final int ASK = 6;
-    private static final int NOT = 7;
-    private static final long LARGE = Long.MAX_VALUE / 4;
+    private static final int RESULT_REQUEST = 6;
+    private static final int NOT_FOUND = 7;
+    private static final long MAX_NUMBER = Long.MAX_VALUE / 4;
     private static final long MAX_AGE_MS = 366L * 24 * 3_600_000;
 
     private ReplicationMessageCodec() {}
 
+    /** Encodes a message. */
     public static byte[] write(ReplicationMessage message) {
         CborOut out = new CborOut().number(VERSION);
-        if (message instanceof ReplicationMessage.Want w) {
-            want(out.number(WANT), w);
-        } else if (message instanceof ReplicationMessage.Offer o) {
-            id(out, OFFER, o.id())
-                    .number(o.askedWall())
-                    .number(o.ageMs())
-                    .number(o.length())
-                    .number(o.crc());
-        } else if (message instanceof ReplicationMessage.Need n) {
-            id(out, NEED, n.id()).number(n.crc()).number(n.from()).number(n.max());
-        } else if (message instanceof ReplicationMessage.Have h) {
-            id(out, HAVE, h.id());
-        } else if (message instanceof ReplicationMessage.Chunk c) {
-            id(out, CHUNK, c.id()).number(c.crc()).number(c.from()).bytes(c.bytes());
-        } else if (message instanceof ReplicationMessage.Ask a) {
-            id(out, ASK, a.id());
-        } else if (message instanceof ReplicationMessage.Not n) {
-            id(out, NOT, n.id());
+        if (message instanceof ReplicationMessage.Demand demand) {
+            writeDemand(out.number(DEMAND), demand);
+        } else if (message instanceof ReplicationMessage.Offer offer) {
+            writeHeader(out, OFFER, offer.id())
+                    .number(offer.requestedAtWallMs())
+                    .number(offer.ageMs())
+                    .number(offer.length())
+                    .number(offer.crc32c());
+        } else if (message instanceof ReplicationMessage.ChunkRequest request) {
+            writeHeader(out, CHUNK_REQUEST, request.id())
+                    .number(request.crc32c())
+                    .number(request.offset())
+                    .number(request.maxLength());
+        } else if (message instanceof ReplicationMessage.Acknowledgement acknowledgement) {
+            writeHeader(out, ACKNOWLEDGEMENT, acknowledgement.id());
+        } else if (message instanceof ReplicationMessage.Chunk chunk) {
+            writeHeader(out, CHUNK, chunk.id())
+                    .number(chunk.crc32c())
+                    .number(chunk.offset())
+                    .bytes(chunk.bytes());
+        } else if (message instanceof ReplicationMessage.ResultRequest request) {
+            writeHeader(out, RESULT_REQUEST, request.id());
+        } else if (message instanceof ReplicationMessage.NotFound notFound) {
+            writeHeader(out, NOT_FOUND, notFound.id());
         }
         return out.done();
     }
 
-    private static CborOut id(CborOut out, int number, ContentId id) {
-        id.write(out.number(number));
+    private static CborOut writeHeader(CborOut out, int type, ResultId id) {
+        id.write(out.number(type));
         return out;
     }
 
-    private static void want(CborOut out, ReplicationMessage.Want w) {
-        Candidate c = w.what();
-        c.key().write(out);
-        out.number(c.fingerprint())
-                .list(new TreeSet<>(c.groups()), CborOut::number)
-                .number(c.size())
-                .number(c.workUs())
-                .number(c.maxAgeMs())
-                .real(c.worthEach())
-                .real(w.asks());
+    private static void writeDemand(CborOut out, ReplicationMessage.Demand demand) {
+        Candidate candidate = demand.candidate();
+        candidate.key().write(out);
+        out.number(candidate.fingerprint())
+                .list(new TreeSet<>(candidate.groups()), CborOut::number)
+                .number(candidate.size())
+                .number(candidate.workUs())
+                .number(candidate.maxAgeMs())
+                .real(candidate.priorityWeight())
+                .real(demand.expectedRequests());
     }
 
-    /** Reads a message that anybody may have sent. */
+    /** Decodes a message from an untrusted sender, with a check of every bound. */
     public static ReplicationMessage read(byte[] bytes) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(bytes);
         in.number(VERSION, VERSION);
-        int number = (int) in.number(WANT, NOT);
-        ReplicationMessage m = number == WANT ? want(in) : named(in, number, ContentId.read(in));
+        int type = (int) in.number(DEMAND, NOT_FOUND);
+        ReplicationMessage message = type == DEMAND ? readDemand(in) : readById(in, type, ResultId.read(in));
         in.end();
-        return m;
+        return message;
     }
 
-    private static ReplicationMessage named(CborIn in, int number, ContentId id) throws CborIn.FaultyMessageException {
-        return switch (number) {
+    private static ReplicationMessage readById(CborIn in, int type, ResultId id) throws CborIn.FaultyMessageException {
+        return switch (type) {
             case OFFER ->
                 new ReplicationMessage.Offer(
                         id,
-                        in.number(0, LARGE),
+                        in.number(0, MAX_NUMBER),
                         in.number(0, MAX_AGE_MS),
-                        (int) in.number(1, StoredAnswer.MAX_BODY),
-                        crc(in));
-            case NEED ->
-                new ReplicationMessage.Need(
-                        id, crc(in), (int) in.number(0, StoredAnswer.MAX_BODY), (int) in.number(1, MAX_CHUNK));
-            case HAVE -> new ReplicationMessage.Have(id);
+                        (int) in.number(1, CachedResult.MAX_ENCODED_BYTES),
+                        readCrc32c(in));
+            case CHUNK_REQUEST ->
+                new ReplicationMessage.ChunkRequest(
+                        id, readCrc32c(in), (int) in.number(0, CachedResult.MAX_ENCODED_BYTES), (int)
+                                in.number(1, MAX_CHUNK_BYTES));
+            case ACKNOWLEDGEMENT -> new ReplicationMessage.Acknowledgement(id);
             case CHUNK ->
                 new ReplicationMessage.Chunk(
-                        id, crc(in), (int) in.number(0, StoredAnswer.MAX_BODY), in.bytes(MAX_CHUNK));
-            case ASK -> new ReplicationMessage.Ask(id);
-            default -> new ReplicationMessage.Not(id);
+                        id,
+                        readCrc32c(in),
+                        (int) in.number(0, CachedResult.MAX_ENCODED_BYTES),
+                        in.bytes(MAX_CHUNK_BYTES));
+            case RESULT_REQUEST -> new ReplicationMessage.ResultRequest(id);
+            default -> new ReplicationMessage.NotFound(id);
         };
     }
 
-    private static int crc(CborIn in) throws CborIn.FaultyMessageException {
+    private static int readCrc32c(CborIn in) throws CborIn.FaultyMessageException {
         return (int) in.number(Integer.MIN_VALUE, Integer.MAX_VALUE);
     }
 
-    private static ReplicationMessage want(CborIn in) throws CborIn.FaultyMessageException {
-        ContentKey key = ContentKey.read(in);
+    private static ReplicationMessage readDemand(CborIn in) throws CborIn.FaultyMessageException {
+        CacheKey key = CacheKey.read(in);
         long fingerprint = in.number(Long.MIN_VALUE, Long.MAX_VALUE);
         Set<Long> groups =
-                new HashSet<>(in.list(AnswerMetadata.MAX_GROUPS, i -> i.number(Long.MIN_VALUE, Long.MAX_VALUE)));
-        long size = in.number(0, StoredAnswer.MAX_BODY);
-        long work = in.number(0, LARGE);
-        long maxAge = in.number(0, MAX_AGE_MS);
-        double worth = notNegative(in);
-        double asks = notNegative(in);
-        return new ReplicationMessage.Want(
-                new Candidate(key, fingerprint, groups, size, work, maxAge, worth, -1), asks);
+                new HashSet<>(in.list(ResultMetadata.MAX_GROUPS, item -> item.number(Long.MIN_VALUE, Long.MAX_VALUE)));
+        long size = in.number(0, CachedResult.MAX_ENCODED_BYTES);
+        long workUs = in.number(0, MAX_NUMBER);
+        long maxAgeMs = in.number(0, MAX_AGE_MS);
+        double priorityWeight = readNonNegative(in);
+        double expectedRequests = readNonNegative(in);
+        return new ReplicationMessage.Demand(
+                new Candidate(key, fingerprint, groups, size, workUs, maxAgeMs, priorityWeight, -1), expectedRequests);
     }
 
-    private static double notNegative(CborIn in) throws CborIn.FaultyMessageException {
+    private static double readNonNegative(CborIn in) throws CborIn.FaultyMessageException {
         double value = in.real();
         if (value < 0) {
-            throw in.wrong("is below zero");
+            throw in.wrong("is " + value + "; expected at least 0");
         }
         return value;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/replication/ReplicationSettings.java
@@ -1,14 +1,17 @@
 package sandpaddle.fleet.content.replication;
 
 /**
- * Bounds of copying at one gateway.
+ * Settings of replication at one gateway.
  *
- * @param maxOffers offers to one neighbour that wait for its answer
- * @param maxQueued names that wait to be offered to one neighbour; the youngest beyond that are not offered
- * @param maxParts copies coming in at one time
- * @param maxBytes of the copies coming in together
- * @param answerUs what was not answered for so long is sent again, {@code tries} times in all
+ * @param maxOffers maximum number of unacknowledged offers to one gateway
+ * @param maxQueued maximum number of results queued for one gateway; further ones are not queued
+ * @param maxIncoming maximum number of incoming transfers
+ * @param maxIncomingBytes maximum size of all incoming transfers together
+ * @param responseTimeoutUs time without a response after which a message is repeated
+ * @param maxAttempts maximum number of transmissions of a message
  */
-public record ReplicationSettings(int maxOffers, int maxQueued, int maxParts, long maxBytes, long answerUs, int tries) {
+public record ReplicationSettings(
+        int maxOffers, int maxQueued, int maxIncoming, long maxIncomingBytes, long responseTimeoutUs, int maxAttempts) {
+    /** Default settings. */
     public static final ReplicationSettings DEFAULT = new ReplicationSettings(32, 100_000, 16, 32L << 20, 5_000_000, 5);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/DataChanges.java
@@ -4,117 +4,135 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.AnswerMetadata;
+import sandpaddle.fleet.content.ResultMetadata;
 import sandpaddle.fleet.wire.CborIn;
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * When data groups were last changed by a load, as far as this gateway heard. Where one process saw both, monotonic
- * time compares a change with an answer; else the wall clock does. An answer of which no group is known counts as
- * changed by any load. At most {@value #MAX_GROUPS} groups of about 100 bytes: the change heard longest ago is
- * forgotten first, and whatever was asked for before it then counts as changed, whatever its group.
+ * The last load of each data group that this gateway knows of, for cache invalidation. A load and a cached result of
+ * the same incarnation are compared by monotonic time, others by the wall clock. A result without known data groups is
+ * invalidated by any load.
+ *
+ * <p>Bound: {@value #MAX_GROUPS} groups of about 100 bytes. Above it the group recorded longest ago is dropped, and its
+ * load then counts as a load of every group, so no invalidation is lost. Not thread-safe.
  */
 public final class DataChanges {
     static final int MAX_GROUPS = 16_384;
     private static final int VERSION = 1;
 
-    private record Change(long mono, long wall, long process) {
-        /** Whether an answer was asked for before the change was over. */
-        boolean outdates(AnswerMetadata m, long slackUs) {
-            return process == m.incarnation()
-                    ? m.askedMono() - slackUs <= mono
-                    : m.askedWall() - slackUs / 1000 <= wall;
+    /** A load, with the time at which it completed. */
+    private record Load(long monoUs, long wallMs, long incarnation) {
+        /** Returns whether a result was requested before the load completed. */
+        boolean invalidates(ResultMetadata metadata, long slackUs) {
+            return incarnation == metadata.incarnation()
+                    ? metadata.requestedAtMonoUs() - slackUs <= monoUs
+                    : metadata.requestedAtWallMs() - slackUs / 1000 <= wallMs;
         }
     }
 
-    private final long process;
+    private final long incarnation;
     private final long slackUs;
-    private final Map<Long, Change> byGroup = new LinkedHashMap<>(); // by the time of the change
-    private final List<Change> forAll = new ArrayList<>(2); // of this process and of an earlier one, the latest each
+    private final Map<Long, Load> byGroup = new LinkedHashMap<>(); // in the order of recording
+    private final List<Load> anyGroup = new ArrayList<>(2); // the latest one of this incarnation and of an earlier one
 
-    /** {@code slackUs}: an answer asked for so shortly after a change counts as before it. */
-    public DataChanges(long process, long slackUs) {
-        this.process = process;
+    /**
+     * Creates an empty record.
+     *
+     * @param incarnation incarnation of this gateway
+     * @param slackUs a result that was requested within this time after a load counts as requested before it
+     */
+    public DataChanges(long incarnation, long slackUs) {
+        this.incarnation = incarnation;
         this.slackUs = slackUs;
     }
 
-    /** A load on a group is over, or may be: at a monotonic time (us) and a time of the wall clock (ms). */
-    public void changed(long group, long now, long wall) {
-        put(group, new Change(now, wall, process));
+    /** Records that a load of a data group completed, or may have, at a monotonic and wall-clock time. */
+    public void recordLoad(long group, long nowUs, long wallMs) {
+        put(group, new Load(nowUs, wallMs, incarnation));
     }
 
-    /** A load of which no group is known: all that was asked for until now is outdated. */
-    public void changedUnknown(long now, long wall) {
-        forAll(new Change(now, wall, process));
+    /** Records a load of unknown data groups, which invalidates all results requested before. */
+    public void recordLoadOfUnknownGroups(long nowUs, long wallMs) {
+        addForAnyGroup(new Load(nowUs, wallMs, incarnation));
     }
 
-    private void put(long group, Change change) {
-        Change known = byGroup.get(group);
-        if (known != null && known.process == change.process && known.mono > change.mono) {
-            return; // heard late: a later one is known
+    private void put(long group, Load load) {
+        Load previous = byGroup.get(group);
+        if (previous != null && previous.incarnation == load.incarnation && previous.monoUs > load.monoUs) {
+            return; // reordered: a later load is known
         }
         byGroup.remove(group);
-        byGroup.put(group, change);
+        byGroup.put(group, load);
         if (byGroup.size() > MAX_GROUPS) {
             var eldest = byGroup.entrySet().iterator();
-            Change gone = eldest.next().getValue();
+            Load dropped = eldest.next().getValue();
             eldest.remove();
-            forAll(gone);
+            addForAnyGroup(dropped);
         }
     }
 
-    private void forAll(Change change) {
-        for (int i = 0; i < forAll.size(); i++) {
-            if (forAll.get(i).process == change.process) {
-                boolean later =
-                        change.process == process ? change.mono > forAll.get(i).mono : change.wall > forAll.get(i).wall;
-                forAll.set(i, later ? change : forAll.get(i));
+    private void addForAnyGroup(Load load) {
+        for (int i = 0; i < anyGroup.size(); i++) {
+            if (anyGroup.get(i).incarnation == load.incarnation) {
+                boolean later = load.incarnation == incarnation
+                        ? load.monoUs > anyGroup.get(i).monoUs
+                        : load.wallMs > anyGroup.get(i).wallMs;
+                anyGroup.set(i, later ? load : anyGroup.get(i));
                 return;
             }
         }
-        forAll.add(change);
+        anyGroup.add(load);
     }
 
-    /** Whether a load that is known of has changed what an answer was read from since it was asked for. */
-    public boolean outdates(AnswerMetadata m) {
-        if (forAll.stream().anyMatch(c -> c.outdates(m, slackUs))) {
+    /** Returns whether a known load changed a data group of a result after the result was requested. */
+    public boolean invalidates(ResultMetadata metadata) {
+        if (anyGroup.stream().anyMatch(load -> load.invalidates(metadata, slackUs))) {
             return true;
         }
-        if (m.groups().isEmpty()) {
-            return byGroup.values().stream().anyMatch(c -> c.outdates(m, slackUs));
+        if (metadata.groups().isEmpty()) {
+            return byGroup.values().stream().anyMatch(load -> load.invalidates(metadata, slackUs));
         }
-        return m.groups().stream().map(byGroup::get).anyMatch(c -> c != null && c.outdates(m, slackUs));
+        return metadata.groups().stream()
+                .map(byGroup::get)
+                .anyMatch(load -> load != null && load.invalidates(metadata, slackUs));
     }
 
-    /** All that is known, for {@link #take} of the next process. */
+    /** Returns the record in the form that {@link #restore} reads after a restart. */
     public byte[] export() {
         CborOut out = new CborOut().number(VERSION);
-        out.list(byGroup.entrySet(), (o, e) -> o.number(e.getKey()).number(e.getValue().wall));
-        return out.number(forAll.stream().mapToLong(Change::wall).max().orElse(-1))
+        out.list(
+                byGroup.entrySet(), (item, entry) -> item.number(entry.getKey()).number(entry.getValue().wallMs));
+        return out.number(anyGroup.stream().mapToLong(Load::wallMs).max().orElse(-1))
                 .done();
     }
 
-    /** Takes what an earlier process knew, by the wall clock; a fault leaves what is known as it was. */
-    public void take(byte[] exported) throws CborIn.FaultyMessageException {
+    /**
+     * Adds the loads that an earlier incarnation knew of, which have only wall-clock times.
+     *
+     * @throws CborIn.FaultyMessageException if the bytes are invalid; nothing is added then
+     */
+    public void restore(byte[] exported) throws CborIn.FaultyMessageException {
         CborIn in = new CborIn(exported);
         in.number(VERSION, VERSION);
-        List<Map.Entry<Long, Change>> all = in.list(
+        List<Map.Entry<Long, Load>> all = in.list(
                 MAX_GROUPS,
-                i -> Map.entry(i.number(Long.MIN_VALUE, Long.MAX_VALUE), earlier(i.number(0, Long.MAX_VALUE / 4))));
-        long floor = in.number(-1, Long.MAX_VALUE / 4);
+                item -> Map.entry(
+                        item.number(Long.MIN_VALUE, Long.MAX_VALUE),
+                        ofEarlierIncarnation(item.number(0, Long.MAX_VALUE / 4))));
+        long anyGroupWallMs = in.number(-1, Long.MAX_VALUE / 4);
         in.end();
-        for (Map.Entry<Long, Change> e : all) {
-            if (!byGroup.containsKey(e.getKey())) {
-                put(e.getKey(), e.getValue());
+        for (Map.Entry<Long, Load> entry : all) {
+            if (!byGroup.containsKey(entry.getKey())) {
+                put(entry.getKey(), entry.getValue());
             }
         }
-        if (floor >= 0) {
-            forAll(earlier(floor));
+        if (anyGroupWallMs >= 0) {
+            addForAnyGroup(ofEarlierIncarnation(anyGroupWallMs));
         }
     }
 
-    /** Of a process that no answer of this one's is of: only the wall clock compares. */
-    private Change earlier(long wall) {
-        return new Change(Long.MIN_VALUE, wall, ~process);
+    /** Returns a load of an incarnation that no result has, so that it is compared by the wall clock. */
+    private Load ofEarlierIncarnation(long wallMs) {
+        return new Load(Long.MIN_VALUE, wallMs, ~incarnation);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/Decision.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/Decision.java
@@ -2,34 +2,42 @@
 
 import sandpaddle.query.ResultSet;
 
-/** Whether a stored answer is handed out. */
+/** Whether a cached result is served. */
 public sealed interface Decision {
     /**
-     * It is, marked as stored. {@code ageMs}: since an engine was asked for it. {@code unknownMs}: a load that ended
-     * within that last time may have outdated it without anybody in the zone knowing; at most the age.
+     * The result is served, marked as cached.
+     *
+     * @param ageMs time since an engine was requested to execute the statement
+     * @param undetectedMs a load within this last time may have changed the data without the zone receiving notice of
+     *     it; at most the age
+     * @param rows the rows
      */
-    record Stored(long ageMs, long unknownMs, ResultSet rows) implements Decision {}
+    record Served(long ageMs, long undetectedMs, ResultSet rows) implements Decision {}
 
-    /** It is not, and why. */
-    record Not(Reason reason) implements Decision {}
+    /**
+     * The result is not served.
+     *
+     * @param reason why
+     */
+    record NotServed(Reason reason) implements Decision {}
 
-    /** Why a stored answer is not handed out. */
+    /** Why a cached result is not served. */
     enum Reason {
-        /** The zone reaches its engines, or is not known to be cut off. */
+        /** The zone is not known to be isolated. */
         NOT_ISOLATED,
-        /** Its class may not repeat. */
-        NOT_REPEATABLE,
-        /** Nothing is stored. */
-        ABSENT,
-        /** What is stored is another statement's, tenant's, user's or class'. */
-        FOREIGN,
-        /** It is older than its class states, or than the class states now. */
+        /** Requests of its class are not idempotent. */
+        NOT_IDEMPOTENT,
+        /** No result is cached. */
+        NOT_CACHED,
+        /** The cached result has another key. */
+        KEY_MISMATCH,
+        /** The result exceeds the maximum age of its class, as of when it was stored or now. */
         STALE,
-        /** A load has changed its data since. */
-        OUTDATED,
-        /** The clock that its age would be judged by has been set back. */
-        CLOCK,
-        /** Nothing was heard from outside for longer than the settings allow. */
-        UNHEARD
+        /** A load has changed the data of the result. */
+        INVALIDATED,
+        /** The wall clock, by which the age would have to be computed, was set back. */
+        CLOCK_SET_BACK,
+        /** Nothing was received from outside the zone for longer than the settings allow. */
+        NO_CONTACT
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeContext.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeContext.java
@@ -1,26 +1,31 @@
 package sandpaddle.fleet.content.serve;
 
 /**
- * What a stored answer is judged by at one moment.
+ * The state of a gateway that {@link ServeRule} depends on; immutable.
  *
- * @param isolated whether evidence shows that the zone is cut off; no clock and no schedule does
- * @param now monotonic time (us), {@code wall} the wall clock (ms), {@code process} this process' incarnation
- * @param wallTrusted whether the wall clock is not known to be behind
- * @param wallSlackMs added to the age of what another process asked for: by so much wall clocks may differ
- * @param heardAt when (us, monotonic) anything was last heard from outside the zone
- * @param maxUnheardMs nothing is handed out once nothing was heard for so long
+ * @param isolated whether evidence shows that the zone is isolated; a schedule of outages is not enough
+ * @param nowUs monotonic time
+ * @param wallMs wall-clock time
+ * @param incarnation incarnation of this gateway
+ * @param wallTrusted whether the wall clock is not known to be set back
+ * @param wallSlackMs maximum difference between two wall clocks, added to the age of results of another incarnation
+ * @param lastReceivedUs monotonic time at which anything was last received from outside the zone
+ * @param maxSilenceMs maximum time without anything received from outside the zone for which results are served
  */
 public record ServeContext(
         boolean isolated,
-        long now,
-        long wall,
-        long process,
+        long nowUs,
+        long wallMs,
+        long incarnation,
         boolean wallTrusted,
         long wallSlackMs,
-        long heardAt,
-        long maxUnheardMs) {
-    /** How long (ms) nothing has been heard from outside the zone: so old may a change be that nobody here knows of. */
-    public long unheardMs() {
-        return Math.max(0, (now - heardAt) / 1000);
+        long lastReceivedUs,
+        long maxSilenceMs) {
+    /**
+     * Returns the time (ms) since anything was received from outside the zone; a load within this time may be unknown
+     * here.
+     */
+    public long silenceMs() {
+        return Math.max(0, (nowUs - lastReceivedUs) / 1000);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
+++ b/gateway/src/main/java/sandpaddle/fleet/content/serve/ServeRule.java
@@ -1,64 +1,72 @@
 package sandpaddle.fleet.content.serve;
 
 import java.util.Optional;
-import sandpaddle.fleet.content.AnswerMetadata;
-import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CacheKey;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultMetadata;
 
 /**
- * Decides whether a stored answer may answer an ask: only while the zone is known to be cut off, only to the same
- * statement of the same tenant, user and class, only of a class that may repeat, no older than the class states, and
- * not where a load that is known of has changed its data. So what is handed out is never older than
- * {@code min(maxAge stored, maxAge now)}, and a change that it misses is one that nobody in the zone heard of: it came
- * within the time since anything was last heard from outside. Pure; a few comparisons and a look at each data group.
+ * Decides whether a cached result may answer a request: only while the zone is known to be isolated, only for an equal
+ * key (tenant, user, class, statement), only for an idempotent class, up to the maximum age of the class, and unless a
+ * known load has changed its data. A served result is therefore never older than the smaller of the maximum ages of now
+ * and of when it was stored; a change that it misses was unknown in the whole zone, so it happened since anything was
+ * last received from outside. A pure function; O(data groups of the result).
  */
 public final class ServeRule {
     private ServeRule() {}
 
     /**
-     * Decides.
+     * Decides whether to serve a result.
      *
-     * @param asked the key of what is asked for, whose class {@code repeatable} and {@code maxAgeMs} tell of now
+     * @param requested key of the request
+     * @param idempotent whether the class of the request is idempotent
+     * @param maxAgeMs current maximum age of the class
+     * @param found cached result, if any
+     * @param context state of this gateway
+     * @param changes known loads
      */
     public static Decision decide(
-            ContentKey asked,
-            boolean repeatable,
+            CacheKey requested,
+            boolean idempotent,
             long maxAgeMs,
-            Optional<StoredAnswer> found,
-            ServeContext s,
+            Optional<CachedResult> found,
+            ServeContext context,
             DataChanges changes) {
-        if (!s.isolated()) {
-            return not(Decision.Reason.NOT_ISOLATED);
+        if (!context.isolated()) {
+            return notServed(Decision.Reason.NOT_ISOLATED);
         }
-        if (!repeatable) {
-            return not(Decision.Reason.NOT_REPEATABLE);
+        if (!idempotent) {
+            return notServed(Decision.Reason.NOT_IDEMPOTENT);
         }
         if (found.isEmpty()) {
-            return not(Decision.Reason.ABSENT);
+            return notServed(Decision.Reason.NOT_CACHED);
         }
-        AnswerMetadata m = found.get().meta();
-        if (!m.key().equals(asked)) {
-            return not(Decision.Reason.FOREIGN);
+        ResultMetadata metadata = found.get().metadata();
+        if (!metadata.key().equals(requested)) {
+            return notServed(Decision.Reason.KEY_MISMATCH);
         }
-        if (m.incarnation() != s.process() && !s.wallTrusted()) {
-            return not(Decision.Reason.CLOCK);
+        if (metadata.incarnation() != context.incarnation() && !context.wallTrusted()) {
+            return notServed(Decision.Reason.CLOCK_SET_BACK);
         }
-        long age = m.age(s.now(), s.wall(), s.process()) + (m.incarnation() == s.process() ? 0 : s.wallSlackMs());
-        if (age > Math.min(m.maxAgeMs(), maxAgeMs)) {
-            return not(Decision.Reason.STALE);
+        long ageMs = metadata.ageMs(context.nowUs(), context.wallMs(), context.incarnation())
+                + (metadata.incarnation() == context.incarnation() ? 0 : context.wallSlackMs());
+        if (ageMs > Math.min(metadata.maxAgeMs(), maxAgeMs)) {
+            return notServed(Decision.Reason.STALE);
         }
-        if (s.unheardMs() > s.maxUnheardMs()) {
-            return not(Decision.Reason.UNHEARD);
+        if (context.silenceMs() > context.maxSilenceMs()) {
+            return notServed(Decision.Reason.NO_CONTACT);
         }
-        if (changes.outdates(m)) {
-            return not(Decision.Reason.OUTDATED);
+        if (changes.invalidates(metadata)) {
+            return notServed(Decision.Reason.INVALIDATED);
         }
-        long shown = Math.max(0, age);
-        return new Decision.Stored(
-                shown, Math.min(shown, s.unheardMs()), found.get().rows());
+        long servedAgeMs = Math.max(0, ageMs);
+        return new Decision.Served(
+                servedAgeMs,
+                Math.min(servedAgeMs, context.silenceMs()),
+                found.get().rows());
     }
 
-    private static Decision not(Decision.Reason reason) {
-        return new Decision.Not(reason);
+    private static Decision notServed(Decision.Reason reason) {
+        return new Decision.NotServed(reason);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import sandpaddle.fleet.content.serve.Decision;
-import sandpaddle.fleet.content.serve.RefusalPause;
+import sandpaddle.fleet.content.serve.OutageRetryAfter;
 import sandpaddle.query.Answer;
 
 /**
@@ -15,11 +15,11 @@
 final class OutageResponses {
     private static final long SECOND_MS = 1000;
 
-    private final RefusalPause pauses;
+    private final OutageRetryAfter pauses;
     private final SplittableRandom random;
     private long served, refused;
 
-    OutageResponses(RefusalPause pauses, long seed) {
+    OutageResponses(OutageRetryAfter pauses, long seed) {
         this.pauses = pauses;
         random = new SplittableRandom(seed);
     }
@@ -31,7 +31,7 @@
      * @param returnAt when (wall, ms) the link is expected back
      */
     Optional<Answer> answer(Decision decision, boolean isolated, boolean mayRunInside, long wallMs, long returnAt) {
-        if (decision instanceof Decision.Stored stored) {
+        if (decision instanceof Decision.Served stored) {
             served++;
             return Optional.of(new Answer.Served(
                     stored.rows(),
@@ -39,13 +39,14 @@
                             Locale.ROOT,
                             "stored answer, %d s old; changes of the last %d s are not known",
                             stored.ageMs() / SECOND_MS,
-                            stored.unknownMs() / SECOND_MS)));
+                            stored.undetectedMs() / SECOND_MS)));
         }
         if (!isolated || mayRunInside) {
             return Optional.empty();
         }
         refused++;
-        return Optional.of(new Answer.Rejected(Duration.ofMillis(pauses.pause(wallMs, returnAt, random.nextDouble()))));
+        return Optional.of(
+                new Answer.Rejected(Duration.ofMillis(pauses.retryAfterMs(wallMs, returnAt, random.nextDouble()))));
     }
 
     /** For the log. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -8,21 +8,21 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import sandpaddle.fleet.OutageSettings;
-import sandpaddle.fleet.content.AnswerMetadata;
+import sandpaddle.fleet.content.CacheKey;
+import sandpaddle.fleet.content.CachedResult;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.ContentStore;
-import sandpaddle.fleet.content.StoredAnswer;
-import sandpaddle.fleet.content.replication.AnswerReplication;
-import sandpaddle.fleet.content.replication.ContentReplicaStore;
+import sandpaddle.fleet.content.ResultCache;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.ResultMetadata;
+import sandpaddle.fleet.content.replication.CacheReplicaStore;
 import sandpaddle.fleet.content.replication.OutgoingMessage;
 import sandpaddle.fleet.content.replication.ReplicationLinks;
 import sandpaddle.fleet.content.replication.ReplicationMessage;
 import sandpaddle.fleet.content.replication.ReplicationSettings;
+import sandpaddle.fleet.content.replication.ResultReplication;
 import sandpaddle.fleet.content.serve.DataChanges;
 import sandpaddle.fleet.content.serve.Decision;
-import sandpaddle.fleet.content.serve.RefusalPause;
+import sandpaddle.fleet.content.serve.OutageRetryAfter;
 import sandpaddle.fleet.content.serve.ServeContext;
 import sandpaddle.fleet.content.serve.ServeRule;
 import sandpaddle.fleet.link.Links;
@@ -70,10 +70,10 @@
     private final AnswerFetcher fetching;
     private final ZonePhase phase;
     private final Margins margins;
-    private final ContentStore store;
-    private final ContentReplicaStore shelf;
+    private final ResultCache store;
+    private final CacheReplicaStore shelf;
     private final ReplicationLinks links;
-    private final AnswerReplication copies;
+    private final ResultReplication copies;
     private final Prefetcher prefetch;
     private final DataChanges changes;
     private final OutageResponses answers;
@@ -85,7 +85,7 @@
     public OutageService(
             OutageSettings settings,
             LocalNode itself,
-            ContentStore store,
+            ResultCache store,
             Links over,
             AnswerFetcher fetching,
             long seed) {
@@ -99,8 +99,8 @@
         margins = new Margins(settings.margins());
         phase = new ZonePhase(
                 itself.zone(), settings.schedule(), margins, settings.margins().maxMs(), settings.phase());
-        shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
-        copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
+        shelf = new CacheReplicaStore(store, process, settings.content().wallSlackMs());
+        copies = new ResultReplication(ReplicationSettings.DEFAULT, shelf, shelf::ageMs, this::wanted);
         links = new ReplicationLinks(over, copies);
         changes = new DataChanges(process, settings.content().wallSlackMs() * 1000);
         prefetch = new Prefetcher(
@@ -111,7 +111,7 @@
                 new AskHistory(NEWEST),
                 new Catalogue(CATALOGUE, CATALOGUE_BYTES));
         answers = new OutageResponses(
-                new RefusalPause(
+                new OutageRetryAfter(
                         1,
                         Math.max(1, itself.site().limits().maxRetryAfterUs() / 1000),
                         settings.phase().returningUs() / 1000),
@@ -132,27 +132,27 @@
         live.add(self);
         before.stream().filter(n -> !live.contains(n)).forEach(copies::forget);
         if (!before.equals(live)) {
-            for (ContentId id : store.ids()) { // what a dead one held has a new holder
+            for (ResultId id : store.ids()) { // what a dead one held has a new holder
                 ReplicaOwners.afterChange(id, before, live, self).forEach(to -> copies.offer(to, id));
             }
         }
     }
 
     public void up(String peer) {
-        copies.up(peer);
+        copies.connected(peer);
     }
 
     public void down(String peer) {
-        copies.down(peer);
+        copies.disconnected(peer);
     }
 
     public void received(String from, byte[] payload) throws FaultyMessageException {
-        shelf.at(clock.now(), wall());
+        shelf.setTime(clock.now(), wall());
         links.received(from, payload, clock.now());
     }
 
-    private void wanted(String from, ReplicationMessage.Want want) {
-        prefetch.wanted(from, want.what(), want.asks());
+    private void wanted(String from, ReplicationMessage.Demand want) {
+        prefetch.wanted(from, want.candidate(), want.expectedRequests());
     }
 
     /** What the loop heard. */
@@ -161,7 +161,7 @@
                 && storable.repeats(query.classIndex())
                 && storable.maxAgeMs(query.classIndex()) > 0) {
             prefetch.asked(
-                    wall(), storable.key(query.classIndex(), query.query()).id().a());
+                    wall(), storable.key(query.classIndex(), query.query()).id().word0());
         } else if (event instanceof LoopEvent.AttemptEnded attempt && attempt.rows() != null) {
             if (storable.repeats(attempt.classIndex())) {
                 take(
@@ -181,15 +181,16 @@
     public void changed(long group, long loadUs) {
         long wallMs = wall() - (clock.now() - loadUs) / 1000;
         if (group < 0) {
-            changes.changedUnknown(loadUs, wallMs);
+            changes.recordLoadOfUnknownGroups(loadUs, wallMs);
         } else {
-            changes.changed(group, loadUs, wallMs);
+            changes.recordLoad(group, loadUs, wallMs);
         }
     }
 
-    private void take(int classIndex, ContentKey key, long group, ResultSet rows, long loadUs, long latencyUs) {
+    private void take(int classIndex, CacheKey key, long group, ResultSet rows, long loadUs, long latencyUs) {
         if (storable.maxAgeMs(classIndex) > 0 && key.isStorable()) {
-            Candidate candidate = storable.candidate(classIndex, key, group, rows, latencyUs, store.askedAt(key.id()));
+            Candidate candidate =
+                    storable.candidate(classIndex, key, group, rows, latencyUs, store.requestedAtMs(key.id()));
             prefetch.served(candidate);
             put(candidate, rows, loadUs - latencyUs);
         }
@@ -201,8 +202,8 @@
         long wallMs = wall();
         long askedWall = wallMs - (nowUs - askedAt) / 1000;
         TimeRange ahead = ahead(nowUs, wallMs).orElse(new TimeRange(wallMs, wallMs + HOUR_MS));
-        StoredAnswer answer = new StoredAnswer(
-                new AnswerMetadata(
+        CachedResult answer = new CachedResult(
+                new ResultMetadata(
                         candidate.key(),
                         candidate.groups(),
                         askedWall,
@@ -234,12 +235,12 @@
                 .ifPresent(
                         m -> Logger.info("fleet: hall moves: {} -> {} ({}), {}", m.from(), m.to(), m.why(), answers));
         phase.endings().forEach(margins::learn);
-        shelf.at(nowUs, wallMs);
+        shelf.setTime(nowUs, wallMs);
         Optional<TimeRange> ahead = ahead(nowUs, wallMs);
         Allowance allowance =
                 busy ? Allowance.NONE : new Allowance(FETCHES, settings.fillWorkUs() / Math.max(1, live.size()));
         for (Fetch fetch : prefetch.turn(
-                nowUs, wallMs, new Prefetcher.View(phase.phase(), ahead, live), allowance, store::askedAt)) {
+                nowUs, wallMs, new Prefetcher.View(phase.phase(), ahead, live), allowance, store::requestedAtMs)) {
             fetch(fetch);
         }
         if (ahead.isPresent() && phase.phase() != Phase.ISOLATED && nowUs - wantsAt >= WANTS_US) {
@@ -247,12 +248,13 @@
             List<OutgoingMessage> told = new ArrayList<>();
             prefetch.wants(ahead.get(), live)
                     .forEach(w ->
-                            told.add(new OutgoingMessage(w.to(), new ReplicationMessage.Want(w.what(), w.asks()))));
+                            told.add(new OutgoingMessage(w.to(), new ReplicationMessage.Demand(w.what(), w.asks()))));
             links.send(told);
         }
         links.tick(nowUs);
         store.tick(nowUs, wallMs);
-        store.faults().forEach(f -> Logger.warn("fleet: stored answers, disk {}: {} {}", f.kind(), f.file(), f.what()));
+        store.faults()
+                .forEach(f -> Logger.warn("fleet: stored answers, disk {}: {} {}", f.kind(), f.file(), f.detail()));
     }
 
     private void fetch(Fetch fetch) {
@@ -276,15 +278,15 @@
     public void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> answer) {
         long nowUs = clock.now();
         long wallMs = wall();
-        ContentKey key = storable.key(classIndex, query);
-        Optional<StoredAnswer> found =
+        CacheKey key = storable.key(classIndex, query);
+        Optional<CachedResult> found =
                 storable.repeats(classIndex) && storable.maxAgeMs(classIndex) > 0 ? store.find(key) : Optional.empty();
         ServeContext s = new ServeContext(
                 isIsolated(),
                 nowUs,
                 wallMs,
                 process,
-                store.trusts(wallMs),
+                store.isWallClockTrusted(wallMs),
                 settings.content().wallSlackMs(),
                 heardAt,
                 settings.content().maxUnheardMs());
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageThread.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import sandpaddle.fleet.OutageSettings;
-import sandpaddle.fleet.content.ContentStore;
-import sandpaddle.fleet.content.disk.DirectoryFiles;
+import sandpaddle.fleet.content.ResultCache;
 import sandpaddle.fleet.content.disk.DiskSettings;
 import sandpaddle.fleet.content.disk.DiskTier;
+import sandpaddle.fleet.content.disk.FileSystemDirectory;
 import sandpaddle.fleet.content.memory.MemoryTier;
 import sandpaddle.fleet.link.Links;
 import sandpaddle.fleet.node.LocalNode;
@@ -53,7 +53,7 @@
         Optional<DiskTier> disk = c.diskBytes() == 0 || directory == null
                 ? Optional.empty()
                 : Optional.of(DiskTier.open(
-                        new DirectoryFiles(directory.resolve("content")),
+                        new FileSystemDirectory(directory.resolve("content")),
                         new DiskSettings(
                                 c.diskBytes(),
                                 c.segmentBytes(),
@@ -64,7 +64,7 @@
         service = new OutageService(
                 settings,
                 self,
-                new ContentStore(new MemoryTier(c.memoryBytes()), disk, c.flushUs()),
+                new ResultCache(new MemoryTier(c.memoryBytes()), disk, c.flushUs()),
                 over,
                 (key, work, done) -> fetching.fetch(key, work, rows -> thread.execute(() -> done.accept(rows))),
                 seed);
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/QueryPathFetcher.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import sandpaddle.decision.Micros;
 import sandpaddle.decision.settings.DecisionSettings;
-import sandpaddle.fleet.content.ContentKey;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.query.Answer;
 import sandpaddle.query.Query;
 import sandpaddle.query.QueryService;
@@ -40,16 +40,16 @@
     }
 
     @Override
-    public void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> done) {
+    public void fetch(CacheKey key, long workUs, Consumer<Optional<ResultSet>> done) {
         loop.add(() -> {
-            int classIndex = classes.indexOf(key.cls());
+            int classIndex = classes.indexOf(key.className());
             QueryService to = service;
             if (to == null || classIndex < 0) {
                 done.accept(Optional.empty());
                 return;
             }
             Query query = new Query(
-                    key.cls(),
+                    key.className(),
                     "%016x".formatted(random.nextLong()),
                     Micros.span(site.classes().get(classIndex).deadlineUs()),
                     Micros.span(workUs),
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.Idempotency;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.query.Query;
 import sandpaddle.query.ResultSet;
 
@@ -22,16 +22,16 @@
         return site.classes().get(classIndex).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    ContentKey key(int classIndex, Query query) {
-        return new ContentKey(query.tenant(), query.user(), classes.get(classIndex), query.statement());
+    CacheKey key(int classIndex, Query query) {
+        return new CacheKey(query.tenant(), query.user(), classes.get(classIndex), query.statement());
     }
 
     /** {@code group}: the data group that it reads, below 0 where none is known. */
-    Candidate candidate(int classIndex, ContentKey key, long group, ResultSet rows, long latencyUs, long storedAt) {
-        long bytes = rows.pages().stream().mapToLong(p -> p.length).sum() + key.size();
+    Candidate candidate(int classIndex, CacheKey key, long group, ResultSet rows, long latencyUs, long storedAt) {
+        long bytes = rows.pages().stream().mapToLong(p -> p.length).sum() + key.memoryBytes();
         return new Candidate(
                 key,
-                key.id().a(),
+                key.id().word0(),
                 group < 0 ? Set.of() : Set.of(group),
                 bytes,
                 latencyUs,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Catalogue.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToLongFunction;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.ContentKey;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
@@ -22,7 +22,7 @@
     private static final int MAX_NEIGHBOURS = 64;
 
     private static final class Known {
-        private final ContentKey key;
+        private final CacheKey key;
         private final long fingerprint;
         private final Set<Long> groups;
         private double size;
@@ -31,7 +31,7 @@
         private double worthEach;
         private final Map<String, Double> neighbours = new LinkedHashMap<>(2);
 
-        Known(ContentKey key, long fingerprint, Set<Long> groups) {
+        Known(CacheKey key, long fingerprint, Set<Long> groups) {
             this.key = key;
             this.fingerprint = fingerprint;
             this.groups = Set.copyOf(groups);
@@ -40,7 +40,7 @@
 
     private final int maxEntries;
     private final long maxBytes;
-    private final Map<ContentId, Known> byId = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<ResultId, Known> byId = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
     public Catalogue(int maxEntries, long maxBytes) {
@@ -55,7 +55,7 @@
         k.size = first ? c.size() : k.size + NEWEST * (c.size() - k.size);
         k.workUs = first ? c.workUs() : k.workUs + NEWEST * (c.workUs() - k.workUs);
         k.maxAgeMs = c.maxAgeMs();
-        k.worthEach = c.worthEach();
+        k.worthEach = c.priorityWeight();
         shrink();
     }
 
@@ -67,7 +67,7 @@
             k.size = c.size();
             k.workUs = c.workUs();
             k.maxAgeMs = c.maxAgeMs();
-            k.worthEach = c.worthEach();
+            k.worthEach = c.priorityWeight();
         }
         if (k.neighbours.size() < MAX_NEIGHBOURS || k.neighbours.containsKey(neighbour)) {
             k.neighbours.put(neighbour, Math.max(0, asks));
@@ -87,7 +87,7 @@
 
     private Known known(Candidate c) {
         return byId.computeIfAbsent(c.key().id(), id -> {
-            bytes += c.key().size();
+            bytes += c.key().memoryBytes();
             return new Known(c.key(), c.fingerprint(), c.groups());
         });
     }
@@ -95,13 +95,13 @@
     private void shrink() {
         var i = byId.entrySet().iterator();
         while ((byId.size() > maxEntries || bytes > maxBytes) && i.hasNext()) {
-            bytes -= i.next().getValue().key.size();
+            bytes -= i.next().getValue().key.memoryBytes();
             i.remove();
         }
     }
 
     /** All of them; {@code storedAt} tells when (wall, ms) a copy at hand was asked for, -1 where there is none. */
-    public List<Candidate> candidates(ToLongFunction<ContentId> storedAt) {
+    public List<Candidate> candidates(ToLongFunction<ResultId> storedAt) {
         List<Candidate> all = new ArrayList<>(byId.size());
         byId.forEach((id, k) -> all.add(new Candidate(
                 k.key,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
 /**
  * Executes a plan: which fetches to begin now, within what live capacity leaves. A token bucket in engine work of at
@@ -19,7 +19,7 @@
 
     private record Waiting(Fetch fetch, int tried) {}
 
-    private final Map<ContentId, Waiting> running = new HashMap<>();
+    private final Map<ResultId, Waiting> running = new HashMap<>();
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private double tokens; // us of work
     private long filledAt = Long.MIN_VALUE;
@@ -75,7 +75,7 @@
     }
 
     /** A fetch ended; one that gave no answer may be tried again behind the others. */
-    public void ended(ContentId id, boolean stored) {
+    public void ended(ResultId id, boolean stored) {
         Waiting w = running.remove(id);
         if (w != null && !stored && w.tried < MAX_TRIES) {
             waiting.add(w);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -55,7 +55,7 @@
     }
 
     private static double has(Candidate c, TimeRange outage, Forecast forecast) {
-        return c.storedAt() < 0 ? 0 : worth(c, c.storedAt(), outage, forecast);
+        return c.cachedRequestedAtMs() < 0 ? 0 : worth(c, c.cachedRequestedAtMs(), outage, forecast);
     }
 
     /** The loss may come at any moment: what gains most for its work goes first, whatever its age may be. */
@@ -70,12 +70,14 @@
     /** What a copy asked for at a time gives in the outage: asks that find it no older than it may be. */
     static double worth(Candidate c, long askedAt, TimeRange loss, Forecast forecast) {
         long to = Math.min(loss.to(), askedAt + c.maxAgeMs());
-        return to <= loss.from() ? 0 : c.worthEach() * forecast.asks(c.fingerprint(), new TimeRange(loss.from(), to));
+        return to <= loss.from()
+                ? 0
+                : c.priorityWeight() * forecast.asks(c.fingerprint(), new TimeRange(loss.from(), to));
     }
 
     /** A refresh of a copy at hand takes no bytes beyond those that the copy has. */
     private static long newBytes(Candidate c) {
-        return c.storedAt() < 0 ? c.size() : 0;
+        return c.cachedRequestedAtMs() < 0 ? c.size() : 0;
     }
 
     private static List<Choice> choose(List<Choice> all, long bytes, double work, Budget budget) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.ToLongFunction;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
@@ -69,7 +69,7 @@
      * What is to be fetched now; {@code storedAt} tells when (wall, ms) the copy at hand was asked for, and -1 where
      * there is none or a load has outdated it.
      */
-    public List<Fetch> turn(long now, long wall, View view, Allowance allowance, ToLongFunction<ContentId> storedAt) {
+    public List<Fetch> turn(long now, long wall, View view, Allowance allowance, ToLongFunction<ResultId> storedAt) {
         if (view.phase() != Phase.FILLING || view.outage().isEmpty()) {
             if (planExecutor.waiting() > 0 || !plan.fetches().isEmpty()) {
                 planExecutor.stop();
@@ -89,7 +89,7 @@
         return planExecutor.next(now, wall, allowance);
     }
 
-    private void replan(long wall, View view, ToLongFunction<ContentId> storedAt) {
+    private void replan(long wall, View view, ToLongFunction<ResultId> storedAt) {
         TimeRange outage = view.outage().get();
         TimeRange ahead =
                 new TimeRange(Math.max(outage.from(), wall), Math.max(outage.to(), Math.max(outage.from(), wall) + 1));
@@ -101,7 +101,7 @@
     }
 
     /** A fetch ended; {@code stored}: its answer is at hand now. */
-    public void ended(ContentId id, boolean stored) {
+    public void ended(ResultId id, boolean stored) {
         planExecutor.ended(id, stored);
     }
 
@@ -116,7 +116,7 @@
                 wants.add(new Want(owners.get(0), c, asks));
             }
         }
-        wants.sort((a, b) -> Double.compare(b.asks * b.what.worthEach(), a.asks * a.what.worthEach()));
+        wants.sort((a, b) -> Double.compare(b.asks * b.what.priorityWeight(), a.asks * a.what.priorityWeight()));
         return List.copyOf(wants.subList(0, Math.min(MAX_WANTS, wants.size())));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
 /**
  * Which gateways of a zone hold an answer: rendezvous hashing (Thaler and Ravishankar 1998) ranks the live ones for
@@ -18,7 +18,7 @@
     private ReplicaOwners() {}
 
     /** The holders of an answer among the zone's live gateways, the one that asks first. */
-    public static List<String> of(ContentId id, Collection<String> live) {
+    public static List<String> of(ResultId id, Collection<String> live) {
         List<String> ranked = new ArrayList<>(live);
         ranked.sort(Comparator.comparingLong((String name) -> score(id, name))
                 .reversed()
@@ -27,7 +27,7 @@
     }
 
     /** Whether this gateway is the one to ask an engine for it. */
-    public static boolean asks(ContentId id, Collection<String> live, String self) {
+    public static boolean asks(ResultId id, Collection<String> live, String self) {
         List<String> owners = of(id, live);
         return !owners.isEmpty() && owners.get(0).equals(self);
     }
@@ -36,7 +36,7 @@
      * To whom this gateway, which has a copy, must send one: the other holder, if it is not already known to have it.
      * Empty where this gateway is no holder and two others are: they copy between themselves.
      */
-    public static Optional<String> copyTo(ContentId id, Collection<String> live, String self) {
+    public static Optional<String> copyTo(ResultId id, Collection<String> live, String self) {
         List<String> owners = of(id, live);
         return owners.contains(self)
                 ? owners.stream().filter(o -> !o.equals(self)).findFirst()
@@ -48,7 +48,7 @@
      * still there, sends to each holder that is new: so one sender for each copy, and none where nothing changed.
      */
     public static List<String> afterChange(
-            ContentId id, Collection<String> before, Collection<String> live, String self) {
+            ResultId id, Collection<String> before, Collection<String> live, String self) {
         List<String> old = of(id, before);
         Optional<String> sender = old.stream().filter(live::contains).findFirst();
         if (sender.isEmpty() || !sender.get().equals(self)) {
@@ -58,8 +58,8 @@
     }
 
     /** Murmur's finaliser over both: well spread for names that differ in one digit. */
-    private static long score(ContentId id, String name) {
-        long h = id.a() ^ Long.rotateLeft(id.b(), 17);
+    private static long score(ResultId id, String name) {
+        long h = id.word0() ^ Long.rotateLeft(id.word1(), 17);
         for (int i = 0; i < name.length(); i++) {
             h = mix(h ^ name.charAt(i) * 0x9E3779B97F4A7C15L);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/recovery/Refreshes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/Refreshes.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.Fetch;
 import sandpaddle.fleet.outage.plan.Plan;
@@ -21,11 +21,11 @@
 
     private record Handed(Candidate what, long times) {
         double density() {
-            return times * what.worthEach() / Math.max(1, what.workUs());
+            return times * what.priorityWeight() / Math.max(1, what.workUs());
         }
     }
 
-    private final Map<ContentId, Handed> handed = new LinkedHashMap<>();
+    private final Map<ResultId, Handed> handed = new LinkedHashMap<>();
     private final PlanExecutor planExecutor = new PlanExecutor();
 
     /** A stored answer was handed out. */
@@ -37,7 +37,7 @@
     }
 
     /** An engine answered it meanwhile: nothing is to be fetched for it, unless that was begun. */
-    public void served(ContentId id) {
+    public void served(ResultId id) {
         handed.remove(id);
     }
 
@@ -57,7 +57,7 @@
     public List<Fetch> next(long now, Allowance allowance) {
         List<Fetch> begun = new ArrayList<>();
         for (Fetch f : planExecutor.next(now, 0, allowance)) {
-            ContentId id = f.what().key().id();
+            ResultId id = f.what().key().id();
             if (handed.containsKey(id)) {
                 begun.add(f);
             } else {
@@ -68,7 +68,7 @@
     }
 
     /** A fetch ended. */
-    public void ended(ContentId id, boolean stored) {
+    public void ended(ResultId id, boolean stored) {
         planExecutor.ended(id, stored);
         if (stored) {
             handed.remove(id);
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/DiskTierTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/DiskTierTest.java
@@ -9,216 +9,224 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.content.Stored;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.SampleResults;
 
 class DiskTierTest {
-    private static final long WALL = 1_000_000;
+    private static final long WALL_MS = 1_000_000;
     private static final DiskSettings SETTINGS = new DiskSettings(100_000, 10_000, 1000, 64, 1_000_000);
 
-    private final FaultyFiles files = new FaultyFiles();
+    private final FaultInjectingDirectory files = new FaultInjectingDirectory();
     private DiskTier disk = open();
 
     private DiskTier open() {
-        return DiskTier.open(files, SETTINGS, WALL);
+        return DiskTier.open(files, SETTINGS, WALL_MS);
     }
 
-    private static StoredAnswer answer(int n) {
-        return Stored.answer(n, WALL, n, n < 3 ? 5 : 50);
+    private static CachedResult result(int n) {
+        return SampleResults.result(n, WALL_MS, n, n < 3 ? 5 : 50);
     }
 
-    private boolean has(int n) {
-        Optional<StoredAnswer> found = disk.get(Stored.key(n).id());
-        found.ifPresent(a -> assertTrue(Stored.same(answer(n), a), "answer " + n + " is not what was stored"));
+    private boolean isFound(int n) {
+        Optional<CachedResult> found = disk.get(SampleResults.key(n).id());
+        found.ifPresent(
+                a -> assertTrue(SampleResults.areEqual(result(n), a), "result " + n + " differs from the stored one"));
         return found.isPresent();
     }
 
-    private long count(int from, int to) {
-        return IntStream.range(from, to).filter(this::has).count();
+    private long countFound(int from, int to) {
+        return IntStream.range(from, to).filter(this::isFound).count();
     }
 
     private void put(int from, int to) {
         for (int n = from; n < to; n++) {
-            disk.put(answer(n), n, WALL);
+            disk.put(result(n), n, WALL_MS);
         }
     }
 
-    private List<DiskFault.Kind> kinds() {
+    private List<DiskFault.Kind> faultKinds() {
         return disk.faults().stream().map(DiskFault::kind).distinct().toList();
     }
 
     @Test
-    void whatWasFlushedIsThereAfterARestart() {
+    void findsFlushedResultsAfterRestart() {
         put(0, 40);
-        assertTrue(disk.flush(0, WALL));
+        assertTrue(disk.flush(0, WALL_MS));
         put(40, 42);
-        assertEquals(42, count(0, 42));
+        assertEquals(42, countFound(0, 42));
         disk = open();
-        assertEquals(40, count(0, 42));
-        assertEquals(WALL, disk.newestWall());
-        assertEquals(List.of(), kinds());
+        assertEquals(40, countFound(0, 42));
+        assertEquals(WALL_MS, disk.newestWallMs());
+        assertEquals(List.of(), faultKinds());
     }
 
     @Test
-    void whatWasFlushedOutlivesALossOfPower() {
+    void findsFlushedResultsAfterPowerLoss() {
         put(0, 40);
-        assertTrue(disk.flush(0, WALL));
+        assertTrue(disk.flush(0, WALL_MS));
         files.crash();
         disk = open();
-        assertEquals(40, count(0, 40));
-        assertEquals(List.of(), kinds());
+        assertEquals(40, countFound(0, 40));
+        assertEquals(List.of(), faultKinds());
     }
 
     @Test
-    void aYoungerCopyTakesThePlaceOfAnOlder() {
-        for (int before = 5; before >= 0; before -= 5) {
-            disk.put(Stored.answer(1, WALL - before, 1, 5), 0, WALL);
-            disk.flush(0, WALL);
+    void keepsNewestVersionOfResult() {
+        for (int ageMs = 5; ageMs >= 0; ageMs -= 5) {
+            disk.put(SampleResults.result(1, WALL_MS - ageMs, 1, 5), 0, WALL_MS);
+            disk.flush(0, WALL_MS);
         }
         disk = open();
-        assertTrue(has(1));
-        assertEquals(1, disk.answers());
+        assertTrue(isFound(1));
+        assertEquals(1, disk.entryCount());
     }
 
     @Test
-    void theQuotaHoldsAndTheLeastValuableGoes() {
+    void evictsLeastValuableResultsWithinQuota() {
         for (int i = 0; i < 400; i++) {
-            disk.put(answer((i * 37) % 400), 0, WALL); // valuable ones and others in one segment
-            assertTrue(files.bytes() <= SETTINGS.quotaBytes(), "beyond the quota after " + i);
+            disk.put(result((i * 37) % 400), 0, WALL_MS); // mixes valuable and other results in each segment
+            assertTrue(files.bytes() <= SETTINGS.quotaBytes(), "over the quota after result " + i);
         }
-        disk.flush(0, WALL);
+        disk.flush(0, WALL_MS);
         assertTrue(files.bytes() <= SETTINGS.quotaBytes());
-        long upper = count(300, 400);
-        long lower = count(0, 100);
+        long mostValuable = countFound(300, 400);
+        long leastValuable = countFound(0, 100);
         assertTrue(
-                upper >= 80 && upper > 4 * lower, "kept " + upper + " of the best hundred, " + lower + " of the worst");
+                mostValuable >= 80 && mostValuable > 4 * leastValuable,
+                "kept " + mostValuable + " of the hundred most valuable, " + leastValuable
+                        + " of the hundred least valuable");
     }
 
     @Test
-    void aFullDiskDropsTheLeastValuableAndTakesMoreOnceThereIsRoom() {
-        files.roomBytes = 50_000;
+    void evictsLeastValuableResultsOnFullDiskAndWritesAgainOnceSpaceIsFree() {
+        files.capacityBytes = 50_000;
         put(0, 200);
-        disk.flush(0, WALL);
-        assertTrue(kinds().contains(DiskFault.Kind.FULL));
-        assertTrue(count(150, 200) >= 40, "the best fifty");
-        files.roomBytes = Long.MAX_VALUE;
+        disk.flush(0, WALL_MS);
+        assertTrue(faultKinds().contains(DiskFault.Kind.FULL));
+        assertTrue(countFound(150, 200) >= 40, "most of the fifty most valuable");
+        files.capacityBytes = Long.MAX_VALUE;
         put(200, 230);
-        assertTrue(disk.flush(10_000_000, WALL));
-        assertEquals(30, count(200, 230));
-        assertEquals(List.of(), kinds());
+        assertTrue(disk.flush(10_000_000, WALL_MS));
+        assertEquals(30, countFound(200, 230));
+        assertEquals(List.of(), faultKinds());
     }
 
-    /** At every call in turn: no exception, no wrong answer, and what was durable before is there unless removed. */
+    /**
+     * Injects a fault at each file operation in turn: no exception, no wrong result, and durable results remain, except
+     * those evicted on a full disk.
+     */
     @Test
-    void anyCallMayFail() {
-        for (boolean room : new boolean[] {true, false}) {
-            boolean reached = true;
-            for (int at = 0; reached; at++) {
-                reached = failsAt(at, room, room ? 3000 : 0);
+    void survivesFaultAtAnyFileOperation() {
+        for (boolean isDiskFull : new boolean[] {true, false}) {
+            boolean isReached = true;
+            for (int at = 0; isReached; at++) {
+                isReached = failAt(at, isDiskFull, isDiskFull ? 3000 : 0);
             }
         }
     }
 
-    private boolean failsAt(int at, boolean room, int part) {
+    private boolean failAt(int at, boolean isDiskFull, int writtenBytes) {
         files.files.clear();
         disk = open();
         put(0, 20);
-        disk.flush(0, WALL);
-        files.failsForRoom = room;
-        files.partWritten = part;
-        files.failAt = files.calls + at;
+        disk.flush(0, WALL_MS);
+        files.failsWithDiskFull = isDiskFull;
+        files.bytesOfFailedWrite = writtenBytes;
+        files.failingOperation = files.operations + at;
         put(20, 60);
-        disk.flush(0, WALL);
-        count(0, 60);
+        disk.flush(0, WALL_MS);
+        countFound(0, 60);
         disk = open();
-        boolean reached = files.calls > files.failAt;
-        files.failAt = -1;
+        boolean isReached = files.operations > files.failingOperation;
+        files.failingOperation = -1;
         disk = open();
-        long kept = count(0, 20);
-        assertTrue(kept >= (room ? 0 : 19), "fault at call " + at + ": " + kept + " of 20 durable answers left");
-        assertTrue(disk.flush(100_000_000, WALL));
+        long kept = countFound(0, 20);
+        assertTrue(
+                kept >= (isDiskFull ? 0 : 19),
+                "fault at operation " + at + ": " + kept + " of 20 durable results left");
+        assertTrue(disk.flush(100_000_000, WALL_MS));
         put(60, 80);
-        disk.flush(200_000_000, WALL);
-        assertEquals(20, count(60, 80), "after a fault at call " + at);
-        return reached; // past the last call nothing failed: all are seen
+        disk.flush(200_000_000, WALL_MS);
+        assertEquals(20, countFound(60, 80), "after a fault at operation " + at);
+        return isReached; // false once the index is past the last operation
     }
 
     @Test
-    void whileNothingCanBeWrittenMemoryStaysBoundedAndReadingGoesOn() {
+    void readsAndBoundsWriteBufferWhileDirectoryIsReadOnly() {
         put(0, 20);
-        disk.flush(0, WALL);
+        disk.flush(0, WALL_MS);
         files.readOnly = true;
         put(20, 500);
-        assertFalse(disk.flush(0, WALL));
-        assertTrue(kinds().contains(DiskFault.Kind.WRITE));
-        assertEquals(20, count(0, 20));
+        assertFalse(disk.flush(0, WALL_MS));
+        assertTrue(faultKinds().contains(DiskFault.Kind.WRITE));
+        assertEquals(20, countFound(0, 20));
         assertTrue(
                 disk.ids().size() < 20 + 40,
-                "gathered beyond a segment: " + disk.ids().size());
+                "buffered more than a segment: " + disk.ids().size());
         files.readOnly = false;
-        assertFalse(disk.flush(100, WALL), "it rests after a fault");
-        assertTrue(disk.flush(2_000_000, WALL));
+        assertFalse(disk.flush(100, WALL_MS), "backs off after a fault");
+        assertTrue(disk.flush(2_000_000, WALL_MS));
     }
 
     @Test
-    void aDirectoryThatVanishesIsAFaultAndNoMore() {
+    void recordsFaultsWhileDirectoryIsMissingAndRecovers() {
         put(0, 20);
-        disk.flush(0, WALL);
-        files.isGone = true;
-        assertEquals(0, count(0, 20));
+        disk.flush(0, WALL_MS);
+        files.isMissing = true;
+        assertEquals(0, countFound(0, 20));
         put(20, 60);
-        disk.flush(0, WALL);
-        assertTrue(kinds().containsAll(List.of(DiskFault.Kind.READ, DiskFault.Kind.WRITE)));
+        disk.flush(0, WALL_MS);
+        assertTrue(faultKinds().containsAll(List.of(DiskFault.Kind.READ, DiskFault.Kind.WRITE)));
         disk = open();
-        assertEquals(List.of(DiskFault.Kind.READ), kinds());
-        files.isGone = false;
+        assertEquals(List.of(DiskFault.Kind.READ), faultKinds());
+        files.isMissing = false;
         files.files.clear();
         put(60, 70);
-        assertTrue(disk.flush(100_000_000, WALL));
-        assertEquals(10, count(60, 70));
+        assertTrue(disk.flush(100_000_000, WALL_MS));
+        assertEquals(10, countFound(60, 70));
     }
 
     @Test
-    void aShortReadIsNoAnswer() {
+    void dropsEntryOnShortRead() {
         put(0, 5);
-        disk.flush(0, WALL);
-        files.shortBy = 1;
-        assertFalse(has(1));
-        assertEquals(List.of(DiskFault.Kind.TORN), kinds());
-        files.shortBy = 0;
-        assertEquals(3, count(1, 5));
+        disk.flush(0, WALL_MS);
+        files.missingBytesOfRead = 1;
+        assertFalse(isFound(1));
+        assertEquals(List.of(DiskFault.Kind.TORN), faultKinds());
+        files.missingBytesOfRead = 0;
+        assertEquals(3, countFound(1, 5));
     }
 
-    /** Every byte of a segment in turn: an answer is the one that was stored, or none. */
+    /** Flips a bit in each byte of a segment in turn: a lookup finds the stored result or none. */
     @Test
-    void aFlippedBitGivesNoWrongAnswer() {
+    void detectsFlippedBitInEveryByteOfSegment() {
         put(1, 3);
-        disk.flush(0, WALL);
+        disk.flush(0, WALL_MS);
         String name = files.files.keySet().iterator().next();
-        byte[] whole = files.files.get(name).clone();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] flipped = whole.clone();
+        byte[] complete = files.files.get(name).clone();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] flipped = complete.clone();
             flipped[i] ^= 1 << i % 8;
             files.files.clear();
             files.files.put(name, flipped);
             disk = open();
-            assertTrue(count(1, 3) < 2, "a flip in byte " + i + " that nobody saw");
+            assertTrue(countFound(1, 3) < 2, "undetected flip in byte " + i);
         }
     }
 
     @Test
-    void aTornSegmentKeepsWhatIsWholeAndForeignFilesStay() {
+    void keepsCompleteEntriesOfTornSegmentAndIgnoresForeignFiles() {
         put(1, 4);
-        disk.flush(0, WALL);
+        disk.flush(0, WALL_MS);
         String name = files.files.keySet().iterator().next();
-        byte[] whole = files.files.get(name);
-        files.files.put(name, Arrays.copyOf(whole, whole.length - 10));
+        byte[] complete = files.files.get(name);
+        files.files.put(name, Arrays.copyOf(complete, complete.length - 10));
         files.files.put("content-00000000000000ff.seg", new byte[] {1, 2, 3});
         files.files.put("content-00000000000000fe.seg.part", new byte[] {1});
         files.files.put("notes.txt", new byte[] {1});
         disk = open();
-        assertEquals(List.of(DiskFault.Kind.TORN, DiskFault.Kind.CORRUPT, DiskFault.Kind.FOREIGN), kinds());
-        assertEquals(2, count(1, 4));
+        assertEquals(List.of(DiskFault.Kind.TORN, DiskFault.Kind.CORRUPT, DiskFault.Kind.FOREIGN), faultKinds());
+        assertEquals(2, countFound(1, 4));
         assertTrue(files.files.containsKey("notes.txt"));
         assertTrue(files.files.containsKey("content-00000000000000ff.seg.aside"));
         assertFalse(files.files.containsKey("content-00000000000000fe.seg.part"));
@@ -227,30 +235,30 @@
         }
         disk = open();
         assertEquals(
-                Recovery.MAX_ASIDE,
+                Recovery.MAX_QUARANTINED,
                 files.files.keySet().stream().filter(n -> n.endsWith(".aside")).count());
     }
 
     @Test
-    void manySmallSegmentsAreJoined() {
+    void compactsManySmallSegments() {
         for (int n = 0; n < 300; n++) {
-            disk.put(Stored.answer(n, WALL, 1, 2), 0, WALL);
-            disk.flush(0, WALL);
+            disk.put(SampleResults.result(n, WALL_MS, 1, 2), 0, WALL_MS);
+            disk.flush(0, WALL_MS);
         }
-        assertTrue(disk.segments() <= SETTINGS.maxFiles(), disk.segments() + " segments");
-        assertEquals(300, disk.answers());
-        assertEquals(300, open().answers());
+        assertTrue(disk.segmentCount() <= SETTINGS.maxFiles(), disk.segmentCount() + " segments");
+        assertEquals(300, disk.entryCount());
+        assertEquals(300, open().entryCount());
     }
 
     @Test
-    void moreAnswersThanTheIndexHoldsAreNotKept() {
+    void boundsNumberOfEntries() {
         for (int n = 0; n < 3000; n++) {
-            disk.put(Stored.answer(n, WALL, n, 0), 0, WALL);
+            disk.put(SampleResults.result(n, WALL_MS, n, 0), 0, WALL_MS);
         }
-        disk.flush(0, WALL);
-        assertTrue(disk.answers() <= SETTINGS.maxEntries(), disk.answers() + " answers");
-        assertTrue(DiskTier.open(files, new DiskSettings(100_000, 10_000, 100, 64, 0), WALL)
-                        .answers()
+        disk.flush(0, WALL_MS);
+        assertTrue(disk.entryCount() <= SETTINGS.maxEntries(), disk.entryCount() + " entries");
+        assertTrue(DiskTier.open(files, new DiskSettings(100_000, 10_000, 100, 64, 0), WALL_MS)
+                        .entryCount()
                 <= 100);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/FaultyFiles.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/FaultInjectingDirectory.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Files in memory that fail when told to: at one call in turn, at each of one kind, or beyond a size. */
-final class FaultyFiles implements Files {
-    /** What a call does to the directory. */
-    enum Call {
+/** A directory in memory with injected faults: at one operation, at all that change it, or at a full disk. */
+final class FaultInjectingDirectory implements StorageDirectory {
+    /** An operation; those from {@link #WRITE} on change the directory. */
+    enum Operation {
         LIST,
         SIZE,
         READ,
@@ -24,34 +24,34 @@
     }
 
     final Map<String, byte[]> files = new TreeMap<>();
-    long roomBytes = Long.MAX_VALUE;
-    long failAt = -1; // the number of the call that fails, from 0
-    boolean failsForRoom; // as ENOSPC, else as EIO
-    int partWritten; // bytes that a write leaves which fails
+    long capacityBytes = Long.MAX_VALUE;
+    long failingOperation = -1; // index of the operation that fails, from 0
+    boolean failsWithDiskFull; // ENOSPC, else EIO
+    int bytesOfFailedWrite; // length of the file that a failed write leaves
     boolean readOnly;
-    boolean isGone;
-    int shortBy; // bytes that a read lacks
-    long calls;
+    boolean isMissing;
+    int missingBytesOfRead; // by this much every read is short
+    long operations;
     private final Set<String> unsynced = new HashSet<>();
-    private final Map<String, String> unsyncedNames = new TreeMap<>(); // the new name, and the old one
-    private final Map<String, byte[]> replaced = new TreeMap<>(); // what had the new name
+    private final Map<String, String> unsyncedNames = new TreeMap<>(); // new name to old name
+    private final Map<String, byte[]> replaced = new TreeMap<>(); // files that a rename replaced, by name
 
-    private void call(Call kind) throws IOException {
-        boolean now = calls++ == failAt;
-        if (isGone) {
-            throw new FileNotFoundException("the directory is gone");
+    private void begin(Operation operation) throws IOException {
+        boolean isFailing = operations++ == failingOperation;
+        if (isMissing) {
+            throw new FileNotFoundException("no such directory");
         }
-        if (readOnly && kind.compareTo(Call.WRITE) >= 0) {
+        if (readOnly && operation.compareTo(Operation.WRITE) >= 0) {
             throw new IOException("Read-only file system");
         }
-        if (now) {
-            throw failsForRoom && kind.compareTo(Call.WRITE) >= 0
-                    ? new NoRoomException("No space left on device")
+        if (isFailing) {
+            throw failsWithDiskFull && operation.compareTo(Operation.WRITE) >= 0
+                    ? new DiskFullException("No space left on device")
                     : new IOException("Input/output error");
         }
     }
 
-    /** Power is lost: names not yet synced are the old ones again, and of bytes not yet synced half are there. */
+    /** Simulates a power loss: reverts unsynced renames, and truncates unsynced files to half of their length. */
     void crash() {
         unsyncedNames.forEach((to, from) -> files.put(from, files.remove(to)));
         files.putAll(replaced);
@@ -67,17 +67,17 @@
 
     @Override
     public List<String> list(int max) throws IOException {
-        call(Call.LIST);
+        begin(Operation.LIST);
         return files.keySet().stream().limit(max).toList();
     }
 
     @Override
     public long size(String name) throws IOException {
-        call(Call.SIZE);
-        return there(name).length;
+        begin(Operation.SIZE);
+        return existing(name).length;
     }
 
-    private byte[] there(String name) throws IOException {
+    private byte[] existing(String name) throws IOException {
         byte[] bytes = files.get(name);
         if (bytes == null) {
             throw new FileNotFoundException(name);
@@ -87,26 +87,26 @@
 
     @Override
     public byte[] read(String name, long at, int length) throws IOException {
-        call(Call.READ);
-        byte[] all = there(name);
+        begin(Operation.READ);
+        byte[] all = existing(name);
         int from = (int) Math.min(at, all.length);
-        return Arrays.copyOfRange(all, from, Math.max(from, Math.min(all.length, from + length) - shortBy));
+        return Arrays.copyOfRange(all, from, Math.max(from, Math.min(all.length, from + length) - missingBytesOfRead));
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
         try {
-            call(Call.WRITE);
+            begin(Operation.WRITE);
         } catch (IOException e) {
-            if (!readOnly && !isGone) {
-                files.put(name, Arrays.copyOf(bytes, Math.min(bytes.length, partWritten)));
+            if (!readOnly && !isMissing) {
+                files.put(name, Arrays.copyOf(bytes, Math.min(bytes.length, bytesOfFailedWrite)));
             }
             throw e;
         }
         byte[] old = files.remove(name);
-        if (bytes() + bytes.length > roomBytes) {
-            files.put(name, Arrays.copyOf(bytes, (int) Math.max(0, roomBytes - bytes())));
-            throw new NoRoomException("No space left on device, with " + (old == null ? "no" : "an") + " old file");
+        if (bytes() + bytes.length > capacityBytes) {
+            files.put(name, Arrays.copyOf(bytes, (int) Math.max(0, capacityBytes - bytes())));
+            throw new DiskFullException("No space left on device, with " + (old == null ? "no" : "an") + " old file");
         }
         files.put(name, bytes.clone());
         unsynced.add(name);
@@ -114,22 +114,22 @@
 
     @Override
     public void sync(String name) throws IOException {
-        call(Call.SYNC);
-        there(name);
+        begin(Operation.SYNC);
+        existing(name);
         unsynced.remove(name);
     }
 
     @Override
-    public void syncNames() throws IOException {
-        call(Call.SYNC_NAMES);
+    public void syncDirectory() throws IOException {
+        begin(Operation.SYNC_NAMES);
         unsyncedNames.clear();
         replaced.clear();
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        call(Call.RENAME);
-        byte[] old = files.put(to, there(from));
+        begin(Operation.RENAME);
+        byte[] old = files.put(to, existing(from));
         files.remove(from);
         if (old != null) {
             replaced.put(to, old);
@@ -142,7 +142,7 @@
 
     @Override
     public void delete(String name) throws IOException {
-        call(Call.DELETE);
+        begin(Operation.DELETE);
         files.remove(name);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/content/disk/SavedStateTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/disk/SavedStateTest.java
@@ -8,21 +8,22 @@
 import org.junit.jupiter.api.Test;
 
 class SavedStateTest {
-    private final FaultyFiles files = new FaultyFiles();
+    private final FaultInjectingDirectory files = new FaultInjectingDirectory();
     private final SavedState state = new SavedState(files, "margins");
 
     @Test
-    void whateverFailsTheOldStateOrTheNewOneIsThere() {
+    void keepsPreviousStateIfSavingFails() {
         assertEquals(Optional.empty(), state.load().state());
         assertEquals(Optional.empty(), state.save(new byte[] {1, 2}));
         for (int at = 0; at < 4; at++) {
-            files.failAt = files.calls + at;
-            files.failsForRoom = at % 2 == 0;
+            files.failingOperation = files.operations + at;
+            files.failsWithDiskFull = at % 2 == 0;
             assertTrue(state.save(new byte[] {3, (byte) at}).isPresent());
             files.crash();
-            assertArrayEquals(new byte[] {1, 2}, state.load().state().orElseThrow(), "after a fault at call " + at);
+            assertArrayEquals(
+                    new byte[] {1, 2}, state.load().state().orElseThrow(), "after a fault at operation " + at);
         }
-        files.failAt = -1;
+        files.failingOperation = -1;
         assertEquals(Optional.empty(), state.save(new byte[] {4}));
         files.crash();
         assertArrayEquals(new byte[] {4}, state.load().state().orElseThrow());
@@ -30,11 +31,11 @@
     }
 
     @Test
-    void aFlippedBitIsAFault() {
+    void reportsFlippedBitAsCorrupt() {
         state.save(new byte[] {1, 2, 3});
-        byte[] whole = files.files.get("margins").clone();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] flipped = whole.clone();
+        byte[] complete = files.files.get("margins").clone();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] flipped = complete.clone();
             flipped[i] ^= 4;
             files.files.put("margins", flipped);
             assertEquals(
--- a/gateway/src/test/java/sandpaddle/fleet/content/replication/RecordedReplicationMessagesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/replication/RecordedReplicationMessagesTest.java
@@ -5,20 +5,20 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.content.Stored;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.recorded.RecordedFile;
 
-/** Replication messages and stored answers have the bytes that an earlier version wrote. */
+/** Compares encoded replication messages and cached results with those recorded from an earlier version. */
 class RecordedReplicationMessagesTest {
     private static final RecordedFile MESSAGES = new RecordedFile("replication-messages.txt");
-    private static final RecordedFile ANSWERS = new RecordedFile("stored-answers.txt");
-    private static final int ANSWERS_WRITTEN = 4;
+    private static final RecordedFile RESULTS = new RecordedFile("stored-answers.txt");
+    private static final int RESULT_COUNT = 4;
 
     @Test
-    void messagesAreWrittenAndReadAsRecorded() throws Exception {
+    void writesAndReadsMessagesAsRecorded() throws Exception {
         Map<String, byte[]> messages = new LinkedHashMap<>();
-        ReplicationMessageCodecProperties.ALL.forEach(
+        ReplicationMessageCodecProperties.MESSAGES.forEach(
                 m -> messages.put("message " + messages.size(), ReplicationMessageCodec.write(m)));
         MESSAGES.checkBytes(messages);
         for (byte[] recorded : MESSAGES.bytes().values()) {
@@ -27,14 +27,15 @@
     }
 
     @Test
-    void answersAreWrittenAndReadAsRecorded() throws Exception {
-        Map<String, byte[]> answers = new LinkedHashMap<>();
-        for (int i = 0; i < ANSWERS_WRITTEN; i++) {
-            answers.put("answer " + i, Stored.answer(i, 1000 + i, i / 3.0, i).body());
+    void writesAndReadsResultsAsRecorded() throws Exception {
+        Map<String, byte[]> results = new LinkedHashMap<>();
+        for (int i = 0; i < RESULT_COUNT; i++) {
+            results.put(
+                    "answer " + i, SampleResults.result(i, 1000 + i, i / 3.0, i).encode());
         }
-        ANSWERS.checkBytes(answers);
-        for (byte[] recorded : ANSWERS.bytes().values()) {
-            assertArrayEquals(recorded, StoredAnswer.read(recorded).body());
+        RESULTS.checkBytes(results);
+        for (byte[] recorded : RESULTS.bytes().values()) {
+            assertArrayEquals(recorded, CachedResult.decode(recorded).encode());
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/content/serve/ServeRuleTest.java
@@ -4,178 +4,198 @@
 
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.content.AnswerMetadata;
-import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.Stored;
-import sandpaddle.fleet.content.StoredAnswer;
+import sandpaddle.fleet.content.CacheKey;
+import sandpaddle.fleet.content.CachedResult;
+import sandpaddle.fleet.content.ResultMetadata;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.content.serve.Decision.Reason;
 
-/** One answer, asked for at 1,000 s, that may be handed out; then each thing that forbids it, alone. */
+/** A result requested at 1000 s that may be served, and each condition alone that forbids it. */
 class ServeRuleTest {
-    private static final long ASKED = 1_000_000;
-    private static final long MAX_AGE = 3_600_000;
+    private static final long REQUESTED_AT_MS = 1_000_000;
+    private static final long MAX_AGE_MS = 3_600_000;
 
-    private final StoredAnswer answer = Stored.answer(3, ASKED, 1, 2);
-    private final DataChanges changes = new DataChanges(Stored.PROCESS, 1_000_000);
-    private Optional<StoredAnswer> found = Optional.of(answer);
+    private final CachedResult result = SampleResults.result(3, REQUESTED_AT_MS, 1, 2);
+    private final DataChanges changes = new DataChanges(SampleResults.INCARNATION, 1_000_000);
+    private Optional<CachedResult> found = Optional.of(result);
     private boolean isolated = true;
-    private boolean repeatable = true;
+    private boolean idempotent = true;
     private boolean wallTrusted = true;
-    private long maxAge = MAX_AGE;
+    private long maxAgeMs = MAX_AGE_MS;
     private long ageMs = 60_000;
     private long wallAgeMs = 60_000;
-    private long unheardMs = 30_000;
-    private long process = Stored.PROCESS;
+    private long silenceMs = 30_000;
+    private long incarnation = SampleResults.INCARNATION;
 
-    private Decision decide(ContentKey key) {
-        long now = (ASKED + ageMs) * 1000;
+    private Decision decide(CacheKey key) {
+        long nowUs = (REQUESTED_AT_MS + ageMs) * 1000;
         return ServeRule.decide(
                 key,
-                repeatable,
-                maxAge,
+                idempotent,
+                maxAgeMs,
                 found,
                 new ServeContext(
-                        isolated, now, ASKED + wallAgeMs, process, wallTrusted, 2000, now - unheardMs * 1000, 600_000),
+                        isolated,
+                        nowUs,
+                        REQUESTED_AT_MS + wallAgeMs,
+                        incarnation,
+                        wallTrusted,
+                        2000,
+                        nowUs - silenceMs * 1000,
+                        600_000),
                 changes);
     }
 
-    private void refuses(Reason reason) {
-        assertEquals(new Decision.Not(reason), decide(Stored.key(3)));
+    private void assertNotServed(Reason reason) {
+        assertEquals(new Decision.NotServed(reason), decide(SampleResults.key(3)));
     }
 
     @Test
-    void servesWithItsAgeAndWhatCannotBeKnown() {
-        assertEquals(new Decision.Stored(60_000, 30_000, answer.rows()), decide(Stored.key(3)));
-        unheardMs = 90_000;
-        assertEquals(new Decision.Stored(60_000, 60_000, answer.rows()), decide(Stored.key(3)));
+    void servesResultWithItsAgeAndUndetectedTime() {
+        assertEquals(new Decision.Served(60_000, 30_000, result.rows()), decide(SampleResults.key(3)));
+        silenceMs = 90_000;
+        assertEquals(new Decision.Served(60_000, 60_000, result.rows()), decide(SampleResults.key(3)));
     }
 
     @Test
-    void notWhileTheZoneReachesItsEngines() {
+    void rejectsWhileZoneIsNotIsolated() {
         isolated = false;
-        refuses(Reason.NOT_ISOLATED);
+        assertNotServed(Reason.NOT_ISOLATED);
     }
 
     @Test
-    void neverALoad() {
-        repeatable = false;
-        refuses(Reason.NOT_REPEATABLE);
+    void rejectsLoad() {
+        idempotent = false;
+        assertNotServed(Reason.NOT_IDEMPOTENT);
     }
 
     @Test
-    void notWhatIsNotThere() {
+    void rejectsMissingResult() {
         found = Optional.empty();
-        refuses(Reason.ABSENT);
+        assertNotServed(Reason.NOT_CACHED);
     }
 
     @Test
-    void neverAnothersTenantUserClassOrStatement() {
-        byte[] statement = Stored.key(3).statement();
-        Decision foreign = new Decision.Not(Reason.FOREIGN);
-        assertEquals(foreign, decide(new ContentKey("other", "user", "report", statement)));
-        assertEquals(foreign, decide(new ContentKey("tenant", "other", "report", statement)));
-        assertEquals(foreign, decide(new ContentKey("tenant", "user", "other", statement)));
-        assertEquals(foreign, decide(new ContentKey("tenantu", "ser", "report", statement)));
-        assertEquals(foreign, decide(Stored.key(4)));
+    void rejectsResultOfOtherTenantUserClassOrStatement() {
+        byte[] statement = SampleResults.key(3).statement();
+        Decision keyMismatch = new Decision.NotServed(Reason.KEY_MISMATCH);
+        assertEquals(keyMismatch, decide(new CacheKey("other", "user", "report", statement)));
+        assertEquals(keyMismatch, decide(new CacheKey("tenant", "other", "report", statement)));
+        assertEquals(keyMismatch, decide(new CacheKey("tenant", "user", "other", statement)));
+        assertEquals(keyMismatch, decide(new CacheKey("tenantu", "ser", "report", statement)));
+        assertEquals(keyMismatch, decide(SampleResults.key(4)));
     }
 
     @Test
-    void notBeyondTheAgeOfItsClassThenOrNow() {
-        ageMs = MAX_AGE + 1;
-        refuses(Reason.STALE);
+    void rejectsResultBeyondStoredOrCurrentMaximumAge() {
+        ageMs = MAX_AGE_MS + 1;
+        assertNotServed(Reason.STALE);
         ageMs = 60_000;
-        maxAge = 59_999;
-        refuses(Reason.STALE);
+        maxAgeMs = 59_999;
+        assertNotServed(Reason.STALE);
     }
 
     @Test
-    void ofBothClocksTheOneThatSaysOlderCounts() {
-        wallAgeMs = MAX_AGE + 1;
-        refuses(Reason.STALE);
-        wallAgeMs = -500_000; // set back: within one process monotonic time still tells
-        assertEquals(new Decision.Stored(60_000, 30_000, answer.rows()), decide(Stored.key(3)));
-        ageMs = MAX_AGE + 1;
-        refuses(Reason.STALE);
+    void usesLargerAgeOfBothClocks() {
+        wallAgeMs = MAX_AGE_MS + 1;
+        assertNotServed(Reason.STALE);
+        wallAgeMs = -500_000; // set back: within one incarnation monotonic time still applies
+        assertEquals(new Decision.Served(60_000, 30_000, result.rows()), decide(SampleResults.key(3)));
+        ageMs = MAX_AGE_MS + 1;
+        assertNotServed(Reason.STALE);
     }
 
     @Test
-    void afterARestartOnlyByAWallClockThatWasNotSetBack() {
-        process = Stored.PROCESS + 1;
-        assertEquals(new Decision.Stored(62_000, 30_000, answer.rows()), decide(Stored.key(3)));
-        wallAgeMs = MAX_AGE - 1000;
-        refuses(Reason.STALE); // what clocks of gateways may differ is added
+    void servesResultOfEarlierIncarnationOnlyIfWallClockIsTrusted() {
+        incarnation = SampleResults.INCARNATION + 1;
+        assertEquals(new Decision.Served(62_000, 30_000, result.rows()), decide(SampleResults.key(3)));
+        wallAgeMs = MAX_AGE_MS - 1000;
+        assertNotServed(Reason.STALE); // the maximum difference between wall clocks is added to the age
         wallAgeMs = 60_000;
         wallTrusted = false;
-        refuses(Reason.CLOCK);
+        assertNotServed(Reason.CLOCK_SET_BACK);
     }
 
     @Test
-    void notOnceNothingWasHeardForTooLong() {
-        unheardMs = 600_001;
-        refuses(Reason.UNHEARD);
+    void rejectsAfterTooLongSilence() {
+        silenceMs = 600_001;
+        assertNotServed(Reason.NO_CONTACT);
     }
 
     @Test
-    void notWhatALoadHasOutdated() {
-        changes.changed(4, (ASKED + 5000) * 1000, ASKED + 5000);
-        assertEquals(Decision.Stored.class, decide(Stored.key(3)).getClass(), "another group's load");
-        changes.changed(3, (ASKED - 5000) * 1000, ASKED - 5000);
-        assertEquals(Decision.Stored.class, decide(Stored.key(3)).getClass(), "a load before it was asked for");
-        changes.changed(3, (ASKED + 5000) * 1000, ASKED + 5000);
-        refuses(Reason.OUTDATED);
-        changes.changed(3, (ASKED - 5000) * 1000, ASKED - 5000); // heard late
-        refuses(Reason.OUTDATED);
+    void rejectsResultInvalidatedByLoad() {
+        changes.recordLoad(4, (REQUESTED_AT_MS + 5000) * 1000, REQUESTED_AT_MS + 5000);
+        assertEquals(Decision.Served.class, decide(SampleResults.key(3)).getClass(), "load of another group");
+        changes.recordLoad(3, (REQUESTED_AT_MS - 5000) * 1000, REQUESTED_AT_MS - 5000);
+        assertEquals(Decision.Served.class, decide(SampleResults.key(3)).getClass(), "load before the request");
+        changes.recordLoad(3, (REQUESTED_AT_MS + 5000) * 1000, REQUESTED_AT_MS + 5000);
+        assertNotServed(Reason.INVALIDATED);
+        changes.recordLoad(3, (REQUESTED_AT_MS - 5000) * 1000, REQUESTED_AT_MS - 5000); // received out of order
+        assertNotServed(Reason.INVALIDATED);
     }
 
     @Test
-    void aLoadOfUnknownGroupOutdatesAll() {
-        changes.changedUnknown(ASKED * 1000, ASKED);
-        refuses(Reason.OUTDATED);
+    void loadOfUnknownGroupInvalidatesAllResults() {
+        changes.recordLoadOfUnknownGroups(REQUESTED_AT_MS * 1000, REQUESTED_AT_MS);
+        assertNotServed(Reason.INVALIDATED);
     }
 
     @Test
-    void anAnswerOfUnknownGroupsIsOutdatedByAnyLoad() {
-        AnswerMetadata m = answer.meta();
-        found = Optional.of(new StoredAnswer(
-                new AnswerMetadata(
-                        m.key(), java.util.Set.of(), m.askedWall(), m.askedMono(), m.incarnation(), m.maxAgeMs(), 1),
-                answer.rows()));
-        assertEquals(Decision.Stored.class, decide(Stored.key(3)).getClass());
-        changes.changed(99, (ASKED + 1) * 1000, ASKED + 1);
-        refuses(Reason.OUTDATED);
+    void anyLoadInvalidatesResultOfUnknownGroups() {
+        ResultMetadata metadata = result.metadata();
+        found = Optional.of(new CachedResult(
+                new ResultMetadata(
+                        metadata.key(),
+                        java.util.Set.of(),
+                        metadata.requestedAtWallMs(),
+                        metadata.requestedAtMonoUs(),
+                        metadata.incarnation(),
+                        metadata.maxAgeMs(),
+                        1),
+                result.rows()));
+        assertEquals(Decision.Served.class, decide(SampleResults.key(3)).getClass());
+        changes.recordLoad(99, (REQUESTED_AT_MS + 1) * 1000, REQUESTED_AT_MS + 1);
+        assertNotServed(Reason.INVALIDATED);
     }
 
     @Test
-    void changesOutliveARestart() throws Exception {
-        changes.changed(3, (ASKED + 5000) * 1000, ASKED + 5000);
-        changes.changed(4, (ASKED - 90_000) * 1000, ASKED - 90_000);
-        DataChanges next = new DataChanges(Stored.PROCESS + 1, 1_000_000);
-        next.take(changes.export());
-        AnswerMetadata three = answer.meta();
-        assertEquals(true, next.outdates(three));
-        assertEquals(false, next.outdates(Stored.answer(4, ASKED, 1, 1).meta()));
+    void restoresLoadsAfterRestart() throws Exception {
+        changes.recordLoad(3, (REQUESTED_AT_MS + 5000) * 1000, REQUESTED_AT_MS + 5000);
+        changes.recordLoad(4, (REQUESTED_AT_MS - 90_000) * 1000, REQUESTED_AT_MS - 90_000);
+        DataChanges next = new DataChanges(SampleResults.INCARNATION + 1, 1_000_000);
+        next.restore(changes.export());
+        ResultMetadata invalidated = result.metadata();
+        assertEquals(true, next.invalidates(invalidated));
+        assertEquals(
+                false,
+                next.invalidates(SampleResults.result(4, REQUESTED_AT_MS, 1, 1).metadata()));
     }
 
     @Test
-    void whatIsForgottenOutdatesMoreAndNeverLess() {
-        changes.changed(3, (ASKED + 1) * 1000, ASKED + 1);
+    void droppedGroupInvalidatesResultsOfAllGroups() {
+        changes.recordLoad(3, (REQUESTED_AT_MS + 1) * 1000, REQUESTED_AT_MS + 1);
         for (int g = 100; g < 100 + DataChanges.MAX_GROUPS; g++) {
-            changes.changed(g, (ASKED + 10) * 1000, ASKED + 10);
+            changes.recordLoad(g, (REQUESTED_AT_MS + 10) * 1000, REQUESTED_AT_MS + 10);
         }
-        refuses(Reason.OUTDATED);
-        assertEquals(true, changes.outdates(Stored.answer(4, ASKED, 1, 1).meta()));
+        assertNotServed(Reason.INVALIDATED);
+        assertEquals(
+                true,
+                changes.invalidates(
+                        SampleResults.result(4, REQUESTED_AT_MS, 1, 1).metadata()));
         assertEquals(
-                false, changes.outdates(Stored.answer(4, ASKED + 20_000, 1, 1).meta()));
+                false,
+                changes.invalidates(
+                        SampleResults.result(4, REQUESTED_AT_MS + 20_000, 1, 1).metadata()));
     }
 
     @Test
-    void pausesLeadToTheReturnAndAreSpread() {
-        RefusalPause pauses = new RefusalPause(100, 60_000, 10_000);
-        assertEquals(30_000, pauses.pause(0, 30_000, 0));
-        assertEquals(35_000, pauses.pause(0, 30_000, 0.5));
-        assertEquals(100, pauses.pause(50_000, 30_000, 0));
-        assertEquals(60_000, pauses.pause(0, 55_000, 0.9));
-        assertEquals(30_000, pauses.pause(0, 3_600_000, 0));
-        assertEquals(45_000, pauses.pause(0, 3_600_000, 0.5));
+    void spreadsRetryAfterFromExpectedReturn() {
+        OutageRetryAfter retryAfter = new OutageRetryAfter(100, 60_000, 10_000);
+        assertEquals(30_000, retryAfter.retryAfterMs(0, 30_000, 0));
+        assertEquals(35_000, retryAfter.retryAfterMs(0, 30_000, 0.5));
+        assertEquals(100, retryAfter.retryAfterMs(50_000, 30_000, 0));
+        assertEquals(60_000, retryAfter.retryAfterMs(0, 55_000, 0.9));
+        assertEquals(30_000, retryAfter.retryAfterMs(0, 3_600_000, 0));
+        assertEquals(45_000, retryAfter.retryAfterMs(0, 3_600_000, 0.5));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 class PlanExecutorTest {
@@ -23,7 +23,7 @@
     }
 
     private static Candidate candidate(int n, long work) {
-        return new Candidate(Stored.key(n), n, Set.of(), 100, work, HOUR, 1, -1);
+        return new Candidate(SampleResults.key(n), n, Set.of(), 100, work, HOUR, 1, -1);
     }
 
     @Test
@@ -32,10 +32,10 @@
         Allowance two = new Allowance(2, 1_000_000);
         assertEquals(2, planExecutor.next(0, 10, two).size());
         assertEquals(0, planExecutor.next(500_000, 510, two).size(), "two are running");
-        planExecutor.ended(Stored.key(1).id(), true);
+        planExecutor.ended(SampleResults.key(1).id(), true);
         assertEquals(1, planExecutor.next(500_000, 510, two).size());
-        planExecutor.ended(Stored.key(2).id(), true);
-        planExecutor.ended(Stored.key(3).id(), true);
+        planExecutor.ended(SampleResults.key(2).id(), true);
+        planExecutor.ended(SampleResults.key(3).id(), true);
         assertEquals(0, planExecutor.next(2_000_000, 2010, two).size(), "the fourth is not due");
         assertEquals(1, planExecutor.next(9_000_000, 9000, two).size());
     }
@@ -64,11 +64,11 @@
         planExecutor.plan(new Plan(List.of(fetch(1, 0), fetch(2, 0)), 0, 0));
         Allowance one = new Allowance(1, 10_000_000);
         assertEquals(1, planExecutor.next(0, 0, one).get(0).what().fingerprint());
-        planExecutor.ended(Stored.key(1).id(), false);
+        planExecutor.ended(SampleResults.key(1).id(), false);
         assertEquals(2, planExecutor.next(1_000_000, 0, one).get(0).what().fingerprint());
-        planExecutor.ended(Stored.key(2).id(), true);
+        planExecutor.ended(SampleResults.key(2).id(), true);
         assertEquals(1, planExecutor.next(2_000_000, 0, one).get(0).what().fingerprint());
-        planExecutor.ended(Stored.key(1).id(), false);
+        planExecutor.ended(SampleResults.key(1).id(), false);
         assertEquals(0, planExecutor.next(3_000_000, 0, one).size());
     }
 
@@ -81,7 +81,7 @@
         planExecutor.plan(plan);
         assertEquals(1, planExecutor.waiting());
         planExecutor.stop();
-        planExecutor.ended(Stored.key(1).id(), true);
+        planExecutor.ended(SampleResults.key(1).id(), true);
         assertEquals(0, planExecutor.next(1_000_000, 0, one).size());
         assertEquals(0, planExecutor.running());
     }
@@ -175,7 +175,7 @@
         left.remove("gw-3");
         TreeMap<String, Integer> first = new TreeMap<>();
         for (int n = 0; n < 2000; n++) {
-            ContentId id = Stored.key(n).id();
+            ResultId id = SampleResults.key(n).id();
             List<String> owners = ReplicaOwners.of(id, live);
             first.merge(owners.get(0), 1, Integer::sum);
             assertEquals(ReplicaOwners.COPIES, new TreeSet<>(owners).size());
@@ -190,6 +190,6 @@
             assertEquals(owners.contains("gw-3") ? 1 : 0, senders);
         }
         first.values().forEach(n -> assertTrue(n > 300 && n < 500, first.toString()));
-        assertTrue(ReplicaOwners.of(Stored.key(1).id(), Set.of("only")).equals(List.of("only")));
+        assertTrue(ReplicaOwners.of(SampleResults.key(1).id(), Set.of("only")).equals(List.of("only")));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 class PlannerProperties {
@@ -22,7 +22,7 @@
     private static final Planner.Forecast HOURLY = (f, span) -> f * (span.to() - span.from()) / 3.6e6;
 
     private static Candidate candidate(int n, long asks, long size, long work, long maxAge, long storedAt) {
-        return new Candidate(Stored.key(n), asks, Set.of(), size, work, maxAge, 1, storedAt);
+        return new Candidate(SampleResults.key(n), asks, Set.of(), size, work, maxAge, 1, storedAt);
     }
 
     private static List<Candidate> drawn(Random r, int count) {
@@ -50,7 +50,7 @@
         long before = wall;
         Set<Object> once = new HashSet<>();
         for (Fetch f : plan.fetches()) {
-            bytes += f.what().storedAt() < 0 ? f.what().size() : 0;
+            bytes += f.what().cachedRequestedAtMs() < 0 ? f.what().size() : 0;
             work += f.what().workUs();
             assertTrue(f.beginAt() >= before, "begins before the one before it, or in the past");
             assertTrue(once.add(f.what().key()));
@@ -112,8 +112,8 @@
         Plan plan = Planner.plan(LOSS - 1_800_000, OUTAGE, all, new Budget(1000, 1_000_000, 1, 0), HOURLY);
         List<Object> order =
                 plan.fetches().stream().<Object>map(f -> f.what().key()).toList();
-        assertEquals(Set.of(Stored.key(2), Stored.key(5)), new HashSet<>(order.subList(0, 2)));
-        assertEquals(List.of(Stored.key(3), Stored.key(1)), order.subList(2, 4));
+        assertEquals(Set.of(SampleResults.key(2), SampleResults.key(5)), new HashSet<>(order.subList(0, 2)));
+        assertEquals(List.of(SampleResults.key(3), SampleResults.key(1)), order.subList(2, 4));
         assertEquals(LOSS - 30_000, plan.fetches().get(3).beginAt());
         assertEquals(50, plan.worth(), 1e-6);
     }
@@ -146,8 +146,9 @@
 
     @Example
     void nothingIsPlannedWithoutTimeOrRoom() {
-        List<Candidate> all =
-                drawn(new Random(1), 20).stream().filter(c -> c.storedAt() < 0).toList();
+        List<Candidate> all = drawn(new Random(1), 20).stream()
+                .filter(c -> c.cachedRequestedAtMs() < 0)
+                .toList();
         assertEquals(
                 0,
                 Planner.plan(LOSS, OUTAGE, all, new Budget(1000, 1000, 1, 0), HOURLY)
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
@@ -25,10 +25,10 @@
 
     private final Map<String, Prefetcher> gateways = new TreeMap<>();
     private final Set<Long> fetched = new HashSet<>();
-    private final Map<ContentId, Long> at = new HashMap<>();
+    private final Map<ResultId, Long> at = new HashMap<>();
 
     private static Candidate candidate(int n) {
-        return new Candidate(Stored.key(n), n, Set.of(), 100, 10_000, 5 * HOUR, 1, -1);
+        return new Candidate(SampleResults.key(n), n, Set.of(), 100, 10_000, 5 * HOUR, 1, -1);
     }
 
     private void learn(int statements) {
@@ -101,7 +101,7 @@
             turn(Phase.FILLING, LIVE, wall);
         }
         long own = java.util.stream.IntStream.range(0, 60)
-                .filter(n -> ReplicaOwners.asks(Stored.key(n).id(), LIVE, LIVE.get(n % 3)))
+                .filter(n -> ReplicaOwners.asks(SampleResults.key(n).id(), LIVE, LIVE.get(n % 3)))
                 .count();
         assertEquals(own, fetched.size());
     }
