--- a/gateway/src/test/java/sandpaddle/fleet/outage/recovery/ReturnSchedulerTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/recovery/ReturnSchedulerTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.plan.Allowance;
 import sandpaddle.fleet.outage.plan.Fetch;
 
@@ -53,22 +53,22 @@
         Refreshes refreshes = new Refreshes();
         for (int n = 0; n < 5; n++) {
             for (int i = 0; i <= n; i++) {
-                refreshes.handedOut(new Candidate(Stored.key(n), n, Set.of(), 10, 100_000, 1000, 1, -1));
+                refreshes.handedOut(new Candidate(SampleResults.key(n), n, Set.of(), 10, 100_000, 1000, 1, -1));
             }
         }
         refreshes.begin();
         Allowance one = new Allowance(1, 200_000);
         assertEquals(0, refreshes.next(0, Allowance.NONE).size());
         assertEquals(4, refreshes.next(1_000_000, one).get(0).what().fingerprint());
-        refreshes.ended(Stored.key(4).id(), true);
-        refreshes.served(Stored.key(3).id());
+        refreshes.ended(SampleResults.key(4).id(), true);
+        refreshes.served(SampleResults.key(3).id());
         List<Fetch> next = new ArrayList<>();
         for (int s = 2; s < 5 && next.isEmpty(); s++) {
             next.addAll(refreshes.next(s * 1_000_000L, one));
         }
         assertEquals(2, next.get(0).what().fingerprint());
         refreshes.stop();
-        refreshes.ended(Stored.key(2).id(), false);
+        refreshes.ended(SampleResults.key(2).id(), false);
         assertEquals(1, refreshes.waiting(), "what failed is tried once more");
         refreshes.begin();
         assertEquals(3, refreshes.waiting());
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Drawn.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
@@ -46,7 +46,7 @@
             long work = (long) (400_000 * Math.exp(r.nextGaussian()));
             byte[] text = ("select " + n).getBytes(StandardCharsets.UTF_8);
             statements.add(new Candidate(
-                    new ContentKey("t" + n % 7, "u" + n % 50, "c" + cls, text),
+                    new CacheKey("t" + n % 7, "u" + n % 50, "c" + cls, text),
                     n,
                     Set.of((long) r.nextInt(GROUPS)),
                     size,
@@ -82,7 +82,7 @@
                 int found = java.util.Arrays.binarySearch(sum, r.nextDouble() * all);
                 int n = Math.min(STATEMENTS - 1, found < 0 ? -found - 1 : found);
                 boolean load = r.nextInt(20) == 0;
-                asks.add(new Ask(at, load ? -1 : n, load ? 3 : statements.get(n).worthEach()));
+                asks.add(new Ask(at, load ? -1 : n, load ? 3 : statements.get(n).priorityWeight()));
             }
             if (r.nextInt(2) == 0) {
                 loads.add(new Load(day * DAY + hour * HOUR + (long) (r.nextDouble() * HOUR), r.nextInt(GROUPS)));
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/Keepers.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeSet;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.margin.MarginSettings;
 import sandpaddle.fleet.outage.margin.Margins;
 import sandpaddle.fleet.outage.phase.Evidence;
@@ -34,7 +34,7 @@
     /** Answers by the time that they were last used, within so many bytes. */
     static class Lru implements Keeper {
         private final long maxBytes;
-        protected final Map<ContentId, Candidate> held = new LinkedHashMap<>(16, 0.75f, true);
+        protected final Map<ResultId, Candidate> held = new LinkedHashMap<>(16, 0.75f, true);
         private long bytes;
 
         Lru(long maxBytes) {
@@ -52,7 +52,7 @@
                             what.size(),
                             what.workUs(),
                             what.maxAgeMs(),
-                            what.worthEach(),
+                            what.priorityWeight(),
                             wall));
             bytes += what.size() - (old == null ? 0 : old.size());
             for (var i = held.values().iterator(); bytes > maxBytes && i.hasNext(); ) {
@@ -67,7 +67,7 @@
         @Override
         public long storedAt(Candidate what) {
             Candidate c = held.get(what.key().id());
-            return c == null ? -1 : c.storedAt();
+            return c == null ? -1 : c.cachedRequestedAtMs();
         }
     }
 
@@ -83,7 +83,7 @@
         private final Prefetcher prefetch;
         private final Allowance allowance;
         private final long maxBytes;
-        private final Map<ContentId, Held> held = new HashMap<>();
+        private final Map<ResultId, Held> held = new HashMap<>();
         private final TreeSet<Held> byDensity = new TreeSet<>(Comparator.comparingDouble(Held::density)
                 .thenComparing(h -> h.what.key().id())
                 .thenComparingLong(Held::at));
@@ -197,7 +197,7 @@
         private final Drawn drawn;
         private final long maxBytes;
         private final long workPerSecond;
-        private final Map<ContentId, Long> held = new HashMap<>();
+        private final Map<ResultId, Long> held = new HashMap<>();
 
         Oracle(Drawn drawn, long maxBytes, long workPerSecond) {
             this.drawn = drawn;
