--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/AnswerFetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/AnswerFetcher.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import sandpaddle.fleet.content.ContentKey;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.query.ResultSet;
 
 /** Fetches an answer from an engine as an ordinary query. */
@@ -14,5 +14,5 @@
      * @param workUs expected engine work in microseconds
      * @param callback receives the result, or empty if there is none; called once, on any thread
      */
-    void fetch(ContentKey key, long workUs, Consumer<Optional<ResultSet>> callback);
+    void fetch(CacheKey key, long workUs, Consumer<Optional<ResultSet>> callback);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageResponses.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import sandpaddle.fleet.content.serve.Decision;
-import sandpaddle.fleet.content.serve.RefusalPause;
+import sandpaddle.fleet.content.serve.OutageRetryAfter;
 import sandpaddle.query.Answer;
 
 /**
@@ -15,11 +15,11 @@
 final class OutageResponses {
     private static final long SECOND_MS = 1000;
 
-    private final RefusalPause retryAfter;
+    private final OutageRetryAfter retryAfter;
     private final SplittableRandom random;
     private long servedCount, rejectedCount;
 
-    OutageResponses(RefusalPause retryAfter, long seed) {
+    OutageResponses(OutageRetryAfter retryAfter, long seed) {
         this.retryAfter = retryAfter;
         random = new SplittableRandom(seed);
     }
@@ -34,7 +34,7 @@
      * @param returnAtMs expected return of the link (wall clock, ms)
      */
     Optional<Answer> respond(Decision decision, boolean isolated, boolean canRunInZone, long wallMs, long returnAtMs) {
-        if (decision instanceof Decision.Stored stored) {
+        if (decision instanceof Decision.Served stored) {
             servedCount++;
             return Optional.of(new Answer.Served(
                     stored.rows(),
@@ -42,14 +42,14 @@
                             Locale.ROOT,
                             "stored answer, %d s old; changes of the last %d s are not known",
                             stored.ageMs() / SECOND_MS,
-                            stored.unknownMs() / SECOND_MS)));
+                            stored.undetectedMs() / SECOND_MS)));
         }
         if (!isolated || canRunInZone) {
             return Optional.empty();
         }
         rejectedCount++;
-        return Optional.of(
-                new Answer.Rejected(Duration.ofMillis(retryAfter.pause(wallMs, returnAtMs, random.nextDouble()))));
+        return Optional.of(new Answer.Rejected(
+                Duration.ofMillis(retryAfter.retryAfterMs(wallMs, returnAtMs, random.nextDouble()))));
     }
 
     /** Describes the counters for the log. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -8,21 +8,21 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import sandpaddle.fleet.OutageSettings;
-import sandpaddle.fleet.content.AnswerMetadata;
+import sandpaddle.fleet.content.CacheKey;
+import sandpaddle.fleet.content.CachedResult;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.ContentKey;
-import sandpaddle.fleet.content.ContentStore;
-import sandpaddle.fleet.content.StoredAnswer;
-import sandpaddle.fleet.content.replication.AnswerReplication;
-import sandpaddle.fleet.content.replication.ContentReplicaStore;
+import sandpaddle.fleet.content.ResultCache;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.ResultMetadata;
+import sandpaddle.fleet.content.replication.CacheReplicaStore;
 import sandpaddle.fleet.content.replication.OutgoingMessage;
 import sandpaddle.fleet.content.replication.ReplicationLinks;
 import sandpaddle.fleet.content.replication.ReplicationMessage;
 import sandpaddle.fleet.content.replication.ReplicationSettings;
+import sandpaddle.fleet.content.replication.ResultReplication;
 import sandpaddle.fleet.content.serve.DataChanges;
 import sandpaddle.fleet.content.serve.Decision;
-import sandpaddle.fleet.content.serve.RefusalPause;
+import sandpaddle.fleet.content.serve.OutageRetryAfter;
 import sandpaddle.fleet.content.serve.ServeContext;
 import sandpaddle.fleet.content.serve.ServeRule;
 import sandpaddle.fleet.link.Links;
@@ -72,10 +72,10 @@
     private final AnswerFetcher fetcher;
     private final ZonePhase zonePhase;
     private final Margins margins;
-    private final ContentStore store;
-    private final ContentReplicaStore replicaStore;
+    private final ResultCache store;
+    private final CacheReplicaStore replicaStore;
     private final ReplicationLinks replicationLinks;
-    private final AnswerReplication replication;
+    private final ResultReplication replication;
     private final Prefetcher prefetcher;
     private final DataChanges dataChanges;
     private final OutageResponses responses;
@@ -96,7 +96,7 @@
     public OutageService(
             OutageSettings settings,
             LocalNode localNode,
-            ContentStore store,
+            ResultCache store,
             Links fleetLinks,
             AnswerFetcher fetcher,
             long seed) {
@@ -115,9 +115,9 @@
                 settings.margins().maxMs(),
                 settings.phase());
         replicaStore =
-                new ContentReplicaStore(store, incarnation, settings.content().wallSlackMs());
-        replication = new AnswerReplication(
-                ReplicationSettings.DEFAULT, replicaStore, replicaStore::age, this::receiveDemand);
+                new CacheReplicaStore(store, incarnation, settings.content().wallSlackMs());
+        replication = new ResultReplication(
+                ReplicationSettings.DEFAULT, replicaStore, replicaStore::ageMs, this::receiveDemand);
         replicationLinks = new ReplicationLinks(fleetLinks, replication);
         dataChanges = new DataChanges(incarnation, settings.content().wallSlackMs() * 1000);
         prefetcher = new Prefetcher(
@@ -131,7 +131,7 @@
                 new DemandHistory(NEWEST_DAY_WEIGHT),
                 new Candidates(MAX_CANDIDATES, MAX_CANDIDATE_BYTES));
         responses = new OutageResponses(
-                new RefusalPause(
+                new OutageRetryAfter(
                         MIN_RETRY_AFTER_MS,
                         Math.max(1, localNode.site().limits().maxRetryAfterUs() / 1000),
                         settings.phase().returningUs() / 1000),
@@ -152,7 +152,7 @@
         liveGateways.add(self);
         previousGateways.stream().filter(name -> !liveGateways.contains(name)).forEach(replication::forget);
         if (!previousGateways.equals(liveGateways)) {
-            for (ContentId id : store.ids()) { // the answers of a gateway that is gone have a new owner
+            for (ResultId id : store.ids()) { // the answers of a gateway that is gone have a new owner
                 ReplicaOwners.replicationTargetsAfterChange(id, previousGateways, liveGateways, self)
                         .forEach(to -> replication.offer(to, id));
             }
@@ -161,12 +161,12 @@
 
     /** Records that the link to a peer came up. */
     public void peerUp(String peer) {
-        replication.up(peer);
+        replication.connected(peer);
     }
 
     /** Records that the link to a peer ended. */
     public void peerDown(String peer) {
-        replication.down(peer);
+        replication.disconnected(peer);
     }
 
     /**
@@ -175,12 +175,12 @@
      * @throws FaultyMessageException if the message is invalid
      */
     public void received(String from, byte[] payload) throws FaultyMessageException {
-        replicaStore.at(clock.now(), wallClockMs());
+        replicaStore.setTime(clock.now(), wallClockMs());
         replicationLinks.received(from, payload, clock.now());
     }
 
-    private void receiveDemand(String from, ReplicationMessage.Want report) {
-        prefetcher.receiveDemand(from, report.what(), report.asks());
+    private void receiveDemand(String from, ReplicationMessage.Demand report) {
+        prefetcher.receiveDemand(from, report.candidate(), report.expectedRequests());
     }
 
     /** Handles an event of the event loop: a query received, or an attempt that ended. */
@@ -193,7 +193,7 @@
                     storableClasses
                             .keyOf(query.classIndex(), query.query())
                             .id()
-                            .a());
+                            .word0());
         } else if (event instanceof LoopEvent.AttemptEnded attempt && attempt.rows() != null) {
             if (storableClasses.isRepeatable(attempt.classIndex())) {
                 recordAnswer(
@@ -218,17 +218,17 @@
     public void dataChanged(long group, long loadEndUs) {
         long wallMs = wallClockMs() - (clock.now() - loadEndUs) / 1000;
         if (group < 0) {
-            dataChanges.changedUnknown(loadEndUs, wallMs);
+            dataChanges.recordLoadOfUnknownGroups(loadEndUs, wallMs);
         } else {
-            dataChanges.changed(group, loadEndUs, wallMs);
+            dataChanges.recordLoad(group, loadEndUs, wallMs);
         }
     }
 
     private void recordAnswer(
-            int classIndex, ContentKey key, long group, ResultSet rows, long endedAtUs, long latencyUs) {
+            int classIndex, CacheKey key, long group, ResultSet rows, long endedAtUs, long latencyUs) {
         if (storableClasses.maxAgeMs(classIndex) > 0 && key.isStorable()) {
             Candidate candidate =
-                    storableClasses.toCandidate(classIndex, key, group, rows, latencyUs, store.askedAt(key.id()));
+                    storableClasses.toCandidate(classIndex, key, group, rows, latencyUs, store.requestedAtMs(key.id()));
             prefetcher.recordAnswer(candidate);
             storeAnswer(candidate, rows, endedAtUs - latencyUs);
         }
@@ -244,8 +244,8 @@
         long wallMs = wallClockMs();
         long fetchedAtMs = wallMs - (nowUs - fetchedAtUs) / 1000;
         TimeRange outage = expectedOutage(nowUs, wallMs).orElse(new TimeRange(wallMs, wallMs + HOUR_MS));
-        StoredAnswer answer = new StoredAnswer(
-                new AnswerMetadata(
+        CachedResult answer = new CachedResult(
+                new ResultMetadata(
                         candidate.key(),
                         candidate.groups(),
                         fetchedAtMs,
@@ -290,7 +290,7 @@
                         transition.reason(),
                         responses));
         zonePhase.drainOutcomes().forEach(margins::learn);
-        replicaStore.at(nowUs, wallMs);
+        replicaStore.setTime(nowUs, wallMs);
         Optional<TimeRange> outage = expectedOutage(nowUs, wallMs);
         FetchLimit limit = busy
                 ? FetchLimit.NONE
@@ -300,7 +300,7 @@
                 wallMs,
                 new Prefetcher.ZoneState(zonePhase.phase(), outage, liveGateways),
                 limit,
-                store::askedAt)) {
+                store::requestedAtMs)) {
             startFetch(fetch);
         }
         if (outage.isPresent()
@@ -311,14 +311,17 @@
             prefetcher
                     .demandReports(outage.get(), liveGateways)
                     .forEach(report -> messages.add(new OutgoingMessage(
-                            report.recipient(), new ReplicationMessage.Want(report.candidate(), report.demand()))));
+                            report.recipient(), new ReplicationMessage.Demand(report.candidate(), report.demand()))));
             replicationLinks.send(messages);
         }
         replicationLinks.tick(nowUs);
         store.tick(nowUs, wallMs);
         store.faults()
                 .forEach(fault -> Logger.warn(
-                        "fleet: answer store disk fault {}, file '{}': {}", fault.kind(), fault.file(), fault.what()));
+                        "fleet: answer store disk fault {}, file '{}': {}",
+                        fault.kind(),
+                        fault.file(),
+                        fault.detail()));
     }
 
     private void startFetch(Fetch fetch) {
@@ -350,8 +353,8 @@
     public void lookUp(int classIndex, Query query, boolean enginesInZone, Consumer<Optional<Answer>> callback) {
         long nowUs = clock.now();
         long wallMs = wallClockMs();
-        ContentKey key = storableClasses.keyOf(classIndex, query);
-        Optional<StoredAnswer> found =
+        CacheKey key = storableClasses.keyOf(classIndex, query);
+        Optional<CachedResult> found =
                 storableClasses.isRepeatable(classIndex) && storableClasses.maxAgeMs(classIndex) > 0
                         ? store.find(key)
                         : Optional.empty();
@@ -360,7 +363,7 @@
                 nowUs,
                 wallMs,
                 incarnation,
-                store.trusts(wallMs),
+                store.isWallClockTrusted(wallMs),
                 settings.content().wallSlackMs(),
                 lastContactUs,
                 settings.content().maxUnheardMs());
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/StorableClasses.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.Idempotency;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.query.Query;
 import sandpaddle.query.ResultSet;
 
@@ -28,8 +28,8 @@
         return settings.classes().get(classIndex).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    ContentKey keyOf(int classIndex, Query query) {
-        return new ContentKey(query.tenant(), query.user(), classes.get(classIndex), query.statement());
+    CacheKey keyOf(int classIndex, Query query) {
+        return new CacheKey(query.tenant(), query.user(), classes.get(classIndex), query.statement());
     }
 
     /**
@@ -43,11 +43,11 @@
      * @param storedAtMs when the stored copy was fetched (wall clock, ms), or -1 without one
      */
     Candidate toCandidate(
-            int classIndex, ContentKey key, long dataGroup, ResultSet rows, long latencyUs, long storedAtMs) {
-        long bytes = rows.pages().stream().mapToLong(page -> page.length).sum() + key.size();
+            int classIndex, CacheKey key, long dataGroup, ResultSet rows, long latencyUs, long storedAtMs) {
+        long bytes = rows.pages().stream().mapToLong(page -> page.length).sum() + key.memoryBytes();
         return new Candidate(
                 key,
-                key.id().a(),
+                key.id().word0(),
                 dataGroup < 0 ? Set.of() : Set.of(dataGroup),
                 bytes,
                 latencyUs,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Candidates.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Candidates.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToLongFunction;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.ContentKey;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
@@ -22,7 +22,7 @@
     private static final int MAX_NEIGHBOURS = 64;
 
     private static final class Statistics {
-        private final ContentKey key;
+        private final CacheKey key;
         private final long fingerprint;
         private final Set<Long> groups;
         private double size;
@@ -31,7 +31,7 @@
         private double priorityWeight;
         private final Map<String, Double> demandByNeighbour = new LinkedHashMap<>(2);
 
-        Statistics(ContentKey key, long fingerprint, Set<Long> groups) {
+        Statistics(CacheKey key, long fingerprint, Set<Long> groups) {
             this.key = key;
             this.fingerprint = fingerprint;
             this.groups = Set.copyOf(groups);
@@ -40,7 +40,7 @@
 
     private final int maxEntries;
     private final long maxBytes;
-    private final Map<ContentId, Statistics> byId = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<ResultId, Statistics> byId = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
     /**
@@ -65,7 +65,7 @@
                 ? candidate.workUs()
                 : statistics.workUs + NEWEST_SAMPLE_WEIGHT * (candidate.workUs() - statistics.workUs);
         statistics.maxAgeMs = candidate.maxAgeMs();
-        statistics.priorityWeight = candidate.worthEach();
+        statistics.priorityWeight = candidate.priorityWeight();
         evictExcess();
     }
 
@@ -77,7 +77,7 @@
             statistics.size = candidate.size();
             statistics.workUs = candidate.workUs();
             statistics.maxAgeMs = candidate.maxAgeMs();
-            statistics.priorityWeight = candidate.worthEach();
+            statistics.priorityWeight = candidate.priorityWeight();
         }
         if (statistics.demandByNeighbour.size() < MAX_NEIGHBOURS
                 || statistics.demandByNeighbour.containsKey(neighbour)) {
@@ -98,7 +98,7 @@
 
     private Statistics statisticsOf(Candidate candidate) {
         return byId.computeIfAbsent(candidate.key().id(), id -> {
-            bytes += candidate.key().size();
+            bytes += candidate.key().memoryBytes();
             return new Statistics(candidate.key(), candidate.fingerprint(), candidate.groups());
         });
     }
@@ -106,7 +106,7 @@
     private void evictExcess() {
         var eldest = byId.entrySet().iterator();
         while ((byId.size() > maxEntries || bytes > maxBytes) && eldest.hasNext()) {
-            bytes -= eldest.next().getValue().key.size();
+            bytes -= eldest.next().getValue().key.memoryBytes();
             eldest.remove();
         }
     }
@@ -116,7 +116,7 @@
      *
      * @param storedAtMs returns when the stored copy was fetched (wall clock, ms), or -1 without one
      */
-    public List<Candidate> list(ToLongFunction<ContentId> storedAtMs) {
+    public List<Candidate> list(ToLongFunction<ResultId> storedAtMs) {
         List<Candidate> candidates = new ArrayList<>(byId.size());
         byId.forEach((id, statistics) -> candidates.add(new Candidate(
                 statistics.key,
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PlanExecutor.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
 /**
  * Starts the fetches of a plan within the limit that live traffic leaves. A token bucket of engine work, of at most
@@ -20,7 +20,7 @@
 
     private record QueuedFetch(Fetch fetch, int attempts) {}
 
-    private final Map<ContentId, QueuedFetch> running = new HashMap<>();
+    private final Map<ResultId, QueuedFetch> running = new HashMap<>();
     private final Deque<QueuedFetch> waiting = new ArrayDeque<>();
     private double tokensUs; // engine work
     private long refilledAtUs = Long.MIN_VALUE;
@@ -83,7 +83,7 @@
     }
 
     /** Records the end of a fetch. One that stored no answer is queued again if attempts are left. */
-    public void fetchEnded(ContentId id, boolean stored) {
+    public void fetchEnded(ResultId id, boolean stored) {
         QueuedFetch queued = running.remove(id);
         if (queued != null && !stored && queued.attempts < MAX_ATTEMPTS) {
             waiting.add(queued);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -82,7 +82,9 @@
 
     /** Returns the value of the stored copy, 0 if there is none. */
     private static double storedValue(Candidate candidate, TimeRange outage, Forecast forecast) {
-        return candidate.storedAt() < 0 ? 0 : value(candidate, candidate.storedAt(), outage, forecast);
+        return candidate.cachedRequestedAtMs() < 0
+                ? 0
+                : value(candidate, candidate.cachedRequestedAtMs(), outage, forecast);
     }
 
     /**
@@ -106,13 +108,13 @@
         long endMs = Math.min(expectedOutage.endMs(), fetchedAtMs + candidate.maxAgeMs());
         return endMs <= expectedOutage.startMs()
                 ? 0
-                : candidate.worthEach()
+                : candidate.priorityWeight()
                         * forecast.demand(candidate.fingerprint(), new TimeRange(expectedOutage.startMs(), endMs));
     }
 
     /** Returns the bytes that a fetch adds to the store; a refreshed copy replaces the stored one. */
     private static long additionalBytes(Candidate candidate) {
-        return candidate.storedAt() < 0 ? candidate.size() : 0;
+        return candidate.cachedRequestedAtMs() < 0 ? candidate.size() : 0;
     }
 
     private static List<Choice> choose(List<Choice> eligible, long bytes, double workUs, PrefetchBudget budget) {
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.ToLongFunction;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
@@ -106,7 +106,7 @@
      *     made it outdated
      */
     public List<Fetch> startDueFetches(
-            long nowUs, long wallMs, ZoneState zoneState, FetchLimit limit, ToLongFunction<ContentId> storedAtMs) {
+            long nowUs, long wallMs, ZoneState zoneState, FetchLimit limit, ToLongFunction<ResultId> storedAtMs) {
         if (zoneState.phase() != Phase.FILLING || zoneState.outage().isEmpty()) {
             if (planExecutor.waitingCount() > 0 || !plan.fetches().isEmpty()) {
                 planExecutor.stop();
@@ -126,7 +126,7 @@
         return planExecutor.startDueFetches(nowUs, wallMs, limit);
     }
 
-    private void replan(long wallMs, ZoneState zoneState, ToLongFunction<ContentId> storedAtMs) {
+    private void replan(long wallMs, ZoneState zoneState, ToLongFunction<ResultId> storedAtMs) {
         TimeRange outage = zoneState.outage().get();
         TimeRange remainingOutage = new TimeRange(
                 Math.max(outage.startMs(), wallMs), Math.max(outage.endMs(), Math.max(outage.startMs(), wallMs) + 1));
@@ -148,7 +148,7 @@
      * @param id answer that was fetched
      * @param stored whether the answer is stored now
      */
-    public void fetchEnded(ContentId id, boolean stored) {
+    public void fetchEnded(ResultId id, boolean stored) {
         planExecutor.fetchEnded(id, stored);
     }
 
@@ -167,7 +167,7 @@
             }
         }
         reports.sort((first, second) -> Double.compare(
-                second.demand * second.candidate.worthEach(), first.demand * first.candidate.worthEach()));
+                second.demand * second.candidate.priorityWeight(), first.demand * first.candidate.priorityWeight()));
         return List.copyOf(reports.subList(0, Math.min(MAX_DEMAND_REPORTS, reports.size())));
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/ReplicaOwners.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 
 /**
  * Assigns stored answers to the gateways of a zone by rendezvous hashing (Thaler and Ravishankar 1998). The hash ranks
@@ -20,7 +20,7 @@
     private ReplicaOwners() {}
 
     /** Returns the owners of an answer among the live gateways of the zone, the one that fetches it first. */
-    public static List<String> of(ContentId id, Collection<String> liveGateways) {
+    public static List<String> of(ResultId id, Collection<String> liveGateways) {
         List<String> ranked = new ArrayList<>(liveGateways);
         ranked.sort(Comparator.comparingLong((String name) -> score(id, name))
                 .reversed()
@@ -29,7 +29,7 @@
     }
 
     /** Whether this gateway is the one that fetches an answer from an engine. */
-    public static boolean isFetcher(ContentId id, Collection<String> liveGateways, String self) {
+    public static boolean isFetcher(ResultId id, Collection<String> liveGateways, String self) {
         List<String> owners = of(id, liveGateways);
         return !owners.isEmpty() && owners.get(0).equals(self);
     }
@@ -38,7 +38,7 @@
      * Returns the gateway to which this gateway, which has a copy, must send one: the other owner. Empty if this
      * gateway is not an owner, since the owners copy between themselves, or if it is the only one.
      */
-    public static Optional<String> replicationTarget(ContentId id, Collection<String> liveGateways, String self) {
+    public static Optional<String> replicationTarget(ResultId id, Collection<String> liveGateways, String self) {
         List<String> owners = of(id, liveGateways);
         return owners.contains(self)
                 ? owners.stream().filter(owner -> !owner.equals(self)).findFirst()
@@ -51,7 +51,7 @@
      * result is empty.
      */
     public static List<String> replicationTargetsAfterChange(
-            ContentId id, Collection<String> previousGateways, Collection<String> liveGateways, String self) {
+            ResultId id, Collection<String> previousGateways, Collection<String> liveGateways, String self) {
         List<String> previousOwners = of(id, previousGateways);
         Optional<String> sender =
                 previousOwners.stream().filter(liveGateways::contains).findFirst();
@@ -64,8 +64,8 @@
     }
 
     /** Hashes answer and gateway with the finalizer of MurmurHash3, which spreads names that differ in one digit. */
-    private static long score(ContentId id, String name) {
-        long hash = id.a() ^ Long.rotateLeft(id.b(), 17);
+    private static long score(ResultId id, String name) {
+        long hash = id.word0() ^ Long.rotateLeft(id.word1(), 17);
         for (int i = 0; i < name.length(); i++) {
             hash = mix(hash ^ name.charAt(i) * 0x9E3779B97F4A7C15L);
         }
--- a/gateway/src/main/java/sandpaddle/fleet/outage/recovery/AnswerRefresher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/recovery/AnswerRefresher.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.plan.Fetch;
 import sandpaddle.fleet.outage.plan.FetchLimit;
 import sandpaddle.fleet.outage.plan.Plan;
@@ -21,11 +21,11 @@
 
     private record ServedAnswer(Candidate candidate, long servedCount) {
         double density() {
-            return servedCount * candidate.worthEach() / Math.max(1, candidate.workUs());
+            return servedCount * candidate.priorityWeight() / Math.max(1, candidate.workUs());
         }
     }
 
-    private final Map<ContentId, ServedAnswer> servedAnswers = new LinkedHashMap<>();
+    private final Map<ResultId, ServedAnswer> servedAnswers = new LinkedHashMap<>();
     private final PlanExecutor planExecutor = new PlanExecutor();
 
     /** Records that a stored answer was served to a client. */
@@ -38,7 +38,7 @@
     }
 
     /** Records that an engine answered the statement, so that a refresh that has not started is not needed. */
-    public void recordFreshAnswer(ContentId id) {
+    public void recordFreshAnswer(ResultId id) {
         servedAnswers.remove(id);
     }
 
@@ -58,7 +58,7 @@
     public List<Fetch> startDueFetches(long nowUs, FetchLimit limit) {
         List<Fetch> started = new ArrayList<>();
         for (Fetch fetch : planExecutor.startDueFetches(nowUs, 0, limit)) {
-            ContentId id = fetch.candidate().key().id();
+            ResultId id = fetch.candidate().key().id();
             if (servedAnswers.containsKey(id)) {
                 started.add(fetch);
             } else {
@@ -69,7 +69,7 @@
     }
 
     /** Records the end of a fetch. */
-    public void fetchEnded(ContentId id, boolean stored) {
+    public void fetchEnded(ResultId id, boolean stored) {
         planExecutor.fetchEnded(id, stored);
         if (stored) {
             servedAnswers.remove(id);
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlanExecutorTest.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 class PlanExecutorTest {
@@ -23,7 +23,7 @@
     }
 
     private static Candidate candidate(int number, long workUs) {
-        return new Candidate(Stored.key(number), number, Set.of(), 100, workUs, HOUR_MS, 1, -1);
+        return new Candidate(SampleResults.key(number), number, Set.of(), 100, workUs, HOUR_MS, 1, -1);
     }
 
     @Test
@@ -32,10 +32,10 @@
         FetchLimit limit = new FetchLimit(2, 1_000_000);
         assertEquals(2, planExecutor.startDueFetches(0, 10, limit).size());
         assertEquals(0, planExecutor.startDueFetches(500_000, 510, limit).size(), "two fetches are running");
-        planExecutor.fetchEnded(Stored.key(1).id(), true);
+        planExecutor.fetchEnded(SampleResults.key(1).id(), true);
         assertEquals(1, planExecutor.startDueFetches(500_000, 510, limit).size());
-        planExecutor.fetchEnded(Stored.key(2).id(), true);
-        planExecutor.fetchEnded(Stored.key(3).id(), true);
+        planExecutor.fetchEnded(SampleResults.key(2).id(), true);
+        planExecutor.fetchEnded(SampleResults.key(3).id(), true);
         assertEquals(0, planExecutor.startDueFetches(2_000_000, 2010, limit).size(), "the fourth fetch is not due");
         assertEquals(1, planExecutor.startDueFetches(9_000_000, 9000, limit).size());
     }
@@ -69,7 +69,7 @@
         FetchLimit limit = new FetchLimit(1, 10_000_000);
         assertEquals(
                 1, planExecutor.startDueFetches(0, 0, limit).get(0).candidate().fingerprint());
-        planExecutor.fetchEnded(Stored.key(1).id(), false);
+        planExecutor.fetchEnded(SampleResults.key(1).id(), false);
         assertEquals(
                 2,
                 planExecutor
@@ -77,7 +77,7 @@
                         .get(0)
                         .candidate()
                         .fingerprint());
-        planExecutor.fetchEnded(Stored.key(2).id(), true);
+        planExecutor.fetchEnded(SampleResults.key(2).id(), true);
         assertEquals(
                 1,
                 planExecutor
@@ -85,7 +85,7 @@
                         .get(0)
                         .candidate()
                         .fingerprint());
-        planExecutor.fetchEnded(Stored.key(1).id(), false);
+        planExecutor.fetchEnded(SampleResults.key(1).id(), false);
         assertEquals(0, planExecutor.startDueFetches(3_000_000, 0, limit).size());
     }
 
@@ -98,7 +98,7 @@
         planExecutor.setPlan(plan);
         assertEquals(1, planExecutor.waitingCount());
         planExecutor.stop();
-        planExecutor.fetchEnded(Stored.key(1).id(), true);
+        planExecutor.fetchEnded(SampleResults.key(1).id(), true);
         assertEquals(0, planExecutor.startDueFetches(1_000_000, 0, limit).size());
         assertEquals(0, planExecutor.runningCount());
     }
@@ -201,7 +201,7 @@
         remaining.remove("gw-3");
         TreeMap<String, Integer> firstOwnerCounts = new TreeMap<>();
         for (int n = 0; n < 2000; n++) {
-            ContentId id = Stored.key(n).id();
+            ResultId id = SampleResults.key(n).id();
             List<String> owners = ReplicaOwners.of(id, gateways);
             firstOwnerCounts.merge(owners.get(0), 1, Integer::sum);
             assertEquals(ReplicaOwners.REPLICA_COUNT, new TreeSet<>(owners).size());
@@ -217,6 +217,6 @@
             assertEquals(owners.contains("gw-3") ? 1 : 0, senders);
         }
         firstOwnerCounts.values().forEach(n -> assertTrue(n > 300 && n < 500, firstOwnerCounts.toString()));
-        assertTrue(ReplicaOwners.of(Stored.key(1).id(), Set.of("only")).equals(List.of("only")));
+        assertTrue(ReplicaOwners.of(SampleResults.key(1).id(), Set.of("only")).equals(List.of("only")));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PlannerProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 class PlannerProperties {
@@ -24,7 +24,7 @@
 
     private static Candidate candidate(
             int number, long demand, long size, long workUs, long maxAgeMs, long storedAtMs) {
-        return new Candidate(Stored.key(number), demand, Set.of(), size, workUs, maxAgeMs, 1, storedAtMs);
+        return new Candidate(SampleResults.key(number), demand, Set.of(), size, workUs, maxAgeMs, 1, storedAtMs);
     }
 
     private static List<Candidate> randomCandidates(Random random, int count) {
@@ -53,7 +53,9 @@
         long previousStartMs = wallMs;
         Set<Object> fetchedKeys = new HashSet<>();
         for (Fetch fetch : plan.fetches()) {
-            bytes += fetch.candidate().storedAt() < 0 ? fetch.candidate().size() : 0;
+            bytes += fetch.candidate().cachedRequestedAtMs() < 0
+                    ? fetch.candidate().size()
+                    : 0;
             workUs += fetch.candidate().workUs();
             assertTrue(fetch.startAtMs() >= previousStartMs, "starts before the previous fetch or in the past");
             assertTrue(fetchedKeys.add(fetch.candidate().key()));
@@ -117,8 +119,8 @@
         List<Object> order = plan.fetches().stream()
                 .<Object>map(fetch -> fetch.candidate().key())
                 .toList();
-        assertEquals(Set.of(Stored.key(2), Stored.key(5)), new HashSet<>(order.subList(0, 2)));
-        assertEquals(List.of(Stored.key(3), Stored.key(1)), order.subList(2, 4));
+        assertEquals(Set.of(SampleResults.key(2), SampleResults.key(5)), new HashSet<>(order.subList(0, 2)));
+        assertEquals(List.of(SampleResults.key(3), SampleResults.key(1)), order.subList(2, 4));
         assertEquals(LOSS_MS - 30_000, plan.fetches().get(3).startAtMs());
         assertEquals(50, plan.expectedValue(), 1e-6);
     }
@@ -160,7 +162,7 @@
     @Example
     void plansNothingWithoutTimeBytesOrWork() {
         List<Candidate> all = randomCandidates(new Random(1), 20).stream()
-                .filter(candidate -> candidate.storedAt() < 0)
+                .filter(candidate -> candidate.cachedRequestedAtMs() < 0)
                 .toList();
         assertEquals(
                 0,
--- a/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/plan/PrefetcherTest.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.ResultId;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.phase.Phase;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
@@ -25,10 +25,10 @@
 
     private final Map<String, Prefetcher> gateways = new TreeMap<>();
     private final Set<Long> fetched = new HashSet<>();
-    private final Map<ContentId, Long> storedAtMs = new HashMap<>();
+    private final Map<ResultId, Long> storedAtMs = new HashMap<>();
 
     private static Candidate candidate(int n) {
-        return new Candidate(Stored.key(n), n, Set.of(), 100, 10_000, 5 * HOUR_MS, 1, -1);
+        return new Candidate(SampleResults.key(n), n, Set.of(), 100, 10_000, 5 * HOUR_MS, 1, -1);
     }
 
     private void createGateways(int statements) {
@@ -103,7 +103,7 @@
             startFetches(Phase.FILLING, GATEWAYS, wallMs);
         }
         long ownedByRequester = java.util.stream.IntStream.range(0, 60)
-                .filter(n -> ReplicaOwners.isFetcher(Stored.key(n).id(), GATEWAYS, GATEWAYS.get(n % 3)))
+                .filter(n -> ReplicaOwners.isFetcher(SampleResults.key(n).id(), GATEWAYS, GATEWAYS.get(n % 3)))
                 .count();
         assertEquals(ownedByRequester, fetched.size());
     }
--- a/gateway/src/test/java/sandpaddle/fleet/outage/recovery/RecoveryRampTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/recovery/RecoveryRampTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.Stored;
+import sandpaddle.fleet.content.SampleResults;
 import sandpaddle.fleet.outage.plan.Fetch;
 import sandpaddle.fleet.outage.plan.FetchLimit;
 
@@ -59,7 +59,7 @@
         AnswerRefresher refresher = new AnswerRefresher();
         for (int n = 0; n < 5; n++) {
             for (int i = 0; i <= n; i++) {
-                refresher.recordServed(new Candidate(Stored.key(n), n, Set.of(), 10, 100_000, 1000, 1, -1));
+                refresher.recordServed(new Candidate(SampleResults.key(n), n, Set.of(), 10, 100_000, 1000, 1, -1));
             }
         }
         refresher.start();
@@ -68,15 +68,15 @@
         assertEquals(
                 4,
                 refresher.startDueFetches(1_000_000, limit).get(0).candidate().fingerprint());
-        refresher.fetchEnded(Stored.key(4).id(), true);
-        refresher.recordFreshAnswer(Stored.key(3).id());
+        refresher.fetchEnded(SampleResults.key(4).id(), true);
+        refresher.recordFreshAnswer(SampleResults.key(3).id());
         List<Fetch> next = new ArrayList<>();
         for (int second = 2; second < 5 && next.isEmpty(); second++) {
             next.addAll(refresher.startDueFetches(second * 1_000_000L, limit));
         }
         assertEquals(2, next.get(0).candidate().fingerprint());
         refresher.stop();
-        refresher.fetchEnded(Stored.key(2).id(), false);
+        refresher.fetchEnded(SampleResults.key(2).id(), false);
         assertEquals(1, refresher.waitingCount(), "a failed fetch is retried once");
         refresher.start();
         assertEquals(3, refresher.waitingCount());
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/AnswerCaches.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/AnswerCaches.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeSet;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentId;
+import sandpaddle.fleet.content.ResultId;
 import sandpaddle.fleet.outage.margin.MarginSettings;
 import sandpaddle.fleet.outage.margin.Margins;
 import sandpaddle.fleet.outage.phase.Evidence;
@@ -34,7 +34,7 @@
     /** Evicts the least recently used answers beyond a number of bytes. */
     static class Lru implements AnswerCache {
         private final long maxBytes;
-        protected final Map<ContentId, Candidate> stored = new LinkedHashMap<>(16, 0.75f, true);
+        protected final Map<ResultId, Candidate> stored = new LinkedHashMap<>(16, 0.75f, true);
         private long bytes;
 
         Lru(long maxBytes) {
@@ -52,7 +52,7 @@
                             candidate.size(),
                             candidate.workUs(),
                             candidate.maxAgeMs(),
-                            candidate.worthEach(),
+                            candidate.priorityWeight(),
                             wallMs));
             bytes += candidate.size() - (previous == null ? 0 : previous.size());
             for (var i = stored.values().iterator(); bytes > maxBytes && i.hasNext(); ) {
@@ -67,7 +67,7 @@
         @Override
         public long storedAtMs(Candidate candidate) {
             Candidate copy = stored.get(candidate.key().id());
-            return copy == null ? -1 : copy.storedAt();
+            return copy == null ? -1 : copy.cachedRequestedAtMs();
         }
     }
 
@@ -86,7 +86,7 @@
         private final Prefetcher prefetcher;
         private final FetchLimit limit;
         private final long maxBytes;
-        private final Map<ContentId, StoredCopy> stored = new HashMap<>();
+        private final Map<ResultId, StoredCopy> stored = new HashMap<>();
         private final TreeSet<StoredCopy> byDensity = new TreeSet<>(Comparator.comparingDouble(StoredCopy::density)
                 .thenComparing(copy -> copy.candidate.key().id())
                 .thenComparingLong(StoredCopy::fetchedAtMs));
@@ -207,7 +207,7 @@
         private final GeneratedWorkload workload;
         private final long maxBytes;
         private final long workUsPerSecond;
-        private final Map<ContentId, Long> stored = new HashMap<>();
+        private final Map<ResultId, Long> stored = new HashMap<>();
 
         Oracle(GeneratedWorkload workload, long maxBytes, long workUsPerSecond) {
             this.workload = workload;
--- a/gateway/src/test/java/sandpaddle/fleet/outage/world/GeneratedWorkload.java
+++ b/gateway/src/test/java/sandpaddle/fleet/outage/world/GeneratedWorkload.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
+import sandpaddle.fleet.content.CacheKey;
 import sandpaddle.fleet.content.Candidate;
-import sandpaddle.fleet.content.ContentKey;
 import sandpaddle.fleet.outage.schedule.TimeRange;
 
 /**
@@ -47,7 +47,7 @@
             long work = (long) (400_000 * Math.exp(random.nextGaussian()));
             byte[] text = ("select " + statement).getBytes(StandardCharsets.UTF_8);
             statements.add(new Candidate(
-                    new ContentKey("t" + statement % 7, "u" + statement % 50, "c" + requestClass, text),
+                    new CacheKey("t" + statement % 7, "u" + statement % 50, "c" + requestClass, text),
                     statement,
                     Set.of((long) random.nextInt(DATA_GROUPS)),
                     size,
@@ -87,7 +87,7 @@
                 requests.add(new Request(
                         wallMs,
                         isLoad ? -1 : statement,
-                        isLoad ? 3 : statements.get(statement).worthEach()));
+                        isLoad ? 3 : statements.get(statement).priorityWeight()));
             }
             if (random.nextInt(2) == 0) {
                 loads.add(new Load(
