--- a/gateway/src/main/java/sandpaddle/config/OutageSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/OutageSettingsReader.java
@@ -54,9 +54,9 @@
                         (int) contentSection.integer("segment_bytes", defaults.segmentBytes(), 1 << 12, 1 << 28),
                         (int) contentSection.integer("entries", defaults.entries(), 1, 10_000_000),
                         durationUs(contentSection, "flush_ms", defaults.flushUs()),
-                        contentSection.integer("unheard_most_ms", defaults.maxUnheardMs(), 0, 30 * DAY.toMillis()),
-                        contentSection.integer("wall_slack_ms", defaults.wallSlackMs(), 0, DAY.toMillis())),
-                section.integer("fill_work_ms_per_s", OutageSettings.OFF.fillWorkUs() / US_PER_MS, 0, 1_000_000)
+                        contentSection.integer("unheard_most_ms", defaults.maxSilenceMs(), 0, 30 * DAY.toMillis()),
+                        contentSection.integer("wall_slack_ms", defaults.maxWallClockSkewMs(), 0, DAY.toMillis())),
+                section.integer("fill_work_ms_per_s", OutageSettings.OFF.prefetchWorkUsPerS() / US_PER_MS, 0, 1_000_000)
                         * US_PER_MS,
                 maxAgesMs(contentSection));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/FleetSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/FleetSettings.java
@@ -13,9 +13,23 @@
 import sandpaddle.fleet.verdict.VerdictSettings;
 
 /**
- * The section {@code fleet} of the operator's file. {@code directory}: where a voter keeps what it must not lose, null
- * for a gateway that only follows. {@code founders}: who votes at first, as the directory was formatted. {@code
- * agreed}: what holds for the whole fleet; the rest is this gateway's own and taken over at its start.
+ * The section {@code fleet} of the operator's file. Only {@code agreed} may change while the gateway runs; the other
+ * settings apply from its start.
+ *
+ * @param enabled whether this gateway is part of a fleet
+ * @param cluster name of the fleet; gateways of another one are rejected
+ * @param listen address on which links are accepted
+ * @param directory persistent state of a voter, null for a gateway that never votes
+ * @param founders names of the initial voters, as the directory was formatted
+ * @param routes addresses that replace those of the configured members, by name
+ * @param links timeouts and intervals of links
+ * @param limits settings of fleet-wide limits, leases and heartbeats
+ * @param voters settings for choosing voters
+ * @param store settings of a voter's store
+ * @param verdictsOn whether verdicts on engines reach the decision module; evidence is exchanged either way
+ * @param verdicts settings of verdicts
+ * @param agreed configuration that applies to the whole fleet, once committed
+ * @param outages settings of outages and stored answers
  */
 public record FleetSettings(
         boolean enabled,
@@ -34,7 +48,7 @@
         OutageSettings outages) {
     private static final long SECOND_US = 1_000_000;
 
-    /** Gateways share nothing. */
+    /** The gateway is not part of a fleet. */
     public static final FleetSettings OFF = new FleetSettings(
             false,
             "",
@@ -51,26 +65,30 @@
             FleetConfig.NONE,
             OutageSettings.OFF);
 
-    /** Whether all but what holds for the whole fleet is the same. */
-    public boolean onlyAgreedDiffersFrom(FleetSettings o) {
+    /** Whether all settings but {@link #agreed} are the same, so that a running gateway can apply the change. */
+    public boolean onlyAgreedDiffersFrom(FleetSettings other) {
         return equals(new FleetSettings(
-                o.enabled,
-                o.cluster,
-                o.listen,
-                o.directory,
-                o.founders,
-                o.routes,
-                o.links,
-                o.limits,
-                o.voters,
-                o.store,
-                o.verdictsOn,
-                o.verdicts,
+                other.enabled,
+                other.cluster,
+                other.listen,
+                other.directory,
+                other.founders,
+                other.routes,
+                other.links,
+                other.limits,
+                other.voters,
+                other.store,
+                other.verdictsOn,
+                other.verdicts,
                 agreed,
-                o.outages));
+                other.outages));
     }
 
-    /** This gateway as the agreed list has it. */
+    /**
+     * The gateway of this name in the list of members.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
     public Member self(String name) {
         return agreed.member(name)
                 .orElseThrow(() ->
--- a/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/OutageSettings.java
@@ -6,28 +6,45 @@
 import sandpaddle.fleet.outage.schedule.Schedule;
 
 /**
- * What the operator's file says of outages and stored answers. {@code maxAgeMs}: by class's name, how old an answer may
- * be handed out; a class without it is never stored. {@code fillWorkUs}: engine work a second that filling may take in
- * the whole zone.
+ * Settings of the operator's file for outages and stored answers.
+ *
+ * @param schedule announced outages
+ * @param phase settings of the outage phases of a zone
+ * @param margins settings of the margins around announced outages
+ * @param content bounds of the store of answers
+ * @param prefetchWorkUsPerS engine work (us per second) that prefetching may use in the whole zone
+ * @param maxAgeMs maximum age of a stored answer that is served, by name of the request class; answers of other
+ *     classes are not stored
  */
 public record OutageSettings(
         Schedule schedule,
         PhaseSettings phase,
         MarginSettings margins,
         Content content,
-        long fillWorkUs,
+        long prefetchWorkUsPerS,
         Map<String, Long> maxAgeMs) {
-    /** Bounds of the store; {@code diskBytes} 0: memory only. */
+    /**
+     * Bounds of the store of answers.
+     *
+     * @param memoryBytes capacity of the memory tier
+     * @param diskBytes capacity of the disk tier, 0 for memory only
+     * @param segmentBytes size of a segment file
+     * @param entries maximum number of answers on disk
+     * @param flushUs maximum delay before an answer is written to disk
+     * @param maxSilenceMs no answer is served if no message was received from outside the zone for longer
+     * @param maxWallClockSkewMs maximum difference of wall clocks, added to the age of answers that another process
+     *     requested
+     */
     public record Content(
             long memoryBytes,
             long diskBytes,
             int segmentBytes,
             int entries,
             long flushUs,
-            long maxUnheardMs,
-            long wallSlackMs) {}
+            long maxSilenceMs,
+            long maxWallClockSkewMs) {}
 
-    /** Nothing is foreseen and nothing stored. */
+    /** No outages are scheduled and no answers stored. */
     public static final OutageSettings OFF = new OutageSettings(
             Schedule.NONE,
             PhaseSettings.DEFAULT,
@@ -36,8 +53,8 @@
             300_000,
             Map.of());
 
-    /** Whether there is anything to do. */
-    public boolean isOn() {
+    /** Whether answers of any class are stored. */
+    public boolean storesAnswers() {
         return !maxAgeMs.isEmpty();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -35,16 +35,17 @@
 import sandpaddle.query.QueryService;
 
 /**
- * One gateway's part in a fleet. Threads besides the event loop: {@code fleet-link} for the sockets of the links,
- * {@code fleet-raft} for consensus and its disk, {@code fleet-content} for stored answers and their disk, {@code
- * fleet} for all decisions. The event loop reads one immutable view and writes counters, so none of them delays a
- * query. Cost: a heartbeat to each voter every {@code beat_ms}, and evidence when something changed.
+ * A gateway as a member of a fleet: creates the components, connects them and runs their threads. Besides the event
+ * loop, {@code fleet-link} serves the sockets of the links, {@code fleet-raft} consensus and its disk, {@code
+ * fleet-content} stored answers and their disk, and {@code fleet} makes all decisions. The event loop reads one
+ * immutable view and writes counters, so none of these threads delays a query. Network cost: a heartbeat to each voter
+ * every {@code beat_ms}, and evidence when it changed.
  */
 public final class FleetNode implements AutoCloseable {
-    private static final int MAX_LOOP_EVENTS = 1 << 14;
+    private static final int MAX_LOOP_EVENTS = 1 << 14; // further events are dropped
     private static final long LEADER_INTERVAL_US = 50_000;
     private static final long FLOOR_INTERVAL_US = 3_000_000;
-    private static final long NORMAL_MAX_DELAY_US = 200_000; // normal one-way delay of a message, for the logged bounds
+    private static final long NORMAL_MAX_DELAY_US = 200_000; // one way, of a message; for the logged bounds
 
     private final TaskThread thread = new TaskThread("fleet");
     private final TcpLinks links;
@@ -55,23 +56,24 @@
     private final Publication<FleetView> views;
 
     /**
-     * Starts the threads and the links.
+     * Creates all components, and starts the threads and the links.
      *
      * @param settings settings of the fleet
      * @param name name of this gateway
-     * @param site settings of the decision module
-     * @param classes query classes by index
+     * @param decisionSettings settings of the decision module
+     * @param classes names of the request classes by index
      * @param zones zone names by number
-     * @param kinds kinds of engines by number
-     * @param loop the event loop
-     * @param wake makes the event loop take a turn, from any thread
+     * @param kinds names of the engine kinds by number
+     * @param loop the event loop that serves queries
+     * @param wake wakes the event loop; called on any thread
      * @param seed seed of all random decisions
      * @throws IOException if the listening socket of the links cannot be opened
+     * @throws IllegalArgumentException if {@code name} is not among the members in the operator's file
      */
     public FleetNode(
             FleetSettings settings,
             String name,
-            DecisionSettings site,
+            DecisionSettings decisionSettings,
             List<String> classes,
             List<String> zones,
             List<String> kinds,
@@ -85,7 +87,7 @@
         long nowUs = clock.now();
         SharedState shared = SharedState.create();
         views = shared.views();
-        Queue<LoopEvent> heard = new SpscArrayQueue<>(MAX_LOOP_EVENTS);
+        Queue<LoopEvent> loopEvents = new SpscArrayQueue<>(MAX_LOOP_EVENTS);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // run by the event loop
         FloorStore floors = settings.directory() == null
                 ? null
@@ -128,36 +130,36 @@
                 zones,
                 classes.size(),
                 nowUs);
-        VoterSetup agreement =
+        VoterSetup voterSetup =
                 settings.directory() == null ? null : VoterSetup.start(settings, name, links, clock, thread, seed);
-        VoterThread voter = agreement == null ? null : agreement.voter();
-        FleetLeader leader = agreement == null
+        VoterThread voter = voterSetup == null ? null : voterSetup.voter();
+        FleetLeader leader = voterSetup == null
                 ? null
                 : new FleetLeader(
                         name,
                         voter,
-                        agreement.components(),
+                        voterSetup.components(),
                         settings.limits(),
                         pools.allocator(),
                         committedConfig,
                         settings.voters());
-        fetcher = new QueryPathFetcher(classes, site, tasks, wake, seed);
-        OutageThread outage = !settings.outages().isOn()
+        fetcher = new QueryPathFetcher(classes, decisionSettings, tasks, wake, seed);
+        OutageThread outage = !settings.outages().storesAnswers()
                 ? null
                 : new OutageThread(
                         settings.outages(),
-                        new LocalNode(name, self.zone(), incarnation, clock, site, classes),
+                        new LocalNode(name, self.zone(), incarnation, clock, decisionSettings, classes),
                         settings.directory(),
                         links,
                         fetcher,
                         this::isBusy,
                         seed);
         coordinator = new LoopCoordinator(
-                site,
+                decisionSettings,
                 loop,
                 clock,
                 shared,
-                new LoopCoordinator.Channels(heard, tasks, wake),
+                new LoopCoordinator.Channels(loopEvents, tasks, wake),
                 outage == null ? null : outage::lookUp,
                 pools.budget(),
                 settings.limits().onAnyClockUs(settings.limits().engineForgetUs()),
@@ -176,13 +178,14 @@
                 leader,
                 outage,
                 wake);
-        PeriodicTasks periodicTasks = new PeriodicTasks(components, topology, dispatcher, heard, thread, site);
+        PeriodicTasks periodicTasks =
+                new PeriodicTasks(components, topology, dispatcher, loopEvents, thread, decisionSettings);
         new LimitBounds(settings.limits(), NORMAL_MAX_DELAY_US)
                 .describe(
                         settings.agreed().limits(), settings.agreed().members().size())
                 .forEach(line -> Logger.info("fleet: {}", line));
         Logger.info(
-                "fleet {}: {} of hall {} listens on {} for {} gateways",
+                "fleet {}: {} of zone {} listens on {} for {} gateways",
                 settings.cluster(),
                 name,
                 self.zone(),
@@ -190,7 +193,7 @@
                 settings.agreed().members().size());
         dispatcher.start(components, periodicTasks);
         topology.start(components);
-        periodicTasks.publish(); // before the first query: without quotas, limited resources may not be used
+        periodicTasks.publish(); // before the first query: the empty view limits nothing
         thread.start();
         thread.scheduleEvery(settings.limits().heartbeatUs(), periodicTasks::sendHeartbeats);
         thread.scheduleEvery(settings.verdicts().evidenceIntervalUs(), periodicTasks::exchangeEvidence);
@@ -204,37 +207,37 @@
         return coordinator == null || coordinator.isBusy();
     }
 
-    /** What the dispatcher speaks to. */
+    /** The coordination interface for the dispatcher; used on the event loop. */
     public FleetCoordination coordinator() {
         return coordinator;
     }
 
-    /** The current view; from any thread. */
+    /** The current view. Thread-safe. */
     public FleetView view() {
         return views.current();
     }
 
-    /** Traffic of the links since the start; from any thread. */
+    /** Traffic of the links since the start. Thread-safe. */
     public LinkTraffic traffic() {
         return links.traffic();
     }
 
-    /** The monotonic time (us) that views refer to; from any thread. */
+    /** The monotonic time (us) that views refer to. Thread-safe. */
     public long now() {
         return components.clock().now();
     }
 
-    /** The budget by which connections to engines are opened. */
+    /** The budget that limits connections to engines; used on the event loop. */
     public ConnectionBudget connections() {
         return components.pools().budget();
     }
 
     /** Sets the service that runs the queries of the prefetcher. */
-    public void setQueryService(QueryService through) {
-        fetcher.serves(through);
+    public void setQueryService(QueryService service) {
+        fetcher.serves(service);
     }
 
-    /** Takes over a changed operator's file while serving: only its fleet-wide part. */
+    /** Applies a reloaded operator's file: only the fleet-wide configuration, {@link FleetSettings#agreed}. */
     public void reload(FleetSettings next) {
         thread.execute(() -> topology.localConfigChanged(next.agreed()));
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -16,46 +16,48 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * The configuration in force, the members and the voters as known to this gateway, and the peers that it needs links
- * to. A voter reads them from the replicated log, others receive them by the voters' status messages. Owned by the
- * fleet's thread, except {@link #isMember}.
+ * The configuration in force, the members and the voters as known to this gateway, and the peers that it keeps links
+ * to. A voter reads them from the replicated log; other gateways receive them in the status messages of the voters.
+ * Owned by the fleet's thread, except {@link #isMember}.
  */
 final class FleetTopology {
-    private static final int MAX_NEIGHBOURS = 8; // of the zone, linked for stored answers
+    private static final int MAX_NEIGHBOURS = 8; // gateways of the zone that stored answers are replicated with
 
     private final Map<String, Long> configVersionOf = new HashMap<>(); // version in force at each peer
-    private final Set<String> peerUp = new HashSet<>();
+    private final Set<String> linkedPeers = new HashSet<>(); // peers whose link is up
     private volatile Set<String> memberNames; // names that may open links
     private NodeComponents components;
     private FleetConfig localConfig;
-    private FleetConfig learnedConfig = FleetConfig.NONE; // in force according to the status of voters
+    private FleetConfig learnedConfig = FleetConfig.NONE; // in force according to the status messages of voters
     private StatusMessage lastStatus = new StatusMessage(0, "", List.of(), 0, "");
     private Map<String, String> zoneOf = Map.of();
     private Set<String> linkedVoters = Set.of();
 
     FleetTopology(FleetConfig localConfig) {
         this.localConfig = localConfig;
-        memberNames = names(localConfig, FleetConfig.NONE);
+        memberNames = namesOf(localConfig, FleetConfig.NONE);
     }
 
+    /** Sets the components, which are created after this object, and opens the first links. */
     void start(NodeComponents all) {
         components = all;
         updateLinks();
     }
 
-    private static Set<String> names(FleetConfig first, FleetConfig second) {
+    /** The names of the members of either configuration. */
+    private static Set<String> namesOf(FleetConfig first, FleetConfig second) {
         Set<String> all = new HashSet<>();
         first.members().forEach(member -> all.add(member.name()));
         second.members().forEach(member -> all.add(member.name()));
         return Set.copyOf(all);
     }
 
-    /** Whether a name may open a link; from any thread. */
+    /** Whether a gateway of this name may open a link. Thread-safe. */
     boolean isMember(String name) {
         return memberNames.contains(name);
     }
 
-    /** Takes over a changed operator's file. */
+    /** Applies the fleet-wide configuration of a reloaded operator's file, and offers it for commit. */
     void localConfigChanged(FleetConfig next) {
         localConfig = next;
         components.quotas().setLocalLimits(next.limits());
@@ -63,24 +65,27 @@
         updateLinks();
     }
 
-    /** The configuration in force as far as known; this gateway's own file before the first status. */
+    /** The newest committed configuration known here; that of this gateway's own file until one is known. */
     private FleetConfig effectiveConfig() {
-        FleetConfig agreed = components.voter() != null
+        FleetConfig config = components.voter() != null
                         && components.committedConfig().agreed().version() >= learnedConfig.version()
                 ? components.committedConfig().agreed()
                 : learnedConfig;
-        return agreed.version() == 0 ? localConfig : agreed;
+        return config.version() == 0 ? localConfig : config;
     }
 
+    /** Version of the configuration in force, 0 if none is known to be committed. */
     long configVersion() {
         FleetConfig effectiveConfig = effectiveConfig();
         return effectiveConfig == localConfig ? 0 : effectiveConfig.version();
     }
 
+    /** Version of the configuration in this gateway's own file. */
     long fileVersion() {
         return localConfig.version();
     }
 
+    /** The voters: as this voter knows them, else as a status message stated, else the founders. */
     private List<String> voters() {
         List<String> own = components.voter() == null
                 ? List.of()
@@ -97,89 +102,97 @@
         return linkedVoters;
     }
 
+    /** Whether the voters changed since the last {@link #updateLinks}. */
     boolean votersChanged() {
         return !Set.copyOf(voters()).equals(linkedVoters);
     }
 
-    /** The zone of a member, null if the name is not a member. */
+    /** The zone of a member, null if the name is not that of a member. */
     String zoneOf(String name) {
         return zoneOf.get(name);
     }
 
-    /** Applies a change of members, voters or file: who may open links, and which links this gateway keeps. */
+    /**
+     * Applies a change of the members, the voters or the local configuration: which gateways may open links, and which
+     * links this gateway keeps.
+     */
     void updateLinks() {
-        FleetConfig agreed = effectiveConfig();
-        components.pools().applyConfig(agreed);
-        memberNames = names(agreed, localConfig);
-        List<String> voting = voters();
+        FleetConfig config = effectiveConfig();
+        components.pools().applyConfig(config);
+        memberNames = namesOf(config, localConfig);
+        List<String> voters = voters();
         String zone = components.self().zone();
-        Set<Member> wanted = new HashSet<>();
+        Set<Member> peers = new HashSet<>();
         Map<String, String> zones = new HashMap<>(Map.of(components.self().name(), zone));
-        agreed.members().forEach(member -> zones.put(member.name(), member.zone()));
-        agreed.members().stream().filter(member -> isOther(member, voting)).forEach(wanted::add);
+        config.members().forEach(member -> zones.put(member.name(), member.zone()));
+        config.members().stream().filter(member -> isOtherVoter(member, voters)).forEach(peers::add);
         localConfig.members().stream()
-                .filter(member ->
-                        isOther(member, voting) && agreed.member(member.name()).isEmpty())
-                .forEach(wanted::add); // a founder must be reachable before it is committed as a member
-        if (components.outage()
-                != null) { // neighbours replicate stored answers, and stay in contact while the zone is isolated
-            agreed.members().stream()
+                .filter(member -> isOtherVoter(member, voters)
+                        && config.member(member.name()).isEmpty())
+                .forEach(peers::add); // a founder must be reachable before its membership is committed
+        // neighbours replicate stored answers, and stay in contact while the zone is isolated
+        if (components.outage() != null) {
+            config.members().stream()
                     .filter(member -> member.zone().equals(zone) && !components.isSelf(member.name()))
                     .limit(MAX_NEIGHBOURS)
-                    .forEach(wanted::add);
+                    .forEach(peers::add);
             Set<String> neighbours = new TreeSet<>();
-            wanted.stream()
+            peers.stream()
                     .filter(member -> member.zone().equals(zone))
                     .forEach(member -> neighbours.add(member.name()));
             components.outage().neighbours(neighbours);
         }
         zoneOf = Map.copyOf(zones);
-        components.links().setPeers(wanted);
-        linkedVoters = Set.copyOf(voting);
+        components.links().setPeers(peers);
+        linkedVoters = Set.copyOf(voters);
         components.evidence().updateRoster(zones, linkedVoters);
     }
 
-    private boolean isOther(Member member, List<String> voting) {
-        return voting.contains(member.name()) && !components.isSelf(member.name());
+    private boolean isOtherVoter(Member member, List<String> voters) {
+        return voters.contains(member.name()) && !components.isSelf(member.name());
     }
 
+    /** Records that the link to a peer is up; its configuration version is unknown until its next heartbeat. */
     void peerUp(String peer) {
-        peerUp.add(peer);
+        linkedPeers.add(peer);
         configVersionOf.remove(peer);
     }
 
-    /** Removes the peer from the linked ones; returns whether it was linked. */
+    /** Records that the link to a peer is down; returns whether it was up. */
     boolean peerDown(String peer) {
-        return peerUp.remove(peer);
+        return linkedPeers.remove(peer);
     }
 
-    /** A heartbeat of a peer states the version in force there. */
+    /** Records the version of the configuration in force at a peer, as its heartbeat states. */
     void configVersionReported(String peer, long version) {
         configVersionOf.put(peer, version);
     }
 
+    /**
+     * Applies the status of a voter: the voters, and the configuration if newer. Ignores a status of an earlier term.
+     */
     void statusReceived(StatusMessage status) throws FaultyMessageException {
         if (status.term() < lastStatus.term()) {
             return;
         }
         boolean changed = !status.voters().equals(lastStatus.voters());
         lastStatus = status;
-        FleetConfig agreed = status.configText().isEmpty() ? FleetConfig.NONE : status.config();
-        if (agreed.version() > learnedConfig.version()) {
-            learnedConfig = agreed;
+        FleetConfig config = status.configText().isEmpty() ? FleetConfig.NONE : status.config();
+        if (config.version() > learnedConfig.version()) {
+            learnedConfig = config;
             changed = true;
             Logger.info(
                     "fleet: version {} rules, {} gateways, {} limits",
-                    agreed.version(),
-                    agreed.members().size(),
-                    agreed.limits().size());
+                    config.version(),
+                    config.members().size(),
+                    config.limits().size());
         }
         if (changed) {
             updateLinks();
         }
     }
 
-    /** Proposes this gateway's file to a voter if it is newer than the version in force. */
+    /** Proposes the configuration of this gateway's file to a voter if it is newer than the version in force. */
     void proposeLocalConfig(String voter) {
         if (localConfig.version() > lastStatus.configVersion()
                 && localConfig.version() > components.committedConfig().agreed().version()) {
@@ -189,12 +202,12 @@
         }
     }
 
-    /** Sends the status of this voter to all linked peers. */
+    /** Sends the status of this voter to all linked peers, with the configuration for those that lack it. */
     void broadcastStatus() {
         VoterThread.Status status = components.voter().status();
-        FleetConfig agreed = components.committedConfig().agreed();
-        for (String peer : peerUp) {
-            boolean isUpToDate = configVersionOf.getOrDefault(peer, 0L) >= agreed.version();
+        FleetConfig config = components.committedConfig().agreed();
+        for (String peer : linkedPeers) {
+            boolean isUpToDate = configVersionOf.getOrDefault(peer, 0L) >= config.version();
             components
                     .links()
                     .send(
@@ -204,8 +217,8 @@
                                             status.term(),
                                             status.leader().orElse(""),
                                             status.voters(),
-                                            agreed.version(),
-                                            isUpToDate || agreed.version() == 0 ? "" : agreed.encode())
+                                            config.version(),
+                                            isUpToDate || config.version() == 0 ? "" : config.encode())
                                     .encode());
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/LocalNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/LocalNode.java
@@ -9,14 +9,14 @@
  * @param name name of the gateway
  * @param zone zone of the gateway
  * @param incarnation incarnation of its process
- * @param clock monotonic clock
- * @param site settings of the decision module
- * @param classes query classes by index
+ * @param clock monotonic clock of the process
+ * @param decisionSettings settings of the decision module
+ * @param classes names of the request classes by index
  */
 public record LocalNode(
         String name,
         String zone,
         long incarnation,
         MonotonicClock clock,
-        DecisionSettings site,
+        DecisionSettings decisionSettings,
         List<String> classes) {}
--- a/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/MessageDispatcher.java
@@ -11,8 +11,8 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * Dispatches messages that arrive over the links to the component responsible. A message that cannot be decoded is
- * logged and dropped.
+ * Passes the messages and events of the links to the components that handle them. A message that cannot be decoded is
+ * logged and dropped. Owned by the fleet's thread.
  */
 final class MessageDispatcher implements Links.Listener {
     private final FleetTopology topology;
@@ -23,6 +23,7 @@
         this.topology = topology;
     }
 
+    /** Sets the components, which are created after this object. */
     void start(NodeComponents all, PeriodicTasks tasks) {
         components = all;
         periodicTasks = tasks;
@@ -33,7 +34,11 @@
         try {
             dispatch(from, kind, payload);
         } catch (FaultyMessageException e) {
-            Logger.warn("fleet: dropped a message {} from {}: {}", kind, from, e.getMessage());
+            Logger.warn(
+                    "fleet: dropped a message of kind {} from {} that cannot be decoded: {}",
+                    kind,
+                    from,
+                    e.getMessage());
         }
     }
 
@@ -58,7 +63,7 @@
                     components.outage().received(from, payload);
                 }
             }
-            default -> {} // not used by this gateway
+            default -> {} // a kind that this version does not handle
         }
     }
 
@@ -70,7 +75,7 @@
         }
     }
 
-    /** Applies quotas from the leader: publishes the view at once and wakes the event loop. */
+    /** Applies a quota grant of the leader: publishes the view at once and wakes the event loop. */
     void grantReceived(QuotaGrant grant) {
         components.quotas().receiveGrant(components.clock().now(), grant);
         periodicTasks.publish();
@@ -93,11 +98,11 @@
         if (components.leader() != null) {
             components.leader().met(peer.name(), nowUs);
         }
-        Logger.info("fleet: link to {} of hall {} is up", peer.name(), peer.zone());
+        Logger.info("fleet: link to {} of zone {} is up", peer.name(), peer.zone());
     }
 
     @Override
-    public void peerDown(String peer, Links.LossReason reason, String why) {
+    public void peerDown(String peer, Links.LossReason reason, String detail) {
         boolean wasUp = topology.peerDown(peer);
         components.evidence().linkDown(peer);
         if (components.outage() != null) {
@@ -107,7 +112,7 @@
             components.leader().lost(peer);
         }
         if (wasUp || reason == Links.LossReason.REJECTED) {
-            Logger.warn("fleet: link to {} is down: {} ({})", peer, reason.logName(), why);
+            Logger.warn("fleet: link to {} is down: {} ({})", peer, reason.logName(), detail);
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/NodeComponents.java
@@ -13,21 +13,21 @@
 import sandpaddle.fleet.node.quota.QuotaManager;
 
 /**
- * The components of one gateway in a fleet; all are used on the fleet's thread.
+ * The components of one gateway in a fleet. All are called on the fleet's thread.
  *
  * @param settings settings of the fleet
  * @param self this gateway
  * @param clock monotonic clock
  * @param links links to the peers
- * @param quotas quotas of this gateway
- * @param floors stored floors, null without a directory
- * @param evidence exchange of evidence
- * @param committedConfig committed configuration
- * @param pools pool policy
- * @param voter consensus, null without a directory
- * @param leader tasks of the leader, null without a directory
- * @param outage outages of the zone, null if nothing is stored
- * @param wake makes the event loop take a turn
+ * @param quotas quotas that this gateway holds
+ * @param floors store of the floors on disk, null without a directory
+ * @param evidence exchange of evidence between gateways, and the verdicts from it
+ * @param committedConfig the committed configuration, and the one offered for commit
+ * @param pools application of the pool policy
+ * @param voter thread of the consensus protocol, null without a directory
+ * @param leader tasks that run while this gateway is the leader, null without a directory
+ * @param outage detection of outages and stored answers, null if no class stores answers
+ * @param wake wakes the event loop
  */
 record NodeComponents(
         FleetSettings settings,
@@ -44,6 +44,7 @@
         OutageThread outage,
         Runnable wake) {
 
+    /** Whether this is the name of this gateway. */
     boolean isSelf(String name) {
         return self.name().equals(name);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -16,7 +16,7 @@
 import sandpaddle.fleet.node.wire.HeartbeatMessage;
 import sandpaddle.fleet.view.FleetView;
 
-/** Periodic tasks on the fleet's thread: heartbeats, evidence, and the leader's work. */
+/** Periodic tasks on the fleet's thread: heartbeats, evidence, the leader's tasks, and saving the floors. */
 final class PeriodicTasks {
     private static final long STATUS_INTERVAL_US = 1_000_000;
 
@@ -25,23 +25,23 @@
     private final MessageDispatcher dispatcher;
     private final Queue<LoopEvent> loopEvents;
     private final TaskThread thread;
-    private final DecisionSettings site;
-    private final Set<String> engines = new TreeSet<>();
+    private final DecisionSettings decisionSettings;
+    private final Set<String> engines = new TreeSet<>(); // those that the endpoint list shows as up
     private long lastStatusUs = Long.MIN_VALUE / 2;
 
     PeriodicTasks(
             NodeComponents components,
             FleetTopology topology,
             MessageDispatcher dispatcher,
-            Queue<LoopEvent> heard,
+            Queue<LoopEvent> loopEvents,
             TaskThread thread,
-            DecisionSettings site) {
+            DecisionSettings decisionSettings) {
         this.components = components;
         this.topology = topology;
         this.dispatcher = dispatcher;
-        this.loopEvents = heard;
+        this.loopEvents = loopEvents;
         this.thread = thread;
-        this.site = site;
+        this.decisionSettings = decisionSettings;
     }
 
     /** Processes the events that the event loop queued since the last call. */
@@ -57,7 +57,7 @@
                 engineListChanged(change.list());
             } else if (event instanceof LoopEvent.AttemptEnded attempt
                     && attempt.rows() != null
-                    && site.classes().get(attempt.classIndex()).dataLoad()) {
+                    && decisionSettings.classes().get(attempt.classIndex()).dataLoad()) {
                 components
                         .evidence()
                         .loadCompleted(
@@ -81,7 +81,10 @@
         components.pools().receiveEngineList(components.clock().now(), list);
     }
 
-    /** Publishes the current view; counts are read only after it. */
+    /**
+     * Publishes the current view. The usage counters may be read only after it, so that an attempt that started by the
+     * previous quotas is counted.
+     */
     void publish() {
         long nowUs = components.clock().now();
         components.pools().tick(nowUs);
@@ -118,7 +121,7 @@
         components.wake().run();
     }
 
-    /** Evaluates verdicts and exchanges evidence. */
+    /** Evaluates verdicts, exchanges evidence, and passes on the state of the uplink and changes of data. */
     void exchangeEvidence() {
         processLoopEvents();
         long nowUs = components.clock().now();
@@ -130,8 +133,8 @@
     }
 
     /**
-     * Stores the floors, so that they survive a restart while partitioned. The consensus thread writes them, since it
-     * may wait for the disk.
+     * Writes the floors to disk, so that a gateway that restarts while partitioned may still use them. The consensus
+     * thread writes them, since it may block on the disk.
      */
     void persistFloors() {
         List<SavedFloor> floors = components.quotas().holder().floors();
@@ -151,10 +154,13 @@
                 : Set.of();
     }
 
-    /** Runs the leader's tasks, updates the links after a change, and broadcasts the status of a voter. */
+    /**
+     * Runs the leader's tasks, updates the links after a change of the configuration or the voters, and broadcasts the
+     * status if this gateway is a voter.
+     */
     void runLeaderTasks() {
         long nowUs = components.clock().now();
-        long ruledBefore = components.committedConfig().agreed().version();
+        long previousVersion = components.committedConfig().agreed().version();
         components
                 .leader()
                 .tick(
@@ -171,7 +177,7 @@
                                         .send(grant.member(), MessageKind.GRANT, HeartbeatMessage.encode(grant));
                             }
                         });
-        if (components.committedConfig().agreed().version() != ruledBefore || topology.votersChanged()) {
+        if (components.committedConfig().agreed().version() != previousVersion || topology.votersChanged()) {
             topology.updateLinks();
             lastStatusUs = Long.MIN_VALUE / 2;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -91,7 +91,7 @@
             long seed) {
         this.settings = settings;
         self = itself.name();
-        storable = new StorableClasses(settings.maxAgeMs(), itself.classes(), itself.site());
+        storable = new StorableClasses(settings.maxAgeMs(), itself.classes(), itself.decisionSettings());
         clock = itself.clock();
         process = itself.incarnation();
         this.store = store;
@@ -99,21 +99,24 @@
         margins = new Margins(settings.margins());
         phase = new ZonePhase(
                 itself.zone(), settings.schedule(), margins, settings.margins().maxMs(), settings.phase());
-        shelf = new ContentReplicaStore(store, process, settings.content().wallSlackMs());
+        shelf = new ContentReplicaStore(store, process, settings.content().maxWallClockSkewMs());
         copies = new AnswerReplication(ReplicationSettings.DEFAULT, shelf, shelf::age, this::wanted);
         links = new ReplicationLinks(over, copies);
-        changes = new DataChanges(process, settings.content().wallSlackMs() * 1000);
+        changes = new DataChanges(process, settings.content().maxWallClockSkewMs() * 1000);
         prefetch = new Prefetcher(
                 self,
                 new Budget(
-                        settings.content().memoryBytes() / ReplicaOwners.COPIES, settings.fillWorkUs(), 0.9, SAFETY_MS),
+                        settings.content().memoryBytes() / ReplicaOwners.COPIES,
+                        settings.prefetchWorkUsPerS(),
+                        0.9,
+                        SAFETY_MS),
                 REPLAN_US,
                 new AskHistory(NEWEST),
                 new Catalogue(CATALOGUE, CATALOGUE_BYTES));
         answers = new OutageResponses(
                 new RefusalPause(
                         1,
-                        Math.max(1, itself.site().limits().maxRetryAfterUs() / 1000),
+                        Math.max(1, itself.decisionSettings().limits().maxRetryAfterUs() / 1000),
                         settings.phase().returningUs() / 1000),
                 seed);
         live.add(self);
@@ -236,8 +239,9 @@
         phase.endings().forEach(margins::learn);
         shelf.at(nowUs, wallMs);
         Optional<TimeRange> ahead = ahead(nowUs, wallMs);
-        Allowance allowance =
-                busy ? Allowance.NONE : new Allowance(FETCHES, settings.fillWorkUs() / Math.max(1, live.size()));
+        Allowance allowance = busy
+                ? Allowance.NONE
+                : new Allowance(FETCHES, settings.prefetchWorkUsPerS() / Math.max(1, live.size()));
         for (Fetch fetch : prefetch.turn(
                 nowUs, wallMs, new Prefetcher.View(phase.phase(), ahead, live), allowance, store::askedAt)) {
             fetch(fetch);
@@ -285,9 +289,9 @@
                 wallMs,
                 process,
                 store.trusts(wallMs),
-                settings.content().wallSlackMs(),
+                settings.content().maxWallClockSkewMs(),
                 heardAt,
-                settings.content().maxUnheardMs());
+                settings.content().maxSilenceMs());
         Decision decision =
                 ServeRule.decide(key, storable.repeats(classIndex), storable.maxAgeMs(classIndex), found, s, changes);
         answer.accept(answers.answer(
--- a/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
+++ b/gateway/src/test/java/sandpaddle/config/FleetFileTest.java
@@ -131,9 +131,9 @@
                 outages.phase());
         assertEquals(new MarginSettings(1000, 2000, 0.5), outages.margins());
         assertEquals(new OutageSettings.Content(65_536, 1, 4096, 9, 8000, 7, 6), outages.content());
-        assertEquals(7000, outages.fillWorkUs());
+        assertEquals(7000, outages.prefetchWorkUsPerS());
         assertEquals(Map.of("lookup", 60_000L), outages.maxAgeMs());
-        assertTrue(outages.isOn());
+        assertTrue(outages.storesAnswers());
         assertFalse(read("{\"fleet\": {}}").enabled());
     }
 
