--- a/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/wire/HeartbeatMessage.java
@@ -8,22 +8,26 @@
 import sandpaddle.fleet.wire.CborOut;
 
 /**
- * A gateway's heartbeat to the voters.
+ * A gateway's heartbeat to the voters. Also encodes and decodes the leader's grants.
  *
- * @param configVersion version of the configuration in force at the gateway
+ * @param configVersion version of the configuration in force at the gateway, 0 if none
  * @param fileVersion version of the configuration in the gateway's own file
- * @param heartbeat usage and demand of its quotas
+ * @param heartbeat usage of its quotas, and its demand
  */
 public record HeartbeatMessage(long configVersion, long fileVersion, Heartbeat heartbeat) {
 
-    /** Encodes the heartbeat. */
+    /** Encodes the message as CBOR. */
     public byte[] encode() {
         CborOut out = new CborOut().number(configVersion).number(fileVersion);
         LimitCodec.write(out, heartbeat);
         return out.done();
     }
 
-    /** Decodes a heartbeat. */
+    /**
+     * Decodes a heartbeat.
+     *
+     * @throws FaultyMessageException if the bytes are not exactly one valid heartbeat
+     */
     public static HeartbeatMessage decode(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
         HeartbeatMessage message = new HeartbeatMessage(
@@ -32,13 +36,18 @@
         return message;
     }
 
-    /** Encodes a grant. */
+    /** Encodes a grant as CBOR. */
     public static byte[] encode(QuotaGrant grant) {
         CborOut out = new CborOut();
         LimitCodec.write(out, grant);
         return out.done();
     }
 
+    /**
+     * Decodes a grant.
+     *
+     * @throws FaultyMessageException if the bytes are not exactly one valid grant
+     */
     public static QuotaGrant decodeGrant(byte[] bytes) throws FaultyMessageException {
         CborIn in = new CborIn(bytes);
         QuotaGrant grant = LimitCodec.readGrant(in);
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/NodeMessageProperties.java
@@ -26,90 +26,102 @@
 import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** What gateways send each other of quotas and of what was agreed on. */
+/** Encoding and decoding of heartbeats, grants, status messages and the fleet configuration. */
 class NodeMessageProperties {
-    private interface Reading {
-        Object of(byte[] bytes) throws FaultyMessageException;
+    private interface Decoder {
+        Object decode(byte[] bytes) throws FaultyMessageException;
     }
 
-    static FleetConfig agreed(SplittableRandom r) {
+    static FleetConfig config(SplittableRandom random) {
         List<Member> members = new ArrayList<>();
         List<LimitSpec> limits = new ArrayList<>();
-        for (int i = r.nextInt(5); i > 0; i--) {
-            members.add(new Member("g" + i, "h" + r.nextInt(3), "10.0.0." + i, 1 + r.nextInt(65_535)));
+        for (int i = random.nextInt(5); i > 0; i--) {
+            members.add(new Member("g" + i, "h" + random.nextInt(3), "10.0.0." + i, 1 + random.nextInt(65_535)));
             limits.add(new LimitSpec(
                     "l\u00e4" + i,
-                    new LimitScope(r.nextBoolean() ? null : "h", null, "*", "e"),
+                    new LimitScope(random.nextBoolean() ? null : "h", null, "*", "e"),
                     LimitUnit.RATE,
-                    r.nextInt(99),
-                    r.nextInt(9)));
+                    random.nextInt(99),
+                    random.nextInt(9)));
         }
-        return new FleetConfig(1 + r.nextLong(1L << 60), members, limits, "pool \u6771".repeat(r.nextInt(9)), "");
+        return new FleetConfig(
+                1 + random.nextLong(1L << 60), members, limits, "pool \u6771".repeat(random.nextInt(9)), "");
     }
 
-    static HeartbeatMessage beat(SplittableRandom r) {
+    static HeartbeatMessage heartbeat(SplittableRandom random) {
         return new HeartbeatMessage(
-                r.nextInt(99),
-                r.nextLong(1L << 60),
+                random.nextInt(99),
+                random.nextLong(1L << 60),
                 new Heartbeat(
-                        r.nextLong(),
+                        random.nextLong(),
                         2,
                         3,
-                        r.nextBoolean(),
+                        random.nextBoolean(),
                         0,
                         5,
-                        List.of(new SlotReport("l", "s", 1, 2, 3, 4, r.nextInt(9))),
+                        List.of(new SlotReport("l", "s", 1, 2, 3, 4, random.nextInt(9))),
                         List.of(new InstanceRequest("l", new LimitScope(null, "", "t", null)))));
     }
 
-    static QuotaGrant grant(SplittableRandom r) {
+    static QuotaGrant grant(SplittableRandom random) {
         return new QuotaGrant(
                 "g",
-                r.nextLong(),
+                random.nextLong(),
                 1,
-                r.nextInt(9),
+                random.nextInt(9),
                 3,
-                r.nextBoolean(),
-                agreed(r).limits(),
-                List.of(new SlotGrant("l", "", 1, 8, 2, r.nextInt(8), 2)));
+                random.nextBoolean(),
+                config(random).limits(),
+                List.of(new SlotGrant("l", "", 1, 8, 2, random.nextInt(8), 2)));
     }
 
     @Property(seed = "9", tries = 100)
-    void whatIsWrittenIsRead(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) throws FaultyMessageException {
-        SplittableRandom r = new SplittableRandom(seed);
-        FleetConfig agreed = agreed(r);
-        assertEquals(agreed, FleetConfig.parse(agreed.encode()));
+    void decodingReturnsEncodedMessage(@ForAll @LongRange(min = 0, max = 1 << 30) long seed)
+            throws FaultyMessageException {
+        SplittableRandom random = new SplittableRandom(seed);
+        FleetConfig config = config(random);
+        assertEquals(config, FleetConfig.parse(config.encode()));
         StatusMessage status = new StatusMessage(
-                r.nextInt(99), r.nextBoolean() ? "" : "a", List.of("a", "b"), agreed.version(), agreed.encode());
+                random.nextInt(99),
+                random.nextBoolean() ? "" : "a",
+                List.of("a", "b"),
+                config.version(),
+                config.encode());
         assertEquals(status, StatusMessage.decode(status.encode()));
-        assertEquals(agreed, status.config());
-        HeartbeatMessage beat = beat(r);
-        assertEquals(beat, HeartbeatMessage.decode(beat.encode()));
-        QuotaGrant grant = grant(r);
+        assertEquals(config, status.config());
+        HeartbeatMessage heartbeat = heartbeat(random);
+        assertEquals(heartbeat, HeartbeatMessage.decode(heartbeat.encode()));
+        QuotaGrant grant = grant(random);
         assertEquals(grant, HeartbeatMessage.decodeGrant(HeartbeatMessage.encode(grant)));
     }
 
-    /** Guards every thread that reads a peer's bytes: they are read, or are a fault, and nothing else is thrown. */
+    /**
+     * Guards the threads that decode the messages of peers: corrupted bytes either are rejected with {@link
+     * FaultyMessageException} or are another valid message; no other exception is thrown.
+     */
     @Property(seed = "10", tries = 400)
-    void whatIsSpoiltIsAFaultOrAnotherMessage(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        spoil(beat(r).encode(), r, HeartbeatMessage::decode);
-        spoil(HeartbeatMessage.encode(grant(r)), r, HeartbeatMessage::decodeGrant);
-        spoil(new StatusMessage(1, "a", List.of("a"), 7, agreed(r).encode()).encode(), r, StatusMessage::decode);
-        spoil(
-                Base64.getDecoder().decode(agreed(r).encode()),
-                r,
-                b -> FleetConfig.parse(Base64.getEncoder().encodeToString(b)));
+    void corruptedBytesAreRejectedOrAnotherMessage(@ForAll @LongRange(min = 0, max = 1 << 30) long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        assertRejectsCorruptedBytes(heartbeat(random).encode(), random, HeartbeatMessage::decode);
+        assertRejectsCorruptedBytes(HeartbeatMessage.encode(grant(random)), random, HeartbeatMessage::decodeGrant);
+        assertRejectsCorruptedBytes(
+                new StatusMessage(1, "a", List.of("a"), 7, config(random).encode()).encode(),
+                random,
+                StatusMessage::decode);
+        assertRejectsCorruptedBytes(
+                Base64.getDecoder().decode(config(random).encode()),
+                random,
+                bytes -> FleetConfig.parse(Base64.getEncoder().encodeToString(bytes)));
     }
 
-    private static void spoil(byte[] whole, SplittableRandom r, Reading reading) {
-        byte[] flipped = whole.clone();
-        flipped[r.nextInt(flipped.length)] ^= (byte) (1 + r.nextInt(255));
-        for (byte[] spoilt : List.of(
-                flipped, Arrays.copyOf(whole, r.nextInt(whole.length)), Arrays.copyOf(whole, whole.length + 1))) {
+    private static void assertRejectsCorruptedBytes(byte[] valid, SplittableRandom random, Decoder decoder) {
+        byte[] flipped = valid.clone();
+        flipped[random.nextInt(flipped.length)] ^= (byte) (1 + random.nextInt(255));
+        for (byte[] corrupted : List.of(
+                flipped, Arrays.copyOf(valid, random.nextInt(valid.length)), Arrays.copyOf(valid, valid.length + 1))) {
             try {
-                reading.of(spoilt);
-                assertFalse(spoilt.length != whole.length, "cut or longer, and read nevertheless");
+                decoder.decode(corrupted);
+                assertFalse(corrupted.length != valid.length, "bytes of another length were accepted");
             } catch (FaultyMessageException e) {
                 assertFalse(e.getMessage().isEmpty());
             }
@@ -117,18 +129,18 @@
     }
 
     @Example
-    void whatIsOutOfBoundsIsAFault() {
+    void rejectsValuesOutOfBounds() {
         assertThrows(FaultyMessageException.class, () -> FleetConfig.parse("no base64!"));
         assertThrows(FaultyMessageException.class, () -> FleetConfig.parse(""));
-        Member blank = new Member("a b", "h", "10.0.0.1", 1);
+        Member invalidName = new Member("a b", "h", "10.0.0.1", 1);
         assertThrows(
                 FaultyMessageException.class,
-                () -> FleetConfig.parse(new FleetConfig(1, List.of(blank), List.of(), "", "").encode()));
+                () -> FleetConfig.parse(new FleetConfig(1, List.of(invalidName), List.of(), "", "").encode()));
         String tooLong = new String(new byte[FleetConfig.MAX_TEXT_BYTES + 1], StandardCharsets.US_ASCII);
         assertThrows(
                 FaultyMessageException.class,
                 () -> FleetConfig.parse(new FleetConfig(1, List.of(), List.of(), tooLong, "").encode()));
-        StatusMessage crowded = new StatusMessage(1, "", java.util.Collections.nCopies(17, "a"), 1, "");
-        assertThrows(FaultyMessageException.class, () -> StatusMessage.decode(crowded.encode()));
+        StatusMessage tooManyVoters = new StatusMessage(1, "", java.util.Collections.nCopies(17, "a"), 1, "");
+        assertThrows(FaultyMessageException.class, () -> StatusMessage.decode(tooManyVoters.encode()));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/node/wire/RecordedNodeMessagesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/wire/RecordedNodeMessagesTest.java
@@ -12,29 +12,30 @@
 import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.recorded.RecordedFile;
 
-/** Heartbeats, grants, status messages and the agreed configuration have the bytes that an earlier version wrote. */
+/** Heartbeats, grants, status messages and the fleet configuration have the same bytes as in an earlier version. */
 class RecordedNodeMessagesTest {
     private static final RecordedFile RECORD = new RecordedFile("node-messages.txt");
-    private static final int DRAWN = 5;
+    private static final int SEEDS = 5;
 
     @Test
-    void messagesAreWrittenAsRecorded() {
+    void encodesMessagesAsRecorded() {
         Map<String, byte[]> messages = new LinkedHashMap<>();
-        for (int seed = 0; seed < DRAWN; seed++) {
+        for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            messages.put("heartbeat " + seed, NodeMessageProperties.beat(random).encode());
+            messages.put(
+                    "heartbeat " + seed, NodeMessageProperties.heartbeat(random).encode());
             messages.put("grant " + seed, HeartbeatMessage.encode(NodeMessageProperties.grant(random)));
-            FleetConfig agreed = NodeMessageProperties.agreed(random);
-            messages.put("configuration " + seed, agreed.encode().getBytes(StandardCharsets.US_ASCII));
+            FleetConfig config = NodeMessageProperties.config(random);
+            messages.put("configuration " + seed, config.encode().getBytes(StandardCharsets.US_ASCII));
             messages.put(
                     "status " + seed,
-                    new StatusMessage(4, "a", List.of("a", "b"), agreed.version(), agreed.encode()).encode());
+                    new StatusMessage(4, "a", List.of("a", "b"), config.version(), config.encode()).encode());
         }
         RECORD.checkBytes(messages);
     }
 
     @Test
-    void recordedMessagesAreReadAndWrittenAgain() throws Exception {
+    void decodesAndEncodesRecordedMessages() throws Exception {
         for (Map.Entry<String, byte[]> recorded : RECORD.bytes().entrySet()) {
             byte[] bytes = recorded.getValue();
             String kind = recorded.getKey().split(" ")[0];
