--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/AllowanceCalculator.java
@@ -11,47 +11,56 @@
 import sandpaddle.fleet.view.LimitSlot;
 
 /**
- * Computes the quotas for the decision module from the granted ones, minus orphaned attempts, and the Retry-After
- * for clients. Used on the event loop.
+ * Computes the quotas for the decision module: the granted ones less the orphaned attempts. Also computes the
+ * Retry-After for clients. Owned by the event loop.
  */
 final class AllowanceCalculator {
-    private static final int UNBOUNDED = Integer.MAX_VALUE;
-    private static final int MAX_BLOCKED_QUOTAS = 4096; // further ones are found when an attempt starts
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private static final int MAX_BLOCKED_QUOTAS = 4096; // beyond it, starts are rejected one by one by tryStartAttempt
 
-    private static final Set<String> ANY_ENGINE = Set.of("");
+    private static final Set<String> ANY_ENGINE = Set.of(""); // the empty name stands for a quota on all engines
 
     private final RateBuckets buckets;
-    private final TenantNumbers tenants;
+    private final TenantIndexes tenants;
     private final long leaseUs;
 
-    AllowanceCalculator(RateBuckets buckets, TenantNumbers tenants, long leaseUs) {
+    /** Creates a calculator; {@code leaseUs} is the maximum Retry-After. */
+    AllowanceCalculator(RateBuckets buckets, TenantIndexes tenants, long leaseUs) {
         this.buckets = buckets;
         this.tenants = tenants;
         this.leaseUs = leaseUs;
     }
 
-    /** The current quotas; orphaned attempts count although the decision module no longer knows them. */
-    QuotasChanged of(
+    /**
+     * Calculates the current quotas. Orphaned attempts reduce them, since the decision module no longer counts them.
+     *
+     * @param view the view in force
+     * @param counters running attempts by slot
+     * @param orphaned attempts that an engine may still run
+     * @param listed engines that the endpoint list shows as up
+     * @param nowUs monotonic time (us)
+     */
+    QuotasChanged calculate(
             FleetView view, AttemptCounters counters, OrphanedAttempts orphaned, Set<String> listed, long nowUs) {
         List<Quota> all = new ArrayList<>();
         long[] orphanedBySlot = orphaned.bySlot(counters, view.slots().size());
         long retryAfterUs = 0;
         for (int i = 0; i < view.slots().size(); i++) {
             LimitSlot slot = view.slots().get(i);
-            int tenant = slot.tenant() == null ? -1 : tenants.numberOr(slot.tenant());
+            int tenant = slot.tenant() == null ? -1 : tenants.indexOrMinusOne(slot.tenant());
             if (slot.tenant() != null && tenant < 0) {
-                continue; // no query of that tenant was received
+                continue; // no query of this tenant was received, so the decision module has no index for it
             }
             if (slot.poolScope() != null
                     && (slot.tenant() == null
                             || slot.poolScope().engines() != null
                                     && !slot.poolScope().engines().containsAll(listed))) {
                 if (counters.running(i) >= view.quota(i, nowUs)) {
-                    addFull(slot, listed, all);
+                    addExhausted(slot, listed, all);
                 }
             } else if (slot.counts().isRate()) {
                 all.add(new Quota(
-                        slot.classIndex(), tenant, slot.engine(), UNBOUNDED, saturatedInt(buckets.starts(i, nowUs))));
+                        slot.classIndex(), tenant, slot.engine(), UNLIMITED, saturatedInt(buckets.starts(i, nowUs))));
                 retryAfterUs = Math.max(retryAfterUs, buckets.nextReadyUs(i, nowUs) - nowUs);
             } else {
                 all.add(new Quota(
@@ -59,24 +68,24 @@
                         tenant,
                         slot.engine(),
                         saturatedInt(Math.max(0, view.quota(i, nowUs) - orphanedBySlot[i])),
-                        UNBOUNDED));
+                        UNLIMITED));
             }
         }
         if (!view.perKeySlots().isEmpty()) {
             Set<String> existingIds = new HashSet<>();
             view.slots().forEach(slot -> existingIds.add(slot.id()));
             view.perKeySlots().stream()
-                    .filter(each -> !each.isPrefix())
-                    .forEach(each -> addBlocked(each, existingIds, listed, all));
+                    .filter(perKeySlot -> !perKeySlot.isPrefix())
+                    .forEach(perKeySlot -> addMissingSlots(perKeySlot, existingIds, listed, all));
         }
         return new QuotasChanged(all, Math.min(retryAfterUs, leaseUs));
     }
 
     /**
-     * Blocks each combination of tenant and engine in a used up part of a budget, which the decision module cannot
-     * name.
+     * Adds a quota of 0 for each combination of tenant and engine that an exhausted slot of a pool budget covers. The
+     * decision module has no quotas on sets of tenants or engines.
      */
-    private void addFull(LimitSlot slot, Set<String> listed, List<Quota> all) {
+    private void addExhausted(LimitSlot slot, Set<String> listed, List<Quota> all) {
         boolean coversAllEngines =
                 slot.poolScope().engines() == null || slot.poolScope().engines().containsAll(listed);
         int remaining = MAX_BLOCKED_QUOTAS;
@@ -91,32 +100,36 @@
                     return;
                 }
                 all.add(new Quota(
-                        slot.classIndex(), tenants.numberOr(tenant), engine.isEmpty() ? null : engine, 0, UNBOUNDED));
+                        slot.classIndex(),
+                        tenants.indexOrMinusOne(tenant),
+                        engine.isEmpty() ? null : engine,
+                        0,
+                        UNLIMITED));
             }
         }
     }
 
-    /** Blocks engines or tenants without a slot in a per-key limit. */
-    private void addBlocked(LimitSlot each, Set<String> existingIds, Set<String> listed, List<Quota> all) {
-        boolean byTenant = LimitSlot.EACH.equals(each.tenant());
-        boolean byEngine = LimitSlot.EACH.equals(each.engine());
+    /** Adds a quota of 0 for each engine or tenant that a per-key limit covers and that has no slot in it yet. */
+    private void addMissingSlots(LimitSlot perKeySlot, Set<String> existingIds, Set<String> listed, List<Quota> all) {
+        boolean byTenant = LimitSlot.EACH.equals(perKeySlot.tenant());
+        boolean byEngine = LimitSlot.EACH.equals(perKeySlot.engine());
         for (String tenant : byTenant ? tenants.all() : List.of("")) {
             for (String engine : byEngine ? listed : Set.of("")) {
-                String id = each.id() + (byTenant ? "|" + tenant : "") + (byEngine ? "|" + engine : "");
+                String id = perKeySlot.id() + (byTenant ? "|" + tenant : "") + (byEngine ? "|" + engine : "");
                 if (!existingIds.contains(id)) {
-                    String whose = byTenant ? tenant : each.tenant();
+                    String slotTenant = byTenant ? tenant : perKeySlot.tenant();
                     all.add(new Quota(
-                            each.classIndex(),
-                            whose == null ? -1 : tenants.numberOr(whose),
-                            byEngine ? engine : each.engine(),
+                            perKeySlot.classIndex(),
+                            slotTenant == null ? -1 : tenants.indexOrMinusOne(slotTenant),
+                            byEngine ? engine : perKeySlot.engine(),
                             0,
-                            UNBOUNDED));
+                            UNLIMITED));
                 }
             }
         }
     }
 
-    private static int saturatedInt(long x) {
-        return (int) Math.min(UNBOUNDED, x);
+    private static int saturatedInt(long value) {
+        return (int) Math.min(UNLIMITED, value);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ExcessAttempts.java
@@ -10,18 +10,19 @@
 import sandpaddle.query.FleetCoordination;
 
 /**
- * Selects the attempts to withdraw after a lease expired: the latest first, until the floors cover the rest. Attempts
- * that are not idempotent stay; their quotas outlive the lease.
+ * Selects the attempts to withdraw when quotas fell without a valid lease: the latest first, until the quotas cover the
+ * rest. Attempts that are not idempotent keep running, since they must not run twice; their quotas stay reserved after
+ * the lease.
  */
 final class ExcessAttempts {
     private ExcessAttempts() {}
 
-    /** The ids of the attempts to withdraw; {@code attempts} are in the order of their start. */
-    static List<String> of(
+    /** Returns the ids of the attempts to withdraw, the latest first; {@code attempts} must be in order of start. */
+    static List<String> select(
             FleetView view,
             AttemptCounters counters,
-            TenantNumbers tenants,
-            DecisionSettings site,
+            TenantIndexes tenants,
+            DecisionSettings decisionSettings,
             List<FleetCoordination.InFlightAttempt> attempts,
             long nowUs) {
         long[] excess = new long[view.slots().size()];
@@ -34,8 +35,8 @@
         for (int index = attempts.size() - 1; index >= 0; index--) {
             FleetCoordination.InFlightAttempt attempt = attempts.get(index);
             int[] slots = counters.slots(attempt.classIndex(), tenants.countedName(attempt.tenant()), attempt.engine());
-            if (isOver(slots, excess)
-                    && site.classes().get(attempt.classIndex()).idempotency() == Idempotency.IDEMPOTENT) {
+            if (isAnyExceeded(slots, excess)
+                    && decisionSettings.classes().get(attempt.classIndex()).idempotency() == Idempotency.IDEMPOTENT) {
                 withdrawn.add(attempt.id());
                 for (int slot : slots) {
                     excess[slot]--;
@@ -45,7 +46,8 @@
         return withdrawn;
     }
 
-    private static boolean isOver(int[] slots, long[] excess) {
+    /** Whether any of these slots runs more attempts than its quota. */
+    private static boolean isAnyExceeded(int[] slots, long[] excess) {
         for (int slot : slots) {
             if (excess[slot] > 0) {
                 return true;
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/ListedEngines.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/ListedEngines.java
@@ -8,17 +8,17 @@
 import sandpaddle.decision.event.EngineListReceived;
 import sandpaddle.decision.event.EngineStatus;
 
-/** The engines that the list shows as up, and which of them stand in this gateway's zone. Used on the event loop. */
+/** The engines that the endpoint list shows as up, and which are in this gateway's zone. Owned by the event loop. */
 final class ListedEngines {
     private final int zone;
     private final Set<String> up = new LinkedHashSet<>();
-    private final Set<String> inside = new HashSet<>();
+    private final Set<String> inZone = new HashSet<>();
 
     ListedEngines(int zone) {
         this.zone = zone;
     }
 
-    /** Applies a list or its changes. */
+    /** Applies a full list, or changes to it. */
     void update(EngineListReceived list) {
         if (list.kind() != EngineListKind.CHANGES) {
             up.clear();
@@ -26,24 +26,26 @@
         for (EngineEntry entry : list.entries()) {
             boolean isUp = entry.status() == EngineStatus.UP;
             put(up, entry.id(), isUp);
-            put(inside, entry.id(), isUp && entry.zone() == zone);
+            put(inZone, entry.id(), isUp && entry.zone() == zone);
         }
-        inside.retainAll(up);
+        inZone.retainAll(up);
     }
 
-    private static void put(Set<String> set, String id, boolean in) {
-        if (in) {
+    private static void put(Set<String> set, String id, boolean present) {
+        if (present) {
             set.add(id);
         } else {
             set.remove(id);
         }
     }
 
+    /** Ids of the engines that are up, in the order of the list; a live view of them. */
     Set<String> up() {
         return up;
     }
 
-    boolean hasInside() {
-        return !inside.isEmpty();
+    /** Whether an engine in this gateway's zone is up. */
+    boolean hasInZone() {
+        return !inZone.isEmpty();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
@@ -25,39 +25,46 @@
 import sandpaddle.query.Query;
 
 /**
- * The fleet as the event loop uses it: reads the view, counts attempts, and passes events to the fleet's thread by a
- * queue that neither blocks nor grows. Quotas are checked three times: a change is reported to the decision module, a
- * starting attempt is counted against them, and when they expire, idempotent attempts over quota are withdrawn. Owned
- * by the event loop, except {@link #isBusy}.
+ * Coordination with the fleet on the event loop: reads the view, counts attempts, and passes events to the fleet's
+ * thread through a bounded queue that never blocks. Quotas are enforced in three places: the decision module receives
+ * each change, a starting attempt is counted against them, and idempotent attempts over quota are withdrawn when the
+ * lease expires. Owned by the event loop, except {@link #isBusy}.
  */
 public final class LoopCoordinator implements FleetCoordination {
-    /** Looks up a stored answer while the zone is isolated; {@code then} may be called on any thread. */
+    /** Looks up stored answers while the zone is isolated. */
     public interface StoredAnswerLookup {
-        void lookUp(int classIndex, Query query, boolean enginesInside, Consumer<Optional<Answer>> then);
+        /**
+         * Looks up the stored answer to a query.
+         *
+         * @param classIndex index of the request class
+         * @param query the query
+         * @param hasEnginesInZone whether an engine in this gateway's zone is up
+         * @param callback receives the answer, empty if the query needs an engine; called on any thread
+         */
+        void lookUp(int classIndex, Query query, boolean hasEnginesInZone, Consumer<Optional<Answer>> callback);
     }
 
     /**
      * Channels between the event loop and the fleet's thread.
      *
      * @param events bounded queue of events for the fleet's thread
-     * @param tasks tasks for the event loop
-     * @param wake makes the event loop take a turn, from any thread
+     * @param tasks unbounded queue of tasks for the event loop
+     * @param wake wakes the event loop; called on any thread
      */
     public record Channels(Queue<LoopEvent> events, Queue<Runnable> tasks, Runnable wake) {}
 
-    private static final long REFRESH_US = 20_000; // interval at which refilling buckets are checked
+    private static final long REFRESH_US = 20_000; // interval at which refilled buckets and expired leases are checked
 
-    private final DecisionSettings site;
+    private final DecisionSettings decisionSettings;
     private final Scheduler loop;
     private final MonotonicClock clock;
-    // bounded; an event that does not fit is lost, which costs evidence only
-    private final Queue<LoopEvent> loopEvents;
-    private final StoredAnswerLookup stored;
+    private final Queue<LoopEvent> loopEvents; // bounded, so that the loop never waits; drops what does not fit
+    private final StoredAnswerLookup storedAnswers;
     private final Runnable wake;
-    private final Queue<Runnable> tasks; // from the fleet's threads to the event loop
-    private volatile long waitingQueries;
+    private final Queue<Runnable> tasks; // queued by other threads for the event loop
+    private volatile long waitingQueries; // written by the event loop only
     private volatile boolean isRetryStorm;
-    private final TenantNumbers tenants = new TenantNumbers();
+    private final TenantIndexes tenants = new TenantIndexes();
     private final AttemptCounters counters;
     private final RateBuckets buckets = new RateBuckets();
     private final OrphanedAttempts orphaned;
@@ -65,49 +72,58 @@
     private final PoolBudget pools;
     private final ListedEngines listedEngines;
     private FleetView view = FleetView.EMPTY;
-    private boolean wasLeased = true;
-    private boolean isStale = true; // the quotas last sent may differ from the current ones
+    private boolean wasLeaseUsable = true;
+    private boolean isStale = true; // the quotas last reported may differ from the current ones
     private boolean isOverQuota;
     private QuotasChanged lastQuotas = new QuotasChanged(List.of(), 0);
     private EngineVerdictsChanged lastVerdicts = new EngineVerdictsChanged(List.of());
     private List<FleetView.Verdict> lastViewVerdicts = List.of();
 
     /**
-     * Creates the coordinator; {@code forgetUs}: time after which an engine drops a query that nobody polls; {@code
-     * leaseUs}: the longest Retry-After.
+     * Creates a coordinator that starts with the current view.
+     *
+     * @param decisionSettings settings of the decision module
+     * @param loop the event loop
+     * @param clock monotonic clock that views refer to
+     * @param shared state shared with the fleet's thread
+     * @param channels queues between the event loop and the fleet's thread
+     * @param storedAnswers lookup of stored answers, null if none are stored
+     * @param pools connection budgets of the pool policy
+     * @param engineForgetUs time after which an engine drops a query that nobody polls (us)
+     * @param leaseUs duration of a lease, which is the maximum Retry-After (us)
      */
     public LoopCoordinator(
-            DecisionSettings site,
+            DecisionSettings decisionSettings,
             Scheduler loop,
             MonotonicClock clock,
             SharedState shared,
             Channels channels,
-            StoredAnswerLookup stored,
+            StoredAnswerLookup storedAnswers,
             PoolBudget pools,
-            long forgetUs,
+            long engineForgetUs,
             long leaseUs) {
-        this.site = site;
+        this.decisionSettings = decisionSettings;
         this.loop = loop;
         this.clock = clock;
         loopEvents = channels.events();
         tasks = channels.tasks();
         wake = channels.wake();
-        this.stored = stored;
+        this.storedAnswers = storedAnswers;
         this.pools = pools;
         counters = new AttemptCounters(
-                shared.views(), shared.usages(), site.classes().size());
-        orphaned = new OrphanedAttempts(forgetUs);
-        listedEngines = new ListedEngines(site.zone());
+                shared.views(), shared.usages(), decisionSettings.classes().size());
+        orphaned = new OrphanedAttempts(engineForgetUs);
+        listedEngines = new ListedEngines(decisionSettings.zone());
         allowanceCalculator = new AllowanceCalculator(buckets, tenants, leaseUs);
         refresh();
     }
 
-    /** Checks for refilled buckets and expired leases while the event loop is idle. */
+    /** Requests a turn for refilled buckets, released orphans and expired leases, which no event announces. */
     private void refresh() {
         long nowUs = clock.now();
         if (!buckets.isEmpty() && waitingQueries > 0
                 || orphaned.nextReleaseUs() <= nowUs
-                || view.isLeased(nowUs) != wasLeased) {
+                || view.isLeased(nowUs) != wasLeaseUsable) {
             isStale = true;
             loop.requestTurn();
         }
@@ -121,23 +137,23 @@
         }
         long nowUs = clock.now();
         FleetView next = counters.adoptView();
-        boolean freed = orphaned.release(nowUs, counters::ended);
-        boolean holds = next.isLeased(nowUs) && nowUs >= next.usableFromUs();
-        if (next == view && holds == wasLeased && !freed && !isStale && !tenants.hasGrown()) {
+        boolean released = orphaned.release(nowUs, counters::ended);
+        boolean isLeaseUsable = next.isLeased(nowUs) && nowUs >= next.usableFromUs();
+        if (next == view && isLeaseUsable == wasLeaseUsable && !released && !isStale && !tenants.hasGrown()) {
             return List.of();
         }
-        // while the lease is valid, running attempts may end by themselves
-        isOverQuota |= !holds && (wasLeased || !next.quotas().equals(view.quotas()));
+        // under a valid lease, attempts over quota are left to end by themselves
+        isOverQuota |= !isLeaseUsable && (wasLeaseUsable || !next.quotas().equals(view.quotas()));
         view = next;
-        wasLeased = holds;
+        wasLeaseUsable = isLeaseUsable;
         isStale = false;
         buckets.adoptView(view, nowUs);
-        pools.less();
+        pools.closeIdleIfExceeded();
         List<Event> events = new ArrayList<>(2);
-        QuotasChanged quotas = allowanceCalculator.of(view, counters, orphaned, listedEngines.up(), nowUs);
+        QuotasChanged quotas = allowanceCalculator.calculate(view, counters, orphaned, listedEngines.up(), nowUs);
         if (!quotas.equals(lastQuotas)) {
             lastQuotas = quotas;
-            Logger.debug("fleet: rights by view {}, leased {}: {}", view.numbering(), wasLeased, quotas);
+            Logger.debug("fleet: quotas by view {}, leased {}: {}", view.numbering(), wasLeaseUsable, quotas);
             events.add(quotas);
         }
         if (view.verdicts() != lastViewVerdicts) {
@@ -151,11 +167,15 @@
         return events;
     }
 
-    /** In the module's time, which counts from another origin. */
+    /** The verdicts in the decision module's time, which has another origin than the monotonic clock. */
     private EngineVerdictsChanged verdicts(long nowUs) {
         long offsetUs = Micros.of(loop.now()) - nowUs;
         return new EngineVerdictsChanged(lastViewVerdicts.stream()
-                .map(v -> new EngineVerdict(v.engine(), v.condition(), v.sinceUs() + offsetUs, v.untilUs() + offsetUs))
+                .map(verdict -> new EngineVerdict(
+                        verdict.engine(),
+                        verdict.condition(),
+                        verdict.sinceUs() + offsetUs,
+                        verdict.untilUs() + offsetUs))
                 .toList());
     }
 
@@ -168,13 +188,13 @@
             isStale = true;
             loopEvents.offer(new LoopEvent.TenantSeen(clock.now(), counted));
         }
-        return tenants.number(counted);
+        return tenants.index(counted);
     }
 
     @Override
     public void queuedRequestsChanged(int classIndex, String tenant, int delta) {
         counters.addWaiting(classIndex, tenants.countedName(tenant), delta);
-        waitingQueries += delta; // only this thread writes it
+        waitingQueries += delta; // not a race: this thread is the only writer
     }
 
     @Override
@@ -199,7 +219,10 @@
         return true;
     }
 
-    /** Whether a part of a pool's budget is used up: the decision module counts only by limits that it can name. */
+    /**
+     * Whether a slot of a pool budget that covers the attempt is exhausted. The decision module is told then, since it
+     * cannot count against these slots itself.
+     */
     private boolean isFull(int classIndex, String tenant, String engine, long nowUs) {
         for (int slot : counters.slots(classIndex, tenant, engine)) {
             if (view.slots().get(slot).poolScope() != null && counters.running(slot) >= view.quota(slot, nowUs)) {
@@ -210,24 +233,31 @@
     }
 
     @Override
-    public void attemptEnded(EndedAttempt e) {
+    public void attemptEnded(EndedAttempt end) {
         long nowUs = clock.now();
-        String tenant = tenants.countedName(e.query().tenant());
-        isStale |= isFull(e.classIndex(), tenant, e.engine(), nowUs);
-        if (e.stopped()) {
-            counters.ended(e.classIndex(), tenant, e.engine());
+        String tenant = tenants.countedName(end.query().tenant());
+        isStale |= isFull(end.classIndex(), tenant, end.engine(), nowUs);
+        if (end.stopped()) {
+            counters.ended(end.classIndex(), tenant, end.engine());
         } else {
-            orphaned.add(e.classIndex(), tenant, e.engine(), nowUs);
+            orphaned.add(end.classIndex(), tenant, end.engine(), nowUs);
             isStale = true;
         }
-        AttemptOutcome outcome = outcome(e.result());
+        AttemptOutcome outcome = outcome(end.result());
         if (outcome != null) {
             loopEvents.offer(new LoopEvent.AttemptEnded(
-                    nowUs, e.engine(), e.classIndex(), tenant, e.query(), outcome, Micros.of(e.elapsed()), e.rows()));
+                    nowUs,
+                    end.engine(),
+                    end.classIndex(),
+                    tenant,
+                    end.query(),
+                    outcome,
+                    Micros.of(end.elapsed()),
+                    end.rows()));
         }
     }
 
-    /** Null where it tells nothing of the engine. */
+    /** The outcome as evidence about the engine, null if the result is none. */
     private static AttemptOutcome outcome(AttemptResult result) {
         return switch (result) {
             case OK, QUEUE_FULL -> AttemptOutcome.ANSWERED;
@@ -251,23 +281,23 @@
     }
 
     @Override
-    public boolean tryAnswerWithoutEngine(int classIndex, Query query, Consumer<Optional<Answer>> then) {
+    public boolean tryAnswerWithoutEngine(int classIndex, Query query, Consumer<Optional<Answer>> callback) {
         if (!view.isolation().isIsolated()) {
             return false;
         }
-        stored.lookUp(classIndex, query, listedEngines.hasInside(), answer -> {
-            tasks.add(() -> then.accept(answer));
+        storedAnswers.lookUp(classIndex, query, listedEngines.hasInZone(), answer -> {
+            tasks.add(() -> callback.accept(answer));
             wake.run();
         });
         return true;
     }
 
     @Override
-    public void retryStormChanged(boolean holds) {
-        isRetryStorm = holds;
+    public void retryStormChanged(boolean active) {
+        isRetryStorm = active;
     }
 
-    /** Whether queries wait or there is a retry storm, so that nothing should be prefetched; from any thread. */
+    /** Whether queries wait or there is a retry storm, so that nothing should be prefetched. Thread-safe. */
     public boolean isBusy() {
         return waitingQueries > 0 || isRetryStorm;
     }
@@ -281,6 +311,6 @@
 
     @Override
     public List<String> attemptsOverQuota(List<InFlightAttempt> attempts) {
-        return ExcessAttempts.of(view, counters, tenants, site, attempts, clock.now());
+        return ExcessAttempts.select(view, counters, tenants, decisionSettings, attempts, clock.now());
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/PoolBudget.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/PoolBudget.java
@@ -13,92 +13,101 @@
 import sandpaddle.fleet.view.Publication;
 
 /**
- * Limits connections by the fleet's pool budgets: open ones, including idle ones, are at most the sum of this
- * gateway's slots for the engine, its kind and the fleet. A connection is counted before the quotas are read, with a
- * full fence between, as attempts are. Cost: O(limits that cover an engine) for each connection opened or checked.
- * Used on the event loop, except {@link #control}.
+ * Limits this gateway's connections by the budgets of the pool policy: for each limit that covers an engine (its own,
+ * that of its kind and that of the fleet), the open connections, idle ones included, are at most the sum of this
+ * gateway's quotas in it. A connection is counted before the quotas are read, with a full fence between, as in {@link
+ * sandpaddle.fleet.view.AttemptCounters}. Cost: O(limits that cover an engine) for each connection opened or checked.
+ * Owned by the event loop, except {@link #setControlConnections}.
  */
 public final class PoolBudget implements ConnectionBudget {
-    /** One limit of a view: its slots, and a slot that names the engines whose connections count. */
-    private record Pool(LimitSlot first, List<Integer> slots) {}
+    /** One limit of a view: its slots, and one of them, which names the engines whose connections count. */
+    private record PooledLimit(LimitSlot scope, List<Integer> slots) {}
 
     private final Publication<FleetView> views;
     private final OpenConnections connections;
     private final LongSupplier clock;
-    private volatile Map<String, Integer> control = Map.of(); // by engine, beyond what slots allow
-    private FleetView of = FleetView.EMPTY;
-    private List<Pool> shared = List.of();
-    private Map<String, Pool> single = Map.of();
-    private Runnable trim = () -> {};
+    private volatile Map<String, Integer> controlConnections = Map.of(); // by engine, in addition to the quotas
+    private FleetView lastView = FleetView.EMPTY; // the limits below are those of its slots
+    private List<PooledLimit> sharedLimits = List.of();
+    private Map<String, PooledLimit> engineLimits = Map.of();
+    private Runnable closeIdle = () -> {};
 
-    /** Creates the budget; {@code clock}: monotonic time (us). */
+    /**
+     * Creates a budget that is unlimited until a view limits connections.
+     *
+     * @param views views of the fleet's thread
+     * @param connections counters of open connections
+     * @param clock monotonic time (us)
+     */
     public PoolBudget(Publication<FleetView> views, OpenConnections connections, LongSupplier clock) {
         this.views = views;
         this.connections = connections;
         this.clock = clock;
     }
 
-    /** Sets the additional connections for control calls by engine; from any thread. */
-    public void control(Map<String, Integer> byEngine) {
-        control = Map.copyOf(byEngine);
+    /** Sets the connections by engine that control calls may open in addition to the quotas. Thread-safe. */
+    public void setControlConnections(Map<String, Integer> byEngine) {
+        controlConnections = Map.copyOf(byEngine);
     }
 
+    /** Returns the current view, after reading its limits on connections if its slots changed. */
     private FleetView view() {
-        FleetView now = views.current();
-        if (now.slots() != of.slots()) {
-            Map<String, Pool> pools = new HashMap<>();
-            for (int i = 0; i < now.slots().size(); i++) {
-                LimitSlot slot = now.slots().get(i);
+        FleetView current = views.current();
+        if (current.slots() != lastView.slots()) {
+            Map<String, PooledLimit> pools = new HashMap<>();
+            for (int i = 0; i < current.slots().size(); i++) {
+                LimitSlot slot = current.slots().get(i);
                 if (slot.counts() == LimitSlot.Counts.CONNECTIONS
                         && slot.classIndex() < 0
                         && slot.tenant() == null | slot.poolScope() != null) {
-                    pools.computeIfAbsent(slot.id(), id -> new Pool(slot, new ArrayList<>()))
+                    pools.computeIfAbsent(slot.id(), id -> new PooledLimit(slot, new ArrayList<>()))
                             .slots
                             .add(i);
                 }
             }
-            Map<String, Pool> engines = new HashMap<>();
-            List<Pool> others = new ArrayList<>();
-            for (Pool pool : pools.values()) {
-                if (pool.first.engine() != null) {
-                    engines.merge(pool.first.engine(), pool, (a, b) -> a);
+            Map<String, PooledLimit> byEngineName = new HashMap<>();
+            List<PooledLimit> shared = new ArrayList<>();
+            for (PooledLimit pool : pools.values()) {
+                if (pool.scope.engine() != null) {
+                    byEngineName.merge(pool.scope.engine(), pool, (a, b) -> a);
                 } else {
-                    others.add(pool);
+                    shared.add(pool);
                 }
             }
-            single = engines;
-            shared = others;
+            engineLimits = byEngineName;
+            sharedLimits = shared;
         }
-        of = now;
-        return now;
+        lastView = current;
+        return current;
     }
 
     /** By how many connections the open ones exceed the quotas, the maximum over all limits that cover the engine. */
-    private long over(String engine, int beyond) {
+    private long excess(String engine, int extra) {
         FleetView view = view();
         long nowUs = clock.getAsLong();
-        Pool mine = single.get(engine);
-        long max = mine == null ? 0 : over(view, mine, nowUs, beyond);
-        for (Pool pool : shared) {
-            boolean covers = pool.first.poolScope() == null
-                    || pool.first.poolScope().engines() == null
-                    || pool.first.poolScope().engines().contains(engine);
-            max = covers ? Math.max(max, over(view, pool, nowUs, beyond)) : max;
+        PooledLimit engineLimit = engineLimits.get(engine);
+        long max = engineLimit == null ? 0 : excess(view, engineLimit, nowUs, extra);
+        for (PooledLimit pool : sharedLimits) {
+            boolean covers = pool.scope.poolScope() == null
+                    || pool.scope.poolScope().engines() == null
+                    || pool.scope.poolScope().engines().contains(engine);
+            max = covers ? Math.max(max, excess(view, pool, nowUs, extra)) : max;
         }
         return max;
     }
 
-    private long over(FleetView view, Pool pool, long nowUs, int beyond) {
-        long allowed = beyond;
+    /** By how many connections the open ones exceed the quotas in one limit; negative if more may be opened. */
+    private long excess(FleetView view, PooledLimit pool, long nowUs, int extra) {
+        long allowed = extra;
         for (int slot : pool.slots) {
             allowed += view.quota(slot, nowUs);
         }
-        long open = pool.first.engine() != null
-                ? connections.count(pool.first.engine())
+        long open = pool.scope.engine() != null
+                ? connections.count(pool.scope.engine())
                 : connections.countAll(
-                        pool.first.poolScope() == null
+                        pool.scope.poolScope() == null
                                 ? null
-                                : pool.first.poolScope().engines());
+                                : pool.scope.poolScope().engines());
         return open - allowed;
     }
 
@@ -106,7 +115,7 @@
     public boolean tryAcquire(String engine, boolean forControl) {
         connections.opened(engine);
         VarHandle.fullFence();
-        if (over(engine, forControl ? control.getOrDefault(engine, 0) : 0) <= 0) {
+        if (excess(engine, forControl ? controlConnections.getOrDefault(engine, 0) : 0) <= 0) {
             return true;
         }
         connections.closed(engine);
@@ -120,27 +129,27 @@
 
     @Override
     public boolean isExceeded(String engine) {
-        return over(engine, control.getOrDefault(engine, 0)) > 0;
+        return excess(engine, controlConnections.getOrDefault(engine, 0)) > 0;
     }
 
     @Override
-    public void onReduced(Runnable closing) {
-        trim = closing;
+    public void onReduced(Runnable trim) {
+        closeIdle = trim;
     }
 
-    /** Closes idle connections if quotas were lowered. Checks each limit once. */
-    void less() {
+    /** Closes idle connections if the open ones exceed a limit. Checks each limit once. */
+    void closeIdleIfExceeded() {
         FleetView view = view();
         long nowUs = clock.getAsLong();
-        boolean over = false;
-        for (Map.Entry<String, Pool> e : single.entrySet()) {
-            over |= over(view, e.getValue(), nowUs, control.getOrDefault(e.getKey(), 0)) > 0;
+        boolean isExceeded = false;
+        for (Map.Entry<String, PooledLimit> entry : engineLimits.entrySet()) {
+            isExceeded |= excess(view, entry.getValue(), nowUs, controlConnections.getOrDefault(entry.getKey(), 0)) > 0;
         }
-        for (Pool pool : shared) {
-            over |= over(view, pool, nowUs, 0) > 0;
+        for (PooledLimit pool : sharedLimits) {
+            isExceeded |= excess(view, pool, nowUs, 0) > 0;
         }
-        if (over) {
-            trim.run();
+        if (isExceeded) {
+            closeIdle.run();
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/RateBuckets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/RateBuckets.java
@@ -7,13 +7,14 @@
 import sandpaddle.fleet.view.LimitSlot;
 
 /**
- * The token buckets of the rate limits by limit; they survive a new numbering of the slots. Used on the event loop.
+ * The token buckets of the rate limits, kept by limit id so that they survive a renumbering of the slots. Owned by the
+ * event loop.
  */
 final class RateBuckets {
     private Map<String, TokenBucket> byLimit = new HashMap<>();
     private TokenBucket[] bySlot = new TokenBucket[0];
 
-    /** Switches to the slots and rates of a view. */
+    /** Switches to the slots and rates of a view. A bucket whose burst changed is replaced by an empty one. */
     void adoptView(FleetView view, long nowUs) {
         Map<String, TokenBucket> next = new HashMap<>();
         bySlot = new TokenBucket[view.slots().size()];
@@ -33,18 +34,27 @@
         byLimit = next;
     }
 
+    /** Whether the view has no rate limits. */
     boolean isEmpty() {
         return byLimit.isEmpty();
     }
 
-    /** Cost of a start in tokens. Work above the capacity of the bucket is admitted when it is full. */
+    /** Cost of a start in tokens. Work above the capacity of the bucket is admitted when the bucket is full. */
     private static long cost(TokenBucket bucket, LimitSlot slot, long workMs) {
         long costInTokens =
                 slot.counts() == LimitSlot.Counts.WORK ? Math.max(1, workMs) * TokenBucket.UNIT : TokenBucket.UNIT;
         return Math.min(costInTokens, bucket.burst());
     }
 
-    /** Takes the cost of a start from the buckets of all its slots, or from none. */
+    /**
+     * Takes the cost of a start from the buckets of all its slots, or from none.
+     *
+     * @param view the view last adopted
+     * @param slots slots that cover the attempt
+     * @param workMs estimated work (ms) of the query
+     * @param nowUs monotonic time (us)
+     * @return whether the start is admitted
+     */
     boolean tryTake(FleetView view, int[] slots, long workMs, long nowUs) {
         for (int slot : slots) {
             TokenBucket bucket = bySlot[slot];
@@ -62,13 +72,13 @@
         return true;
     }
 
-    /** Number of starts that a slot permits now. */
+    /** Number of starts, or ms of work, that a slot permits now. */
     long starts(int slot, long nowUs) {
         TokenBucket bucket = bySlot[slot];
         return bucket.availableAtUs(nowUs, TokenBucket.UNIT) > nowUs ? 0 : bucket.wholeUnits(nowUs);
     }
 
-    /** When a slot permits a start again, {@link Long#MAX_VALUE} if never at this rate. */
+    /** Monotonic time (us) at which a slot permits a start again, {@link Long#MAX_VALUE} if never at this rate. */
     long nextReadyUs(int slot, long nowUs) {
         return bySlot[slot].availableAtUs(nowUs, TokenBucket.UNIT);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
@@ -114,7 +114,7 @@
                 .policy()
                 .filter(policy -> !activePolicy.isBehind() && !zones.isEmpty())
                 .ifPresent(policy -> addControlConnections(policy, all, controlConnections));
-        budget.control(controlConnections);
+        budget.setControlConnections(controlConnections);
     }
 
     /**
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopRig.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopFixture.java
@@ -33,23 +33,29 @@
 import sandpaddle.query.FleetCoordination;
 import sandpaddle.query.Query;
 
-/** The fleet's side of a loop that stands still; quotas hold for good or have lapsed, so no real time matters. */
-final class LoopRig implements Scheduler {
-    static final long FOR_GOOD = Long.MAX_VALUE / 2;
-    static final int SAFE = 0;
-    static final int UNSAFE = 1;
+/**
+ * A {@link LoopCoordinator} whose event loop only runs when the test calls {@link #turn}. Leases never expire or have
+ * expired, so real time does not matter.
+ */
+final class LoopFixture implements Scheduler {
+    static final long NEVER_EXPIRES = Long.MAX_VALUE / 2;
+    static final long MAX_RETRY_AFTER_US = 6_000_000;
+    /** Index of a class whose attempts may run twice. */
+    static final int IDEMPOTENT = 0;
+    /** Index of a class whose attempts must not run twice. */
+    static final int NOT_IDEMPOTENT = 1;
 
-    private static RequestClass cls(Idempotency effect) {
+    private static RequestClass requestClass(Idempotency idempotency) {
         return new RequestClass(
-                1000, 0, 9000, 1, 0, effect, DeduplicationScope.ALL, 0, false, false, 1, false, false, null, null);
+                1000, 0, 9000, 1, 0, idempotency, DeduplicationScope.ALL, 0, false, false, 1, false, false, null, null);
     }
 
-    static final DecisionSettings SITE = new DecisionSettings(
+    static final DecisionSettings DECISION_SETTINGS = new DecisionSettings(
             1,
             0,
             0,
             false,
-            List.of(cls(Idempotency.IDEMPOTENT), cls(Idempotency.NOT_IDEMPOTENT)),
+            List.of(requestClass(Idempotency.IDEMPOTENT), requestClass(Idempotency.NOT_IDEMPOTENT)),
             List.of(new EngineKind(8, 0)),
             List.of(),
             false,
@@ -60,24 +66,24 @@
 
     final Publication<FleetView> views = new Publication<>(FleetView.EMPTY);
     final Publication<SlotUsage> usages = new Publication<>(new SlotUsage(0, 0));
-    final Queue<LoopEvent> heard = new ArrayDeque<>();
+    final Queue<LoopEvent> loopEvents = new ArrayDeque<>();
     final Queue<Runnable> tasks = new ArrayDeque<>();
     final List<Consumer<Optional<Answer>>> lookups = new ArrayList<>();
-    final LoopCoordinator side;
-    int woken;
+    final LoopCoordinator coordinator;
+    int wakeups;
     private final TimerQueue timers = new TimerQueue();
 
-    LoopRig(long forgetUs) {
-        side = new LoopCoordinator(
-                SITE,
+    LoopFixture(long engineForgetUs) {
+        coordinator = new LoopCoordinator(
+                DECISION_SETTINGS,
                 this,
                 new MonotonicClock(),
                 new SharedState(views, usages, new OpenConnections()),
-                new LoopCoordinator.Channels(heard, tasks, () -> woken++),
-                (classIndex, query, inside, then) -> lookups.add(then),
+                new LoopCoordinator.Channels(loopEvents, tasks, () -> wakeups++),
+                (classIndex, query, hasEnginesInZone, callback) -> lookups.add(callback),
                 new PoolBudget(views, new OpenConnections(), new MonotonicClock()::now),
-                forgetUs,
-                6_000_000);
+                engineForgetUs,
+                MAX_RETRY_AFTER_US);
     }
 
     @Override
@@ -92,7 +98,7 @@
 
     @Override
     public void requestTurn() {
-        // the test has the next turn come
+        // the test calls turn()
     }
 
     static Query query(String tenant) {
@@ -105,27 +111,31 @@
     }
 
     static FleetView view(
-            long numbering, long lapse, List<LimitSlot> slots, List<LimitSlot> each, FleetView.SlotQuota... shares) {
+            long numbering,
+            long leaseExpiresUs,
+            List<LimitSlot> slots,
+            List<LimitSlot> perKeySlots,
+            FleetView.SlotQuota... quotas) {
         return new FleetView(
                 numbering,
                 slots,
-                List.of(shares),
-                each,
+                List.of(quotas),
+                perKeySlots,
                 Long.MIN_VALUE,
-                lapse,
+                leaseExpiresUs,
                 List.of(),
                 Map.of(),
                 FleetView.Isolation.NONE);
     }
 
-    /** Publishes, and has a turn pass. */
+    /** Publishes a view and runs one turn of the event loop; returns the events for the decision module. */
     List<Event> turn(FleetView next) {
         views.publish(next);
-        return side.pollEvents();
+        return coordinator.pollEvents();
     }
 
-    void end(int classIndex, String tenant, String engine, AttemptResult result, boolean gone) {
-        side.attemptEnded(new FleetCoordination.EndedAttempt(
-                classIndex, query(tenant), engine, result, Duration.ofMillis(3), null, gone));
+    void end(int classIndex, String tenant, String engine, AttemptResult result, boolean stopped) {
+        coordinator.attemptEnded(new FleetCoordination.EndedAttempt(
+                classIndex, query(tenant), engine, result, Duration.ofMillis(3), null, stopped));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static sandpaddle.fleet.node.loop.LoopRig.FOR_GOOD;
+import static sandpaddle.fleet.node.loop.LoopFixture.NEVER_EXPIRES;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,46 +18,46 @@
 class LoopPartsTest {
     private static final long SECOND = 1_000_000;
 
-    /** Guards memory and the module's numbers against a flood of names: past the bound they count as one. */
+    /** Guards memory and the decision module against clients that send many tenant names. */
     @Test
-    void tenantsPastTheBoundShareOne() {
-        TenantNumbers tenants = new TenantNumbers();
-        assertEquals(TenantNumbers.OTHERS, tenants.countedName(""));
+    void tenantsBeyondBoundCountAsOne() {
+        TenantIndexes tenants = new TenantIndexes();
+        assertEquals(TenantIndexes.OTHERS, tenants.countedName(""));
         assertFalse(tenants.hasGrown());
-        for (int i = 1; i < TenantNumbers.MAX_TENANTS; i++) {
+        for (int i = 1; i < TenantIndexes.MAX_TENANTS; i++) {
             assertEquals("t" + i, tenants.countedName("t" + i));
-            assertEquals(i, tenants.number("t" + i));
+            assertEquals(i, tenants.index("t" + i));
         }
         assertTrue(tenants.hasGrown());
-        for (int i = 0; i < 2 * TenantNumbers.MAX_TENANTS; i++) {
-            assertEquals(TenantNumbers.OTHERS, tenants.countedName("late" + i));
+        for (int i = 0; i < 2 * TenantIndexes.MAX_TENANTS; i++) {
+            assertEquals(TenantIndexes.OTHERS, tenants.countedName("late" + i));
         }
         assertFalse(tenants.hasGrown());
-        assertEquals(0, tenants.number(TenantNumbers.OTHERS));
-        assertEquals(-1, tenants.numberOr("late1"));
-        assertEquals("t7", tenants.countedName("t7"), "who was there keeps its own");
+        assertEquals(0, tenants.index(TenantIndexes.OTHERS));
+        assertEquals(-1, tenants.indexOrMinusOne("late1"));
+        assertEquals("t7", tenants.countedName("t7"), "an earlier tenant keeps its index");
     }
 
-    /** Guards the fleet's messages against names that clients make up: one that no limit can have is not told on. */
+    /** Guards the fleet's messages against tenant names that are not valid in a limit: they are not passed on. */
     @Test
-    void aTenantThatNoLimitCanNameCountsAsOneOfTheOthers() {
-        TenantNumbers tenants = new TenantNumbers();
+    void tenantWithInvalidNameCountsAsOthers() {
+        TenantIndexes tenants = new TenantIndexes();
         for (String name : List.of("a|b", "*", " ", "\u6771".repeat(64), "a\0", "x".repeat(129))) {
-            assertEquals(TenantNumbers.OTHERS, tenants.countedName(name), name);
+            assertEquals(TenantIndexes.OTHERS, tenants.countedName(name), name);
         }
         assertEquals("\u6771".repeat(42), tenants.countedName("\u6771".repeat(42)));
     }
 
-    private static FleetView rates(long numbering, LimitSlot.Counts counts, FleetView.SlotQuota... shares) {
+    private static FleetView rates(long numbering, LimitSlot.Counts counts, FleetView.SlotQuota... quotas) {
         List<LimitSlot> slots = new ArrayList<>();
-        for (int i = 0; i < shares.length; i++) {
+        for (int i = 0; i < quotas.length; i++) {
             slots.add(new LimitSlot("r" + i, "", -1, null, null, counts));
         }
-        return LoopRig.view(numbering, FOR_GOOD, slots, List.of(), shares);
+        return LoopFixture.view(numbering, NEVER_EXPIRES, slots, List.of(), quotas);
     }
 
     @Test
-    void aStartTakesFromAllItsBucketsOrNone() {
+    void startTakesFromAllBucketsOrNone() {
         RateBuckets buckets = new RateBuckets();
         FleetView view = rates(
                 1,
@@ -65,49 +65,51 @@
                 new FleetView.SlotQuota(2000, 0, 3000),
                 new FleetView.SlotQuota(1000, 0, 2000));
         buckets.adoptView(view, 0);
-        assertFalse(buckets.tryTake(view, new int[] {0, 1}, 0, 0), "they start empty");
+        assertFalse(buckets.tryTake(view, new int[] {0, 1}, 0, 0), "buckets start empty");
         assertEquals(SECOND / 2, buckets.nextReadyUs(0, 0));
-        assertFalse(buckets.tryTake(view, new int[] {0, 1}, 0, SECOND / 2), "the second has half of one");
-        assertEquals(1, buckets.starts(0, SECOND / 2), "nothing was taken of the first");
+        assertFalse(buckets.tryTake(view, new int[] {0, 1}, 0, SECOND / 2), "the second bucket has half a token");
+        assertEquals(1, buckets.starts(0, SECOND / 2), "nothing was taken from the first bucket");
         assertTrue(buckets.tryTake(view, new int[] {0, 1}, 0, SECOND));
         assertEquals(1, buckets.starts(0, SECOND));
         assertEquals(0, buckets.starts(1, SECOND));
-        assertEquals(3, buckets.starts(0, 9 * SECOND), "no more than its burst is saved up");
+        assertEquals(3, buckets.starts(0, 9 * SECOND), "holds its burst at most");
     }
 
-    /** Guards the rate against new numberings, which come with each engine: none gives a second burst. */
+    /** Guards the rate limit against a second burst after a renumbering of the slots, which each new engine causes. */
     @Test
-    void whatWasSavedUpOutlivesANewNumbering() {
+    void bucketKeepsTokensAfterRenumbering() {
         RateBuckets buckets = new RateBuckets();
         FleetView view = rates(1, LimitSlot.Counts.STARTS, new FleetView.SlotQuota(1000, 500, 4000));
         buckets.adoptView(view, 0);
         buckets.adoptView(rates(2, LimitSlot.Counts.STARTS, new FleetView.SlotQuota(1000, 500, 4000)), 2 * SECOND);
         assertEquals(2, buckets.starts(0, 2 * SECOND));
         buckets.adoptView(rates(3, LimitSlot.Counts.STARTS, new FleetView.SlotQuota(1000, 500, 2000)), 3 * SECOND);
-        assertEquals(0, buckets.starts(0, 3 * SECOND), "another burst: a bucket that starts empty");
+        assertEquals(0, buckets.starts(0, 3 * SECOND), "a changed burst makes a new, empty bucket");
         assertFalse(buckets.isEmpty());
         buckets.adoptView(FleetView.EMPTY, 3 * SECOND);
         assertTrue(buckets.isEmpty());
     }
 
     @Test
-    void workIsPaidByItsLengthUpToWhatABucketHolds() {
+    void workCostsItsEstimateUpToBurst() {
         RateBuckets buckets = new RateBuckets();
         FleetView view =
-                rates(1, LimitSlot.Counts.WORK, new FleetView.SlotQuota(100_000, 0, 50_000)); // 100 ms a second
+                rates(1, LimitSlot.Counts.WORK, new FleetView.SlotQuota(100_000, 0, 50_000)); // 100 ms per second
         buckets.adoptView(view, 0);
-        assertFalse(buckets.tryTake(view, new int[] {0}, 40, SECOND / 10), "10 ms are there");
+        assertFalse(buckets.tryTake(view, new int[] {0}, 40, SECOND / 10), "10 ms are available");
         assertTrue(buckets.tryTake(view, new int[] {0}, 40, 4 * SECOND / 10));
-        assertFalse(buckets.tryTake(view, new int[] {0}, 0, 4 * SECOND / 10), "work not told costs something");
-        assertTrue(buckets.tryTake(view, new int[] {0}, 5000, 9 * SECOND / 10), "more than it holds: when it is full");
+        assertFalse(buckets.tryTake(view, new int[] {0}, 0, 4 * SECOND / 10), "work of unknown length costs 1 ms");
+        assertTrue(
+                buckets.tryTake(view, new int[] {0}, 5000, 9 * SECOND / 10),
+                "work above the burst is admitted by a full bucket");
     }
 
     @Test
-    void whatLingersCountsUntilItIsForgotten() {
-        Publication<FleetView> views = new Publication<>(LoopRig.view(
+    void orphanedAttemptsCountUntilReleased() {
+        Publication<FleetView> views = new Publication<>(LoopFixture.view(
                 1,
-                FOR_GOOD,
-                List.of(LoopRig.running("e", -1, null, "e"), LoopRig.running("t", 1, "t", null)),
+                NEVER_EXPIRES,
+                List.of(LoopFixture.running("e", -1, null, "e"), LoopFixture.running("t", 1, "t", null)),
                 List.of(),
                 new FleetView.SlotQuota(9, 9, 0),
                 new FleetView.SlotQuota(9, 9, 0)));
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolBudgetTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolBudgetTest.java
@@ -13,11 +13,11 @@
 import sandpaddle.fleet.view.OpenConnections;
 import sandpaddle.fleet.view.Publication;
 
-/** How many connections may be open by the slots of one view. */
+/** {@link PoolBudget} with one limit for an engine and one for its kind. */
 class PoolBudgetTest {
-    private static final LimitSlot ENGINE =
+    private static final LimitSlot ENGINE_SLOT =
             new LimitSlot("pool/engine/a", "*", -1, null, "a", LimitSlot.Counts.CONNECTIONS);
-    private static final LimitSlot KIND = new LimitSlot(
+    private static final LimitSlot TENANT_SLOT = new LimitSlot(
             "pool/kind/k",
             "t",
             -1,
@@ -25,7 +25,7 @@
             null,
             LimitSlot.Counts.CONNECTIONS,
             new LimitSlot.PoolScope(Set.of("a", "b"), null));
-    private static final LimitSlot REST = new LimitSlot(
+    private static final LimitSlot OTHER_TENANTS_SLOT = new LimitSlot(
             "pool/kind/k",
             "default",
             -1,
@@ -37,11 +37,11 @@
     private final Publication<FleetView> views = new Publication<>(FleetView.EMPTY);
     private final PoolBudget budget = new PoolBudget(views, new OpenConnections(), () -> 0);
 
-    private void allows(long engine, long tenant, long rest) {
+    private void publishQuotas(long engine, long tenant, long otherTenants) {
         views.publish(new FleetView(
                 1,
-                List.of(ENGINE, KIND, REST),
-                List.of(share(engine), share(tenant), share(rest)),
+                List.of(ENGINE_SLOT, TENANT_SLOT, OTHER_TENANTS_SLOT),
+                List.of(quota(engine), quota(tenant), quota(otherTenants)),
                 List.of(),
                 0,
                 Long.MAX_VALUE,
@@ -50,13 +50,13 @@
                 FleetView.Isolation.NONE));
     }
 
-    private static FleetView.SlotQuota share(long n) {
-        return new FleetView.SlotQuota(n, 0, 0);
+    private static FleetView.SlotQuota quota(long ceiling) {
+        return new FleetView.SlotQuota(ceiling, 0, 0);
     }
 
     @Test
-    void anEngineHasItsOwnBound() {
-        allows(1, 5, 5);
+    void engineLimitBoundsItsConnections() {
+        publishQuotas(1, 5, 5);
         assertTrue(budget.tryAcquire("a", false));
         assertFalse(budget.tryAcquire("a", false));
         assertTrue(budget.tryAcquire("b", false));
@@ -65,22 +65,22 @@
     }
 
     @Test
-    void allSlotsOfAKindBoundItsEnginesInSum() {
-        allows(9, 1, 1);
+    void sumOfKindSlotsBoundsAllEnginesOfKind() {
+        publishQuotas(9, 1, 1);
         assertTrue(budget.tryAcquire("a", false) && budget.tryAcquire("b", false));
         assertFalse(budget.tryAcquire("b", false));
         assertTrue(budget.tryAcquire("elsewhere", false), "no limit covers it");
-        allows(9, 1, 0);
+        publishQuotas(9, 1, 0);
         assertTrue(budget.isExceeded("a") && budget.isExceeded("b"));
         budget.release("b");
         assertFalse(budget.isExceeded("a"));
     }
 
-    /** Guards withdrawals: their part is not taken by attempts. */
+    /** Guards withdrawals: attempts must not use the connections reserved for control calls. */
     @Test
-    void controlCallsHaveAPartOfTheirOwn() {
-        allows(1, 5, 5);
-        budget.control(Map.of("a", 1));
+    void controlCallsHaveReservedConnections() {
+        publishQuotas(1, 5, 5);
+        budget.setControlConnections(Map.of("a", 1));
         assertTrue(budget.tryAcquire("a", false));
         assertFalse(budget.tryAcquire("a", false));
         assertTrue(budget.tryAcquire("a", true));
