--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
@@ -12,55 +12,66 @@
 import sandpaddle.fleet.pool.model.Policy;
 
 /**
- * The pool policy in force. One that cannot be read here is logged once, and the one before stays active, restricted to
- * floors.
+ * The pool policy in force. If this version of the program cannot read it, that is logged once and the previous policy
+ * stays active, restricted to floors. Owned by the fleet's thread.
  */
 public final class ActivePoolPolicy {
     private ActivePolicy activePolicy = new ActivePolicy();
     private String text = "";
     private long version;
 
-    /** What rules now; whether another policy does. */
-    public boolean agreed(FleetConfig agreed) {
-        if (agreed.version() <= version) {
+    /**
+     * Applies the configuration in force, unless its version is not newer than the one applied last.
+     *
+     * @param config the configuration
+     * @return whether its pool policy is another one than before
+     */
+    public boolean applyConfig(FleetConfig config) {
+        if (config.version() <= version) {
             return false;
         }
-        version = agreed.version();
-        if (agreed.poolPolicy().equals(text)) {
+        version = config.version();
+        if (config.poolPolicy().equals(text)) {
             return false;
         }
-        text = agreed.poolPolicy();
+        text = config.poolPolicy();
         if (text.isEmpty()) {
             activePolicy = new ActivePolicy();
-            Logger.info("fleet: version {} has no pool policy", version);
+            Logger.info("fleet: configuration version {} has no pool policy", version);
             return true;
         }
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
         activePolicy.read(check);
         activePolicy.agreed(new PolicyVersion(version, check.version()));
         if (activePolicy.standing() == Status.APPLIES) {
-            Policy p = activePolicy.policy().orElseThrow();
-            Logger.info("fleet: pool policy \"{}\" {} rules with version {}", p.name(), p.version(), version);
-            UnsupportedStatements.notes(p).forEach(note -> Logger.warn("fleet: pool policy, {}", note));
+            Policy policy = activePolicy.policy().orElseThrow();
+            Logger.info(
+                    "fleet: pool policy \"{}\" version {} is in force with configuration version {}",
+                    policy.name(),
+                    policy.version(),
+                    version);
+            UnsupportedStatements.warnings(policy).forEach(warning -> Logger.warn("fleet: pool policy, {}", warning));
         } else {
             Logger.error(
-                    "fleet: the pool policy of version {} cannot be read here, {}; floors hold: {}",
+                    "fleet: pool policy of configuration version {} cannot be read, {}; restricted to floors: {}",
                     version,
                     activePolicy
                             .applied()
-                            .map(v -> "that of version " + v.epoch() + " goes on")
-                            .orElse("there is none before"),
+                            .map(applied -> "that of version " + applied.epoch() + " stays active")
+                            .orElse("no earlier policy is known"),
                     check.errors().stream().findFirst().map(Object::toString).orElse(""));
         }
         return true;
     }
 
-    /** Whether no more than floors may be used here, since the fleet divides by what this gateway cannot read. */
-    public boolean isBehind() {
+    /**
+     * Whether this gateway may use floors only, since it cannot read the policy by which the fleet divides budgets.
+     */
+    public boolean isRestrictedToFloors() {
         return activePolicy.standing() == Status.UNREADABLE || activePolicy.standing() == Status.MISSING;
     }
 
-    /** The policy to go by; empty: none. */
+    /** The policy to apply, empty if there is none. */
     public Optional<Policy> policy() {
         return activePolicy.policy();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -25,152 +25,173 @@
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
 /**
- * The leader's part in dividing pools: makes each budget of the active policy a limit of the fleet, and computes the
- * target of each slot. It solves every {@value #EVERY_US} us at most, and only where demand, engines, gateways, the
- * policy or the fleet's state changed. Targets are only wishes: that a budget is never exceeded is enforced by the
- * quota table.
+ * Divides the budgets of the pool policy while this gateway is the leader: makes each budget a limit of the fleet, and
+ * computes the target of each slot. It solves at most every {@value #MIN_SOLVE_INTERVAL_US} us after a change of
+ * demand, engines, gateways or the policy, otherwise every {@value #MAX_SOLVE_INTERVAL_US} us. Targets are not binding:
+ * the quota table enforces that no budget is exceeded. Owned by the fleet's thread.
  */
 public final class PoolAllocator implements TargetPolicy {
-    static final long EVERY_US = 200_000;
-    private static final long AGAIN_US = 1_000_000; // conditions such as the time of day change without a sign
-    private static final int SPARE_PART = 4;
-    private static final double FADED = 0.25; // what evening out leaves of a demand that is over takes no connection
+    static final long MIN_SOLVE_INTERVAL_US = 200_000;
+    /** Upper bound of the interval, since conditions such as the time of day change without an event. */
+    private static final long MAX_SOLVE_INTERVAL_US = 1_000_000;
 
-    /** What the leader knows besides demand; {@code zones}: of the gateways that take part, by name. */
-    public record Known(Optional<Policy> policy, List<PoolEngine> engines, Map<String, String> zones) {
-        public static final Known NOTHING = new Known(Optional.empty(), List.of(), Map.of());
+    private static final int HEADROOM_DIVISOR = 4; // headroom is a quarter of the demand
+    /** Smoothing leaves a rest of a demand that has ended; a rest up to this many connections gets no connection. */
+    private static final double NEGLIGIBLE_DEMAND = 0.25;
+
+    /**
+     * The inputs besides demand.
+     *
+     * @param policy the active policy, empty if there is none
+     * @param engines engines that budgets apply to
+     * @param zones zones of the gateways that take part, by name
+     */
+    public record Input(Optional<Policy> policy, List<PoolEngine> engines, Map<String, String> zones) {
+        /** No policy, engines or members. */
+        public static final Input NONE = new Input(Optional.empty(), List.of(), Map.of());
     }
 
-    private final Map<String, Map<SlotName, Integer>> demands = new TreeMap<>(); // by the limit of a kind
-    private final Map<String, Long> amounts = new HashMap<>(); // what each budget left for tenants last
-    private Known known = Known.NOTHING;
-    private Allocation allotment;
+    private final Map<String, Map<SlotName, Integer>> demands = new TreeMap<>(); // by id of the kind's limit
+    private final Map<String, Long> capacities = new HashMap<>(); // for tenants, after reserves, by limit id
+    private Input input = Input.NONE;
+    private Allocation allocation; // null until the active policy was solved
     private PoolTargets targets = PoolTargets.NONE;
-    private boolean changed;
-    private boolean isCut;
-    private long solvedAt = Long.MIN_VALUE / 2;
+    private boolean isInputChanged;
+    private boolean isTruncated; // the table has no room for all limits of the policy
+    private long lastSolveUs = Long.MIN_VALUE / 2;
 
-    /** What is known from here on. */
-    public void known(Known next) {
-        if (!next.equals(known)) {
-            if (!next.policy().equals(known.policy())) {
-                allotment = null;
-                amounts.clear();
+    /** Sets the inputs. A change of the policy discards the allocation. */
+    public void setInput(Input next) {
+        if (!next.equals(input)) {
+            if (!next.policy().equals(input.policy())) {
+                allocation = null;
+                capacities.clear();
             }
-            known = next;
+            input = next;
             demands.keySet()
-                    .removeIf(l -> next.engines().stream().noneMatch(e -> l.equals(PoolLimitIds.KIND + e.kind())));
-            changed = true;
+                    .removeIf(limit -> next.engines().stream()
+                            .noneMatch(engine -> limit.equals(PoolLimitIds.KIND + engine.kind())));
+            isInputChanged = true;
         }
     }
 
-    /** Solves anew where it is due; whether the targets may be others now. */
+    /**
+     * Solves if the interval has passed.
+     *
+     * @param nowUs monotonic time (us)
+     * @param state the state by which conditions of the policy are evaluated
+     * @return whether the targets may have changed
+     */
     public boolean solve(long nowUs, FleetState state) {
-        long since = nowUs - solvedAt;
-        if (known.policy().isEmpty() || known.engines().isEmpty() || since < (changed ? EVERY_US : AGAIN_US)) {
+        long elapsedUs = nowUs - lastSolveUs;
+        if (input.policy().isEmpty()
+                || input.engines().isEmpty()
+                || elapsedUs < (isInputChanged ? MIN_SOLVE_INTERVAL_US : MAX_SOLVE_INTERVAL_US)) {
             return false;
         }
-        changed = false;
-        solvedAt = nowUs;
+        isInputChanged = false;
+        lastSolveUs = nowUs;
         try {
             Allocation next = PoolSolver.solve(
-                    known.policy().get(), solverInput(state), allotment == null ? Allocation.NONE : allotment);
-            boolean other = allotment == null
-                    || !next.rows().equals(allotment.rows())
-                    || !next.cells().equals(allotment.cells())
-                    || !next.budgets().equals(allotment.budgets());
-            if (other && (allotment == null || !next.unmet().equals(allotment.unmet()))) {
+                    input.policy().get(), solverInput(state), allocation == null ? Allocation.NONE : allocation);
+            boolean isDifferent = allocation == null
+                    || !next.rows().equals(allocation.rows())
+                    || !next.cells().equals(allocation.cells())
+                    || !next.budgets().equals(allocation.budgets());
+            if (isDifferent && (allocation == null || !next.unmet().equals(allocation.unmet()))) {
                 next.unmet()
-                        .forEach(u -> Logger.warn(
-                                "fleet: pool policy, line {}: floor of {}: {} asked for, {} kept",
-                                u.line(),
-                                u.of(),
-                                u.asked(),
-                                u.got()));
+                        .forEach(unmet -> Logger.warn(
+                                "fleet: pool policy, line {}: floor of {}: {} connections requested, {} kept",
+                                unmet.line(),
+                                unmet.of(),
+                                unmet.asked(),
+                                unmet.got()));
             }
-            allotment = next;
+            allocation = next;
             next.budgets()
-                    .forEach(room -> amounts.put(
-                            room.limit().id(), (long) room.capacity().left()));
-            targets = new PoolTargets(next, known.engines());
-            return other;
+                    .forEach(budget -> capacities.put(
+                            budget.limit().id(), (long) budget.capacity().left()));
+            targets = new PoolTargets(next, input.engines());
+            return isDifferent;
         } catch (IllegalArgumentException e) {
-            Logger.error("fleet: pools stay divided as they are: {}", e.getMessage());
+            Logger.error("fleet: pool budgets cannot be divided, the last allocation stays: {}", e.getMessage());
             return false;
         }
     }
 
     private SolverInput solverInput(FleetState state) {
         List<SolverInput.Gateway> gateways = new ArrayList<>();
-        known.zones().forEach((name, zone) -> gateways.add(new SolverInput.Gateway(name, zone)));
-        List<SolverInput.Engine> engines = known.engines().stream()
+        input.zones().forEach((name, zone) -> gateways.add(new SolverInput.Gateway(name, zone)));
+        List<SolverInput.Engine> engines = input.engines().stream()
                 .filter(PoolEngine::up)
-                .map(e -> new SolverInput.Engine(e.name(), e.kind(), false))
+                .map(engine -> new SolverInput.Engine(engine.name(), engine.kind(), false))
                 .toList();
-        boolean spare = hasSpare();
+        boolean hasHeadroom = hasHeadroom();
         List<SolverInput.Demand> all = new ArrayList<>();
-        demands.forEach((limit, of) -> of.forEach((slot, n) -> {
-            if (known.zones().containsKey(slot.member()) && all.size() < SolverInput.MAX_DEMANDS) {
+        demands.forEach((limit, demandBySlot) -> demandBySlot.forEach((slot, demand) -> {
+            if (input.zones().containsKey(slot.member()) && all.size() < SolverInput.MAX_DEMANDS) {
                 all.add(new SolverInput.Demand(
                         slot.tenant(),
                         "",
                         slot.member(),
                         limit.substring(PoolLimitIds.KIND.length()),
-                        Math.min(SolverInput.MAX_CONNECTIONS, spare ? n + more(n) : n)));
+                        Math.min(SolverInput.MAX_CONNECTIONS, hasHeadroom ? demand + headroom(demand) : demand)));
             }
         }));
         return new SolverInput(state, gateways, engines, all);
     }
 
-    /** So that the next query needs no new quota: one more, or a quarter. */
-    private static int more(int demand) {
-        return Math.max(1, demand / SPARE_PART);
+    /** Connections beyond the demand, so that the next query need not wait for a grant: a quarter, at least one. */
+    private static int headroom(int demand) {
+        return Math.max(1, demand / HEADROOM_DIVISOR);
     }
 
-    /** Whether every budget could carry that for all. */
-    private boolean hasSpare() {
-        long fleet = 0;
-        for (Map.Entry<String, Map<SlotName, Integer>> e : demands.entrySet()) {
-            long kind = e.getValue().values().stream()
-                    .mapToLong(n -> (long) n + more(n))
+    /** Whether every budget has room for the headroom of all slots. */
+    private boolean hasHeadroom() {
+        long fleetDemand = 0;
+        for (Map.Entry<String, Map<SlotName, Integer>> entry : demands.entrySet()) {
+            long kindDemand = entry.getValue().values().stream()
+                    .mapToLong(demand -> (long) demand + headroom(demand))
                     .sum();
-            fleet += kind;
-            if (kind > amounts.getOrDefault(e.getKey(), Long.MAX_VALUE)) {
+            fleetDemand += kindDemand;
+            if (kindDemand > capacities.getOrDefault(entry.getKey(), Long.MAX_VALUE)) {
                 return false;
             }
         }
-        return fleet <= amounts.getOrDefault(Limit.FLEET.id(), Long.MAX_VALUE);
+        return fleetDemand <= capacities.getOrDefault(Limit.FLEET.id(), Long.MAX_VALUE);
     }
 
     /**
-     * The limits of the policy as they should stand in the table. An amount is never below the floors that gateways
-     * hold: these come down first, since whoever is cut off uses them.
+     * The limits of the policy that the quota table should have. An amount is never below the sum of the floors that
+     * gateways hold: floors must be lowered first, since a partitioned gateway uses its own.
+     *
+     * @param table the quota table
+     * @param otherLimits number of limits that do not come from the policy
      */
-    public List<LimitSpec> limits(QuotaTable table, int others) {
-        if (known.policy().isPresent() && (known.engines().isEmpty() || allotment == null)) {
+    public List<LimitSpec> limits(QuotaTable table, int otherLimits) {
+        if (input.policy().isPresent() && (input.engines().isEmpty() || allocation == null)) {
             return table.specs().values().stream()
-                    .filter(s -> PoolLimitIds.isPool(s.id()))
+                    .filter(spec -> PoolLimitIds.isPool(spec.id()))
                     .toList();
         }
         List<LimitSpec> specs = new ArrayList<>();
-        int room = Math.max(0, LimitCommandCodec.MAX_LIMITS - others);
-        List<String> ids = known.policy().isEmpty()
+        int maxLimits = Math.max(0, LimitCommandCodec.MAX_LIMITS - otherLimits);
+        List<String> ids = input.policy().isEmpty()
                 ? List.of()
-                : PoolLimitIds.of(known.policy().get(), known.engines()).stream()
+                : PoolLimitIds.of(input.policy().get(), input.engines()).stream()
                         .sorted((a, b) ->
                                 Boolean.compare(a.startsWith(PoolLimitIds.ENGINE), b.startsWith(PoolLimitIds.ENGINE)))
                         .toList();
-        if (ids.size() > room && !isCut) {
+        if (ids.size() > maxLimits && !isTruncated) {
             Logger.error(
-                    "fleet: {} budgets of engines, kinds and the fleet, {} limits at most; nothing may run at the "
-                            + "engines past that",
+                    "fleet: pool policy needs {} limits, {} are allowed; engines without their limit run no queries",
                     ids.size(),
-                    room);
+                    maxLimits);
         }
-        isCut = ids.size() > room;
-        for (String id : ids.subList(0, Math.min(room, ids.size()))) {
+        isTruncated = ids.size() > maxLimits;
+        for (String id : ids.subList(0, Math.min(maxLimits, ids.size()))) {
             LimitRow row = table.limits().get(id);
-            long amount = amounts.getOrDefault(id, (long) SolverInput.MAX_CONNECTIONS);
+            long amount = capacities.getOrDefault(id, (long) SolverInput.MAX_CONNECTIONS);
             specs.add(new LimitSpec(
                     id,
                     LimitScope.WHOLE_FLEET,
@@ -187,25 +208,26 @@
     }
 
     @Override
-    public List<Target> targets(long nowUs, LimitSpec limit, long amount, List<SlotDemand> claims) {
+    public List<Target> targets(long nowUs, LimitSpec limit, long amount, List<SlotDemand> slotDemands) {
         if (limit.id().startsWith(PoolLimitIds.KIND)) {
-            Map<SlotName, Integer> asked = new TreeMap<>();
-            claims.forEach(c ->
-                    asked.put(c.slot(), (int) Math.min(SolverInput.MAX_CONNECTIONS, Math.ceil(c.demand() - FADED))));
-            changed |= !asked.equals(demands.put(limit.id(), asked));
+            Map<SlotName, Integer> demandBySlot = new TreeMap<>();
+            slotDemands.forEach(slotDemand -> demandBySlot.put(slotDemand.slot(), (int)
+                    Math.min(SolverInput.MAX_CONNECTIONS, Math.ceil(slotDemand.demand() - NEGLIGIBLE_DEMAND))));
+            isInputChanged |= !demandBySlot.equals(demands.put(limit.id(), demandBySlot));
         }
-        List<Target> wish = new ArrayList<>(claims.size());
+        List<Target> result = new ArrayList<>(slotDemands.size());
         double sum = 0;
-        for (SlotDemand claim : claims) {
-            Target target = targets.of(limit.id(), claim.slot());
+        for (SlotDemand slotDemand : slotDemands) {
+            Target target = targets.target(limit.id(), slotDemand.slot());
             sum += target.share();
-            wish.add(target);
+            result.add(target);
         }
-        long max = Math.min(amount, amounts.getOrDefault(limit.id(), Long.MAX_VALUE));
-        if (sum > max) { // gateways that are not heard hold some of it
-            double part = max / sum;
-            wish.replaceAll(t -> new Target(t.share() * part, (long) Math.min(t.floor(), t.share() * part)));
+        long available = Math.min(amount, capacities.getOrDefault(limit.id(), Long.MAX_VALUE));
+        if (sum > available) { // gateways that are not alive hold the rest
+            double factor = available / sum;
+            result.replaceAll(target ->
+                    new Target(target.share() * factor, (long) Math.min(target.floor(), target.share() * factor)));
         }
-        return wish;
+        return result;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolSlots.java
@@ -14,75 +14,85 @@
 import sandpaddle.fleet.view.LimitSlot;
 
 /**
- * This gateway's slots in the limits of a policy: one for each tenant that it has met in those of kinds and the
- * fleet, one for all of them in an engine's. Made anew only where policy, engines, tenants or limits changed. Bounded
- * by {@link #MAX_SLOTS} of them, past which tenants share the one for those that are not named.
+ * This gateway's slots in the limits of a pool policy. In the limits of the fleet and of kinds it has one for each
+ * tenant that the policy names and that sent a query here, and one for all other tenants; in the limit of an engine it
+ * has one for all tenants. The slots are created anew only after a change of the policy, engines, tenants or limits.
+ * Bounded by {@link #MAX_SLOTS}; tenants beyond it share the slot of the others. Owned by the fleet's thread.
  */
 public final class PoolSlots {
     static final int MAX_SLOTS = 16_384;
-    /** What an attempt must have a slot of as soon as any policy divides. */
-    public static final LimitSlot NEEDED =
+
+    /** Per-key limit of a view with a pool policy: no attempt may run on an engine without a slot in a kind's limit. */
+    public static final LimitSlot REQUIRED =
             new LimitSlot(PoolLimitIds.KIND, "", -1, null, LimitSlot.EACH, LimitSlot.Counts.CONNECTIONS);
 
     private Optional<Policy> policy = Optional.empty();
     private List<PoolEngine> engines = List.of();
-    private final Set<String> met = new TreeSet<>(Set.of(Policy.DEFAULT_TENANT));
-    private Set<String> given = Set.of();
-    private Map<String, List<LimitSlot>> slots;
+    private final Set<String> tenants = new TreeSet<>(Set.of(Policy.DEFAULT_TENANT));
+    private Set<String> poolIdsInForce = Set.of(); // limits in force that come from a policy
+    private Map<String, List<LimitSlot>> slots; // null until created after a change
 
-    public void policy(Optional<Policy> next) {
+    /** Sets the active policy, empty if there is none. */
+    public void setPolicy(Optional<Policy> next) {
         policy = next;
         slots = null;
     }
 
-    public void engines(List<PoolEngine> next) {
+    /** Sets the engines that budgets apply to. */
+    public void setEngines(List<PoolEngine> next) {
         if (!next.equals(engines)) {
             engines = List.copyOf(next);
             slots = null;
         }
     }
 
-    public void met(String tenant) {
-        if (met.size() < MAX_SLOTS && met.add(tenant)) {
+    /** Adds a tenant that sent a query to this gateway. */
+    public void addTenant(String tenant) {
+        if (tenants.size() < MAX_SLOTS && tenants.add(tenant)) {
             slots = null;
         }
     }
 
-    /** By limit; {@code limits}: the ids of all limits that the leader has told. None where no policy divides. */
-    public Map<String, List<LimitSlot>> of(Collection<String> limits) {
-        Set<String> pools = new TreeSet<>();
-        limits.stream().filter(PoolLimitIds::isPool).forEach(pools::add);
-        if (slots == null || !pools.equals(given)) {
-            given = pools;
-            slots = make();
+    /**
+     * The slots of each limit of the policy by limit id; empty if there is no such limit.
+     *
+     * @param limitIds ids of the limits in force
+     */
+    public Map<String, List<LimitSlot>> byLimit(Collection<String> limitIds) {
+        Set<String> poolIds = new TreeSet<>();
+        limitIds.stream().filter(PoolLimitIds::isPool).forEach(poolIds::add);
+        if (slots == null || !poolIds.equals(poolIdsInForce)) {
+            poolIdsInForce = poolIds;
+            slots = createSlots();
         }
         return slots;
     }
 
-    private Map<String, List<LimitSlot>> make() {
-        Set<String> ids = new TreeSet<>(given);
-        policy.ifPresent(p -> ids.addAll(PoolLimitIds.of(p, engines)));
-        Map<String, Set<String>> kinds = new TreeMap<>();
-        Set<String> names = new TreeSet<>();
-        for (PoolEngine e : engines) {
-            names.add(PoolLimitIds.ENGINE + e.name());
-            kinds.computeIfAbsent(PoolLimitIds.KIND + e.kind(), k -> new TreeSet<>())
-                    .add(e.name());
+    private Map<String, List<LimitSlot>> createSlots() {
+        Set<String> ids = new TreeSet<>(poolIdsInForce);
+        policy.ifPresent(active -> ids.addAll(PoolLimitIds.of(active, engines)));
+        Map<String, Set<String>> enginesByKindLimit = new TreeMap<>();
+        Set<String> engineLimitIds = new TreeSet<>();
+        for (PoolEngine engine : engines) {
+            engineLimitIds.add(PoolLimitIds.ENGINE + engine.name());
+            enginesByKindLimit
+                    .computeIfAbsent(PoolLimitIds.KIND + engine.kind(), kind -> new TreeSet<>())
+                    .add(engine.name());
         }
-        Set<String> named = policy.map(Policy::tenants).orElse(Set.of());
-        Set<String> counted = new TreeSet<>();
-        int shared = (int)
+        Set<String> policyTenants = policy.map(Policy::tenants).orElse(Set.of());
+        Set<String> slotTenants = new TreeSet<>();
+        int tenantLimitCount = (int)
                 ids.stream().filter(id -> !id.startsWith(PoolLimitIds.ENGINE)).count();
-        for (String tenant : met) {
-            if ((counted.size() + 1L) * shared <= MAX_SLOTS && named.contains(tenant)) {
-                counted.add(tenant);
+        for (String tenant : tenants) {
+            if ((slotTenants.size() + 1L) * tenantLimitCount <= MAX_SLOTS && policyTenants.contains(tenant)) {
+                slotTenants.add(tenant);
             }
         }
-        Set<String> others = Set.copyOf(counted);
-        Map<String, List<LimitSlot>> made = new LinkedHashMap<>();
+        Set<String> excluded = Set.copyOf(slotTenants);
+        Map<String, List<LimitSlot>> created = new LinkedHashMap<>();
         for (String id : ids) {
-            if (names.contains(id)) {
-                made.put(
+            if (engineLimitIds.contains(id)) {
+                created.put(
                         id,
                         List.of(new LimitSlot(
                                 id,
@@ -91,32 +101,33 @@
                                 null,
                                 id.substring(PoolLimitIds.ENGINE.length()),
                                 LimitSlot.Counts.CONNECTIONS)));
-            } else if (id.equals(Limit.FLEET.id()) || kinds.containsKey(id)) {
-                Set<String> of = kinds.containsKey(id) ? Set.copyOf(kinds.get(id)) : null;
-                List<LimitSlot> parts = new ArrayList<>();
-                for (String tenant : counted) {
-                    parts.add(new LimitSlot(
+            } else if (id.equals(Limit.FLEET.id()) || enginesByKindLimit.containsKey(id)) {
+                Set<String> covered =
+                        enginesByKindLimit.containsKey(id) ? Set.copyOf(enginesByKindLimit.get(id)) : null;
+                List<LimitSlot> limitSlots = new ArrayList<>();
+                for (String tenant : slotTenants) {
+                    limitSlots.add(new LimitSlot(
                             id,
                             tenant,
                             -1,
                             tenant,
                             null,
                             LimitSlot.Counts.CONNECTIONS,
-                            new LimitSlot.PoolScope(of, null)));
+                            new LimitSlot.PoolScope(covered, null)));
                 }
-                parts.add(new LimitSlot(
+                limitSlots.add(new LimitSlot(
                         id,
                         Policy.DEFAULT_TENANT,
                         -1,
                         null,
                         null,
                         LimitSlot.Counts.CONNECTIONS,
-                        new LimitSlot.PoolScope(of, others)));
-                made.put(id, List.copyOf(parts));
+                        new LimitSlot.PoolScope(covered, excluded)));
+                created.put(id, List.copyOf(limitSlots));
             } else {
-                made.put(id, List.of()); // nothing here counts in it, such as an engine that is not listed here
+                created.put(id, List.of()); // counts nothing here, such as an engine that is not listed here
             }
         }
-        return made;
+        return created;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolTargets.java
@@ -10,60 +10,70 @@
 import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.Limit;
 
-/** What one allotment means for every slot. Cost O(rows + cells); as many entries at most. */
+/** The target of every slot in one allocation. Time and memory are O(rows + cells) of the allocation. */
 final class PoolTargets {
-    private static final Target NOTHING = new Target(0, 0);
+    private static final Target ZERO = new Target(0, 0);
 
+    /** Sums over rows of the allocation. */
     private static final class Sum {
         private long connections;
         private long floor;
-        private long passed; // of the connections, on engines before
-        private long given; // of the floor, on engines before
+        private long assignedConnections; // part of the connections already divided among engines
+        private long assignedFloor; // part of the floor already divided among engines
 
-        Target target() {
+        Target toTarget() {
             return new Target(connections, Math.min(floor, connections));
         }
     }
 
-    private final Map<String, Map<SlotName, Sum>> shared = new HashMap<>(); // fleet and kinds, by tenant
-    private final Map<String, Map<SlotName, Target>> single = new HashMap<>();
-    private final Map<String, Map<String, Sum>> byKind = new HashMap<>(); // by gateway
-    private final Map<String, String> kindOf = new HashMap<>();
+    private final Map<String, Map<SlotName, Sum>> byTenant = new HashMap<>(); // limits of the fleet and of kinds
+    private final Map<String, Map<SlotName, Target>> byEngine = new HashMap<>(); // limits of engines
+    private final Map<String, Map<String, Sum>> byGateway = new HashMap<>(); // by kind and gateway
+    private final Map<String, String> unboundedKindOf = new HashMap<>(); // engines without a budget now
 
+    /** No targets: every slot has a target of 0. */
     static final PoolTargets NONE = new PoolTargets();
 
     private PoolTargets() {}
 
-    PoolTargets(Allocation allotment, Iterable<PoolEngine> engines) {
-        for (Allocation.Row row : allotment.rows()) {
+    /**
+     * Computes the targets. The floor that a gateway has at a kind is divided among the engines of the kind in
+     * proportion to its connections there.
+     */
+    PoolTargets(Allocation allocation, Iterable<PoolEngine> engines) {
+        for (Allocation.Row row : allocation.rows()) {
             SlotName slot = new SlotName(row.gateway(), row.tenant());
             add(
-                    shared.computeIfAbsent(Limit.FLEET.id(), l -> new HashMap<>())
+                    byTenant.computeIfAbsent(Limit.FLEET.id(), l -> new HashMap<>())
                             .computeIfAbsent(slot, s -> new Sum()),
                     row);
             add(
-                    shared.computeIfAbsent(PoolLimitIds.KIND + row.kind(), l -> new HashMap<>())
+                    byTenant.computeIfAbsent(PoolLimitIds.KIND + row.kind(), l -> new HashMap<>())
                             .computeIfAbsent(slot, s -> new Sum()),
                     row);
             add(
-                    byKind.computeIfAbsent(row.kind(), k -> new TreeMap<>())
+                    byGateway
+                            .computeIfAbsent(row.kind(), k -> new TreeMap<>())
                             .computeIfAbsent(row.gateway(), g -> new Sum()),
                     row);
         }
-        Set<String> bounded = new HashSet<>();
-        allotment.budgets().forEach(room -> bounded.add(room.limit().id()));
-        engines.forEach(e -> {
-            if (e.up() && !bounded.contains(PoolLimitIds.ENGINE + e.name())) {
-                kindOf.put(PoolLimitIds.ENGINE + e.name(), e.kind());
+        Set<String> boundedLimitIds = new HashSet<>();
+        allocation
+                .budgets()
+                .forEach(budget -> boundedLimitIds.add(budget.limit().id()));
+        engines.forEach(engine -> {
+            if (engine.up() && !boundedLimitIds.contains(PoolLimitIds.ENGINE + engine.name())) {
+                unboundedKindOf.put(PoolLimitIds.ENGINE + engine.name(), engine.kind());
             }
         });
-        for (Allocation.Cell cell : allotment.cells()) {
-            Sum sum = byKind.getOrDefault(cell.kind(), Map.of()).get(cell.gateway());
-            if (sum != null && sum.connections > 0) { // by the running sum, so that parts of one do not get lost
-                sum.passed += cell.connections();
-                long floor = Math.min(cell.connections(), sum.floor * sum.passed / sum.connections - sum.given);
-                sum.given += floor;
-                single.computeIfAbsent(PoolLimitIds.ENGINE + cell.engine(), l -> new HashMap<>())
+        for (Allocation.Cell cell : allocation.cells()) {
+            Sum sum = byGateway.getOrDefault(cell.kind(), Map.of()).get(cell.gateway());
+            if (sum != null && sum.connections > 0) { // cumulative, so that rounding loses no part of the floor
+                sum.assignedConnections += cell.connections();
+                long floor = Math.min(
+                        cell.connections(), sum.floor * sum.assignedConnections / sum.connections - sum.assignedFloor);
+                sum.assignedFloor += floor;
+                byEngine.computeIfAbsent(PoolLimitIds.ENGINE + cell.engine(), l -> new HashMap<>())
                         .put(new SlotName(cell.gateway(), PoolLimitIds.ALL), new Target(cell.connections(), floor));
             }
         }
@@ -74,17 +84,17 @@
         sum.floor += row.floor();
     }
 
-    /** What a slot should have; nothing where the allotment knows nothing of it. */
-    Target of(String limit, SlotName slot) {
-        String kind = kindOf.get(limit);
-        if (kind != null) { // no budget bounds that engine now: what its kind has
-            Sum sum = byKind.getOrDefault(kind, Map.of()).get(slot.member());
-            return sum == null ? NOTHING : sum.target();
+    /** The target of a slot, 0 if the allocation does not contain it. */
+    Target target(String limitId, SlotName slot) {
+        String kind = unboundedKindOf.get(limitId);
+        if (kind != null) { // no budget bounds this engine now: the target of its kind
+            Sum sum = byGateway.getOrDefault(kind, Map.of()).get(slot.member());
+            return sum == null ? ZERO : sum.toTarget();
         }
-        if (limit.startsWith(PoolLimitIds.ENGINE)) {
-            return single.getOrDefault(limit, Map.of()).getOrDefault(slot, NOTHING);
+        if (limitId.startsWith(PoolLimitIds.ENGINE)) {
+            return byEngine.getOrDefault(limitId, Map.of()).getOrDefault(slot, ZERO);
         }
-        Sum sum = shared.getOrDefault(limit, Map.of()).get(slot);
-        return sum == null ? NOTHING : sum.target();
+        Sum sum = byTenant.getOrDefault(limitId, Map.of()).get(slot);
+        return sum == null ? ZERO : sum.toTarget();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -12,39 +12,41 @@
 import sandpaddle.fleet.pool.model.Statement;
 
 /**
- * Statements of a valid policy that this version does not carry out; they are logged when the policy comes into force.
+ * Finds statements of a valid policy that this version does not implement. They are logged when the policy comes into
+ * force.
  */
 final class UnsupportedStatements {
     private UnsupportedStatements() {}
 
-    /** A line for each of the first such statements, 3 for each kind of reason, in the order of the file. */
-    static List<String> notes(Policy policy) {
-        List<String> notes = new ArrayList<>();
+    /** A warning for each such statement, in the order of the file, at most {@value #MAX_PER_REASON} for a reason. */
+    static List<String> warnings(Policy policy) {
+        List<String> warnings = new ArrayList<>();
         policy.shares().stream()
                 .filter(UnsupportedStatements::isOfClass)
                 .sorted(Comparator.comparing(Statement::at))
-                .limit(MAX_LISTED)
-                .forEach(s -> notes.add("line " + s.at().line() + ": " + s.of() + ": gateways tell demand by tenant, "
-                        + "so what is said of classes has no effect"));
+                .limit(MAX_PER_REASON)
+                .forEach(share -> warnings.add("line " + share.at().line() + ": " + share.of() + ": gateways report "
+                        + "demand by tenant only, so a statement about classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
-                .filter(s -> s.when().stream().anyMatch(UnsupportedStatements::neverHolds))
+                .filter(statement -> statement.when().stream().anyMatch(UnsupportedStatements::neverHolds))
                 .sorted(Comparator.comparing(Statement::at))
-                .limit(MAX_LISTED)
-                .forEach(s -> notes.add("line " + s.at().line() + ": conditions on storm, recovery and outages do not "
-                        + "hold in this version, so this statement has no effect"));
-        return notes;
+                .limit(MAX_PER_REASON)
+                .forEach(statement ->
+                        warnings.add("line " + statement.at().line() + ": conditions on storm, recovery and "
+                                + "outages never hold in this version, so this statement has no effect"));
+        return warnings;
     }
 
-    private static final int MAX_LISTED = 3;
+    private static final int MAX_PER_REASON = 3;
 
     private static boolean isOfClass(Statement.Share share) {
-        return share.of().forms().stream().anyMatch(f -> f.dimension() == Dimension.CLASS);
+        return share.of().forms().stream().anyMatch(form -> form.dimension() == Dimension.CLASS);
     }
 
-    /** The leader knows of calm alone, and of no foreseen outage ({@code PoolSide.state}). */
+    /** Whether the condition is always false: {@code PoolCoordinator} always states calm and no expected outages. */
     private static boolean neverHolds(Condition condition) {
-        return condition instanceof Condition.InPhase p && p.phase() != Phase.CALM
+        return condition instanceof Condition.InPhase inPhase && inPhase.phase() != Phase.CALM
                 || condition instanceof Condition.OutageWithin
                 || condition instanceof Condition.OutageLasts;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
@@ -63,14 +63,14 @@
         Map<String, String> next = new HashMap<>();
         agreed.members().forEach(member -> next.put(member.name(), member.zone()));
         zones = Map.copyOf(next);
-        if (activePolicy.agreed(agreed)) {
-            quotas.setPoolPolicy(activePolicy.policy(), activePolicy.isBehind());
+        if (activePolicy.applyConfig(agreed)) {
+            quotas.setPoolPolicy(activePolicy.policy(), activePolicy.isRestrictedToFloors());
         }
     }
 
     /** Receives a change of the engine list. */
     public void receiveEngineList(long nowUs, EngineListReceived list) {
-        engines.listed(nowUs, list);
+        engines.update(nowUs, list);
     }
 
     /**
@@ -82,7 +82,7 @@
      * @param isolated names of the isolated zones
      */
     public FleetState updateAllocator(long nowUs, List<FleetView.Verdict> verdicts, Set<String> isolated) {
-        allocator.known(new PoolAllocator.Known(activePolicy.policy(), engines.all(nowUs), zones));
+        allocator.setInput(new PoolAllocator.Input(activePolicy.policy(), engines.all(nowUs), zones));
         return fleetState(engines.all(nowUs), verdicts, isolated);
     }
 
@@ -112,7 +112,7 @@
         Map<String, Integer> controlConnections = new HashMap<>();
         activePolicy
                 .policy()
-                .filter(policy -> !activePolicy.isBehind() && !zones.isEmpty())
+                .filter(policy -> !activePolicy.isRestrictedToFloors() && !zones.isEmpty())
                 .ifPresent(policy -> addControlConnections(policy, all, controlConnections));
         budget.setControlConnections(controlConnections);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/QuotaManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/QuotaManager.java
@@ -113,7 +113,7 @@
 
     /** Sets the engines that the budgets of pools apply to. */
     public void setPoolEngines(List<PoolEngine> all) {
-        poolSlots.engines(all);
+        poolSlots.setEngines(all);
     }
 
     /**
@@ -123,14 +123,14 @@
      * @param isBehind whether another policy is in force, which cannot be read here: pools are restricted to floors
      */
     public void setPoolPolicy(Optional<Policy> policy, boolean isBehind) {
-        poolSlots.policy(policy);
+        poolSlots.setPolicy(policy);
         policyIsBehind = isBehind;
     }
 
     /** Records a tenant that sent a query to this gateway. */
     public void addTenant(String tenant) {
         tenants.add(tenant);
-        poolSlots.met(tenant);
+        poolSlots.addTenant(tenant);
     }
 
     private Collection<LimitSpec> limitsInForce() {
@@ -198,7 +198,7 @@
     public FleetView publish(
             List<FleetView.Verdict> verdicts, Map<String, Long> outdated, FleetView.Isolation isolation) {
         Map<String, LimitSpec> limitsById = limitsWithInstances();
-        Map<String, List<LimitSlot>> slotsByPool = poolSlots.of(limitsById.keySet());
+        Map<String, List<LimitSlot>> slotsByPool = poolSlots.byLimit(limitsById.keySet());
         if (numbering.update(limitsById.values(), slotsByPool)) {
             slotsByPool.values().forEach(slots -> slots.forEach(slot -> holder.openSlot(slot.id(), slot.poolTenant())));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/SlotNumbering.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/SlotNumbering.java
@@ -54,7 +54,7 @@
         List<LimitSlot> slots = new ArrayList<>();
         List<LimitSlot> wildcards = new ArrayList<>();
         if (!poolSlots.isEmpty()) {
-            wildcards.add(PoolSlots.NEEDED);
+            wildcards.add(PoolSlots.REQUIRED);
         }
         limits.stream()
                 .sorted(Comparator.comparing(LimitSpec::id))
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolSlotsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolSlotsTest.java
@@ -13,7 +13,7 @@
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.view.LimitSlot;
 
-/** Which slots an attempt counts in. */
+/** {@link PoolSlots}: which slots count an attempt. */
 class PoolSlotsTest {
     private static final String POLICY = """
             policy "p" version 1
@@ -24,50 +24,51 @@
 
     private static PoolSlots slots() {
         PoolSlots slots = new PoolSlots();
-        slots.policy(PoolPolicyCheck.check(POLICY.getBytes(StandardCharsets.UTF_8), KnownNames.NONE)
+        slots.setPolicy(PoolPolicyCheck.check(POLICY.getBytes(StandardCharsets.UTF_8), KnownNames.NONE)
                 .policy());
-        slots.engines(List.of(new PoolEngine("b1", "big", true), new PoolEngine("s1", "small", true)));
-        slots.met("acme");
-        slots.met("unnamed");
+        slots.setEngines(List.of(new PoolEngine("b1", "big", true), new PoolEngine("s1", "small", true)));
+        slots.addTenant("acme");
+        slots.addTenant("unnamed");
         return slots;
     }
 
     private static List<String> covering(Map<String, List<LimitSlot>> slots, String tenant, String engine) {
         List<String> ids = new ArrayList<>();
         slots.values()
-                .forEach(of -> of.stream()
+                .forEach(limitSlots -> limitSlots.stream()
                         .filter(slot -> slot.covers(0, tenant, engine))
                         .forEach(slot -> ids.add(slot.id() + " " + slot.poolTenant())));
         return ids;
     }
 
     @Test
-    void anAttemptCountsOnceInEachBudgetThatCoversIt() {
-        Map<String, List<LimitSlot>> slots = slots().of(List.of());
+    void attemptCountsOnceInEachLimitThatCoversIt() {
+        Map<String, List<LimitSlot>> slots = slots().byLimit(List.of());
         assertEquals(
                 List.of("pool/engine/b1 *", "pool/fleet acme", "pool/kind/big acme"), covering(slots, "acme", "b1"));
         assertEquals(List.of("pool/fleet default", "pool/kind/small default"), covering(slots, "unnamed", "s1"));
     }
 
-    /** A query that waits could run at any kind. */
+    /** A waiting query may run on an engine of any kind. */
     @Test
-    void aQueryThatWaitsIsAskedForAtAllKinds() {
+    void waitingQueryIsDemandAtAllKinds() {
         assertEquals(
                 List.of("pool/fleet acme", "pool/kind/big acme", "pool/kind/small acme"),
-                covering(slots().of(List.of()), "acme", ""));
+                covering(slots().byLimit(List.of()), "acme", ""));
     }
 
-    /** Guards the moment when an engine is listed and has no slot here yet. */
+    /** Guards the time between the listing of an engine and the creation of its slots. */
     @Test
-    void anEngineWithoutASlotIsBarred() {
-        assertTrue(PoolSlots.NEEDED.covers(0, "acme", "new") && PoolSlots.NEEDED.isPrefix());
-        assertTrue(covering(slots().of(List.of()), "acme", "new").stream().noneMatch(s -> s.startsWith("pool/kind/")));
+    void engineWithoutSlotMayNotBeUsed() {
+        assertTrue(PoolSlots.REQUIRED.covers(0, "acme", "new") && PoolSlots.REQUIRED.isPrefix());
+        assertTrue(covering(slots().byLimit(List.of()), "acme", "new").stream()
+                .noneMatch(id -> id.startsWith("pool/kind/")));
     }
 
     @Test
-    void withoutAPolicyNothingIsDivided() {
+    void hasNoSlotsWithoutPolicy() {
         PoolSlots slots = slots();
-        slots.policy(Optional.empty());
-        assertEquals(Map.of(), slots.of(List.of("operators-own")));
+        slots.setPolicy(Optional.empty());
+        assertEquals(Map.of(), slots.byLimit(List.of("operators-own")));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
@@ -10,23 +10,23 @@
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.KnownNames;
 
-/** What is told of statements that this version does not carry out. */
+/** {@link UnsupportedStatements}: which lines of a policy it warns of. */
 class UnsupportedStatementsTest {
-    private static List<String> lines(String statements) {
+    private static List<String> warnedLines(String statements) {
         String text = "policy \"p\" version 1\nbudget fleet 400 connections\n" + statements;
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
         assertEquals(List.of(), check.errors());
         ActivePolicy activePolicy = new ActivePolicy();
         activePolicy.read(check);
         activePolicy.agreed(new PolicyVersion(1, check.version()));
-        return UnsupportedStatements.notes(activePolicy.policy().orElseThrow()).stream()
-                .map(n -> n.substring(0, n.indexOf(':')))
+        return UnsupportedStatements.warnings(activePolicy.policy().orElseThrow()).stream()
+                .map(warning -> warning.substring(0, warning.indexOf(':')))
                 .toList();
     }
 
     @Test
-    void conditionsThatNeverHoldAreNamedByLine() {
-        assertEquals(List.of("line 4", "line 5", "line 6", "line 7"), lines("""
+    void warnsOfConditionsThatNeverHold() {
+        assertEquals(List.of("line 4", "line 5", "line 6", "line 7"), warnedLines("""
                 when calm tenant "a" ceiling 90
                 class "dashboards" weight 2
                 when storm tenant "a" ceiling 50
@@ -37,16 +37,16 @@
     }
 
     @Test
-    void nothingIsSaidOfWhatIsCarriedOut() {
-        assertEquals(List.of(), lines("""
+    void doesNotWarnOfSupportedStatements() {
+        assertEquals(List.of(), warnedLines("""
                 tenant "a" weight 2 floor 3
                 when time 22:00 to 06:00 tenant "a" weight 4
                 """));
     }
 
     @Test
-    void threeLinesAtMostOfOneReason() {
-        assertEquals(3, lines("""
+    void warnsOfThreeLinesPerReason() {
+        assertEquals(3, warnedLines("""
                 when storm tenant "a" ceiling 50
                 when storm tenant "b" ceiling 50
                 when recovery tenant "c" ceiling 50
