--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
@@ -220,8 +220,8 @@
     }
 
     /**
-     * Whether a slot of a pool budget that covers the attempt is exhausted. The decision module is told then, since it
-     * cannot count against these slots itself.
+     * Whether a slot of a pool budget that covers the attempt is exhausted. Quotas are then reported again, since the
+     * decision module cannot count against these slots itself.
      */
     private boolean isFull(int classIndex, String tenant, String engine, long nowUs) {
         for (int slot : counters.slots(classIndex, tenant, engine)) {
