--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetNode.java
@@ -71,7 +71,7 @@
     public FleetNode(
             FleetSettings settings,
             String name,
-            DecisionSettings site,
+            DecisionSettings decisionSettings,
             List<String> classes,
             List<String> zones,
             List<String> kinds,
@@ -85,7 +85,7 @@
         long nowUs = clock.now();
         SharedState shared = SharedState.create();
         views = shared.views();
-        Queue<LoopEvent> heard = new SpscArrayQueue<>(MAX_LOOP_EVENTS);
+        Queue<LoopEvent> loopEvents = new SpscArrayQueue<>(MAX_LOOP_EVENTS);
         Queue<Runnable> tasks = new MpscUnboundedArrayQueue<>(256); // run by the event loop
         FloorStore floors = settings.directory() == null
                 ? null
@@ -128,36 +128,36 @@
                 zones,
                 classes.size(),
                 nowUs);
-        VoterSetup agreement =
+        VoterSetup voterSetup =
                 settings.directory() == null ? null : VoterSetup.start(settings, name, links, clock, thread, seed);
-        VoterThread voter = agreement == null ? null : agreement.voter();
-        FleetLeader leader = agreement == null
+        VoterThread voter = voterSetup == null ? null : voterSetup.voter();
+        FleetLeader leader = voterSetup == null
                 ? null
                 : new FleetLeader(
                         name,
                         voter,
-                        agreement.components(),
+                        voterSetup.components(),
                         settings.limits(),
                         pools.allocator(),
                         committedConfig,
                         settings.voters());
-        fetcher = new QueryPathFetcher(classes, site, tasks, wake, seed);
-        OutageThread outage = !settings.outages().isOn()
+        fetcher = new QueryPathFetcher(classes, decisionSettings, tasks, wake, seed);
+        OutageThread outage = !settings.outages().storesAnswers()
                 ? null
                 : new OutageThread(
                         settings.outages(),
-                        new LocalNode(name, self.zone(), incarnation, clock, site, classes),
+                        new LocalNode(name, self.zone(), incarnation, clock, decisionSettings, classes),
                         settings.directory(),
                         links,
                         fetcher,
                         this::isBusy,
                         seed);
         coordinator = new LoopCoordinator(
-                site,
+                decisionSettings,
                 loop,
                 clock,
                 shared,
-                new LoopCoordinator.Channels(heard, tasks, wake),
+                new LoopCoordinator.Channels(loopEvents, tasks, wake),
                 outage == null ? null : outage::lookUp,
                 pools.budget(),
                 settings.limits().onAnyClockUs(settings.limits().engineForgetUs()),
@@ -176,13 +176,14 @@
                 leader,
                 outage,
                 wake);
-        PeriodicTasks periodicTasks = new PeriodicTasks(components, topology, dispatcher, heard, thread, site);
+        PeriodicTasks periodicTasks =
+                new PeriodicTasks(components, topology, dispatcher, loopEvents, thread, decisionSettings);
         new LimitBounds(settings.limits(), NORMAL_MAX_DELAY_US)
                 .describe(
                         settings.agreed().limits(), settings.agreed().members().size())
                 .forEach(line -> Logger.info("fleet: {}", line));
         Logger.info(
-                "fleet {}: {} of hall {} listens on {} for {} gateways",
+                "fleet {}: {} of zone {} listens on {} for {} gateways",
                 settings.cluster(),
                 name,
                 self.zone(),
@@ -230,8 +231,8 @@
     }
 
     /** Sets the service that runs the queries of the prefetcher. */
-    public void setQueryService(QueryService through) {
-        fetcher.setQueryService(through);
+    public void setQueryService(QueryService service) {
+        fetcher.setQueryService(service);
     }
 
     /** Takes over a changed operator's file while serving: only its fleet-wide part. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/FleetTopology.java
@@ -24,7 +24,7 @@
     private static final int MAX_NEIGHBOURS = 8; // of the zone, linked for stored answers
 
     private final Map<String, Long> configVersionOf = new HashMap<>(); // version in force at each peer
-    private final Set<String> peerUp = new HashSet<>();
+    private final Set<String> linkedPeers = new HashSet<>();
     private volatile Set<String> memberNames; // names that may open links
     private NodeComponents components;
     private FleetConfig localConfig;
@@ -35,7 +35,7 @@
 
     FleetTopology(FleetConfig localConfig) {
         this.localConfig = localConfig;
-        memberNames = names(localConfig, FleetConfig.NONE);
+        memberNames = namesOf(localConfig, FleetConfig.NONE);
     }
 
     void start(NodeComponents all) {
@@ -43,7 +43,7 @@
         updateLinks();
     }
 
-    private static Set<String> names(FleetConfig first, FleetConfig second) {
+    private static Set<String> namesOf(FleetConfig first, FleetConfig second) {
         Set<String> all = new HashSet<>();
         first.members().forEach(member -> all.add(member.name()));
         second.members().forEach(member -> all.add(member.name()));
@@ -65,11 +65,11 @@
 
     /** The configuration in force as far as known; this gateway's own file before the first status. */
     private FleetConfig effectiveConfig() {
-        FleetConfig agreed = components.voter() != null
+        FleetConfig config = components.voter() != null
                         && components.committedConfig().current().version() >= learnedConfig.version()
                 ? components.committedConfig().current()
                 : learnedConfig;
-        return agreed.version() == 0 ? localConfig : agreed;
+        return config.version() == 0 ? localConfig : config;
     }
 
     long configVersion() {
@@ -108,49 +108,49 @@
 
     /** Applies a change of members, voters or file: who may open links, and which links this gateway keeps. */
     void updateLinks() {
-        FleetConfig agreed = effectiveConfig();
-        components.pools().applyConfig(agreed);
-        memberNames = names(agreed, localConfig);
-        List<String> voting = voters();
+        FleetConfig config = effectiveConfig();
+        components.pools().applyConfig(config);
+        memberNames = namesOf(config, localConfig);
+        List<String> voters = voters();
         String zone = components.self().zone();
-        Set<Member> wanted = new HashSet<>();
+        Set<Member> peers = new HashSet<>();
         Map<String, String> zones = new HashMap<>(Map.of(components.self().name(), zone));
-        agreed.members().forEach(member -> zones.put(member.name(), member.zone()));
-        agreed.members().stream().filter(member -> isOther(member, voting)).forEach(wanted::add);
+        config.members().forEach(member -> zones.put(member.name(), member.zone()));
+        config.members().stream().filter(member -> isOtherVoter(member, voters)).forEach(peers::add);
         localConfig.members().stream()
-                .filter(member ->
-                        isOther(member, voting) && agreed.member(member.name()).isEmpty())
-                .forEach(wanted::add); // a founder must be reachable before it is committed as a member
+                .filter(member -> isOtherVoter(member, voters)
+                        && config.member(member.name()).isEmpty())
+                .forEach(peers::add); // a founder must be reachable before it is committed as a member
         if (components.outage()
                 != null) { // neighbours replicate stored answers, and stay in contact while the zone is isolated
-            agreed.members().stream()
+            config.members().stream()
                     .filter(member -> member.zone().equals(zone) && !components.isSelf(member.name()))
                     .limit(MAX_NEIGHBOURS)
-                    .forEach(wanted::add);
+                    .forEach(peers::add);
             Set<String> neighbours = new TreeSet<>();
-            wanted.stream()
+            peers.stream()
                     .filter(member -> member.zone().equals(zone))
                     .forEach(member -> neighbours.add(member.name()));
             components.outage().updateNeighbours(neighbours);
         }
         zoneOf = Map.copyOf(zones);
-        components.links().setPeers(wanted);
-        linkedVoters = Set.copyOf(voting);
+        components.links().setPeers(peers);
+        linkedVoters = Set.copyOf(voters);
         components.evidence().updateRoster(zones, linkedVoters);
     }
 
-    private boolean isOther(Member member, List<String> voting) {
-        return voting.contains(member.name()) && !components.isSelf(member.name());
+    private boolean isOtherVoter(Member member, List<String> voters) {
+        return voters.contains(member.name()) && !components.isSelf(member.name());
     }
 
     void peerUp(String peer) {
-        peerUp.add(peer);
+        linkedPeers.add(peer);
         configVersionOf.remove(peer);
     }
 
     /** Removes the peer from the linked ones; returns whether it was linked. */
     boolean peerDown(String peer) {
-        return peerUp.remove(peer);
+        return linkedPeers.remove(peer);
     }
 
     /** A heartbeat of a peer states the version in force there. */
@@ -164,15 +164,15 @@
         }
         boolean changed = !status.voters().equals(lastStatus.voters());
         lastStatus = status;
-        FleetConfig agreed = status.configText().isEmpty() ? FleetConfig.NONE : status.config();
-        if (agreed.version() > learnedConfig.version()) {
-            learnedConfig = agreed;
+        FleetConfig config = status.configText().isEmpty() ? FleetConfig.NONE : status.config();
+        if (config.version() > learnedConfig.version()) {
+            learnedConfig = config;
             changed = true;
             Logger.info(
                     "fleet: version {} rules, {} gateways, {} limits",
-                    agreed.version(),
-                    agreed.members().size(),
-                    agreed.limits().size());
+                    config.version(),
+                    config.members().size(),
+                    config.limits().size());
         }
         if (changed) {
             updateLinks();
@@ -193,9 +193,9 @@
     /** Sends the status of this voter to all linked peers. */
     void broadcastStatus() {
         VoterThread.Status status = components.voter().status();
-        FleetConfig agreed = components.committedConfig().current();
-        for (String peer : peerUp) {
-            boolean isUpToDate = configVersionOf.getOrDefault(peer, 0L) >= agreed.version();
+        FleetConfig config = components.committedConfig().current();
+        for (String peer : linkedPeers) {
+            boolean isUpToDate = configVersionOf.getOrDefault(peer, 0L) >= config.version();
             components
                     .links()
                     .send(
@@ -205,8 +205,8 @@
                                             status.term(),
                                             status.leader().orElse(""),
                                             status.voters(),
-                                            agreed.version(),
-                                            isUpToDate || agreed.version() == 0 ? "" : agreed.encode())
+                                            config.version(),
+                                            isUpToDate || config.version() == 0 ? "" : config.encode())
                                     .encode());
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/PeriodicTasks.java
@@ -25,7 +25,7 @@
     private final MessageDispatcher dispatcher;
     private final Queue<LoopEvent> loopEvents;
     private final TaskThread thread;
-    private final DecisionSettings site;
+    private final DecisionSettings decisionSettings;
     private final Set<String> engines = new TreeSet<>();
     private long lastStatusUs = Long.MIN_VALUE / 2;
 
@@ -33,15 +33,15 @@
             NodeComponents components,
             FleetTopology topology,
             MessageDispatcher dispatcher,
-            Queue<LoopEvent> heard,
+            Queue<LoopEvent> loopEvents,
             TaskThread thread,
-            DecisionSettings site) {
+            DecisionSettings decisionSettings) {
         this.components = components;
         this.topology = topology;
         this.dispatcher = dispatcher;
-        this.loopEvents = heard;
+        this.loopEvents = loopEvents;
         this.thread = thread;
-        this.site = site;
+        this.decisionSettings = decisionSettings;
     }
 
     /** Processes the events that the event loop queued since the last call. */
@@ -57,7 +57,7 @@
                 engineListChanged(change.list());
             } else if (event instanceof LoopEvent.AttemptEnded attempt
                     && attempt.rows() != null
-                    && site.classes().get(attempt.classIndex()).dataLoad()) {
+                    && decisionSettings.classes().get(attempt.classIndex()).dataLoad()) {
                 components
                         .evidence()
                         .loadCompleted(
@@ -154,7 +154,7 @@
     /** Runs the leader's tasks, updates the links after a change, and broadcasts the status of a voter. */
     void runLeaderTasks() {
         long nowUs = components.clock().now();
-        long ruledBefore = components.committedConfig().current().version();
+        long previousVersion = components.committedConfig().current().version();
         components
                 .leader()
                 .tick(
@@ -171,7 +171,7 @@
                                         .send(grant.member(), MessageKind.GRANT, HeartbeatMessage.encode(grant));
                             }
                         });
-        if (components.committedConfig().current().version() != ruledBefore || topology.votersChanged()) {
+        if (components.committedConfig().current().version() != previousVersion || topology.votersChanged()) {
             topology.updateLinks();
             lastStatusUs = Long.MIN_VALUE / 2;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/outage/OutageService.java
@@ -102,7 +102,7 @@
             long seed) {
         this.settings = settings;
         self = localNode.name();
-        storableClasses = new StorableClasses(settings.maxAgeMs(), localNode.classes(), localNode.site());
+        storableClasses = new StorableClasses(settings.maxAgeMs(), localNode.classes(), localNode.decisionSettings());
         clock = localNode.clock();
         incarnation = localNode.incarnation();
         this.store = store;
@@ -115,16 +115,16 @@
                 settings.margins().maxMs(),
                 settings.phase());
         replicaStore =
-                new CacheReplicaStore(store, incarnation, settings.content().wallSlackMs());
+                new CacheReplicaStore(store, incarnation, settings.content().maxWallClockSkewMs());
         replication = new ResultReplication(
                 ReplicationSettings.DEFAULT, replicaStore, replicaStore::ageMs, this::receiveDemand);
         replicationLinks = new ReplicationLinks(fleetLinks, replication);
-        dataChanges = new DataChanges(incarnation, settings.content().wallSlackMs() * 1000);
+        dataChanges = new DataChanges(incarnation, settings.content().maxWallClockSkewMs() * 1000);
         prefetcher = new Prefetcher(
                 self,
                 new PrefetchBudget(
                         settings.content().memoryBytes() / ReplicaOwners.REPLICA_COUNT,
-                        settings.fillWorkUs(),
+                        settings.prefetchWorkUsPerS(),
                         PLANNED_WORK_FRACTION,
                         PREFETCH_SAFETY_MS),
                 REPLAN_INTERVAL_US,
@@ -133,7 +133,7 @@
         responses = new OutageResponses(
                 new OutageRetryAfter(
                         MIN_RETRY_AFTER_MS,
-                        Math.max(1, localNode.site().limits().maxRetryAfterUs() / 1000),
+                        Math.max(1, localNode.decisionSettings().limits().maxRetryAfterUs() / 1000),
                         settings.phase().returningUs() / 1000),
                 seed);
         liveGateways.add(self);
@@ -294,7 +294,8 @@
         Optional<TimeRange> outage = expectedOutage(nowUs, wallMs);
         FetchLimit limit = busy
                 ? FetchLimit.NONE
-                : new FetchLimit(MAX_CONCURRENT_FETCHES, settings.fillWorkUs() / Math.max(1, liveGateways.size()));
+                : new FetchLimit(
+                        MAX_CONCURRENT_FETCHES, settings.prefetchWorkUsPerS() / Math.max(1, liveGateways.size()));
         for (Fetch fetch : prefetcher.startDueFetches(
                 nowUs,
                 wallMs,
@@ -364,9 +365,9 @@
                 wallMs,
                 incarnation,
                 store.isWallClockTrusted(wallMs),
-                settings.content().wallSlackMs(),
+                settings.content().maxWallClockSkewMs(),
                 lastContactUs,
-                settings.content().maxUnheardMs());
+                settings.content().maxSilenceMs());
         Decision decision = ServeRule.decide(
                 key,
                 storableClasses.isRepeatable(classIndex),
