--- a/gateway/src/main/java/sandpaddle/fleet/store/DiskHealth.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/DiskHealth.java
@@ -9,7 +9,7 @@
  * MAX_PROBE_STEPS} probe intervals. Not thread-safe. Times are in us.
  */
 public final class DiskHealth {
-    private static final int SLOW_PROBES = 10; // probe intervals without a slow sync until the disk is no longer SLOW
+    private static final int SLOW_RECOVERY_PROBES = 10; // probe intervals without a slow sync that end SLOW
 
     private final StoreSettings settings;
     private Condition condition;
@@ -22,7 +22,7 @@
     private boolean isOpen;
     private boolean isSlow;
 
-    /** A disk whose store is not open yet: the first probe is due at once. */
+    /** Creates the state of a disk whose store is not open yet; the first probe is due immediately. */
     public DiskHealth(StoreSettings settings, long nowUs) {
         this.settings = settings;
         condition = Condition.CLOSED;
@@ -31,7 +31,7 @@
         probeBackoffUs = settings.probeIntervalUs();
     }
 
-    /** An operation failed; the disk is not used until a probe is due. */
+    /** Records a failed operation: the disk is not used until the next probe. */
     public void onFailed(StoreException.Kind kind, String reason, long nowUs) {
         boolean failedSoon = isOpen && nowUs - openedAtUs < StoreSettings.MAX_PROBE_STEPS * settings.probeIntervalUs();
         boolean failedAgain = !isOpen && condition != Condition.CLOSED;
@@ -59,7 +59,7 @@
         return freeBytes >= settings.minFreeBytes();
     }
 
-    /** The probe was written and synced, and the store was opened. */
+    /** Records that the probe was written and synced, and that the store was opened. */
     public void onOpened(long nowUs) {
         isOpen = true;
         openedAtUs = nowUs;
@@ -67,27 +67,27 @@
         reason = "";
     }
 
-    /** A sync of the open store succeeded after {@code tookUs}. */
-    public void onSynced(long tookUs, long nowUs) {
-        if (tookUs > settings.slowFsyncUs()) {
+    /** Records a successful sync of the open store. */
+    public void onSynced(long durationUs, long nowUs) {
+        if (durationUs > settings.slowFsyncUs()) {
             isSlow = true;
             slowSyncAtUs = nowUs;
-            slowSyncUs = tookUs;
+            slowSyncUs = durationUs;
         }
     }
 
-    /** The current health; must be called again as time passes, since SLOW ends by itself. */
+    /** The current health. Call it again as time passes, because SLOW ends without another event. */
     public StoreState state(long nowUs) {
         if (!isOpen) {
             return new StoreState(condition, reason);
         }
-        if (isSlow && nowUs - slowSyncAtUs >= SLOW_PROBES * settings.probeIntervalUs()) {
+        if (isSlow && nowUs - slowSyncAtUs >= SLOW_RECOVERY_PROBES * settings.probeIntervalUs()) {
             isSlow = false;
         }
         return isSlow
                 ? new StoreState(
                         Condition.SLOW,
-                        "a sync took " + slowSyncUs / 1000 + " ms, more than " + settings.slowFsyncUs() / 1000 + " ms")
+                        "a sync took " + slowSyncUs / 1000 + " ms, limit " + settings.slowFsyncUs() / 1000 + " ms")
                 : StoreState.WORKING;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/StoreException.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/StoreException.java
@@ -2,41 +2,44 @@
 
 import java.io.IOException;
 
-/** Something asked of the store is not durable, and why. What was not flushed before it does not count. */
+/** An operation of the store failed. Changes that were not flushed before are lost. */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** What was in the way. */
+    /** Cause of the failure. Logs show the constant's name. */
     public enum Kind {
-        /** No room on the disk, in its quota, under the limit on file sizes, or in the store's own bounds. */
+        /** The disk, its quota, the limit on file sizes or the store's own bound is full. */
         FULL,
-        /** The file or directory may not be written. */
+        /** The file or directory is not writable. */
         READ_ONLY,
-        /** The disk failed a read, write or sync. */
+        /** A read, write or sync of the disk failed. */
         IO,
-        /** What is stored is not what was written. */
+        /** The stored data is not the data that was written, or is not trusted. */
         CORRUPT,
-        /** Another process or another part of this one has the directory. */
+        /** Another process, or another store of this process, has locked the directory. */
         LOCKED,
-        /** The directory was put back from an older copy. */
+        /** The directory was restored from an older copy. */
         OLD_COPY,
         /** The directory belongs to another cluster or member. */
         FOREIGN,
-        /** It was closed. */
+        /** The store is closed. */
         CLOSED
     }
 
     private final Kind kind;
 
-    public StoreException(Kind kind, String what, Throwable cause) {
-        super(what, cause);
+    /** Creates an exception with the error that caused it, or null. */
+    public StoreException(Kind kind, String message, Throwable cause) {
+        super(message, cause);
         this.kind = kind;
     }
 
-    public StoreException(Kind kind, String what) {
-        this(kind, what, null);
+    /** Creates an exception without a cause. */
+    public StoreException(Kind kind, String message) {
+        this(kind, message, null);
     }
 
+    /** The cause of the failure. */
     public Kind kind() {
         return kind;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/VoterStore.java
@@ -4,74 +4,84 @@
 import java.util.Optional;
 
 /**
- * What a voter must not lose: term, vote, log, snapshot, identity. Nothing counts before {@link #flush}, or a method
- * said to be durable, has returned; so the consensus acknowledges only after it. The idea of Raft's persistent state
- * (Ongaro and Ousterhout, 2014, figure 2), with what "Can Applications Recover from fsync Failures?" (Rebello and
- * others, 2020) adds: after a failed sync nothing in memory is trusted, and the files are opened again.
+ * Durable storage of a voter: term, vote, log, snapshot, identity, and small named values. This is Raft's persistent
+ * state (Ongaro and Ousterhout, 2014, figure 2). Changes are durable once {@link #flush}, or a method documented as
+ * durable, has returned; the voter acknowledges nothing before that. After a failed sync no state in memory is
+ * trusted, and the files are opened again ("Can Applications Recover from fsync Failures?", Rebello et al., 2020).
  *
- * <p>After any {@link StoreException} of a write the store takes no more writes until {@link #probe} has opened it
- * again. That shows by a higher {@link RecoveredState#generation}, and what was not durable is gone: the consensus
- * starts anew from {@link #recover}. One thread writes; {@link #state} may be asked from any.
+ * <p>After a {@link StoreException} of a write the store accepts no writes until {@link #probe} has opened it again.
+ * Then {@link RecoveredState#generation} is higher, changes that were not durable are lost, and the voter restarts
+ * from {@link #recover}. All methods are called on one thread, except for {@link #state}, which is thread-safe.
  */
 public interface VoterStore extends Closeable {
-    /** Of one entry, one chunk of a snapshot, and one named value (bytes). */
+    /** Maximum size of an entry, a chunk of a snapshot and a named value. */
     int MAX_VALUE_BYTES = 1 << 20;
-    /** Entries kept: beyond it a snapshot has to be taken first. */
+    /** Maximum number of entries; beyond it a snapshot has to be taken first. */
     int MAX_ENTRIES = 100_000;
-    /** Chunks of one snapshot. */
+    /** Maximum number of chunks of a snapshot. */
     int MAX_CHUNKS = 64;
-    /** Named values, and the length of a name (characters). */
+    /** Maximum number of named values, and maximum length of a name in characters. */
     int MAX_NAMES = 256;
 
-    /** What is durable now; entries are read afresh at each call, so that the store holds no second copy. */
+    /** Reads the durable state from the files at each call; the store keeps no copy in memory. */
     RecoveredState recover() throws StoreException;
 
     /**
-     * Says whose store it is; durable when it returns. Another cluster or member is refused. A store that is not
-     * trusted takes nothing until it is given a new endpoint, which empties it.
+     * Sets the owner; durable when it returns. Rejects another cluster or member than the current owner's. A store
+     * that is not trusted accepts no writes until it gets a new endpoint, which empties it.
      */
-    void setIdentity(VoterIdentity id) throws StoreException;
+    void setIdentity(VoterIdentity identity) throws StoreException;
 
-    /** Sets the store aside for a reason from without, such as an old copy; lasts until {@link #setIdentity}. */
-    void distrust(String why) throws StoreException;
+    /** Marks the store as not trusted, for example as an old copy; durable until {@link #setIdentity}. */
+    void distrust(String reason) throws StoreException;
 
-    /** Durable when it returns, with all that was staged before; {@code votedFor} may be null. */
+    /** Sets term and vote; durable when it returns, with all staged changes. {@code votedFor} may be null. */
     void setTerm(int term, String votedFor) throws StoreException;
 
-    /** Stages an entry; the index is the last one's plus one. */
+    /** Stages an entry after the last one; {@code index} is the last index plus one. */
     void append(long index, int term, byte[] entry) throws StoreException;
 
-    /** Stages the removal of this entry and all after it. */
+    /** Stages the removal of this entry and all later ones. */
     void truncateFrom(long index) throws StoreException;
 
-    /** Stages the removal of this entry and all before it. */
+    /** Stages the removal of this entry and all earlier ones. */
     void truncateUntil(long index) throws StoreException;
 
-    /** Stages a chunk of a snapshot, from 0; the snapshot counts when all its chunks are durable. */
+    /**
+     * Stages a chunk of a snapshot. The snapshot is complete when all its chunks are durable.
+     *
+     * @param index index of the last entry that the snapshot covers
+     * @param term term of that entry
+     * @param chunk number of the chunk, from 0
+     * @param chunks number of chunks of the snapshot
+     * @param data content of the chunk
+     */
     void snapshotChunk(long index, int term, int chunk, int chunks, byte[] data) throws StoreException;
 
-    /** Stages the removal of a snapshot's chunks. */
+    /** Stages the removal of all chunks of a snapshot. */
     void dropSnapshot(long index) throws StoreException;
 
-    /** Makes all that was staged durable, at once or not at all. */
+    /** Makes all staged changes durable atomically. */
     void flush() throws StoreException;
 
-    /** Keeps a small value (floors, margins, members); durable when it returns, with all that was staged before. */
-    void put(String key, byte[] value) throws StoreException;
+    /** Stores a small named value (floors, margins, members); durable when it returns, with all staged changes. */
+    void put(String name, byte[] value) throws StoreException;
 
-    Optional<byte[]> get(String key) throws StoreException;
+    /** Reads a named value. */
+    Optional<byte[]> get(String name) throws StoreException;
 
+    /** The current health. */
     StoreState state();
 
     /**
-     * To be called now and then (every 100 ms or so, also while working): probes a failed disk when it is time to, and
-     * opens the store again once the disk takes writes.
+     * Probes a failed disk when a probe is due, and opens the store again once the disk accepts writes. Call it about
+     * every 100 ms, also while the store works.
      *
-     * @param now monotonic time (us)
+     * @param nowUs monotonic time (us)
      */
-    StoreState probe(long now);
+    StoreState probe(long nowUs);
 
-    /** Frees the directory; what was not flushed is gone. */
+    /** Releases the directory; changes that were not flushed are lost. */
     @Override
     void close();
 }
--- a/gateway/src/main/java/sandpaddle/fleet/store/disk/DiskFile.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/disk/DiskFile.java
@@ -4,19 +4,35 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A file read and written by position. What was written is durable after {@link #force}, in any part before. */
+/**
+ * A file read and written by position. Written data is durable once {@link #force} has returned; after a crash before
+ * that, any part of it may be on the disk. Not thread-safe.
+ */
 public interface DiskFile extends Closeable {
-    /** Reads into the buffer; bytes read, fewer at the end of the file, -1 behind it. */
-    int read(long at, ByteBuffer to) throws IOException;
+    /**
+     * Reads until the buffer is full or the file ends.
+     *
+     * @param position offset in the file (bytes)
+     * @param buffer receives the data
+     * @return number of bytes read, less than the buffer holds only at the end of the file; -1 beyond it
+     */
+    int read(long position, ByteBuffer buffer) throws IOException;
 
-    /** Writes all that remains in the buffer; may be written in part when it fails. */
-    void write(long at, ByteBuffer from) throws IOException;
+    /**
+     * Writes the remaining bytes of the buffer. After an exception, part of them may have been written.
+     *
+     * @param position offset in the file (bytes)
+     * @param buffer data to write
+     */
+    void write(long position, ByteBuffer buffer) throws IOException;
 
+    /** Length of the file (bytes). */
     long size() throws IOException;
 
+    /** Cuts the file to {@code size} bytes, if it is longer. */
     void truncate(long size) throws IOException;
 
-    /** Makes content and length durable. After it failed nobody knows what is. */
+    /** Makes content and length durable (fsync). If it fails, the durable content is undefined. */
     void force() throws IOException;
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/store/disk/NioDisk.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/disk/NioDisk.java
@@ -17,26 +17,27 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the operating system; it is made where it is missing. */
+/** A directory of the operating system's file system; {@link #lock} creates it if it does not exist. */
 public final class NioDisk implements Disk {
-    private static final String LOCK = "voter.lock";
-    private static final int MAX_PID = 20; // characters of a process id
+    private static final String LOCK_FILE = "voter.lock";
+    private static final int MAX_PID_CHARS = 20;
 
     private final Path directory;
 
+    /** Refers to a directory, which need not exist yet. */
     public NioDisk(Path directory) {
         this.directory = directory.toAbsolutePath();
     }
 
     @Override
     public DiskFile open(String name) throws IOException {
-        return new Channel(FileChannel.open(directory.resolve(name), CREATE, READ, WRITE));
+        return new ChannelFile(FileChannel.open(directory.resolve(name), CREATE, READ, WRITE));
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
-            return files.map(f -> f.getFileName().toString()).sorted().toList();
+            return files.map(path -> path.getFileName().toString()).sorted().toList();
         }
     }
 
@@ -52,30 +53,30 @@
 
     @Override
     public void force() throws IOException {
-        try (FileChannel itself = FileChannel.open(directory, READ)) {
-            itself.force(true);
+        try (FileChannel channel = FileChannel.open(directory, READ)) {
+            channel.force(true);
         }
     }
 
     @Override
-    public long room() throws IOException {
+    public long freeBytes() throws IOException {
         return Files.getFileStore(directory).getUsableSpace();
     }
 
     @Override
     public Closeable lock() throws IOException {
         Files.createDirectories(directory);
-        FileChannel file = FileChannel.open(directory.resolve(LOCK), CREATE, READ, WRITE);
+        FileChannel file = FileChannel.open(directory.resolve(LOCK_FILE), CREATE, READ, WRITE);
         FileLock lock = null;
         try {
             lock = file.tryLock();
             if (lock == null) {
-                throw new LockedException(directory + " is used by process " + holder(file));
+                throw new LockedException(directory + " is locked by process " + lockHolder(file));
             }
-            name(file);
-            return file; // closing it frees the lock
+            writeProcessId(file);
+            return file; // closing the channel releases the lock
         } catch (OverlappingFileLockException e) {
-            throw new LockedException(directory + " is used already by this process, "
+            throw new LockedException(directory + " is already locked by this process, pid "
                     + ProcessHandle.current().pid());
         } finally {
             if (lock == null) {
@@ -84,21 +85,21 @@
         }
     }
 
-    private static String holder(FileChannel file) throws IOException {
-        ByteBuffer text = ByteBuffer.allocate(MAX_PID);
+    private static String lockHolder(FileChannel file) throws IOException {
+        ByteBuffer text = ByteBuffer.allocate(MAX_PID_CHARS);
         file.read(text, 0);
         String pid = new String(text.array(), 0, text.position(), StandardCharsets.US_ASCII).trim();
         return pid.matches("[0-9]+") ? pid : "of unknown id";
     }
 
-    private static void name(FileChannel file) {
+    private static void writeProcessId(FileChannel file) {
         try {
             file.truncate(0);
             file.write(
                     ByteBuffer.wrap(Long.toString(ProcessHandle.current().pid()).getBytes(StandardCharsets.US_ASCII)),
                     0);
         } catch (IOException e) {
-            // the name is for messages only: on a full disk the lock holds without it
+            // the process id is only for messages: on a full disk the lock is held without it
             return;
         }
     }
@@ -108,25 +109,25 @@
         return directory.toString();
     }
 
-    private record Channel(FileChannel channel) implements DiskFile {
+    private record ChannelFile(FileChannel channel) implements DiskFile {
         @Override
-        public int read(long at, ByteBuffer to) throws IOException {
-            int sum = 0;
-            while (to.hasRemaining()) {
-                int n = channel.read(to, at + sum);
-                if (n < 0) {
-                    return sum == 0 ? -1 : sum;
+        public int read(long position, ByteBuffer buffer) throws IOException {
+            int total = 0;
+            while (buffer.hasRemaining()) {
+                int count = channel.read(buffer, position + total);
+                if (count < 0) {
+                    return total == 0 ? -1 : total;
                 }
-                sum += n;
+                total += count;
             }
-            return sum;
+            return total;
         }
 
         @Override
-        public void write(long at, ByteBuffer from) throws IOException {
-            long to = at;
-            while (from.hasRemaining()) {
-                to += channel.write(from, to);
+        public void write(long position, ByteBuffer buffer) throws IOException {
+            long next = position;
+            while (buffer.hasRemaining()) {
+                next += channel.write(buffer, next);
             }
         }
 
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskFileChannel.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/DiskFileChannel.java
@@ -7,23 +7,26 @@
 import org.h2.store.fs.FileBaseDefault;
 import sandpaddle.fleet.store.disk.DiskFile;
 
-/** A {@link DiskFile} as MVStore reads and writes it; keeps the first failure, which MVStore's own errors hide. */
+/**
+ * Adapts a {@link DiskFile} to the channel that MVStore reads and writes. It records the first I/O error, because
+ * MVStore replaces it by an error of its own.
+ */
 final class DiskFileChannel extends FileBaseDefault {
     private final DiskFile file;
-    private IOException failure;
+    private IOException firstFailure;
 
     DiskFileChannel(DiskFile file) {
         this.file = file;
     }
 
-    /** The first failed read, write or sync; null where the disk did all. */
-    IOException failure() {
-        return failure;
+    /** The error of the first failed read, write or sync, or null. */
+    IOException firstFailure() {
+        return firstFailure;
     }
 
-    private IOException failed(IOException e) {
-        failure = failure == null ? e : failure;
-        return e;
+    private IOException recordFailure(IOException error) {
+        firstFailure = firstFailure == null ? error : firstFailure;
+        return error;
     }
 
     @Override
@@ -31,27 +34,27 @@
         try {
             return file.size();
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
     @Override
-    public int read(ByteBuffer to, long at) throws IOException {
+    public int read(ByteBuffer buffer, long position) throws IOException {
         try {
-            return file.read(at, to);
+            return file.read(position, buffer);
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
     @Override
-    public int write(ByteBuffer from, long at) throws IOException {
-        int length = from.remaining();
+    public int write(ByteBuffer buffer, long position) throws IOException {
+        int length = buffer.remaining();
         try {
-            file.write(at, from);
+            file.write(position, buffer);
             return length;
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
@@ -60,7 +63,7 @@
         try {
             file.truncate(size);
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
@@ -69,14 +72,14 @@
         try {
             file.force();
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
-    /** Never refused: the directory has one lock for all its files. */
+    /** Always succeeds: the directory has one lock for all its files. */
     @Override
-    public FileLock tryLock(long at, long length, boolean shared) {
-        return new FileLock((FileChannel) this, at, length, shared) {
+    public FileLock tryLock(long position, long length, boolean shared) {
+        return new FileLock((FileChannel) this, position, length, shared) {
             @Override
             public boolean isValid() {
                 return isOpen();
@@ -84,7 +87,7 @@
 
             @Override
             public void release() {
-                // nothing is held
+                // nothing was locked
             }
         };
     }
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/MultisetHash.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/MultisetHash.java
@@ -5,13 +5,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * A sum over a set of records that a put or a removal changes in the time of that record alone: the sum modulo 2^64 of
- * a hash of each (an incremental multiset hash, Clarke and others, 2003, in its additive form). It finds what chance
- * does to a file: the odds of a garbled set with the same sum are about 2^-64. It is no guard against an adversary.
+ * Incremental multiset hash (Clarke et al., 2003, additive form) over a set of records: the sum modulo 2^64 of a hash
+ * of each record. Adding or removing a record costs time linear in that record alone. It detects accidental
+ * corruption: a corrupt set has the same sum with a probability of about 2^-64. It does not protect against an
+ * adversary.
  */
 final class MultisetHash {
     private long sum;
 
+    /** The hash of the set. */
     long sum() {
         return sum;
     }
@@ -24,20 +26,20 @@
         sum -= hash(map, key, value);
     }
 
-    /** Two checksums of different polynomials make 64 bits; mixed, since sums of linear codes cancel out. */
+    /** Combines two CRCs of different polynomials to 64 bits; mixed, because sums of linear codes can cancel out. */
     private static long hash(int map, long key, byte[] value) {
         byte[] head = ByteBuffer.allocate(16)
                 .putInt(map)
                 .putLong(key)
                 .putInt(value.length)
                 .array();
-        CRC32C one = new CRC32C();
-        one.update(head);
-        one.update(value);
-        CRC32 two = new CRC32();
-        two.update(head);
-        two.update(value);
-        return mix(one.getValue() << 32 | two.getValue());
+        CRC32C crc32c = new CRC32C();
+        crc32c.update(head);
+        crc32c.update(value);
+        CRC32 crc32 = new CRC32();
+        crc32.update(head);
+        crc32.update(value);
+        return mix(crc32c.getValue() << 32 | crc32.getValue());
     }
 
     /** The finalizer of MurmurHash3. */
--- a/gateway/src/main/java/sandpaddle/fleet/store/mv/VersionView.java
+++ b/gateway/src/main/java/sandpaddle/fleet/store/mv/VersionView.java
@@ -12,88 +12,90 @@
 import sandpaddle.fleet.store.disk.DiskFile;
 
 /**
- * A file of MVStore as it was at one version: the store's header names that version's chunk, and newer chunks read as
- * zeros. Left to itself MVStore 2.3 may open an older version than the newest whole one: where its header names a chunk
- * that a crash tore, it goes by the chunk at the file's end, which need not be the newest since space is used again.
- * The file itself stays as it is, and stays open when the view is closed.
+ * Read-only view of an MVStore file as of one version: the store header refers to the chunk of that version, and newer
+ * chunks read as zeros. Without it MVStore 2.3 may open an older version than the newest intact one: if the store
+ * header refers to a chunk that a crash tore, MVStore uses the chunk at the end of the file, which need not be the
+ * newest, because space is reused. The file is not changed, and stays open when the view is closed.
  */
 final class VersionView implements DiskFile {
-    private static final int BLOCK = 4096; // of MVStore: chunks start at its multiples (bytes)
-    private static final int HEADERS = 2; // blocks at the start, with the same text
-    private static final int LINE = 1024; // bytes of a chunk's header at most
-    private static final int FOOTER = 128; // bytes, at a chunk's end
-    private static final Pattern ENDS = // of a chunk: both tell its number and version, and its length in blocks
+    private static final int BLOCK_BYTES = 4096; // of MVStore; chunks start at multiples of it
+    private static final int STORE_HEADER_BLOCKS = 2; // at the start of the file, with the same content
+    private static final int CHUNK_HEADER_BYTES = 1024; // maximum
+    private static final int CHUNK_FOOTER_BYTES = 128; // at the end of a chunk
+    private static final Pattern HEADER_OR_FOOTER = // both have the chunk's number, version and length in blocks
             Pattern.compile(
                     "chunk:([0-9a-f]{1,7}),(?:[^\n]*?,)??len:([0-9a-f]{1,7}),(?:[^\n]*?,)??"
                             + "version:([0-9a-f]{1,15})[,\n ].*",
                     Pattern.DOTALL);
 
-    /** A chunk whose two ends are there. */
+    /** A chunk whose header and footer match; {@code block} is its first block. */
     private record Chunk(long block, String number, long version) {}
 
     private final DiskFile file;
     private final byte[] header;
-    private final List<Chunk> newer;
+    private final List<Chunk> newerChunks;
 
-    private VersionView(DiskFile file, Chunk chunk, List<Chunk> newer) {
+    private VersionView(DiskFile file, Chunk chunk, List<Chunk> newerChunks) {
         this.file = file;
-        this.newer = newer;
+        this.newerChunks = newerChunks;
         String text = "H:2,block:" + Long.toHexString(chunk.block) + ",blockSize:1000,chunk:" + chunk.number
                 + ",created:1,format:3,version:" + Long.toHexString(chunk.version);
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        String sum = Integer.toHexString(DataUtils.getFletcher32(bytes, 0, bytes.length));
-        header = (text + ",fletcher:" + sum + "\n").getBytes(StandardCharsets.ISO_8859_1);
+        String checksum = Integer.toHexString(DataUtils.getFletcher32(bytes, 0, bytes.length));
+        header = (text + ",fletcher:" + checksum + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** The newest versions, newest first: as many as there are, up to {@code max}. */
-    static List<VersionView> newest(DiskFile file, int max) throws IOException {
+    /** Views of the newest versions in the file, newest first, at most {@code maxVersions}. */
+    static List<VersionView> newestVersions(DiskFile file, int maxVersions) throws IOException {
         List<Chunk> chunks = new ArrayList<>();
-        for (long block = HEADERS; block < file.size() / BLOCK; block++) {
-            Matcher head = ENDS.matcher(text(file, block * BLOCK, LINE));
-            if (head.matches()) {
-                long end = (block + Long.parseLong(head.group(2), 16)) * BLOCK;
-                Matcher foot = ENDS.matcher(text(file, end - FOOTER, FOOTER));
-                if (foot.matches()
-                        && foot.group(1).equals(head.group(1))
-                        && foot.group(3).equals(head.group(3))) {
-                    chunks.add(new Chunk(block, head.group(1), Long.parseLong(head.group(3), 16)));
+        for (long block = STORE_HEADER_BLOCKS; block < file.size() / BLOCK_BYTES; block++) {
+            Matcher chunkHeader = HEADER_OR_FOOTER.matcher(readText(file, block * BLOCK_BYTES, CHUNK_HEADER_BYTES));
+            if (chunkHeader.matches()) {
+                long end = (block + Long.parseLong(chunkHeader.group(2), 16)) * BLOCK_BYTES;
+                Matcher chunkFooter =
+                        HEADER_OR_FOOTER.matcher(readText(file, end - CHUNK_FOOTER_BYTES, CHUNK_FOOTER_BYTES));
+                if (chunkFooter.matches()
+                        && chunkFooter.group(1).equals(chunkHeader.group(1))
+                        && chunkFooter.group(3).equals(chunkHeader.group(3))) {
+                    chunks.add(new Chunk(block, chunkHeader.group(1), Long.parseLong(chunkHeader.group(3), 16)));
                 }
             }
         }
         chunks.sort(Comparator.comparingLong(Chunk::version).reversed());
         List<VersionView> views = new ArrayList<>();
-        for (int i = 0; i < Math.min(max, chunks.size()); i++) {
+        for (int i = 0; i < Math.min(maxVersions, chunks.size()); i++) {
             views.add(new VersionView(file, chunks.get(i), chunks.subList(0, i)));
         }
         return views;
     }
 
-    private static String text(DiskFile file, long at, int length) throws IOException {
-        ByteBuffer to = ByteBuffer.allocate(length);
-        file.read(at, to);
-        return new String(to.array(), 0, to.position(), StandardCharsets.ISO_8859_1);
+    private static String readText(DiskFile file, long position, int length) throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(length);
+        file.read(position, buffer);
+        return new String(buffer.array(), 0, buffer.position(), StandardCharsets.ISO_8859_1);
     }
 
     @Override
-    public int read(long at, ByteBuffer to) throws IOException {
-        int start = to.position();
-        int n = file.read(at, to);
-        for (int i = 0; i < n && at + i < HEADERS * BLOCK; i++) {
-            int in = (int) ((at + i) % BLOCK);
-            to.put(start + i, in < header.length ? header[in] : (byte) ' ');
+    public int read(long position, ByteBuffer buffer) throws IOException {
+        int start = buffer.position();
+        int count = file.read(position, buffer);
+        for (int i = 0; i < count && position + i < STORE_HEADER_BLOCKS * BLOCK_BYTES; i++) {
+            int offset = (int) ((position + i) % BLOCK_BYTES);
+            buffer.put(start + i, offset < header.length ? header[offset] : (byte) ' ');
         }
-        for (Chunk chunk : newer) {
-            long from = chunk.block * BLOCK;
-            for (long i = Math.max(at, from); i < Math.min(at + n, from + LINE); i++) {
-                to.put(start + (int) (i - at), (byte) 0);
+        for (Chunk chunk : newerChunks) {
+            long from = chunk.block * BLOCK_BYTES;
+            for (long i = Math.max(position, from); i < Math.min(position + count, from + CHUNK_HEADER_BYTES); i++) {
+                buffer.put(start + (int) (i - position), (byte) 0);
             }
         }
-        return n;
+        return count;
     }
 
     @Override
-    public void write(long at, ByteBuffer from) throws IOException {
-        throw new IOException("only read");
+    public void write(long position, ByteBuffer buffer) throws IOException {
+        throw new IOException(
+                "write of " + buffer.remaining() + " bytes at " + position + " to a read-only view of a version");
     }
 
     @Override
@@ -103,16 +105,16 @@
 
     @Override
     public void truncate(long size) throws IOException {
-        throw new IOException("only read");
+        throw new IOException("truncation to " + size + " bytes of a read-only view of a version");
     }
 
     @Override
     public void force() {
-        // nothing is written
+        // nothing was written
     }
 
     @Override
     public void close() {
-        // whoever opened the file closes it
+        // the caller that opened the file closes it
     }
 }
--- a/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
+++ b/gateway/src/test/java/sandpaddle/app/StaticStateTest.java
@@ -37,8 +37,8 @@
             Map.entry("fleet.wire.CborOut.FACTORY", "the library's, stateless for writing"),
             Map.entry("log.LogEvent.LOG", "the process has one log"),
             Map.entry("fleet.member.Roster.EMPTY", "an empty tree that is only copied"),
-            Map.entry("fleet.store.mv.DiskPath.OFFERED", "files being handed to the store's library, by number"),
-            Map.entry("fleet.store.mv.DiskPath.NUMBER", "the counter of those numbers"),
+            Map.entry("fleet.store.mv.ChannelFilePath.CHANNELS", "files being opened by MVStore, by path"),
+            Map.entry("fleet.store.mv.ChannelFilePath.LAST_NUMBER", "the counter for those paths"),
             Map.entry("fleet.node.pool.PoolTargets.NONE", "maps that only its constructor fills; empty"),
             Map.entry("fleet.outage.schedule.Schedule.NONE", "caches the zones that rules name; none"),
             Map.entry("fleet.state.raft.RaftCodec.MODEL", "the library's, stateless"));
--- a/gateway/src/test/java/sandpaddle/fleet/store/DiskHealthTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/DiskHealthTest.java
@@ -9,59 +9,61 @@
 import sandpaddle.fleet.store.StoreState.Condition;
 
 class DiskHealthTest {
-    private static final long PROBE = 1_000_000;
+    private static final long PROBE_INTERVAL_US = 1_000_000;
 
-    private final DiskHealth watch = new DiskHealth(StoreSettings.DEFAULTS, 0);
+    private final DiskHealth health = new DiskHealth(StoreSettings.DEFAULTS, 0);
 
     @Test
-    void firstProbeIsDueAtOnce() {
-        assertTrue(watch.isProbeDue(0));
-        assertFalse(watch.state(0).isWritable());
-        watch.onOpened(5);
-        assertFalse(watch.isProbeDue(5));
-        assertEquals(StoreState.WORKING, watch.state(5));
+    void firstProbeIsDueImmediately() {
+        assertTrue(health.isProbeDue(0));
+        assertFalse(health.state(0).isWritable());
+        health.onOpened(5);
+        assertFalse(health.isProbeDue(5));
+        assertEquals(StoreState.WORKING, health.state(5));
     }
 
     @Test
-    void probesBackOffWhileTheyFail() {
-        watch.onOpened(0);
-        long now = 100 * PROBE;
+    void probeIntervalDoublesWhileProbesFail() {
+        health.onOpened(0);
+        long nowUs = 100 * PROBE_INTERVAL_US;
         for (long step : new long[] {1, 2, 4, 8, 16, 16}) {
-            watch.onFailed(StoreException.Kind.FULL, "no space", now);
-            assertEquals(new StoreState(Condition.FULL, "no space"), watch.state(now));
-            assertFalse(watch.isProbeDue(now + step * PROBE - 1), "step " + step);
-            now += step * PROBE;
-            assertTrue(watch.isProbeDue(now), "step " + step);
+            health.onFailed(StoreException.Kind.FULL, "no space", nowUs);
+            assertEquals(new StoreState(Condition.FULL, "no space"), health.state(nowUs));
+            assertFalse(health.isProbeDue(nowUs + step * PROBE_INTERVAL_US - 1), "step " + step);
+            nowUs += step * PROBE_INTERVAL_US;
+            assertTrue(health.isProbeDue(nowUs), "step " + step);
         }
     }
 
     @Test
     void failureSoonAfterRecoveryKeepsTheBackoff() {
-        watch.onOpened(0);
-        watch.onFailed(StoreException.Kind.IO, "a", 100 * PROBE);
-        watch.onOpened(101 * PROBE);
-        watch.onFailed(StoreException.Kind.IO, "b", 102 * PROBE);
-        assertFalse(watch.isProbeDue(103 * PROBE));
-        assertTrue(watch.isProbeDue(104 * PROBE));
-        watch.onOpened(104 * PROBE);
-        watch.onFailed(StoreException.Kind.IO, "c", 120 * PROBE);
-        assertTrue(watch.isProbeDue(121 * PROBE), "it worked for 16 probes, so that the step is short again");
+        health.onOpened(0);
+        health.onFailed(StoreException.Kind.IO, "a", 100 * PROBE_INTERVAL_US);
+        health.onOpened(101 * PROBE_INTERVAL_US);
+        health.onFailed(StoreException.Kind.IO, "b", 102 * PROBE_INTERVAL_US);
+        assertFalse(health.isProbeDue(103 * PROBE_INTERVAL_US));
+        assertTrue(health.isProbeDue(104 * PROBE_INTERVAL_US));
+        health.onOpened(104 * PROBE_INTERVAL_US);
+        health.onFailed(StoreException.Kind.IO, "c", 120 * PROBE_INTERVAL_US);
+        assertTrue(
+                health.isProbeDue(121 * PROBE_INTERVAL_US),
+                "it worked for 16 probe intervals, so the backoff is reset");
     }
 
     @Test
-    void slowEndsByItself() {
-        watch.onOpened(0);
-        watch.onSynced(StoreSettings.DEFAULTS.slowFsyncUs(), 1);
-        assertEquals(Condition.WORKING, watch.state(1).condition());
-        watch.onSynced(StoreSettings.DEFAULTS.slowFsyncUs() + 1, 2);
-        assertEquals(Condition.SLOW, watch.state(10 * PROBE + 1).condition());
-        assertEquals(Condition.WORKING, watch.state(10 * PROBE + 2).condition());
+    void slowConditionEndsAfterTenProbeIntervalsWithoutASlowSync() {
+        health.onOpened(0);
+        health.onSynced(StoreSettings.DEFAULTS.slowFsyncUs(), 1);
+        assertEquals(Condition.WORKING, health.state(1).condition());
+        health.onSynced(StoreSettings.DEFAULTS.slowFsyncUs() + 1, 2);
+        assertEquals(Condition.SLOW, health.state(10 * PROBE_INTERVAL_US + 1).condition());
+        assertEquals(Condition.WORKING, health.state(10 * PROBE_INTERVAL_US + 2).condition());
     }
 
     @Test
     void freeSpaceForTwoCopiesIsRequired() {
-        assertFalse(watch.hasEnoughSpace(StoreSettings.DEFAULTS.minFreeBytes() - 1));
-        assertTrue(watch.hasEnoughSpace(StoreSettings.DEFAULTS.minFreeBytes()));
+        assertFalse(health.hasEnoughSpace(StoreSettings.DEFAULTS.minFreeBytes() - 1));
+        assertTrue(health.hasEnoughSpace(StoreSettings.DEFAULTS.minFreeBytes()));
         assertThrows(IllegalArgumentException.class, () -> new StoreSettings(1 << 20, (2 << 20) - 1, 1, 1));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/store/GenerationCheckTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/GenerationCheckTest.java
@@ -4,34 +4,33 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import sandpaddle.fleet.store.GenerationCheck.PeerMemory;
+import sandpaddle.fleet.store.GenerationCheck.PeerRecord;
 
 class GenerationCheckTest {
-    private final GenerationCheck mine = new GenerationCheck(7, 5, 100);
+    private final GenerationCheck check = new GenerationCheck(7, 5, 100);
 
-    private boolean old(long start, long generation, long flushes) {
-        return mine.findFault("p", new PeerMemory(start, generation, flushes)).isPresent();
+    private boolean isOldCopy(long start, long generation, long flushes) {
+        return check.findFault("p", new PeerRecord(start, generation, flushes)).isPresent();
     }
 
     @Test
-    void continuationIsNeverRejected() {
-        assertTrue(!old(7, 5, 130), "of this very start, however far it came");
-        assertTrue(!old(6, 4, 100));
-        assertTrue(!old(6, 2, 9));
+    void directoryThatWasNotRolledBackIsNeverRejected() {
+        assertTrue(!isOldCopy(7, 5, 130), "the record is of this start, whatever the number of flushes");
+        assertTrue(!isOldCopy(6, 4, 100));
+        assertTrue(!isOldCopy(6, 2, 9));
     }
 
     @Test
-    void restoredCopyIsRejected() {
-        assertTrue(old(6, 6, 0), "a later opening");
-        assertTrue(old(6, 5, 0), "the same number, but another start");
-        assertTrue(old(6, 4, 101), "an earlier opening that came further");
+    void restoredOldCopyIsRejected() {
+        assertTrue(isOldCopy(6, 6, 0), "a later opening");
+        assertTrue(isOldCopy(6, 5, 0), "the same generation, but another start");
+        assertTrue(isOldCopy(6, 4, 101), "an earlier opening with more flushes");
     }
 
     @Test
     void reasonNamesThePeer() {
         assertEquals(
-                "this directory was opened 5 times, but hall2-a knows of opening 9: it was put back from an older"
-                        + " copy",
-                mine.findFault("hall2-a", new PeerMemory(6, 9, 0)).orElseThrow());
+                "directory has generation 5, but hall2-a recorded generation 9: it was restored from an older copy",
+                check.findFault("hall2-a", new PeerRecord(6, 9, 0)).orElseThrow());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/store/StoreLayersTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/StoreLayersTest.java
@@ -7,14 +7,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The contract and its deciding classes know neither the library nor the disk. */
+/** Layering of the store: the interface and its decisions depend neither on MVStore nor on files. */
 class StoreLayersTest {
     private static final JavaClasses STORE = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("sandpaddle.fleet.store");
 
     @Test
-    void contractDoesNotDependOnImplementations() {
+    void interfaceDoesNotDependOnImplementations() {
         noClasses()
                 .that()
                 .resideInAPackage("sandpaddle.fleet.store")
--- a/gateway/src/test/java/sandpaddle/fleet/store/disk/Content.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/disk/FileContent.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /** The bytes of a simulated file. */
-final class Content {
+final class FileContent {
     private byte[] bytes = {};
     private int length;
 
-    Content copy() {
-        Content copy = new Content();
+    FileContent copy() {
+        FileContent copy = new FileContent();
         copy.bytes = bytes();
         copy.length = length;
         return copy;
@@ -22,13 +22,13 @@
         return length;
     }
 
-    /** Writes, with zeros before it where the file was shorter. */
-    void write(int at, byte[] part) {
-        int end = at + part.length;
+    /** Writes at a position; a gap after the end of the file reads as zeros. */
+    void write(int position, byte[] data) {
+        int end = position + data.length;
         if (end > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(end, 2 * bytes.length));
         }
-        System.arraycopy(part, 0, bytes, at, part.length);
+        System.arraycopy(data, 0, bytes, position, data.length);
         length = Math.max(length, end);
     }
 
@@ -39,12 +39,15 @@
         }
     }
 
-    byte[] read(int at, int max) {
-        return at >= length ? new byte[0] : Arrays.copyOfRange(bytes, at, Math.min(length, at + max));
+    byte[] read(int position, int maxBytes) {
+        return position >= length
+                ? new byte[0]
+                : Arrays.copyOfRange(bytes, position, Math.min(length, position + maxBytes));
     }
 
-    void garble(int at, int count) {
-        for (int i = at; i < at + count; i++) {
+    /** Inverts some bits of {@code count} bytes. */
+    void corrupt(int position, int count) {
+        for (int i = position; i < position + count; i++) {
             bytes[i] ^= 0x5a;
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/store/disk/SimulatedDisk.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/disk/SimulatedDisk.java
@@ -9,17 +9,17 @@
 import java.util.function.IntPredicate;
 
 /**
- * A directory in memory that records what is done to it, so that {@link #crashed} can make the disk after a loss of
- * power at any point: of what was not synced, any part is there, by sectors and by names. It also refuses what a fault
- * tells it to refuse.
+ * A directory in memory that records its operations, so that {@link #afterCrash} can build the disk after a power loss
+ * at any point: of the operations that were not synced, any subset of sector writes and directory changes survives. A
+ * {@link FaultInjector} makes operations fail.
  */
 public final class SimulatedDisk implements Disk {
-    static final int SECTOR = 512;
+    static final int SECTOR_BYTES = 512;
 
-    /** One thing done; a write is of one sector at most. */
-    private record Op(Kind kind, int inode, long at, byte[] data, String name, String to) {}
+    /** One recorded operation; a write is of at most one sector. */
+    private record Operation(Kind kind, int inode, long position, byte[] data, String name, String newName) {}
 
-    /** What can be done, and fail. */
+    /** Kinds of operations. */
     public enum Kind {
         OPEN,
         READ,
@@ -31,155 +31,162 @@
         SYNC_NAMES
     }
 
-    /** Told of everything before it is done; throws what the system would. */
-    public interface Fault {
+    /** Called before each operation; throws the exception with which it should fail. */
+    public interface FaultInjector {
         void before(Kind kind, String name) throws IOException;
     }
 
-    private final List<Op> ops = new ArrayList<>();
-    private final List<Content> inodes = new ArrayList<>();
+    private final List<Operation> operations = new ArrayList<>();
+    private final List<FileContent> inodes = new ArrayList<>();
     private final TreeMap<String, Integer> names = new TreeMap<>();
-    private List<Content> firstInodes = List.of(); // what was there before the first thing done
-    private TreeMap<String, Integer> firstNames = new TreeMap<>();
-    private Fault fault = (kind, name) -> {};
+    private List<FileContent> initialInodes = List.of(); // before the first operation
+    private TreeMap<String, Integer> initialNames = new TreeMap<>();
+    private FaultInjector faultInjector = (kind, name) -> {};
     private boolean locked;
-    private boolean syncs = true;
-    private long room = Long.MAX_VALUE;
+    private boolean syncsTakeEffect = true;
+    private long freeBytes = Long.MAX_VALUE;
 
-    public void fault(Fault next) {
-        fault = next;
+    /** Sets what is called before each operation. */
+    public void setFaultInjector(FaultInjector injector) {
+        faultInjector = injector;
     }
 
-    public void room(long bytes) {
-        room = bytes;
+    /** Sets the free space (bytes). */
+    public void setFreeBytes(long bytes) {
+        freeBytes = bytes;
     }
 
-    /** From now on a sync returns without having done anything. */
-    public void lieAboutSyncs() {
-        syncs = false;
+    /** From now on a sync succeeds without effect. */
+    public void ignoreSyncs() {
+        syncsTakeEffect = false;
     }
 
-    /** How much was done. */
-    public int done() {
-        return ops.size();
+    /** Number of operations so far. */
+    public int operationCount() {
+        return operations.size();
     }
 
-    /** Whether the thing of this number, from 0, is a sync. */
-    public boolean syncs(int number) {
-        return number < ops.size() && (ops.get(number).kind == Kind.SYNC || ops.get(number).kind == Kind.SYNC_NAMES);
+    /** Whether the operation with this index, from 0, is a sync. */
+    public boolean isSync(int operationIndex) {
+        return operationIndex < operations.size()
+                && (operations.get(operationIndex).kind == Kind.SYNC
+                        || operations.get(operationIndex).kind == Kind.SYNC_NAMES);
     }
 
-    /** A copy of what is there, as another process would see it. */
+    /** A copy of the current content, including what is not synced. */
     public SimulatedDisk copy() {
-        return crashed(done(), i -> true);
+        return afterCrash(operationCount(), i -> true);
     }
 
     /**
-     * The disk after a crash when the first so many things were done: what was synced by then, and of the rest what
-     * {@code survives} says, by its number.
+     * The disk after a crash.
+     *
+     * @param completed number of operations before the crash; the synced ones survive
+     * @param survives decides by its index whether an operation that was not synced survives
      */
-    public SimulatedDisk crashed(int done, IntPredicate survives) {
-        boolean[] durable = new boolean[done];
-        boolean[] synced = new boolean[inodes.size()];
-        boolean names = false;
-        for (int i = done - 1; i >= 0; i--) {
-            Op op = ops.get(i);
-            boolean named = op.inode < 0 || op.kind == Kind.OPEN;
-            if (op.kind == Kind.SYNC) {
-                synced[op.inode] = true;
+    public SimulatedDisk afterCrash(int completed, IntPredicate survives) {
+        boolean[] durable = new boolean[completed];
+        boolean[] inodeSynced = new boolean[inodes.size()];
+        boolean namesSynced = false;
+        for (int i = completed - 1; i >= 0; i--) {
+            Operation operation = operations.get(i);
+            boolean changesNames = operation.inode < 0 || operation.kind == Kind.OPEN;
+            if (operation.kind == Kind.SYNC) {
+                inodeSynced[operation.inode] = true;
             }
-            names |= op.kind == Kind.SYNC_NAMES;
-            durable[i] = named ? names : synced[op.inode];
+            namesSynced |= operation.kind == Kind.SYNC_NAMES;
+            durable[i] = changesNames ? namesSynced : inodeSynced[operation.inode];
         }
         SimulatedDisk after = new SimulatedDisk();
-        after.names.putAll(firstNames);
+        after.names.putAll(initialNames);
         for (int i = 0; i < inodes.size(); i++) {
-            after.inodes.add(i < firstInodes.size() ? firstInodes.get(i).copy() : new Content());
+            after.inodes.add(i < initialInodes.size() ? initialInodes.get(i).copy() : new FileContent());
         }
-        for (int i = 0; i < done; i++) {
+        for (int i = 0; i < completed; i++) {
             if (durable[i] || survives.test(i)) {
-                after.apply(ops.get(i));
+                after.apply(operations.get(i));
             }
         }
-        after.firstInodes = after.inodes.stream().map(Content::copy).toList();
-        after.firstNames = new TreeMap<>(after.names);
+        after.initialInodes = after.inodes.stream().map(FileContent::copy).toList();
+        after.initialNames = new TreeMap<>(after.names);
         return after;
     }
 
-    private void apply(Op op) {
-        switch (op.kind) {
-            case OPEN -> names.put(op.name, op.inode);
-            case WRITE -> inodes.get(op.inode).write((int) op.at, op.data);
-            case TRUNCATE -> inodes.get(op.inode).truncate((int) op.at);
+    private void apply(Operation operation) {
+        switch (operation.kind) {
+            case OPEN -> names.put(operation.name, operation.inode);
+            case WRITE -> inodes.get(operation.inode).write((int) operation.position, operation.data);
+            case TRUNCATE -> inodes.get(operation.inode).truncate((int) operation.position);
             case RENAME -> {
-                Integer moved = names.remove(op.name);
-                if (moved != null) {
-                    names.put(op.to, moved);
+                Integer inode = names.remove(operation.name);
+                if (inode != null) {
+                    names.put(operation.newName, inode);
                 }
             }
-            case DELETE -> names.remove(op.name);
+            case DELETE -> names.remove(operation.name);
             default -> {}
         }
     }
 
-    private void act(Op op) {
-        ops.add(op);
-        apply(op);
+    private void execute(Operation operation) {
+        operations.add(operation);
+        apply(operation);
     }
 
-    /** Changes bytes behind everybody's back. */
-    public void garble(String name, long at, int length) {
-        inodes.get(names.get(name)).garble((int) at, length);
+    /** Corrupts bytes of a file. */
+    public void corrupt(String name, long position, int length) {
+        inodes.get(names.get(name)).corrupt((int) position, length);
     }
 
+    /** The content of a file. */
     public byte[] bytes(String name) {
         return inodes.get(names.get(name)).bytes();
     }
 
     @Override
     public DiskFile open(String name) throws IOException {
-        fault.before(Kind.OPEN, name);
+        faultInjector.before(Kind.OPEN, name);
         if (!names.containsKey(name)) {
-            inodes.add(new Content());
-            act(new Op(Kind.OPEN, inodes.size() - 1, 0, null, name, null));
+            inodes.add(new FileContent());
+            execute(new Operation(Kind.OPEN, inodes.size() - 1, 0, null, name, null));
         }
-        return new File(names.get(name), name);
+        return new OpenFile(names.get(name), name);
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        fault.before(Kind.RENAME, from);
-        act(new Op(Kind.RENAME, -1, 0, null, from, to));
+        faultInjector.before(Kind.RENAME, from);
+        execute(new Operation(Kind.RENAME, -1, 0, null, from, to));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        fault.before(Kind.DELETE, name);
-        act(new Op(Kind.DELETE, -1, 0, null, name, null));
+        faultInjector.before(Kind.DELETE, name);
+        execute(new Operation(Kind.DELETE, -1, 0, null, name, null));
     }
 
     @Override
     public void force() throws IOException {
-        fault.before(Kind.SYNC_NAMES, ".");
-        if (syncs) {
-            act(new Op(Kind.SYNC_NAMES, -1, 0, null, null, null));
+        faultInjector.before(Kind.SYNC_NAMES, ".");
+        if (syncsTakeEffect) {
+            execute(new Operation(Kind.SYNC_NAMES, -1, 0, null, null, null));
         }
     }
 
     @Override
-    public long room() {
-        return room;
+    public long freeBytes() {
+        return freeBytes;
     }
 
     @Override
     public Closeable lock() throws LockedException {
         if (locked) {
-            throw new LockedException(this + " is used");
+            throw new LockedException(this + " is locked");
         }
         locked = true;
         return () -> locked = false;
@@ -190,32 +197,32 @@
         return "simulated disk";
     }
 
-    private final class File implements DiskFile {
+    private final class OpenFile implements DiskFile {
         private final int inode;
         private final String name;
 
-        File(int inode, String name) {
+        OpenFile(int inode, String name) {
             this.inode = inode;
             this.name = name;
         }
 
         @Override
-        public int read(long at, ByteBuffer to) throws IOException {
-            fault.before(Kind.READ, name);
-            byte[] part = inodes.get(inode).read((int) at, to.remaining());
-            to.put(part);
+        public int read(long position, ByteBuffer buffer) throws IOException {
+            faultInjector.before(Kind.READ, name);
+            byte[] part = inodes.get(inode).read((int) position, buffer.remaining());
+            buffer.put(part);
             return part.length > 0 ? part.length : -1;
         }
 
         @Override
-        public void write(long at, ByteBuffer from) throws IOException {
-            long to = at;
-            while (from.hasRemaining()) {
-                fault.before(Kind.WRITE, name); // by sectors, so that a write may fail in its middle
-                byte[] part = new byte[(int) Math.min(from.remaining(), SECTOR - to % SECTOR)];
-                from.get(part);
-                act(new Op(Kind.WRITE, inode, to, part, name, null));
-                to += part.length;
+        public void write(long position, ByteBuffer buffer) throws IOException {
+            long next = position;
+            while (buffer.hasRemaining()) {
+                faultInjector.before(Kind.WRITE, name); // one sector at a time, so that a write can fail halfway
+                byte[] part = new byte[(int) Math.min(buffer.remaining(), SECTOR_BYTES - next % SECTOR_BYTES)];
+                buffer.get(part);
+                execute(new Operation(Kind.WRITE, inode, next, part, name, null));
+                next += part.length;
             }
         }
 
@@ -226,21 +233,21 @@
 
         @Override
         public void truncate(long size) throws IOException {
-            fault.before(Kind.TRUNCATE, name);
-            act(new Op(Kind.TRUNCATE, inode, size, null, name, null));
+            faultInjector.before(Kind.TRUNCATE, name);
+            execute(new Operation(Kind.TRUNCATE, inode, size, null, name, null));
         }
 
         @Override
         public void force() throws IOException {
-            fault.before(Kind.SYNC, name);
-            if (syncs) {
-                act(new Op(Kind.SYNC, inode, 0, null, name, null));
+            faultInjector.before(Kind.SYNC, name);
+            if (syncsTakeEffect) {
+                execute(new Operation(Kind.SYNC, inode, 0, null, name, null));
             }
         }
 
         @Override
         public void close() {
-            // closing makes nothing durable
+            // does not sync
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/KillTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/ProcessKillTest.java
@@ -17,12 +17,12 @@
 import sandpaddle.fleet.store.VoterIdentity;
 import sandpaddle.fleet.store.disk.NioDisk;
 
-/** Kills a process that writes (SIGKILL), and compares what it had acknowledged with what is found. */
-class KillTest {
+/** Kills a writing process with SIGKILL and checks that all entries it acknowledged are recovered. */
+class ProcessKillTest {
     private static final int KILLS = 3;
-    private static final int LINES = 40; // acknowledged before each kill, a few more by then
+    private static final int ENTRIES_PER_KILL = 40; // acknowledged before each kill, at least
 
-    /** The process: appends after what it finds, and prints each index once it is durable. */
+    /** The process: appends entries after the recovered ones and prints each index once it is durable. */
     static final class Writer {
         private Writer() {}
 
@@ -50,26 +50,28 @@
     }
 
     @Test
-    void whatWasAcknowledgedIsThereAfterKill(@TempDir Path directory) throws Exception {
+    void acknowledgedEntriesSurviveAKill(@TempDir Path directory) throws Exception {
         long acknowledged = 0;
         for (int kill = 1; kill <= KILLS; kill++) {
-            long last = killed(directory);
-            assertTrue(last >= acknowledged + LINES, last + " after " + acknowledged);
+            long last = writeUntilKilled(directory);
+            assertTrue(last >= acknowledged + ENTRIES_PER_KILL, "last index " + last + " after " + acknowledged);
             acknowledged = last;
             try (MvVoterStore store = open(directory)) {
                 RecoveredState recovered = store.recover();
                 assertTrue(recovered.isTrusted(), recovered.faults() + " " + store.state());
-                assertTrue(recovered.lastIndex() >= acknowledged, recovered.lastIndex() + " of " + acknowledged);
+                assertTrue(
+                        recovered.lastIndex() >= acknowledged,
+                        "recovered up to " + recovered.lastIndex() + ", acknowledged " + acknowledged);
                 assertEquals(2L * kill, recovered.generation());
-                for (StoredEntry e : recovered.entries()) {
-                    assertEquals((byte) e.index(), e.data()[0]);
-                    assertEquals(entry(e.index()).length, e.data().length);
+                for (StoredEntry stored : recovered.entries()) {
+                    assertEquals((byte) stored.index(), stored.data()[0]);
+                    assertEquals(entry(stored.index()).length, stored.data().length);
                 }
             }
         }
     }
 
-    private static long killed(Path directory) throws IOException, InterruptedException {
+    private static long writeUntilKilled(Path directory) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(List.of(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-Xmx64m",
@@ -81,12 +83,12 @@
                 .start();
         long last = 0;
         try (BufferedReader lines = process.inputReader()) {
-            for (int i = 0; i < LINES; i++) {
+            for (int i = 0; i < ENTRIES_PER_KILL; i++) {
                 last = Long.parseLong(lines.readLine());
             }
-            process.toHandle().destroyForcibly(); // of the process itself: that would close the stream
+            process.toHandle().destroyForcibly(); // destroyForcibly of Process would close the stream
             for (String line = lines.readLine(); line != null && !line.isEmpty(); line = lines.readLine()) {
-                last = Math.max(last, Long.parseLong(line)); // printed before the signal came
+                last = Math.max(last, Long.parseLong(line)); // printed before the signal was delivered
             }
         }
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/RecordedStoreTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/RecordedStoreTest.java
@@ -17,19 +17,19 @@
 import sandpaddle.recorded.RecordedFile;
 
 /**
- * The files of a voter's directory as an earlier version wrote them are read, and its own files written to the byte.
- * MVStore writes the time into its file, so that file is compared by its content.
+ * Compatibility with the files of an earlier version: they can be read, and header and flush mark are written byte for
+ * byte. The MVStore file contains the time of its creation, so it is compared by its content.
  */
 class RecordedStoreTest {
     private static final RecordedFile RECORD = new RecordedFile("voter-directory.txt");
     private static final VoterIdentity ID = new VoterIdentity("c", "m", "m#1");
-    private static final String CONTENT = "voter-1.mv";
+    private static final String CONTENT_FILE = "voter-1.mv";
 
     private static MvVoterStore open(SimulatedDisk disk) throws Exception {
-        return MvVoterStore.open(disk, "c", "m", CrashTest.SMALL, () -> 0);
+        return MvVoterStore.open(disk, "c", "m", PowerLossTest.SMALL_STORE, () -> 0);
     }
 
-    private static Map<String, byte[]> written() throws Exception {
+    private static Map<String, byte[]> writtenFiles() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
         try (MvVoterStore store = open(disk)) {
             store.setIdentity(ID);
@@ -42,26 +42,26 @@
             store.put("a", new byte[] {1, 2});
         }
         Map<String, byte[]> files = new LinkedHashMap<>();
-        for (String name : List.of(Slots.NAME, FlushMark.NAME, CONTENT)) {
+        for (String name : List.of(HeaderFile.NAME, FlushMark.NAME, CONTENT_FILE)) {
             files.put(name, disk.bytes(name));
         }
         return files;
     }
 
     @Test
-    void slotsAndMarkAreWrittenAsRecorded() throws Exception {
-        Map<String, byte[]> files = written();
+    void headerAndFlushMarkAreWrittenAsRecorded() throws Exception {
+        Map<String, byte[]> files = writtenFiles();
         if (RECORD.isRecording()) {
             RECORD.checkBytes(files);
         }
         Map<String, byte[]> recorded = RECORD.bytes();
-        for (String name : List.of(Slots.NAME, FlushMark.NAME)) {
+        for (String name : List.of(HeaderFile.NAME, FlushMark.NAME)) {
             assertArrayEquals(recorded.get(name), files.get(name), name);
         }
     }
 
     @Test
-    void aRecordedDirectoryIsRead() throws Exception {
+    void aRecordedDirectoryIsRecovered() throws Exception {
         SimulatedDisk disk = new SimulatedDisk();
         for (Map.Entry<String, byte[]> recorded : RECORD.bytes().entrySet()) {
             try (DiskFile file = disk.open(recorded.getKey())) {
@@ -82,7 +82,7 @@
                     recovered.snapshot().orElseThrow().chunks().get(0));
             assertEquals(
                     List.of(3L, 4L, 5L),
-                    recovered.entries().stream().map(e -> e.index()).toList());
+                    recovered.entries().stream().map(entry -> entry.index()).toList());
             assertArrayEquals(new byte[] {4, 2, 3}, recovered.entries().get(1).data());
             assertArrayEquals(new byte[] {1, 2}, store.get("a").orElseThrow());
         }
--- a/gateway/src/test/java/sandpaddle/fleet/store/mv/DirectoryTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/store/mv/VoterDirectoryTest.java
@@ -18,18 +18,18 @@
 import sandpaddle.fleet.store.disk.NioDisk;
 import sandpaddle.fleet.store.disk.SimulatedDisk;
 
-/** What becomes of a directory between two openings: lost, copied, garbled, somebody else's. */
-class DirectoryTest {
+/** Reopens a directory whose files were lost, corrupted, restored from a copy, or belong to another member. */
+class VoterDirectoryTest {
     private static final VoterIdentity ID = new VoterIdentity("c", "m", "m#1");
 
     private final SimulatedDisk disk = new SimulatedDisk();
 
     private static MvVoterStore open(Disk disk) throws StoreException {
-        return MvVoterStore.open(disk, "c", "m", CrashTest.SMALL, () -> 0);
+        return MvVoterStore.open(disk, "c", "m", PowerLossTest.SMALL_STORE, () -> 0);
     }
 
     @BeforeEach
-    void voted() throws StoreException {
+    void createDirectory() throws StoreException {
         try (MvVoterStore store = open(disk)) {
             store.setIdentity(ID);
             store.setTerm(7, "x#1");
@@ -41,13 +41,13 @@
         }
     }
 
-    private void untrusted(String naming) throws StoreException {
-        for (int i = 0; i < 2; i++) { // it stays so over openings
+    private void assertUntrustedUntilNewEndpoint(String fault) throws StoreException {
+        for (int i = 0; i < 2; i++) { // it stays untrusted over openings
             try (MvVoterStore store = open(disk)) {
                 RecoveredState recovered = store.recover();
                 assertFalse(recovered.isTrusted());
                 assertTrue(
-                        recovered.faults().get(0).contains(naming),
+                        recovered.faults().get(0).contains(fault),
                         recovered.faults().toString());
                 assertEquals(0, recovered.lastIndex());
                 assertThrows(StoreException.class, () -> store.setTerm(8, null));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void allIsThereAfterAnOpening() throws StoreException {
+    void recoversAllContentWhenReopened() throws StoreException {
         try (MvVoterStore store = open(disk)) {
             RecoveredState recovered = store.recover();
             assertEquals(
@@ -86,46 +86,46 @@
     }
 
     @Test
-    void garbledAnywhereItIsSetAsideOrWhole() throws StoreException {
-        byte[] all = disk.bytes("voter-1.mv");
+    void corruptionAtAnyPositionIsDetectedOrHarmless() throws StoreException {
+        byte[] content = disk.bytes("voter-1.mv");
         int faults = 0;
-        for (int at = 0; at < all.length; at += 512) {
-            SimulatedDisk hurt = disk.copy();
-            hurt.garble("voter-1.mv", at, 16);
-            try (MvVoterStore store = open(hurt)) {
+        for (int at = 0; at < content.length; at += 512) {
+            SimulatedDisk damaged = disk.copy();
+            damaged.corrupt("voter-1.mv", at, 16);
+            try (MvVoterStore store = open(damaged)) {
                 RecoveredState recovered = store.recover();
                 faults += recovered.isTrusted() ? 0 : 1;
-                boolean whole = recovered.term() == 7
+                boolean complete = recovered.term() == 7
                         && recovered.entries().size() == 20
                         && store.get("floor").isPresent();
-                assertEquals(recovered.isTrusted(), whole, "garbled at " + at + " " + recovered.faults());
-                assertEquals(!recovered.isTrusted(), hurt.names().contains("voter-1.bad"));
+                assertEquals(recovered.isTrusted(), complete, "corrupt at " + at + " " + recovered.faults());
+                assertEquals(!recovered.isTrusted(), damaged.fileNames().contains("voter-1.bad"));
             }
         }
-        assertTrue(faults > 10, "only " + faults);
+        assertTrue(faults > 10, "only " + faults + " corruptions detected");
     }
 
     @Test
-    void aGarbledFileNamesWhatIsLost() throws StoreException {
-        disk.garble("voter-1.mv", 8192, disk.bytes("voter-1.mv").length - 8192);
-        untrusted("voter-1.mv is corrupt");
+    void aCorruptFileIsReportedAndNotTrusted() throws StoreException {
+        disk.corrupt("voter-1.mv", 8192, disk.bytes("voter-1.mv").length - 8192);
+        assertUntrustedUntilNewEndpoint("voter-1.mv is corrupt");
     }
 
     @Test
-    void aMissingFileNamesWhatIsLost() throws Exception {
+    void aMissingFileIsReportedAndNotTrusted() throws Exception {
         disk.delete("voter-1.mv");
-        untrusted("voter-1.mv is missing");
+        assertUntrustedUntilNewEndpoint("voter-1.mv is missing");
     }
 
     @Test
-    void anUnreadableIdentityIsNoNewDirectory() throws StoreException {
-        disk.garble("voter.id", 0, 8192);
-        untrusted("voter.id cannot be read");
+    void aDirectoryWithAnUnreadableHeaderIsNotTreatedAsNew() throws StoreException {
+        disk.corrupt("voter.id", 0, 8192);
+        assertUntrustedUntilNewEndpoint("voter.id cannot be read");
     }
 
     @Test
-    void oneSlotIsEnough() throws StoreException {
-        disk.garble("voter.id", 0, 4096);
+    void oneIntactHeaderSlotIsSufficient() throws StoreException {
+        disk.corrupt("voter.id", 0, 4096);
         try (MvVoterStore store = open(disk)) {
             assertTrue(store.recover().isTrusted());
         }
@@ -141,45 +141,45 @@
     }
 
     @Test
-    void anOldCopyShowsByWhatPeersRemember() throws StoreException {
-        SimulatedDisk old = disk.copy();
-        GenerationCheck.PeerMemory memory;
+    void aRestoredOldCopyIsDetectedByThePeersRecord() throws StoreException {
+        SimulatedDisk copy = disk.copy();
+        GenerationCheck.PeerRecord peerRecord;
         try (MvVoterStore store = open(disk)) {
             RecoveredState recovered = store.recover();
             store.setTerm(9, "y#1");
-            memory = new GenerationCheck.PeerMemory(
+            peerRecord = new GenerationCheck.PeerRecord(
                     11, recovered.generation(), store.recover().flushes());
             assertTrue(new GenerationCheck(11, recovered.generation(), recovered.flushes())
-                    .findFault("p", memory)
+                    .findFault("p", peerRecord)
                     .isEmpty());
         }
-        try (MvVoterStore store = open(old)) {
+        try (MvVoterStore store = open(copy)) {
             RecoveredState recovered = store.recover();
-            String why = new GenerationCheck(12, recovered.generation(), recovered.flushes())
-                    .findFault("p", memory)
+            String reason = new GenerationCheck(12, recovered.generation(), recovered.flushes())
+                    .findFault("p", peerRecord)
                     .orElseThrow();
-            store.distrust(why);
+            store.distrust(reason);
             assertThrows(StoreException.class, () -> store.setTerm(9, "z#1"));
-            assertEquals(List.of(why), store.recover().faults());
+            assertEquals(List.of(reason), store.recover().faults());
         }
         try (MvVoterStore store = open(disk)) {
             RecoveredState recovered = store.recover();
             assertTrue(new GenerationCheck(13, recovered.generation(), recovered.flushes())
-                    .findFault("p", memory)
+                    .findFault("p", peerRecord)
                     .isEmpty());
         }
     }
 
     @Test
-    void anothersDirectoryIsRefusedByName() {
+    void theDirectoryOfAnotherMemberIsRejected() {
         StoreException e = assertThrows(
-                StoreException.class, () -> MvVoterStore.open(disk, "c", "other", CrashTest.SMALL, () -> 0));
+                StoreException.class, () -> MvVoterStore.open(disk, "c", "other", PowerLossTest.SMALL_STORE, () -> 0));
         assertEquals(StoreException.Kind.FOREIGN, e.kind());
         assertTrue(e.getMessage().contains("belongs to m of cluster c, not to other of cluster c"), e.getMessage());
     }
 
     @Test
-    void oneProcessAtATime(@TempDir Path directory) throws StoreException {
+    void aSecondStoreInTheSameDirectoryIsRejected(@TempDir Path directory) throws StoreException {
         MvVoterStore store = open(new NioDisk(directory));
         store.setTerm(3, null);
         StoreException e = assertThrows(StoreException.class, () -> open(new NioDisk(directory)));
@@ -194,17 +194,17 @@
     @Test
     void fileSizeStaysBoundedUnderALongLog() throws StoreException {
         try (MvVoterStore store = open(disk)) {
-            long max = 0;
+            long maxFileBytes = 0;
             for (int i = 21; i < 1500; i++) {
                 store.append(i, 7, new byte[300]);
                 store.truncateUntil(i - 40);
                 store.flush();
-                for (String name : disk.names()) {
-                    max = Math.max(max, disk.bytes(name).length);
+                for (String name : disk.fileNames()) {
+                    maxFileBytes = Math.max(maxFileBytes, disk.bytes(name).length);
                 }
             }
             assertEquals(40, store.recover().entries().size());
-            assertTrue(max <= 4 * CrashTest.SMALL.maxBytes(), "grew to " + max);
+            assertTrue(maxFileBytes <= 4 * PowerLossTest.SMALL_STORE.maxBytes(), "file grew to " + maxFileBytes);
         }
     }
 }
