--- a/gateway/src/main/java/sandpaddle/fleet/wire/CborIn.java
+++ b/gateway/src/main/java/sandpaddle/fleet/wire/CborIn.java
@@ -9,33 +9,37 @@
 import java.util.List;
 
 /**
- * Reads a message that {@link CborOut} wrote, or that anybody sent: every value is checked for its type and its bounds,
- * and a fault names the value's position in the message.
+ * Reads the values of a CBOR message (RFC 8949) in order, as {@link CborOut} writes them. The message may come from an
+ * untrusted sender: the type and the bounds of every value are checked, and an error states the value's position in
+ * the message. Not thread-safe.
  */
 public final class CborIn {
     private static final CBORFactory FACTORY = new CBORFactory();
+    private static final int MAX_INITIAL_CAPACITY = 64; // of a list
 
     /** A message is malformed, or a value is out of its bounds. */
     public static final class FaultyMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public FaultyMessageException(String what) {
-            super(what);
+        /** Creates an exception that says what is wrong and where. */
+        public FaultyMessageException(String message) {
+            super(message);
         }
     }
 
     /** Reads one item of a list. */
     public interface Item<T> {
+        /** Reads the values of one item. */
         T read(CborIn in) throws FaultyMessageException;
     }
 
-    private final JsonParser from;
-    private int position; // number of the value read last, from 1
+    private final JsonParser parser;
+    private int position; // of the value read last, from 1
 
-    /** Begins to read a message. */
+    /** Starts reading a message. */
     public CborIn(byte[] message) throws FaultyMessageException {
         try {
-            from = FACTORY.createParser(message);
+            parser = FACTORY.createParser(message);
         } catch (IOException e) {
             throw new FaultyMessageException("not a CBOR message: " + e.getMessage());
         }
@@ -45,8 +49,8 @@
         T read() throws IOException;
     }
 
-    /** The library may also throw undeclared exceptions if the bytes are corrupt. */
-    private <T> T guarded(Step<T> step) throws FaultyMessageException {
+    /** Runs a step of the parser, which may also throw unchecked exceptions if the bytes are corrupt. */
+    private <T> T translateErrors(Step<T> step) throws FaultyMessageException {
         try {
             return step.read();
         } catch (IOException | RuntimeException e) {
@@ -56,16 +60,16 @@
 
     private JsonToken next() throws FaultyMessageException {
         position++;
-        return guarded(from::nextToken);
+        return translateErrors(parser::nextToken);
     }
 
-    private static String firstLine(Exception e) {
-        return String.valueOf(e.getMessage()).split("\n", 2)[0];
+    private static String firstLine(Exception error) {
+        return String.valueOf(error.getMessage()).split("\n", 2)[0];
     }
 
-    /** A fault of the value read last. */
-    public FaultyMessageException wrong(String what) {
-        return new FaultyMessageException("value " + position + " " + what);
+    /** Creates an exception about the value read last; {@code problem} completes the sentence "value N ...". */
+    public FaultyMessageException wrong(String problem) {
+        return new FaultyMessageException("value " + position + " " + problem);
     }
 
     /** Reads a text of at most {@code maxBytes} of UTF-8. */
@@ -73,7 +77,7 @@
         if (next() != JsonToken.VALUE_STRING) {
             throw wrong("is no text");
         }
-        String value = guarded(from::getText);
+        String value = translateErrors(parser::getText);
         if (value.length() > maxBytes || value.getBytes(StandardCharsets.UTF_8).length > maxBytes) {
             throw wrong("is longer than " + maxBytes + " bytes");
         }
@@ -85,7 +89,7 @@
         if (next() != JsonToken.VALUE_NUMBER_INT) {
             throw wrong("is no whole number");
         }
-        long value = guarded(from::getLongValue);
+        long value = translateErrors(parser::getLongValue);
         if (value < min || value > max) {
             throw wrong("is " + value + ", not from " + min + " to " + max);
         }
@@ -98,7 +102,7 @@
         if (token != JsonToken.VALUE_NUMBER_FLOAT && token != JsonToken.VALUE_NUMBER_INT) {
             throw wrong("is no number");
         }
-        double value = guarded(from::getDoubleValue);
+        double value = translateErrors(parser::getDoubleValue);
         if (!Double.isFinite(value)) {
             throw wrong("is not finite");
         }
@@ -114,23 +118,23 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** Reads a byte string of at most {@code max} bytes. */
-    public byte[] bytes(int max) throws FaultyMessageException {
+    /** Reads a byte string of at most {@code limit} bytes. */
+    public byte[] bytes(int limit) throws FaultyMessageException {
         if (next() != JsonToken.VALUE_EMBEDDED_OBJECT) {
             throw wrong("is no byte string");
         }
-        byte[] value = guarded(from::getBinaryValue);
-        if (value.length > max) {
-            throw wrong("is longer than " + max + " bytes");
+        byte[] value = translateErrors(parser::getBinaryValue);
+        if (value.length > limit) {
+            throw wrong("is longer than " + limit + " bytes");
         }
         return value;
     }
 
-    /** Reads a list of at most {@code max} items. */
-    public <T> List<T> list(int max, Item<T> item) throws FaultyMessageException {
-        int size = (int) number(0, max);
-        List<T> values =
-                new ArrayList<>(Math.min(size, 64)); // a claimed size costs no memory before the items are read
+    /** Reads a list of at most {@code limit} items. */
+    public <T> List<T> list(int limit, Item<T> item) throws FaultyMessageException {
+        int size = (int) number(0, limit);
+        // a claimed size allocates no memory before the items are read
+        List<T> values = new ArrayList<>(Math.min(size, MAX_INITIAL_CAPACITY));
         for (int i = 0; i < size; i++) {
             values.add(item.read(this));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/wire/CborOut.java
+++ b/gateway/src/main/java/sandpaddle/fleet/wire/CborOut.java
@@ -9,20 +9,23 @@
 import java.util.Collection;
 import java.util.function.BiConsumer;
 
-/** Writes one message as CBOR (RFC 8949): its values in order, without names, read back by {@link CborIn}. */
+/**
+ * Writes a message as CBOR (RFC 8949): a sequence of values without names, which {@link CborIn} reads. Not
+ * thread-safe.
+ */
 public final class CborOut {
-    /** Replaces an unpaired surrogate in a text, which a client may have sent: a message must not fail for it. */
+    /** Replaces unpaired surrogates in texts, which clients may have sent, instead of failing. */
     private static final CBORFactory FACTORY = CBORFactory.builder()
             .enable(CBORGenerator.Feature.LENIENT_UTF_ENCODING)
             .build();
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    private final JsonGenerator to;
+    private final JsonGenerator generator;
 
-    /** Begins a message. */
+    /** Starts a message. */
     public CborOut() {
         try {
-            to = FACTORY.createGenerator(bytes);
+            generator = FACTORY.createGenerator(bytes);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -34,7 +37,7 @@
 
     private CborOut write(Step step) {
         try {
-            step.run(); // writes to memory, so it fails only for a bug
+            step.run(); // writes to memory, so it fails only because of a bug
             return this;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -43,27 +46,27 @@
 
     /** Writes a text. */
     public CborOut text(String value) {
-        return write(() -> to.writeString(value));
+        return write(() -> generator.writeString(value));
     }
 
-    /** Writes a whole number. */
+    /** Writes an integer. */
     public CborOut number(long value) {
-        return write(() -> to.writeNumber(value));
+        return write(() -> generator.writeNumber(value));
     }
 
     /** Writes a floating-point number. */
     public CborOut real(double value) {
-        return write(() -> to.writeNumber(value));
+        return write(() -> generator.writeNumber(value));
     }
 
     /** Writes a boolean. */
     public CborOut flag(boolean value) {
-        return write(() -> to.writeBoolean(value));
+        return write(() -> generator.writeBoolean(value));
     }
 
     /** Writes a byte string. */
     public CborOut bytes(byte[] value) {
-        return write(() -> to.writeBinary(value));
+        return write(() -> generator.writeBinary(value));
     }
 
     /** Writes a list: its length, then each item by {@code item}. */
@@ -73,9 +76,9 @@
         return this;
     }
 
-    /** Ends the message and returns it; nothing can be written after it. */
+    /** Ends the message and returns its bytes; nothing can be written afterwards. */
     public byte[] done() {
-        write(to::close);
+        write(generator::close);
         return bytes.toByteArray();
     }
 }
