--- a/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/LinkSettings.java
@@ -21,7 +21,7 @@
         Times times,
         Bounds bounds,
         Map<String, Address> addressOverrides) {
-    /** Address to connect to. */
+    /** Host and port to connect to. */
     public record Address(String host, int port) {
         @Override
         public String toString() {
@@ -49,6 +49,7 @@
         /** The default times. */
         public static final Times DEFAULT = new Times(1_000_000, 2_000_000, 6_000_000, 6_000_000, 100_000, 5_000_000);
 
+        /** Checks the lower bounds. */
         public Times {
             if (livenessTimeoutUs < 1000
                     || sendStallTimeoutUs < 1000
@@ -56,12 +57,12 @@
                     || handshakeTimeoutUs < 1000
                     || minBackoffUs < 1000
                     || maxBackoffUs < minBackoffUs) {
-                throw new IllegalArgumentException(
-                        "times of links must be 1 ms at least, and the longest pause no " + "shorter than the least");
+                throw new IllegalArgumentException("link timeouts must be at least 1000 us, and the maximum backoff of "
+                        + maxBackoffUs + " us at least the minimum of " + minBackoffUs + " us");
             }
         }
 
-        /** Interval of pings: three fit into the liveness timeout, so a late one does no harm. */
+        /** Interval between pings (us): three fit into the liveness timeout, so a late one does not end the link. */
         public long pingIntervalUs() {
             return livenessTimeoutUs / 4;
         }
@@ -75,8 +76,8 @@
      * @param maxQueueFrames frames queued for one peer
      * @param maxAccepted connections accepted from peers at a time
      * @param maxHandshaking accepted connections without a finished handshake
-     * @param maxInboundBytes bytes received over all peers and not yet processed by the fleet's thread; above it
-     *     nothing is read
+     * @param maxInboundBytes bytes received from all peers and not yet processed by the fleet's thread, above which
+     *     reading stops
      */
     public record Bounds(
             int maxFrameBytes,
@@ -88,6 +89,7 @@
         /** The default bounds. */
         public static final Bounds DEFAULT = new Bounds(1 << 20, 8 << 20, 4096, 512, 256, 32 << 20);
 
+        /** Checks the limits against each other. */
         public Bounds {
             if (maxFrameBytes < 4096
                     || maxFrameBytes > 1 << 26
@@ -96,12 +98,13 @@
                     || maxAccepted < 1
                     || maxHandshaking < 1
                     || maxInboundBytes < maxFrameBytes) {
-                throw new IllegalArgumentException("bounds of links: a frame of 4 KiB to 64 MiB, a queue of four "
-                        + "frames' bytes and 16 frames at least, room for one connection at least");
+                throw new IllegalArgumentException("link bounds must allow frames of 4 KiB to 64 MiB, a queue of "
+                        + "at least 16 frames and four times the longest frame, and at least one connection");
             }
         }
     }
 
+    /** Checks the names and copies the overrides. */
     public LinkSettings {
         MemberName.check("cluster", cluster);
         MemberName.check("member name", self.name());
--- a/gateway/src/main/java/sandpaddle/fleet/link/Links.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/Links.java
@@ -26,7 +26,7 @@
         default void roundTripMeasured(String peer, long roundTripUs) {}
     }
 
-    /** Why a link ended or an attempt failed; each has the word that logs use for it. */
+    /** Why a link ended or an attempt failed. */
     enum LossReason {
         /** The peer's host refused the connection. */
         REFUSED("REFUSED"),
@@ -34,7 +34,7 @@
         UNREACHABLE("UNREACHABLE"),
         /** The peer reset or closed the connection. */
         CLOSED("CLOSED"),
-        /** No byte arrived within the liveness timeout: half open, stopped, or cut in one direction. */
+        /** No byte was received within the liveness timeout: half-open, process stopped, or one direction cut. */
         UNRESPONSIVE("SILENT"),
         /** The peer accepted none of the queued bytes within the send timeout. */
         SEND_STALLED("CLOGGED"),
@@ -51,7 +51,7 @@
             this.logName = logName;
         }
 
-        /** The word for this reason in log lines; it does not change with the constant's name. */
+        /** The name of this reason in log lines; independent of the constant's name. */
         public String logName() {
             return logName;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/MessageKind.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.link;
 
-/** Kind of a message between gateways. The position is the number on the wire: never reorder or remove a constant. */
+/** Kind of a message between gateways. The ordinal is the number on the wire: never reorder or remove a constant. */
 public enum MessageKind {
     /** Consensus between voters. */
     RAFT,
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/Frame.java
@@ -12,7 +12,7 @@
 /**
  * A frame between gateways. Its body is CBOR (RFC 8949): a number, then values. Numbers below {@value #FIRST_KIND}
  * belong to the link itself; from there on they count {@link MessageKind}. Later versions may add numbers, and values
- * at the end of the handshake's frames: a decoder skips what it does not know.
+ * at the end of the handshake's frames; a decoder ignores unknown numbers and additional values.
  */
 public sealed interface Frame {
     /** Frame number of the first message kind. */
@@ -20,13 +20,21 @@
     /** Longest frame before the handshake has identified the peer. */
     int MAX_GREETING_BYTES = 2048;
 
+    /** Longest reason in a frame. */
     int MAX_REASON_BYTES = 512;
+    /** Longest name or host in a greeting. */
     int MAX_HOST_BYTES = 255;
+    /** Number of {@link Hello}. */
     int HELLO = 1;
+    /** Number of {@link Welcome}. */
     int WELCOME = 2;
+    /** Number of {@link Rejected}. */
     int REJECTED = 3;
+    /** Number of {@link Ping}. */
     int PING = 4;
+    /** Number of {@link Pong}. */
     int PONG = 5;
+    /** Number of {@link Bye}. */
     int BYE = 6;
 
     /** First frame of the connecting side. */
@@ -72,24 +80,24 @@
         } else if (this instanceof Bye bye) {
             out.number(BYE).text(printable(bye.reason));
         } else {
-            throw new IllegalArgumentException("a frame of a later version cannot be sent");
+            throw new IllegalArgumentException("cannot encode a frame of a later version: " + this);
         }
         byte[] body = out.done();
         ByteBuffer frame = ByteBuffer.allocate(FrameDecoder.HEADER_BYTES + body.length);
         return frame.putInt(body.length).put(body).flip();
     }
 
-    /** Bytes that {@link Data} adds to its payload. */
-    int DATA_OVERHEAD = 6;
-    /** CBOR's initial byte of a byte string with a length of four bytes. */
-    byte LONG_BYTE_STRING = 0x5a;
+    /** Bytes that a {@link Data} frame adds to its payload. */
+    int DATA_OVERHEAD_BYTES = 6;
+    /** CBOR's initial byte of a byte string whose length takes four bytes. */
+    byte BYTE_STRING_32_BIT_LENGTH = 0x5a;
 
     /** Messages are the most frequent and longest frames, so they are encoded with a single copy of the payload. */
     private static ByteBuffer encodeData(Data data) {
-        ByteBuffer frame = ByteBuffer.allocate(FrameDecoder.HEADER_BYTES + DATA_OVERHEAD + data.payload.length);
-        return frame.putInt(DATA_OVERHEAD + data.payload.length)
+        ByteBuffer frame = ByteBuffer.allocate(FrameDecoder.HEADER_BYTES + DATA_OVERHEAD_BYTES + data.payload.length);
+        return frame.putInt(DATA_OVERHEAD_BYTES + data.payload.length)
                 .put((byte) (FIRST_KIND + data.kind.ordinal()))
-                .put(LONG_BYTE_STRING)
+                .put(BYTE_STRING_32_BIT_LENGTH)
                 .putInt(data.payload.length)
                 .put(data.payload)
                 .flip();
@@ -97,7 +105,7 @@
 
     private static String printable(String reason) {
         String text = reason.length() > MAX_REASON_BYTES / 3 ? reason.substring(0, MAX_REASON_BYTES / 3) : reason;
-        return text.replaceAll("[^ -~]", "?"); // a surrogate cut in two could not be written
+        return text.replaceAll("[^ -~]", "?"); // truncation may leave an unpaired surrogate, which cannot be encoded
     }
 
     private static void encodeGreeting(CborOut out, Greeting greeting) {
@@ -113,24 +121,25 @@
                 .number(greeting.sequence());
     }
 
-    /** Decodes a frame as {@link #encodeData} writes it, or returns null: then the CBOR library decodes it. */
+    /** Decodes a frame in the encoding of {@link #encodeData}; null for another one, which the CBOR library decodes. */
     private static Data decodePlainData(byte[] body) {
-        boolean plain = body.length >= DATA_OVERHEAD
+        boolean plain = body.length >= DATA_OVERHEAD_BYTES
                 && body[0] >= FIRST_KIND
                 && body[0] < FIRST_KIND + MessageKind.values().length
-                && body[1] == LONG_BYTE_STRING
-                && ByteBuffer.wrap(body, 2, 4).getInt() == body.length - DATA_OVERHEAD;
+                && body[1] == BYTE_STRING_32_BIT_LENGTH
+                && ByteBuffer.wrap(body, 2, 4).getInt() == body.length - DATA_OVERHEAD_BYTES;
         return plain
                 ? new Data(
                         MessageKind.values()[body[0] - FIRST_KIND],
-                        Arrays.copyOfRange(body, DATA_OVERHEAD, body.length))
+                        Arrays.copyOfRange(body, DATA_OVERHEAD_BYTES, body.length))
                 : null;
     }
 
     /**
-     * Decodes a body; of a later version's frame only the number.
+     * Decodes a body. Of a frame of a later version only the number is read.
      *
-     * @throws FaultyMessageException if the body is no valid frame of any version
+     * @param body the frame without its length
+     * @throws FaultyMessageException if the body is not a valid frame of any version
      */
     static Frame decode(byte[] body) throws FaultyMessageException {
         Data plain = decodePlainData(body);
@@ -163,7 +172,7 @@
                 : Optional.empty();
     }
 
-    /** Names are not judged here, so that a refusal can tell which name is wrong. */
+    /** Names are not validated here, so that a rejection can state which name is invalid. */
     private static Greeting decodeGreeting(CborIn in) throws FaultyMessageException {
         int min = (int) in.number(0, Integer.MAX_VALUE);
         int max = (int) in.number(min, Integer.MAX_VALUE);
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameDecoder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameDecoder.java
@@ -6,9 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * Splits a byte stream into frames: a big-endian length of four bytes, then the body. It accepts any split of the
- * bytes. The buffer grows with the bytes received, not with the length claimed, so a peer has to send the bytes it
- * makes this process store; at most one frame is buffered. Not thread-safe.
+ * Splits a byte stream into frames: a big-endian length of four bytes, then the body. The bytes may be
+ * split in any way. The buffer grows with the bytes received, not with the length in the header, so a peer cannot make
+ * this process allocate memory without sending data; at most one frame is buffered. Not thread-safe.
  */
 public final class FrameDecoder {
     /** Bytes of the length before each body. */
@@ -23,7 +23,7 @@
     private int bodyRead;
     private String fault = "";
 
-    /** Creates a decoder that rejects longer bodies. */
+    /** Creates a decoder that rejects bodies of more than {@code maxBodyBytes}. */
     public FrameDecoder(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
@@ -48,9 +48,9 @@
                 readBody(bytes);
             }
             if (fault.isEmpty() && headerRead == HEADER_BYTES && bodyRead == length) {
-                byte[] whole = body.length == length ? body : Arrays.copyOf(body, length);
+                byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
                 reset();
-                if (!sink.test(whole)) {
+                if (!sink.test(complete)) {
                     break;
                 }
             }
@@ -83,7 +83,7 @@
         body = new byte[0];
     }
 
-    /** Bytes of memory used for the incomplete frame. */
+    /** Memory used for the incomplete frame (bytes). */
     public int bufferedBytes() {
         return body.length;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/Greeting.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/Greeting.java
@@ -11,7 +11,7 @@
  * @param member the sender
  * @param targetName name of the gateway that the sender wants to reach
  * @param incarnation incarnation of the sender's process
- * @param sequence counts the greetings of one process, so that the newer of two connections is known
+ * @param sequence counts the greetings of one process; identifies the newer of two connections
  */
 public record Greeting(
         int minVersion,
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/RejectionCode.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/RejectionCode.java
@@ -1,6 +1,6 @@
 package sandpaddle.fleet.link.frame;
 
-/** Why a handshake is rejected. The position is the number on the wire: never reorder or remove a constant. */
+/** Why a handshake is rejected. The ordinal is the number on the wire: never reorder or remove a constant. */
 public enum RejectionCode {
     /** No common protocol version. */
     VERSION,
@@ -8,7 +8,7 @@
     CLUSTER,
     /** The name is not a member's, or is this gateway's own. */
     NAME,
-    /** The peer wanted to reach another gateway than the one at this address. */
+    /** The peer tried to reach another gateway than the one at this address. */
     NOT_ME,
     /** A newer process with the same name has a link. */
     DUPLICATE,
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/GreetingValidator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/GreetingValidator.java
@@ -13,6 +13,7 @@
     /** Lowest protocol version that this program supports. */
     static final int MIN_VERSION = 1;
 
+    /** Highest protocol version that this program supports. */
     static final int MAX_VERSION = 1;
 
     private static final Pattern HOST = Pattern.compile("[A-Za-z0-9._-]{1,253}");
@@ -25,11 +26,11 @@
     private final int minVersion, maxVersion;
     private long sequence;
 
-    GreetingValidator(LinkSettings settings, Predicate<String> known, int min, int max) {
+    GreetingValidator(LinkSettings settings, Predicate<String> isMember, int minVersion, int maxVersion) {
         this.settings = settings;
-        this.isMember = known;
-        this.minVersion = min;
-        this.maxVersion = max;
+        this.isMember = isMember;
+        this.minVersion = minVersion;
+        this.maxVersion = maxVersion;
     }
 
     boolean isMember(String name) {
@@ -99,13 +100,13 @@
     }
 
     /** Validates the answer of a peer that this gateway connected to. */
-    Optional<Rejection> validateWelcome(Greeting greeting, String dialled) {
+    Optional<Rejection> validateWelcome(Greeting greeting, String expectedName) {
         if (greeting.minVersion() != greeting.maxVersion()
                 || greeting.minVersion() < minVersion
                 || greeting.minVersion() > maxVersion) {
             return reject(
                     RejectionCode.VERSION,
-                    dialled + " chose version " + greeting.minVersion() + ", not one from " + minVersion + " to "
+                    expectedName + " chose version " + greeting.minVersion() + ", not one from " + minVersion + " to "
                             + maxVersion);
         }
         if (!greeting.cluster().equals(settings.cluster())) {
@@ -114,12 +115,12 @@
                     "cluster " + settings.cluster() + " was looked for, " + printable(greeting.cluster())
                             + " answered");
         }
-        return greeting.member().name().equals(dialled)
+        return greeting.member().name().equals(expectedName)
                         && MemberName.isValid(greeting.member().zone())
                 ? Optional.empty()
                 : reject(
                         RejectionCode.NOT_ME,
-                        dialled + " was looked for, "
+                        expectedName + " was looked for, "
                                 + printable(greeting.member().name()) + " of hall "
                                 + printable(greeting.member().zone()) + " answered");
     }
@@ -130,7 +131,8 @@
 
     /** Text of a peer, shortened and with printable characters only, for log lines. */
     static String printable(String text) {
-        String cut = text.length() > MemberName.MAX_CHARS ? text.substring(0, MemberName.MAX_CHARS) + "..." : text;
-        return cut.replaceAll("[^ -~]", "?");
+        String shortened =
+                text.length() > MemberName.MAX_CHARS ? text.substring(0, MemberName.MAX_CHARS) + "..." : text;
+        return shortened.replaceAll("[^ -~]", "?");
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/Handshake.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/Handshake.java
@@ -17,8 +17,8 @@
     private final String self;
     private final GreetingValidator validator;
 
-    Handshake(LinkManager board, String self, GreetingValidator validator) {
-        this.manager = board;
+    Handshake(LinkManager manager, String self, GreetingValidator validator) {
+        this.manager = manager;
         this.self = self;
         this.validator = validator;
     }
@@ -39,7 +39,7 @@
         protocolError(nowUs, connection, LossReason.MALFORMED, claimedName + ": " + fault);
     }
 
-    /** Ends a connection on which either side violates the protocol. */
+    /** Ends a connection after a violation of the protocol. */
     private void protocolError(long nowUs, PeerConnection connection, LossReason reason, String detail) {
         if (connection.state == PeerConnection.State.ACCEPTED
                 || connection.state == PeerConnection.State.WELCOME_SENT) {
@@ -81,11 +81,12 @@
             }
             connection.peerGreeting = welcome.from();
             makeLink(nowUs, connection);
-            send(nowUs, connection, new Frame.Ping(nowUs)); // the peer has its link once it receives this
+            send(nowUs, connection, new Frame.Ping(nowUs)); // once the peer receives it, its side of the link is up
         } else if (frame instanceof Frame.Rejected rejected) {
             rejectedByPeer(nowUs, connection, rejected);
         } else if (!(frame instanceof Frame.Unknown)) {
-            throw new FaultyMessageException("a frame before the answer to the greeting");
+            throw new FaultyMessageException(
+                    "unexpected " + frame.getClass().getSimpleName() + " frame; expected the answer to the greeting");
         }
     }
 
@@ -93,14 +94,14 @@
         if (rejected.code() == RejectionCode.STALE) {
             Peer peer = manager.peers.getOrCreate(connection.peerName);
             peer.outboundAttempt = null;
-            peer.scheduleRetry(nowUs); // the newer connection will come up; otherwise this attempt is repeated
+            peer.scheduleRetry(nowUs); // if the newer connection does not become the link, the attempt is repeated
             manager.abandon(connection);
         } else {
             manager.end(
                     nowUs,
                     connection,
                     LossReason.REJECTED,
-                    connection.peerName + " refuses this gateway: " + rejected.code() + ": "
+                    connection.peerName + " rejected this gateway: " + rejected.code() + ": "
                             + printable(rejected.reason()),
                     null);
         }
@@ -108,7 +109,8 @@
 
     private void onAccepted(long nowUs, PeerConnection connection, Frame frame) throws FaultyMessageException {
         if (!(frame instanceof Frame.Hello hello)) {
-            throw new FaultyMessageException("a frame before the greeting");
+            throw new FaultyMessageException(
+                    "unexpected " + frame.getClass().getSimpleName() + " frame; expected a greeting");
         }
         Greeting peerGreeting = hello.from();
         Optional<GreetingValidator.Rejection> rejection =
@@ -134,9 +136,9 @@
     }
 
     /**
-     * Resolves simultaneous connections. Of two greetings in flight, that of the smaller name wins; an attempt that
-     * has not sent its greeting never does. So each side sent its greeting before its answer to the other's, and both
-     * decide alike by the sequence numbers.
+     * Resolves simultaneous connections: of two greetings in flight, the one of the smaller name wins; an attempt that
+     * has not sent its greeting always yields. So each side has sent its greeting before its answer to the other's, and
+     * both sides choose the same connection by the sequence numbers.
      */
     private boolean yieldsToPeer(Peer peer) {
         return peer.outboundAttempt.state == PeerConnection.State.CONNECTING || self.compareTo(peer.name) > 0;
@@ -157,8 +159,8 @@
     }
 
     /**
-     * Rejects a greeting older than that of the current link or handshake: of an older process, or an older one of
-     * the same process.
+     * Rejects a greeting older than that of the current link or handshake: one of an older process, or an older one
+     * of the same process.
      */
     private Optional<GreetingValidator.Rejection> checkNotOlder(Greeting peerGreeting) {
         Peer peer = manager.peers.get(peerGreeting.member().name());
@@ -190,8 +192,8 @@
                     connection.address,
                     connection.peerName,
                     rejected.code(),
-                    "refused by " + connection.peerName + ": " + printable(rejected.reason()));
-            manager.end(nowUs, connection, LossReason.REJECTED, "refused", null);
+                    "rejected by " + connection.peerName + ": " + printable(rejected.reason()));
+            manager.end(nowUs, connection, LossReason.REJECTED, "rejected by the peer", null);
         } else if (rejection.isPresent()) {
             peer.inboundHandshake = peer.inboundHandshake == connection ? null : peer.inboundHandshake;
             reject(connection, connection.peerGreeting, rejection.get());
@@ -202,7 +204,7 @@
     }
 
     private static String printable(String reason) {
-        return reason.replaceAll("[^ -~]", "?"); // bounded by its frame
+        return reason.replaceAll("[^ -~]", "?"); // the length is bounded by the frame
     }
 
     /** Makes a connection the link of its peer; it replaces the previous link. */
@@ -256,7 +258,7 @@
                     nowUs,
                     connection,
                     LossReason.REJECTED,
-                    connection.peerName + " refuses this gateway: " + rejected.code() + ": "
+                    connection.peerName + " rejected this gateway: " + rejected.code() + ": "
                             + printable(rejected.reason()),
                     null);
         } else if (frame instanceof Frame.Unknown) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkCounts.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkCounts.java
@@ -1,7 +1,7 @@
 package sandpaddle.fleet.link.manager;
 
 /**
- * Counters of all links since the start. The log does not report each of these events.
+ * Counters of all links since the start. Not all of these events are logged.
  *
  * @param linksUp links established
  * @param linksDown links ended
@@ -29,12 +29,12 @@
     static final class Counters {
         long linksUp, linksDown;
         long attempts;
-        long rejected; // connections refused by name, version, cluster
-        long evicted; // accepted ones dropped: no room, no handshake in time
-        long abandoned; // own attempts and old connections that a newer one made needless
-        long unknownFrames; // of a later version, skipped
-        long queueFull; // messages not taken
-        long oversized; // messages over the bound of a frame, not taken
+        long rejected;
+        long evicted;
+        long abandoned;
+        long unknownFrames;
+        long queueFull;
+        long oversized;
 
         LinkCounts snapshot() {
             return new LinkCounts(
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkManager.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/LinkManager.java
@@ -15,14 +15,14 @@
 import sandpaddle.fleet.member.Member;
 
 /**
- * Decides about all links of one gateway: which peers to connect to and when, which greetings to accept, which of two
- * connections to a peer becomes the link, and when a link has ended. Connections and time come from outside, so
- * sockets and virtual time run the same decisions.
+ * State machine of all links of one gateway: which peers to connect to and when, which greetings to accept, which of
+ * two connections to a peer becomes the link, and when a link has ended. Connections and time are passed in, so that
+ * the same code runs on sockets and in virtual time.
  *
  * <p>A connection becomes the link once both sides have proved that they receive each other. Greetings carry a
- * counter of their sender, so the newer of two connections is known without clocks. Bounds: one link, one attempt and
- * one handshake for each peer; accepted connections by the settings. Cost: one map look-up for each event, one pass
- * over all connections for each tick.
+ * counter of their sender, which identifies the newer of two connections without clocks. Bounds: one link, one attempt
+ * and one handshake for each peer; accepted connections by the settings. Cost: one map look-up for each event, one
+ * pass over all connections for each tick.
  *
  * <p>Not thread-safe: {@code TcpLinks} calls it under its lock. Times are monotonic microseconds.
  */
@@ -38,29 +38,45 @@
     private long lastConnectionId;
     private long lastTickUs = Long.MIN_VALUE;
 
+    /**
+     * Creates the manager of a gateway without links.
+     *
+     * @param settings settings of the links
+     * @param isMember whether a name is a member's
+     * @param random source of the backoff's jitter
+     * @param transport opens, writes and closes connections
+     * @param events receives the events
+     */
     public LinkManager(
             LinkSettings settings,
-            Predicate<String> known,
+            Predicate<String> isMember,
             SplittableRandom random,
             LinkTransport transport,
             LinkEvents events) {
-        this(settings, known, random, transport, events, GreetingValidator.MIN_VERSION, GreetingValidator.MAX_VERSION);
+        this(
+                settings,
+                isMember,
+                random,
+                transport,
+                events,
+                GreetingValidator.MIN_VERSION,
+                GreetingValidator.MAX_VERSION);
     }
 
-    /** For a program that supports other versions. */
+    /** Creates a manager that supports other protocol versions. */
     LinkManager(
             LinkSettings settings,
-            Predicate<String> known,
+            Predicate<String> isMember,
             SplittableRandom random,
             LinkTransport transport,
             LinkEvents events,
-            int min,
-            int max) {
+            int minVersion,
+            int maxVersion) {
         this.settings = settings;
         peers = new PeerTable(settings, random);
         this.transport = transport;
         this.events = events;
-        validator = new GreetingValidator(settings, known, min, max);
+        validator = new GreetingValidator(settings, isMember, minVersion, maxVersion);
         handshake = new Handshake(this, settings.self().name(), validator);
     }
 
@@ -97,13 +113,13 @@
 
     /** A peer connected. Returns the id of the connection, or 0 if it must be closed at once. */
     public long connectionAccepted(long nowUs, String address) {
-        AcceptLimits in = AcceptLimits.of(connections.values(), settings.bounds());
-        if (in.isFull()) {
+        AcceptLimits limits = AcceptLimits.of(connections.values(), settings.bounds());
+        if (limits.isFull()) {
             counts.evicted++;
-            if (in.oldestUnidentified().isEmpty()) {
+            if (limits.oldestUnidentified().isEmpty()) {
                 return 0;
             }
-            close(in.oldestUnidentified().get(), null); // a silent connection must not block others
+            close(limits.oldestUnidentified().get(), null); // connections without a greeting must not block others
         }
         PeerConnection connection =
                 new PeerConnection(++lastConnectionId, address, PeerConnection.State.ACCEPTED, settings, nowUs);
@@ -120,7 +136,7 @@
         }
     }
 
-    /** Processes received bytes, in any split. They may end this or another connection; the rest is then ignored. */
+    /** Processes received bytes, split in any way. They may end this or another connection; the rest is ignored. */
     public void bytesReceived(long nowUs, long connectionId, ByteBuffer bytes) {
         PeerConnection connection = connections.get(connectionId);
         if (connection == null || !bytes.hasRemaining()) {
@@ -142,11 +158,11 @@
         return connection == null ? null : connection.nextFrame();
     }
 
-    /** The peer accepted bytes; {@code all}: nothing of the frames handed out is left. */
-    public void bytesWritten(long nowUs, long connectionId, boolean all) {
+    /** The peer accepted bytes; {@code allWritten}: all frames fetched so far were written completely. */
+    public void bytesWritten(long nowUs, long connectionId, boolean allWritten) {
         PeerConnection connection = connections.get(connectionId);
         if (connection != null) {
-            connection.bytesWritten(nowUs, all);
+            connection.bytesWritten(nowUs, allWritten);
         }
     }
 
@@ -161,12 +177,12 @@
     /**
      * Queues a message for a peer. Returns false without a link, if the queue is full, or if the message is too long.
      */
-    public boolean send(long nowUs, String to, MessageKind kind, byte[] payload) {
-        Peer peer = peers.get(to);
+    public boolean send(long nowUs, String peerName, MessageKind kind, byte[] payload) {
+        Peer peer = peers.get(peerName);
         if (peer == null || peer.activeLink == null) {
             return false;
         }
-        if (payload.length > settings.bounds().maxFrameBytes() - Frame.DATA_OVERHEAD) {
+        if (payload.length > settings.bounds().maxFrameBytes() - Frame.DATA_OVERHEAD_BYTES) {
             counts.oversized++;
             return false;
         }
@@ -183,14 +199,14 @@
      * whether connections were read since the last call.
      */
     public void tick(long nowUs, boolean reading) {
-        boolean stopped = lastTickUs != Long.MIN_VALUE
+        boolean wasPaused = lastTickUs != Long.MIN_VALUE
                 && nowUs - lastTickUs > settings.times().livenessTimeoutUs() / 2;
         lastTickUs = nowUs;
         for (PeerConnection connection : new ArrayList<>(connections.values())) {
             if (!reading) {
                 connection.resetTimeouts(nowUs);
-            } else if (stopped) {
-                connection.forgivePause(nowUs);
+            } else if (wasPaused) {
+                connection.extendTimeoutsAfterPause(nowUs);
             }
             connection
                     .checkTimeouts(nowUs)
@@ -244,9 +260,9 @@
     }
 
     /** Makes a connection the link of its peer in place of another. */
-    void replaceLink(long nowUs, Peer peer, PeerConnection by, String detail, Frame finalFrame) {
+    void replaceLink(long nowUs, Peer peer, PeerConnection replacement, String detail, Frame finalFrame) {
         close(peer.activeLink, finalFrame);
-        peer.activeLink = by;
+        peer.activeLink = replacement;
         counts.linksDown++;
         events.peerDown(peer.name, LossReason.CLOSED, detail);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/Peer.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/Peer.java
@@ -12,10 +12,10 @@
  */
 final class Peer {
     final String name;
-    Member required; // null: this gateway does not need the link
-    PeerConnection activeLink; // null without a link
-    PeerConnection outboundAttempt; // not up yet; at most one
-    PeerConnection inboundHandshake; // not up yet; the newest one only
+    Member required; // null if this gateway needs no link to it
+    PeerConnection activeLink; // null if there is no link
+    PeerConnection outboundAttempt; // not up yet
+    PeerConnection inboundHandshake; // not up yet; only the newest one
     LossReason lastReportedLoss; // null while up and before the first loss
     private final Backoff backoff;
     private final long stableAfterUs;
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/PeerConnection.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/PeerConnection.java
@@ -37,8 +37,8 @@
     /** Why a connection has to end. */
     record Timeout(LossReason reason, String detail) {}
 
-    private static final int RTT_SMOOTHING = 8; // RFC 6298's weight of one measurement
-    private static final int MAX_CONTROL_FRAMES = 16; // bound for a peer that pings faster than it reads the answers
+    private static final int RTT_SMOOTHING = 8; // weight of a measurement is 1/8, as in RFC 6298
+    private static final int MAX_CONTROL_FRAMES = 16; // limit for a peer that pings faster than it reads the answers
 
     final long id;
     final String address;
@@ -56,7 +56,7 @@
     private long lastQueuedUs;
     private long lastPingUs;
     private long sendStalledSinceUs = -1; // -1: nothing is queued, or the peer accepts bytes
-    private boolean pauseForgiven; // since the last byte received
+    private boolean timeoutsExtended; // since the last byte was received
     private long roundTripUs;
 
     PeerConnection(long connectionId, String address, State state, LinkSettings settings, long nowUs) {
@@ -89,8 +89,8 @@
     }
 
     boolean offer(MessageKind kind, byte[] payload, long nowUs) {
-        if (!sendQueue.hasCapacity(kind, payload.length + Frame.DATA_OVERHEAD + FrameDecoder.HEADER_BYTES)) {
-            return false; // checked first to save the encoding
+        if (!sendQueue.hasCapacity(kind, payload.length + Frame.DATA_OVERHEAD_BYTES + FrameDecoder.HEADER_BYTES)) {
+            return false; // checked first to avoid encoding a frame that would not be queued
         }
         boolean accepted = sendQueue.offer(kind, new Frame.Data(kind, payload).encode());
         frameQueued(nowUs);
@@ -106,17 +106,17 @@
         return sendQueue.poll();
     }
 
-    /** The peer accepted bytes; {@code all}: nothing of the frames handed out is left. */
-    void bytesWritten(long nowUs, boolean all) {
-        sendStalledSinceUs = all && sendQueue.isEmpty() ? -1 : nowUs;
+    /** The peer accepted bytes; {@code allWritten}: all frames fetched so far were written completely. */
+    void bytesWritten(long nowUs, boolean allWritten) {
+        sendStalledSinceUs = allWritten && sendQueue.isEmpty() ? -1 : nowUs;
     }
 
     void bytesReceived(long nowUs) {
         lastReceivedUs = nowUs;
-        pauseForgiven = false;
+        timeoutsExtended = false;
     }
 
-    /** Queues a ping if nothing was sent for a while, and regularly for the round trip time. */
+    /** Queues a ping if nothing was queued for a ping interval, and regularly to measure the round trip time. */
     boolean sendPingIfDue(long nowUs) {
         long pingIntervalUs = settings.times().pingIntervalUs();
         boolean due = state == State.UP || state == State.WELCOME_SENT;
@@ -149,17 +149,17 @@
     }
 
     /**
-     * Time in which this process did not run is not the peer's silence. Granted once until the next byte, since the
-     * process may always run late.
+     * Restarts the timeouts after this process did not run, since the peer is not to blame for that. Only once until
+     * the next byte is received, because a process that is always late would never detect a failed peer.
      */
-    void forgivePause(long nowUs) {
-        if (!pauseForgiven) {
-            pauseForgiven = true;
+    void extendTimeoutsAfterPause(long nowUs) {
+        if (!timeoutsExtended) {
+            timeoutsExtended = true;
             resetTimeouts(nowUs);
         }
     }
 
-    /** Nothing was read, so no timeout may have elapsed. */
+    /** Restarts the timeouts while nothing is read from the connection. */
     void resetTimeouts(long nowUs) {
         lastReceivedUs = nowUs;
         sendStalledSinceUs = sendStalledSinceUs < 0 ? -1 : nowUs;
@@ -189,7 +189,7 @@
                         ? Optional.empty()
                         : timeout(
                                 LossReason.SEND_STALLED,
-                                sendQueue.bytes() + " bytes wait, none taken for "
+                                sendQueue.bytes() + " bytes queued, none accepted for "
                                         + formatMs(nowUs - sendStalledSinceUs));
             }
             case CLOSED -> Optional.empty();
@@ -200,7 +200,7 @@
         return Optional.of(new Timeout(reason, detail));
     }
 
-    private static String formatMs(long sampleUs) {
-        return sampleUs / 1000 + " ms";
+    private static String formatMs(long durationUs) {
+        return durationUs / 1000 + " ms";
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/link/manager/PeerTable.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/manager/PeerTable.java
@@ -28,7 +28,7 @@
     }
 
     Peer getOrCreate(String name) {
-        return byName.computeIfAbsent(name, n -> new Peer(n, settings.times(), random.split()));
+        return byName.computeIfAbsent(name, key -> new Peer(key, settings.times(), random.split()));
     }
 
     void removeIfUnused(Peer peer) {
@@ -39,11 +39,11 @@
 
     /** Sets the members to keep links to and returns the peers that need none. */
     List<Peer> setRequired(Set<Member> members) {
-        Map<String, Member> wanted = new HashMap<>();
-        members.forEach(m -> wanted.put(m.name(), m));
-        wanted.remove(settings.self().name());
-        wanted.keySet().forEach(this::getOrCreate);
-        byName.values().forEach(peer -> peer.required = wanted.get(peer.name));
+        Map<String, Member> requiredByName = new HashMap<>();
+        members.forEach(member -> requiredByName.put(member.name(), member));
+        requiredByName.remove(settings.self().name());
+        requiredByName.keySet().forEach(this::getOrCreate);
+        byName.values().forEach(peer -> peer.required = requiredByName.get(peer.name));
         return byName.values().stream().filter(peer -> peer.required == null).toList();
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/Backoff.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/Backoff.java
@@ -21,9 +21,9 @@
 
     /** The next delay (us), from half the minimum to the maximum. */
     public long nextDelayUs() {
-        long pause = boundUs / 2 + random.nextLong(boundUs - boundUs / 2 + 1);
+        long delayUs = boundUs / 2 + random.nextLong(boundUs - boundUs / 2 + 1);
         boundUs = Math.min(maxUs, 2 * boundUs);
-        return pause;
+        return delayUs;
     }
 
     /** Starts again from the minimum, after a stable link. */
--- a/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/queue/SendQueue.java
@@ -8,9 +8,9 @@
 
 /**
  * The frames queued for one peer, by urgency and in order within an urgency. Each urgency may fill the queue only up
- * to its own percentage, so more urgent frames have capacity left when less urgent ones do not. An accepted frame is
- * never dropped. Bounded by bytes and frames, plus the control frames, which their senders bound. Guarded by the lock
- * of the links.
+ * to its own percentage, so capacity remains for more urgent frames when less urgent ones are rejected. An accepted
+ * frame is never dropped. Bounded by bytes and frames, plus the control frames, which their senders bound. Guarded by
+ * the lock of the links.
  */
 public final class SendQueue {
     /** Urgency of control frames (handshake, ping, pong). */
@@ -31,7 +31,7 @@
         }
     }
 
-    /** 0 is the most urgent. Consensus and quotas must not wait behind evidence or content. */
+    /** The urgency of a kind; 0 is the most urgent. Consensus and quotas must not wait behind evidence or content. */
     private static int urgency(MessageKind kind) {
         return switch (kind) {
             case RAFT -> 1;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/ClosingConnections.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /**
- * Closed links that still have a last frame to deliver. Their sockets are closed once the peer has closed, or after
+ * Closed connections whose last frame is not delivered yet. Their sockets are closed once the peer has closed, or after
  * {@value #MAX_LINGER_US} us: closing at once would discard the frame if the peer had sent unread bytes. Bounded by
  * {@value #MAX_CONNECTIONS}; further ones are closed without the frame. Guarded by the lock of the links.
  */
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/FramedSocket.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/FramedSocket.java
@@ -9,7 +9,7 @@
 
 /** A socket and the frames partly written to it. Guarded by the lock of the links. */
 final class FramedSocket {
-    private static final int MAX_WRITES_PER_TURN = 4; // a busy peer must not starve the others
+    private static final int MAX_WRITES_PER_TURN = 4; // so that a busy peer does not starve the others
 
     /** Progress of a write. */
     enum WriteResult {
@@ -27,8 +27,8 @@
     long sentBytes; // accepted by the kernel
     private final ArrayDeque<ByteBuffer> partlyWritten = new ArrayDeque<>();
 
-    FramedSocket(long number, SocketChannel channel) {
-        this.id = number;
+    FramedSocket(long id, SocketChannel channel) {
+        this.id = id;
         this.channel = channel;
     }
 
@@ -50,7 +50,7 @@
      * @param next supplies the next frame, or null
      */
     WriteResult write(ByteBuffer buffer, Supplier<ByteBuffer> next) throws IOException {
-        boolean some = false;
+        boolean wroteAny = false;
         for (int round = 0; round < MAX_WRITES_PER_TURN; round++) {
             fill(buffer, next);
             int filled = buffer.remaining();
@@ -58,13 +58,13 @@
                 return WriteResult.ALL;
             }
             int count = channel.write(buffer);
-            some |= count > 0;
+            wroteAny |= count > 0;
             consume(count);
             if (count < filled) {
                 break;
             }
         }
-        return some ? WriteResult.SOME : WriteResult.NOTHING;
+        return wroteAny ? WriteResult.SOME : WriteResult.NOTHING;
     }
 
     private void fill(ByteBuffer buffer, Supplier<ByteBuffer> next) {
@@ -106,7 +106,7 @@
         return partlyWritten.isEmpty();
     }
 
-    void interest(int op, boolean enabled) {
+    void setInterest(int op, boolean enabled) {
         if (key != null && key.isValid()) {
             int ops = enabled ? key.interestOps() | op : key.interestOps() & ~op;
             if (ops != key.interestOps()) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/HostResolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/HostResolver.java
@@ -19,16 +19,17 @@
  */
 final class HostResolver implements AutoCloseable {
     private static final Pattern NUMERIC_ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
-    private static final int MAX_WAITING = 256;
+    private static final int MAX_QUEUED_NAMES = 256;
 
     private final ThreadPoolExecutor executor;
 
     HostResolver() {
-        executor = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_WAITING), task -> {
-            Thread thread = new Thread(task, "fleet-resolve");
-            thread.setDaemon(true);
-            return thread;
-        });
+        executor =
+                new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_NAMES), task -> {
+                    Thread thread = new Thread(task, "fleet-resolve");
+                    thread.setDaemon(true);
+                    return thread;
+                });
         executor.allowCoreThreadTimeOut(true);
     }
 
@@ -36,22 +37,23 @@
      * Calls back with an address, or with null and the error, on the calling or the resolver thread.
      *
      * @param address host and port
-     * @param wanted checked before a name is looked up: the attempt may have ended
+     * @param isNeeded checked before a name is looked up, because the attempt may have ended
      * @param found receives the result
      */
-    void resolve(Address address, BooleanSupplier wanted, BiConsumer<InetSocketAddress, String> found) {
+    void resolve(Address address, BooleanSupplier isNeeded, BiConsumer<InetSocketAddress, String> found) {
         if (NUMERIC_ADDRESS.matcher(address.host()).matches()) {
-            lookUp(address, found); // needs no server
+            lookUp(address, found); // needs no name server
             return;
         }
         try {
             executor.execute(() -> {
-                if (wanted.getAsBoolean()) {
+                if (isNeeded.getAsBoolean()) {
                     lookUp(address, found);
                 }
             });
         } catch (RejectedExecutionException e) {
-            found.accept(null, "host " + address.host() + ": " + MAX_WAITING + " names are being looked up");
+            found.accept(
+                    null, "host " + address.host() + ": resolver queue is full with " + MAX_QUEUED_NAMES + " names");
         }
     }
 
@@ -65,7 +67,7 @@
             }
             found.accept(null, "host " + address.host() + " has no IPv4 address");
         } catch (UnknownHostException e) {
-            found.accept(null, "host " + address.host() + " is not known");
+            found.accept(null, "host " + address.host() + " cannot be resolved");
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkEventQueue.java
@@ -16,7 +16,7 @@
  * the lock of the links; {@link #waitingBytes} may be read on any thread.
  */
 final class LinkEventQueue implements LinkEvents {
-    private static final int EVENT_OVERHEAD_BYTES = 128; // memory of one message beside its payload
+    private static final int EVENT_OVERHEAD_BYTES = 128; // estimated memory of an event without its payload
 
     private final Links.Listener listener;
     private final Executor fleet;
@@ -55,8 +55,8 @@
         }
     }
 
-    void internalError(long nowUs, RuntimeException e) {
-        logger.internalError(nowUs, e);
+    void internalError(long nowUs, RuntimeException error) {
+        logger.internalError(nowUs, error);
     }
 
     @Override
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLogger.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/LinkLogger.java
@@ -6,7 +6,7 @@
 import sandpaddle.log.LogEvent;
 
 /**
- * Log lines about links. Lines about rejections are limited per minute, since anybody who reaches the port can cause
+ * Log lines about links. Lines about rejections are rate-limited, since anybody who can reach the port can cause
  * them. Guarded by the lock of the links.
  */
 final class LinkLogger {
@@ -47,20 +47,22 @@
         }
     }
 
-    void internalError(long nowUs, RuntimeException e) {
+    void internalError(long nowUs, RuntimeException error) {
         if (tryAcquireLine(nowUs)) {
-            LogEvent.of("links: fault of this program")
-                    .with("fault", String.valueOf(e))
-                    .with("at", e.getStackTrace().length > 0 ? String.valueOf(e.getStackTrace()[0]) : "unknown")
+            LogEvent.of("internal error in the link code")
+                    .with("fault", String.valueOf(error))
+                    .with("at", error.getStackTrace().length > 0 ? String.valueOf(error.getStackTrace()[0]) : "unknown")
                     .warn();
         }
     }
 
-    /** Whether a limited line may be written in this minute. */
+    /** Whether a rate-limited line may be written now; reports the suppressed lines of an earlier minute. */
     boolean tryAcquireLine(long nowUs) {
         if (nowUs / MINUTE_US != minute) {
             if (suppressed > 0) {
-                LogEvent.of("links refused, not told").with("count", suppressed).warn();
+                LogEvent.of("rejected connections not logged")
+                        .with("count", suppressed)
+                        .warn();
             }
             minute = nowUs / MINUTE_US;
             written = 0;
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/SocketTransport.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/SocketTransport.java
@@ -25,7 +25,7 @@
  * TcpLinks}.
  */
 final class SocketTransport implements LinkTransport {
-    /** Urgent frames cannot overtake bytes in the kernel, so its buffer is small. */
+    /** Small, because urgent frames cannot overtake bytes in the kernel's buffer. */
     private static final int SEND_BUFFER_BYTES = 256 << 10;
 
     private static final int BUFFER_BYTES = 64 << 10;
@@ -35,7 +35,7 @@
     private final HostResolver resolver = new HostResolver();
     private final Map<Long, FramedSocket> sockets = new HashMap<>();
     private final ClosingConnections closing = new ClosingConnections();
-    private final Queue<FramedSocket> dirty = new ArrayDeque<>();
+    private final Queue<FramedSocket> writeQueue = new ArrayDeque<>();
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
@@ -49,8 +49,8 @@
         this.selector = selector;
     }
 
-    void setManager(LinkManager by) {
-        manager = by;
+    void setManager(LinkManager linkManager) {
+        manager = linkManager;
     }
 
     /** Bytes received over all sockets since the start. */
@@ -68,18 +68,18 @@
     }
 
     @Override
-    public void connect(long connectionId, Address to) {
+    public void connect(long connectionId, Address target) {
         try {
             SocketChannel channel = SocketChannel.open(StandardProtocolFamily.INET);
             FramedSocket socket = new FramedSocket(connectionId, channel);
             sockets.put(connectionId, socket);
-            resolver.resolve(to, channel::isOpen, (address, fault) -> {
+            resolver.resolve(target, channel::isOpen, (address, fault) -> {
                 tasks.add(() -> connect(socket, address, fault));
                 selector.wakeup();
             });
         } catch (IOException e) {
             tasks.add(() -> manager.connectionEnded(
-                    nowUs, connectionId, LossReason.UNREACHABLE, "no socket: " + e.getMessage()));
+                    nowUs, connectionId, LossReason.UNREACHABLE, "cannot open a socket: " + e.getMessage()));
         }
     }
 
@@ -109,9 +109,10 @@
         channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER_BYTES);
     }
 
-    /** A timeout of the kernel counts as unreachable, like any failure but a refusal. */
-    private static LossReason connectFailure(Exception e) {
-        return e instanceof ConnectException && String.valueOf(e.getMessage()).contains("refused")
+    /** REFUSED if the peer's host refused the connection; any other failure, such as a TCP timeout, is UNREACHABLE. */
+    private static LossReason connectFailure(Exception error) {
+        return error instanceof ConnectException
+                        && String.valueOf(error.getMessage()).contains("refused")
                 ? LossReason.REFUSED
                 : LossReason.UNREACHABLE;
     }
@@ -134,7 +135,7 @@
             configure(channel);
             socket.key = channel.register(selector, isReading ? SelectionKey.OP_READ : 0, socket);
         } catch (IOException e) {
-            end(socket, LossReason.CLOSED, "reset: " + e.getMessage());
+            end(socket, LossReason.CLOSED, "connection lost: " + e.getMessage());
         }
     }
 
@@ -148,7 +149,7 @@
         FramedSocket socket = sockets.get(connectionId);
         if (socket != null && !socket.isWriteQueued) {
             socket.isWriteQueued = true;
-            dirty.add(socket);
+            writeQueue.add(socket);
         }
     }
 
@@ -163,8 +164,8 @@
             return;
         }
         socket.sendFinalFrame(finalFrame);
-        dirty.add(socket);
-        socket.interest(SelectionKey.OP_READ, true);
+        writeQueue.add(socket);
+        socket.setInterest(SelectionKey.OP_READ, true);
     }
 
     private void end(FramedSocket socket, LossReason reason, String detail) {
@@ -194,9 +195,9 @@
             end(
                     socket,
                     open ? LossReason.CLOSED : connectFailure(e),
-                    open ? "reset: " + e.getMessage() : String.valueOf(e.getMessage()));
+                    open ? "connection lost: " + e.getMessage() : String.valueOf(e.getMessage()));
         } catch (RuntimeException e) {
-            end(socket, LossReason.CLOSED, "fault of this program: " + e);
+            end(socket, LossReason.CLOSED, "internal error: " + e);
         }
     }
 
@@ -226,11 +227,10 @@
         if (written != FramedSocket.WriteResult.NOTHING && !socket.isClosing) {
             manager.bytesWritten(nowUs, socket.id, socket.isWritten());
         }
-        socket.interest(SelectionKey.OP_WRITE, written != FramedSocket.WriteResult.ALL);
+        socket.setInterest(SelectionKey.OP_WRITE, written != FramedSocket.WriteResult.ALL);
         if (socket.isClosing && written == FramedSocket.WriteResult.ALL) {
-            socket.channel
-                    .shutdownOutput(); // keeps reading: closing with unread bytes would reset the connection and lose
-            // the last frame
+            // keeps reading: closing with unread bytes would reset the connection and lose the last frame
+            socket.channel.shutdownOutput();
         }
     }
 
@@ -240,26 +240,26 @@
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
-        for (FramedSocket socket = dirty.poll(); socket != null; socket = dirty.poll()) {
+        for (FramedSocket socket = writeQueue.poll(); socket != null; socket = writeQueue.poll()) {
             socket.isWriteQueued = false;
             if (socket.channel.isOpen() && socket.channel.isConnected()) {
                 try {
                     write(socket);
                 } catch (IOException e) {
-                    end(socket, LossReason.CLOSED, "reset: " + e.getMessage());
+                    end(socket, LossReason.CLOSED, "connection lost: " + e.getMessage());
                 }
             }
         }
         closing.expire(nowUs);
     }
 
-    /** Enables or disables reading: the fleet's thread may be behind. */
+    /** Enables or disables reading; it is disabled while the fleet's thread has too many bytes to process. */
     void setReading(boolean enabled) {
         if (enabled != isReading) {
             isReading = enabled;
             sockets.values().stream()
                     .filter(socket -> socket.channel.isConnected())
-                    .forEach(socket -> socket.interest(SelectionKey.OP_READ, enabled));
+                    .forEach(socket -> socket.setInterest(SelectionKey.OP_READ, enabled));
         }
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/tcp/TcpLinks.java
@@ -23,14 +23,15 @@
 /**
  * Links over TCP with sockets and a thread of their own ({@code fleet-link}), so that the event loop that serves
  * queries never waits for a gateway. {@link LinkManager} decides; this class executes its decisions and provides the
- * time. Cost: one wake-up in a fortieth of the liveness timeout plus those for traffic. Memory: bounded by the
- * settings (each peer's queue and one frame) plus the events that the fleet's thread has not processed. Thread-safe:
+ * time. Cost: one wake-up every fortieth of the liveness timeout, and those for traffic. Memory: bounded by the
+ * settings (a queue and one frame for each peer), plus the events waiting for the fleet's thread. Thread-safe:
  * all state is guarded by one lock.
  */
 public final class TcpLinks implements Links, AutoCloseable {
     private static final int ACCEPT_BACKLOG = 256;
     private static final int MAX_ACCEPTED_AT_ONCE = 64;
-    private static final long ACCEPT_PAUSE_US = 1_000_000; // without room for files; the queue of the kernel waits
+    /** After a failed accept, for example without free file descriptors; connections wait in the backlog. */
+    private static final long ACCEPT_BACKOFF_US = 1_000_000;
 
     private final LinkSettings settings;
     private final long startNs = System.nanoTime();
@@ -53,7 +54,7 @@
      *
      * @param settings settings of the links
      * @param listen address to listen on
-     * @param known whether a name is a member's; called on the link thread for each handshake and tick
+     * @param isMember whether a name is a member's; called on the link thread for each handshake and tick
      * @param listener receives the events, on the fleet's thread
      * @param fleet runs the listener's calls in order on a thread of its own; it must not run them in the call
      * @param seed seed of the backoff
@@ -62,7 +63,7 @@
     public TcpLinks(
             LinkSettings settings,
             InetSocketAddress listen,
-            Predicate<String> known,
+            Predicate<String> isMember,
             Listener listener,
             Executor fleet,
             long seed)
@@ -83,7 +84,7 @@
         }
         eventQueue = new LinkEventQueue(listener, fleet, this::now);
         sockets = new SocketTransport(selector);
-        manager = new LinkManager(settings, known, new SplittableRandom(seed), sockets, eventQueue);
+        manager = new LinkManager(settings, isMember, new SplittableRandom(seed), sockets, eventQueue);
         sockets.setManager(manager);
         thread = new Thread(this::run, "fleet-link");
         thread.setDaemon(true);
@@ -94,7 +95,7 @@
         return (System.nanoTime() - startNs) / 1000;
     }
 
-    /** The port that it listens on. */
+    /** The port of the listening socket. */
     public int port() {
         return serverChannel.socket().getLocalPort();
     }
@@ -150,7 +151,7 @@
                 }
             }
         } catch (IOException e) {
-            LogEvent.of("links ended by a fault")
+            LogEvent.of("link thread ended by an I/O error")
                     .with("fault", String.valueOf(e))
                     .warn();
         } finally {
@@ -163,7 +164,7 @@
         }
     }
 
-    /** A bug that throws in one turn must not cut the gateway off until its restart. */
+    /** Survives an exception, so that a bug in one turn does not disconnect the gateway until its restart. */
     private void runTurnSafely(long nowUs) {
         try {
             runTurn(nowUs);
@@ -204,10 +205,10 @@
                 sockets.accept(nowUs, channel);
             }
         } catch (IOException e) {
-            LogEvent.of("links: cannot accept")
+            LogEvent.of("cannot accept connections of peers")
                     .with("fault", String.valueOf(e.getMessage()))
                     .warn();
-            acceptResumesUs = nowUs + ACCEPT_PAUSE_US;
+            acceptResumesUs = nowUs + ACCEPT_BACKOFF_US;
             serverKey.interestOps(0);
         }
     }
@@ -223,7 +224,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LogEvent.of("links: closing")
+            LogEvent.of("cannot close the listening socket of the links")
                     .with("fault", String.valueOf(e.getMessage()))
                     .debug();
         }
--- a/gateway/src/test/java/sandpaddle/fleet/link/frame/FrameProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/frame/FrameProperties.java
@@ -34,25 +34,25 @@
 
     @Test
     void eachFrameIsDecodedAsItWasEncoded() throws FaultyMessageException {
-        for (Frame f : List.of(
+        for (Frame frame : List.of(
                 new Frame.Hello(GREETING),
                 new Frame.Welcome(GREETING),
                 new Frame.Ping(-3),
                 new Frame.Rejected(RejectionCode.CLUSTER, "no"),
                 new Frame.Pong(Long.MAX_VALUE),
                 new Frame.Bye("so long"))) {
-            assertEquals(f, Frame.decode(body(f)));
+            assertEquals(frame, Frame.decode(body(frame)));
         }
         for (MessageKind kind : MessageKind.values()) {
             byte[] payload = new byte[kind.ordinal() * 300];
-            Frame.Data read = (Frame.Data) Frame.decode(body(new Frame.Data(kind, payload)));
-            assertEquals(kind, read.kind());
-            assertArrayEquals(payload, read.payload());
-            assertTrue(body(read).length <= payload.length + Frame.DATA_OVERHEAD);
+            Frame.Data decoded = (Frame.Data) Frame.decode(body(new Frame.Data(kind, payload)));
+            assertEquals(kind, decoded.kind());
+            assertArrayEquals(payload, decoded.payload());
+            assertTrue(body(decoded).length <= payload.length + Frame.DATA_OVERHEAD_BYTES);
         }
     }
 
-    /** The numbers on the wire are a contract between versions. */
+    /** The numbers on the wire must be the same in all versions. */
     @Test
     void numbersOfKindsNeverChange() {
         assertEquals(
@@ -76,22 +76,22 @@
                 List.of(RejectionCode.values()).subList(0, 6));
     }
 
-    /** Whoever writes CBOR may write a short length shortly. */
+    /** Another CBOR encoder may encode a short length in fewer bytes. */
     @Test
     void aMessageInAnotherCborEncodingIsEqual() throws FaultyMessageException {
-        Frame.Data read = (Frame.Data) Frame.decode(
+        Frame.Data decoded = (Frame.Data) Frame.decode(
                 new CborOut().number(21).bytes(new byte[] {1, 2, 3}).done());
-        assertEquals(MessageKind.CONTENT, read.kind());
-        assertArrayEquals(new byte[] {1, 2, 3}, read.payload());
-        byte[] cut = body(new Frame.Data(MessageKind.RAFT, new byte[9]));
-        assertTrue(!readable(java.util.Arrays.copyOf(cut, cut.length - 1))
-                && !readable(java.util.Arrays.copyOf(cut, cut.length + 1)));
+        assertEquals(MessageKind.CONTENT, decoded.kind());
+        assertArrayEquals(new byte[] {1, 2, 3}, decoded.payload());
+        byte[] encoded = body(new Frame.Data(MessageKind.RAFT, new byte[9]));
+        assertTrue(!isDecodable(java.util.Arrays.copyOf(encoded, encoded.length - 1))
+                && !isDecodable(java.util.Arrays.copyOf(encoded, encoded.length + 1)));
     }
 
-    /** A later version adds values to greetings and numbers of its own; this one goes on. */
+    /** A later version may add values to greetings and new frame numbers. */
     @Test
     void additionsOfALaterVersionAreSkipped() throws FaultyMessageException {
-        byte[] later = new CborOut()
+        byte[] laterVersion = new CborOut()
                 .number(2)
                 .number(1)
                 .number(3)
@@ -106,7 +106,7 @@
                 .text("added")
                 .flag(true)
                 .done();
-        assertEquals(new Frame.Welcome(GREETING), Frame.decode(later));
+        assertEquals(new Frame.Welcome(GREETING), Frame.decode(laterVersion));
         assertEquals(
                 new Frame.Unknown(99),
                 Frame.decode(new CborOut().number(99).text("new").done()));
@@ -122,7 +122,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<byte[]> sent = new ArrayList<>();
         ByteBuffer stream =
-                ByteBuffer.allocate(sizes.stream().mapToInt(n -> n + 4).sum());
+                ByteBuffer.allocate(sizes.stream().mapToInt(size -> size + 4).sum());
         for (int count : sizes) {
             byte[] body = new byte[count];
             random.nextBytes(body);
@@ -130,30 +130,30 @@
             stream.putInt(count).put(body);
         }
         stream.flip();
-        FrameDecoder reader = new FrameDecoder(50_000);
-        List<byte[]> got = new ArrayList<>();
+        FrameDecoder decoder = new FrameDecoder(50_000);
+        List<byte[]> decodedBodies = new ArrayList<>();
         int max = 1 + random.nextInt(random.nextBoolean() ? 8 : 30_000);
         while (stream.hasRemaining()) {
             int count = Math.min(stream.remaining(), 1 + random.nextInt(max));
-            ByteBuffer piece = stream.slice(stream.position(), count);
-            assertEquals(Optional.empty(), reader.decode(piece, got::add));
+            ByteBuffer part = stream.slice(stream.position(), count);
+            assertEquals(Optional.empty(), decoder.decode(part, decodedBodies::add));
             stream.position(stream.position() + count);
         }
-        assertEquals(sent.size(), got.size());
+        assertEquals(sent.size(), decodedBodies.size());
         for (int i = 0; i < sent.size(); i++) {
-            assertArrayEquals(sent.get(i), got.get(i));
+            assertArrayEquals(sent.get(i), decodedBodies.get(i));
         }
     }
 
-    /** What a header claims costs nothing until the bytes come, and one over the bound ends the reading. */
+    /** The length in a header allocates no memory before the bytes arrive, and one over the bound is an error. */
     @Property(seed = "32", tries = 300)
     void garbageNeverBuffersMoreThanTwiceItsSizeNorThrows(
             @ForAll @Size(max = 200) byte[] garbage, @ForAll @IntRange(min = 16, max = 1 << 26) int bound) {
-        FrameDecoder reader = new FrameDecoder(bound);
+        FrameDecoder decoder = new FrameDecoder(bound);
         Optional<String> fault = Optional.empty();
         for (byte next : garbage) {
-            fault = reader.decode(ByteBuffer.wrap(new byte[] {next}), body -> true);
-            assertTrue(reader.bufferedBytes() <= 2 * 16384, "holds " + reader.bufferedBytes());
+            fault = decoder.decode(ByteBuffer.wrap(new byte[] {next}), body -> true);
+            assertTrue(decoder.bufferedBytes() <= 2 * 16384, "buffered bytes " + decoder.bufferedBytes());
         }
         if (garbage.length >= 4) {
             int length = ByteBuffer.wrap(garbage).getInt();
@@ -163,37 +163,37 @@
 
     @Test
     void aFrameOverTheBoundIsReportedWithItsLength() {
-        FrameDecoder reader = new FrameDecoder(100);
+        FrameDecoder decoder = new FrameDecoder(100);
         assertEquals(
                 Optional.of("frame of 101 bytes is over the bound of 100"),
-                reader.decode(ByteBuffer.allocate(8).putInt(101).putInt(0).flip(), body -> true));
+                decoder.decode(ByteBuffer.allocate(8).putInt(101).putInt(0).flip(), body -> true));
         assertEquals(
                 Optional.of("frame of 4294967295 bytes is over the bound of 100"),
                 new FrameDecoder(100).decode(ByteBuffer.allocate(4).putInt(-1).flip(), body -> true));
     }
 
     @Test
-    void theBoundCanBeRaisedBetweenTwoFramesOfOnePiece() {
-        FrameDecoder reader = new FrameDecoder(10);
+    void theBoundCanBeRaisedBetweenTwoFramesOfOneRead() {
+        FrameDecoder decoder = new FrameDecoder(10);
         List<Integer> sizes = new ArrayList<>();
         ByteBuffer bytes = ByteBuffer.allocate(100).putInt(4).putInt(0).putInt(60);
-        assertEquals(Optional.empty(), reader.decode(bytes.position(72).flip(), body -> {
-            reader.setMaxBodyBytes(60);
+        assertEquals(Optional.empty(), decoder.decode(bytes.position(72).flip(), body -> {
+            decoder.setMaxBodyBytes(60);
             return sizes.add(body.length);
         }));
         assertEquals(List.of(4, 60), sizes);
     }
 
-    /** Only the one declared fault comes out, whatever the body. */
+    /** Decoding throws only the declared exception, whatever the body. */
     @Property(seed = "33", tries = 3000)
     void garbageAsABodyIsAnErrorOrAFrame(@ForAll @IntRange(max = 40) int number, @ForAll @Size(max = 80) byte[] rest) {
         byte[] body = new byte[rest.length + 1];
         body[0] = (byte) number;
         System.arraycopy(rest, 0, body, 1, rest.length);
-        assertTrue(readable(body) || !readable(body));
+        assertTrue(isDecodable(body) || !isDecodable(body));
     }
 
-    /** A greeting with some bytes changed, which comes further than garbage does. */
+    /** Corrupt greetings reach more of the decoder than random bytes do. */
     @Property(seed = "34", tries = 2000)
     void aCorruptGreetingIsAnErrorOrAGreeting(@ForAll @IntRange(max = 1_000_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -201,11 +201,11 @@
         for (int i = random.nextInt(1, 4); i > 0; i--) {
             body[random.nextInt(body.length)] = (byte) random.nextInt();
         }
-        readable(java.util.Arrays.copyOf(body, random.nextInt(body.length + 1)));
-        assertTrue(readable(body(new Frame.Hello(GREETING))));
+        isDecodable(java.util.Arrays.copyOf(body, random.nextInt(body.length + 1)));
+        assertTrue(isDecodable(body(new Frame.Hello(GREETING))));
     }
 
-    private static boolean readable(byte[] body) {
+    private static boolean isDecodable(byte[] body) {
         try {
             return Frame.decode(body) != null;
         } catch (FaultyMessageException e) {
@@ -215,7 +215,7 @@
 
     @Property(seed = "35", tries = 200)
     void aReasonOfAnyTextFitsAndIsReadable(@ForAll @StringLength(max = 2000) String reason) {
-        assertTrue(readable(body(new Frame.Bye(reason))));
+        assertTrue(isDecodable(body(new Frame.Bye(reason))));
         assertTrue(body(new Frame.Rejected(RejectionCode.NAME, reason)).length < Frame.MAX_GREETING_BYTES);
     }
 
@@ -230,8 +230,9 @@
         int otherMin = Math.min(c, d);
         int otherMax = Math.max(c, d);
         int expected = 0;
-        for (int v = 1; v <= 5; v++) {
-            expected = v >= min && v <= max && v >= otherMin && v <= otherMax ? v : expected;
+        for (int version = 1; version <= 5; version++) {
+            expected =
+                    version >= min && version <= max && version >= otherMin && version <= otherMax ? version : expected;
         }
         assertEquals(expected, Greeting.highestCommonVersion(min, max, otherMin, otherMax));
         assertEquals(expected, Greeting.highestCommonVersion(otherMin, otherMax, min, max));
--- a/gateway/src/test/java/sandpaddle/fleet/link/frame/RecordedFramesTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/frame/RecordedFramesTest.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.member.Member;
 import sandpaddle.recorded.RecordedFile;
 
-/** Each frame has the bytes that an earlier version wrote, and those are read and written again as they are. */
+/** Compatibility with the frames of an earlier version: they are encoded byte for byte, and can be decoded. */
 class RecordedFramesTest {
     private static final RecordedFile RECORD = new RecordedFile("frames.txt");
     private static final int HEADER_BYTES = 4;
@@ -30,8 +30,8 @@
         Map<String, byte[]> frames = new LinkedHashMap<>();
         frames.put("hello", bytes(new Frame.Hello(greeting)));
         frames.put("welcome", bytes(new Frame.Welcome(greeting)));
-        for (RejectionCode refusal : RejectionCode.values()) {
-            frames.put("rejected " + refusal.ordinal(), bytes(new Frame.Rejected(refusal, "why \u00e9")));
+        for (RejectionCode code : RejectionCode.values()) {
+            frames.put("rejected " + code.ordinal(), bytes(new Frame.Rejected(code, "why \u00e9")));
         }
         frames.put("ping", bytes(new Frame.Ping(-3)));
         frames.put("pong", bytes(new Frame.Pong(Long.MAX_VALUE)));
--- a/gateway/src/test/java/sandpaddle/fleet/link/manager/LinkManagerProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/manager/LinkManagerProperties.java
@@ -15,7 +15,7 @@
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.link.virtual.VirtualNet;
 
-/** Drawn faults between five gateways: whatever happened, calm links all that want each other, each pair once. */
+/** Random faults between five gateways: after the faults have healed, each pair of gateways has exactly one link. */
 class LinkManagerProperties {
     private static final long SECOND = 1_000_000;
     private static final int NODES = 5;
@@ -29,42 +29,42 @@
         VirtualNet net = new VirtualNet(seed);
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, Links> links = new HashMap<>();
-        List<RecordedEvents> heard = new ArrayList<>();
+        List<RecordedEvents> recorded = new ArrayList<>();
         net.delay(random.nextLong(random.nextBoolean() ? 400_000 : 3000));
         for (int i = 0; i < NODES; i++) {
-            heard.add(new RecordedEvents());
-            links.put(name(i), net.node(name(i), "hall-" + i % 2, heard.get(i)));
+            recorded.add(new RecordedEvents());
+            links.put(name(i), net.node(name(i), "hall-" + i % 2, recorded.get(i)));
         }
-        links.values().forEach(l -> l.setPeers(net.members()));
+        links.values().forEach(link -> link.setPeers(net.members()));
         for (int i = 0; i < 60; i++) {
             net.advance(net.now() + random.nextLong(SECOND));
-            fault(net, links, heard, random);
+            injectFault(net, links, recorded, random);
         }
-        calm(net, links);
+        healAndWait(net, links);
         for (int i = 0; i < NODES; i++) {
-            for (int k = 0; k < NODES; k++) {
-                if (i != k) {
-                    alternate(heard.get(i).events, name(k));
+            for (int j = 0; j < NODES; j++) {
+                if (i != j) {
+                    assertUpAndDownAlternate(recorded.get(i).events, name(j));
                     assertTrue(
-                            links.get(name(i)).send(name(k), MessageKind.HEARTBEAT, RecordedEvents.message(i)),
-                            name(i) + " has no link to " + name(k) + " " + heard.get(i).events);
+                            links.get(name(i)).send(name(j), MessageKind.HEARTBEAT, RecordedEvents.message(i)),
+                            name(i) + " has no link to " + name(j) + " " + recorded.get(i).events);
                 }
             }
         }
-        long down = downs(heard);
+        long losses = lossCount(recorded);
         net.advance(net.now() + 30 * SECOND);
-        assertEquals(down, downs(heard), "links end while nothing fails");
+        assertEquals(losses, lossCount(recorded), "links end while nothing fails");
     }
 
-    private static long downs(List<RecordedEvents> heard) {
-        return heard.stream()
-                .flatMap(h -> h.events.stream())
-                .filter(e -> e.startsWith("down"))
+    private static long lossCount(List<RecordedEvents> recorded) {
+        return recorded.stream()
+                .flatMap(listener -> listener.events.stream())
+                .filter(event -> event.startsWith("down"))
                 .count();
     }
 
-    private static void fault(
-            VirtualNet net, Map<String, Links> links, List<RecordedEvents> heard, SplittableRandom random) {
+    private static void injectFault(
+            VirtualNet net, Map<String, Links> links, List<RecordedEvents> recorded, SplittableRandom random) {
         int first = random.nextInt(NODES);
         String one = name(first);
         String two = name(random.nextInt(NODES));
@@ -78,45 +78,45 @@
                 net.resume(one);
                 net.crash(one);
                 net.restart(one);
-                heard.get(first).events.add("start");
+                recorded.get(first).events.add("start");
                 links.get(one).setPeers(net.members());
             }
             default -> net.delay(one, two, random.nextLong(2 * SECOND));
         }
     }
 
-    private static void calm(VirtualNet net, Map<String, Links> links) {
+    private static void healAndWait(VirtualNet net, Map<String, Links> links) {
         net.healAll();
         links.keySet().forEach(net::resume);
         net.advance(net.now() + 60 * SECOND);
     }
 
-    /** Up and down take turns for one peer, but for attempts that fail while it is down. */
-    private static void alternate(List<String> events, String peer) {
+    /** Up and down events of a peer alternate, except that attempts may fail while it is down. */
+    private static void assertUpAndDownAlternate(List<String> events, String peer) {
         boolean up = false;
-        for (String e : events) {
-            if (e.equals("up " + peer)) {
+        for (String event : events) {
+            if (event.equals("up " + peer)) {
                 assertTrue(!up, "up twice: " + events);
                 up = true;
-            } else if (e.equals("start") || e.startsWith("down " + peer + " ")) {
+            } else if (event.equals("start") || event.startsWith("down " + peer + " ")) {
                 up = false;
             }
         }
     }
 
-    /** Whatever the ways take and whoever begins: no link comes and goes while both find one. */
+    /** Whatever the delays and whichever side starts, simultaneous connection attempts result in one link. */
     @Property(seed = "23", tries = 120)
     void simultaneousOpenNeverFlaps(
-            @ForAll @IntRange(max = 2_000_000) int there,
-            @ForAll @IntRange(max = 2_000_000) int back,
+            @ForAll @IntRange(max = 2_000_000) int delayAToB,
+            @ForAll @IntRange(max = 2_000_000) int delayBToA,
             @ForAll @IntRange(max = 4_000_000) int offset,
             @ForAll @IntRange(max = 800_000) int jitter) {
-        VirtualNet net = new VirtualNet(there + offset);
+        VirtualNet net = new VirtualNet(delayAToB + offset);
         net.jitter(jitter);
         RecordedEvents a = new RecordedEvents();
         RecordedEvents b = new RecordedEvents();
-        net.delay("a", "b", there);
-        net.delay("b", "a", back);
+        net.delay("a", "b", delayAToB);
+        net.delay("b", "a", delayBToA);
         Links linksA = net.node("a", "h", a);
         Links linksB = net.node("b", "h", b);
         linksA.setPeers(net.members());
@@ -126,7 +126,7 @@
         assertEquals(List.of("up a"), b.events);
     }
 
-    /** Messages lost and doubled on links that stay: what stands above must bear both, so the net must make both. */
+    /** Messages are lost and duplicated on links that stay up, so that the layers above are tested with both. */
     @Property(seed = "22", tries = 20)
     void messagesAreLostAndDuplicatedAsConfigured(@ForAll @IntRange(max = 1_000_000) int seed) {
         VirtualNet net = new VirtualNet(seed);
@@ -143,7 +143,7 @@
         }
         net.advance(net.now() + 5 * SECOND);
         long distinct = b.messages.stream().distinct().count();
-        assertTrue(distinct > 280 && distinct < 420, "came " + distinct);
-        assertTrue(b.messages.size() > distinct + 50, "doubled " + (b.messages.size() - distinct));
+        assertTrue(distinct > 280 && distinct < 420, "distinct messages " + distinct);
+        assertTrue(b.messages.size() > distinct + 50, "duplicates " + (b.messages.size() - distinct));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/manager/LinkManagerTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/manager/LinkManagerTest.java
@@ -14,7 +14,7 @@
 import sandpaddle.fleet.link.frame.RejectionCode;
 import sandpaddle.fleet.link.virtual.VirtualNet;
 
-/** Two gateways' switchboards against each other in virtual time; each fault is told as what it is. */
+/** The link managers of two gateways in virtual time: each fault is reported with its reason. */
 class LinkManagerTest {
     private static final long SECOND = 1_000_000;
 
@@ -89,13 +89,13 @@
         net.advance(net.now() + 1_400_000);
         assertEquals(List.of("up a", "down a SILENT"), b.events);
         assertEquals("down b CLOSED", a.events.get(1));
-        assertTrue(a.whys.get(0).contains("b: nothing heard for"), a.whys.get(0));
+        assertTrue(a.lossDetails.get(0).contains("b: nothing heard for"), a.lossDetails.get(0));
     }
 
     @Test
     void aPowerLossIsUnresponsiveAndADeadProcessIsClosedThenRefused() {
         link();
-        net.vanish("b");
+        net.powerOff("b");
         net.advance(net.now() + 30 * SECOND);
         assertEquals(List.of("up b", "down b SILENT", "down b UNREACHABLE"), a.events);
         net.restart("b");
@@ -126,7 +126,7 @@
         slow.node("b", "h", new RecordedEvents());
         first.setPeers(slow.members());
         slow.advance(SECOND);
-        slow.clog("a", "b");
+        slow.stallReads("a", "b");
         assertTrue(first.send("b", MessageKind.CONTENT, RecordedEvents.message(1)));
         slow.advance(3 * SECOND + 500_000);
         assertEquals(List.of("up b", "down b CLOGGED"), one.events.subList(0, 2));
@@ -144,18 +144,18 @@
 
     @Test
     void nonMembersAreRejectedByNameOnBothSides() {
-        net.known(name -> !name.equals("a"));
+        net.setMembership(name -> !name.equals("a"));
         linksA.setPeers(net.members());
         net.advance(3 * SECOND);
         assertEquals(
-                new VirtualNet.Refused("b", "a", RejectionCode.NAME),
-                net.refused().get(0));
-        assertEquals(List.of("down b REJECTED"), a.events, "told once, not at every attempt");
-        assertEquals("b refuses this gateway: NAME: a is no member of cluster virtual", a.whys.get(0));
-        net.known(name -> true);
+                new VirtualNet.Rejection("b", "a", RejectionCode.NAME),
+                net.rejections().get(0));
+        assertEquals(List.of("down b REJECTED"), a.events, "reported once, not at every attempt");
+        assertEquals("b rejected this gateway: NAME: a is no member of cluster virtual", a.lossDetails.get(0));
+        net.setMembership(name -> true);
         net.advance(net.now() + 10 * SECOND);
         assertEquals(List.of("down b REJECTED", "up b"), a.events);
-        net.known(name -> !name.equals("a"));
+        net.setMembership(name -> !name.equals("a"));
         net.advance(net.now() + SECOND);
         assertEquals(List.of("up a", "down a REJECTED"), b.events);
     }
@@ -170,7 +170,7 @@
         assertFalse(linksA.send("b", MessageKind.RAFT, RecordedEvents.message(1)));
     }
 
-    /** Guards against a link that comes and goes: one that did not last is dialled later and later. */
+    /** Guards against a flapping link: after a short link the backoff continues to grow. */
     @Test
     void attemptsAreFewWhileAPeerFlaps() {
         linksA.setPeers(net.members());
@@ -191,6 +191,6 @@
         linksA.setPeers(net.members());
         net.advance(300 * SECOND);
         long attempts = net.counts("a").attempts();
-        assertTrue(attempts >= 60 && attempts <= 140, "attempts " + attempts); // a pause of 2.5 to 5 s each
+        assertTrue(attempts >= 60 && attempts <= 140, "attempts " + attempts); // the delay is 2.5 to 5 s
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/manager/ProcessPauseTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/manager/ProcessPauseTest.java
@@ -13,12 +13,15 @@
 import sandpaddle.fleet.link.frame.RejectionCode;
 import sandpaddle.fleet.member.Member;
 
-/** A gateway that did not run, or did not read, doubts itself before it accuses its peers (Lifeguard's rule). */
+/**
+ * A gateway that was paused, or did not read, must not take that for a failure of its peers (local health awareness as
+ * in Lifeguard).
+ */
 class ProcessPauseTest {
-    private static final long SILENT = LinkSettings.Times.DEFAULT.livenessTimeoutUs();
+    private static final long LIVENESS_TIMEOUT_US = LinkSettings.Times.DEFAULT.livenessTimeoutUs();
 
-    private final RecordedEvents heard = new RecordedEvents();
-    private final LinkManager board = new LinkManager(
+    private final RecordedEvents recorded = new RecordedEvents();
+    private final LinkManager manager = new LinkManager(
             LinkSettings.withDefaults("c", new Member("a", "h", "a", 1), 1),
             name -> true,
             new SplittableRandom(1),
@@ -35,57 +38,60 @@
             new LinkEvents() {
                 @Override
                 public void connectionRejected(String address, String claimedName, RejectionCode code, String detail) {
-                    heard.events.add("refused " + claimedName);
+                    recorded.events.add("rejected " + claimedName);
                 }
 
                 @Override
                 public void messageReceived(String from, sandpaddle.fleet.link.MessageKind kind, byte[] payload) {
-                    heard.messageReceived(from, kind, payload);
+                    recorded.messageReceived(from, kind, payload);
                 }
 
                 @Override
                 public void peerUp(Member peer, long incarnation) {
-                    heard.peerUp(peer, incarnation);
+                    recorded.peerUp(peer, incarnation);
                 }
 
                 @Override
                 public void peerDown(String peer, Links.LossReason reason, String detail) {
-                    heard.peerDown(peer, reason, detail);
+                    recorded.peerDown(peer, reason, detail);
                 }
             });
 
     private void link() {
-        long connectionId = board.connectionAccepted(0, "test");
-        board.bytesReceived(
+        long connectionId = manager.connectionAccepted(0, "test");
+        manager.bytesReceived(
                 0,
                 connectionId,
                 new Frame.Hello(new Greeting(1, 1, "c", new Member("b", "h", "b", 1), "a", 5, 1)).encode());
-        board.bytesReceived(0, connectionId, new Frame.Ping(0).encode());
-        board.tick(0, true);
-        assertEquals(List.of("up b"), heard.events);
+        manager.bytesReceived(0, connectionId, new Frame.Ping(0).encode());
+        manager.tick(0, true);
+        assertEquals(List.of("up b"), recorded.events);
     }
 
     private void ticks(long from, long to, boolean reading) {
-        for (long nowUs = from; nowUs <= to; nowUs += SILENT / 20) {
-            board.tick(nowUs, reading);
+        for (long nowUs = from; nowUs <= to; nowUs += LIVENESS_TIMEOUT_US / 20) {
+            manager.tick(nowUs, reading);
         }
     }
 
     @Test
-    void anOwnPauseIsForgivenOnce() {
+    void timeoutsAreExtendedOnlyOnceAfterAPauseOfTheProcess() {
         link();
-        board.tick(5 * SILENT, true);
-        assertEquals(List.of("up b"), heard.events, "stopped between the reading and the tick");
-        board.tick(6 * SILENT, true);
-        assertEquals(List.of("up b", "down b SILENT"), heard.events, "a process that never runs in time");
+        manager.tick(5 * LIVENESS_TIMEOUT_US, true);
+        assertEquals(List.of("up b"), recorded.events, "the process was paused between the last read and the tick");
+        manager.tick(6 * LIVENESS_TIMEOUT_US, true);
+        assertEquals(
+                List.of("up b", "down b SILENT"),
+                recorded.events,
+                "a process that is always late still detects the failure");
     }
 
     @Test
     void noTimeoutWhileNothingIsRead() {
         link();
-        ticks(0, 5 * SILENT, false);
-        assertEquals(List.of("up b"), heard.events);
-        ticks(5 * SILENT, 6 * SILENT + SILENT / 10, true);
-        assertEquals(List.of("up b", "down b SILENT"), heard.events);
+        ticks(0, 5 * LIVENESS_TIMEOUT_US, false);
+        assertEquals(List.of("up b"), recorded.events);
+        ticks(5 * LIVENESS_TIMEOUT_US, 6 * LIVENESS_TIMEOUT_US + LIVENESS_TIMEOUT_US / 10, true);
+        assertEquals(List.of("up b", "down b SILENT"), recorded.events);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/manager/RecordedEvents.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/manager/RecordedEvents.java
@@ -6,10 +6,10 @@
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.member.Member;
 
-/** Keeps what a listener was told, one text an event. */
+/** A listener that records its events as texts. */
 final class RecordedEvents implements Links.Listener {
     final List<String> events = new ArrayList<>();
-    final List<String> whys = new ArrayList<>();
+    final List<String> lossDetails = new ArrayList<>();
     final List<Integer> messages = new ArrayList<>();
     long roundTripUs;
 
@@ -26,12 +26,12 @@
     @Override
     public void peerDown(String peer, Links.LossReason reason, String detail) {
         events.add("down " + peer + " " + reason.logName());
-        whys.add(detail);
+        lossDetails.add(detail);
     }
 
     @Override
-    public void roundTripMeasured(String peer, long us) {
-        roundTripUs = us;
+    public void roundTripMeasured(String peer, long measuredUs) {
+        roundTripUs = measuredUs;
     }
 
     static byte[] message(int number) {
--- a/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/queue/SendQueueProperties.java
@@ -17,7 +17,7 @@
 import sandpaddle.fleet.link.MessageKind;
 
 class SendQueueProperties {
-    private static final List<MessageKind> MAX_URGENT_FIRST = List.of(
+    private static final List<MessageKind> MOST_URGENT_FIRST = List.of(
             MessageKind.RAFT,
             MessageKind.GRANT,
             MessageKind.PROPOSAL,
@@ -29,24 +29,26 @@
         return ByteBuffer.allocate(Math.max(8, size)).putInt(0, kind).putInt(4, number);
     }
 
-    /** What is taken comes out once, in order of urgency and then of coming; the bounds hold at every step. */
+    /** Accepted frames are polled exactly once, by urgency and then in order; the bounds hold at every step. */
     @Property(seed = "41", tries = 200)
     void noAcceptedFrameIsLostAndUrgentFramesAreFirst(@ForAll @IntRange(max = 1_000_000) int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SendQueue sendQueue = new SendQueue(20_000, 40);
         List<List<Integer>> model = new ArrayList<>();
-        MAX_URGENT_FIRST.forEach(k -> model.add(new ArrayList<>()));
+        MOST_URGENT_FIRST.forEach(kind -> model.add(new ArrayList<>()));
         for (int i = 0; i < 300; i++) {
             if (random.nextInt(5) < 3) {
-                int k = random.nextInt(MAX_URGENT_FIRST.size());
-                if (sendQueue.offer(MAX_URGENT_FIRST.get(k), frame(k, i, random.nextInt(3000)))) {
-                    model.get(k).add(i);
+                int kind = random.nextInt(MOST_URGENT_FIRST.size());
+                if (sendQueue.offer(MOST_URGENT_FIRST.get(kind), frame(kind, i, random.nextInt(3000)))) {
+                    model.get(kind).add(i);
                 }
             } else {
-                List<Integer> first =
-                        model.stream().filter(l -> !l.isEmpty()).findFirst().orElse(null);
-                ByteBuffer got = sendQueue.poll();
-                assertEquals(first == null ? null : first.remove(0), got == null ? null : got.getInt(4));
+                List<Integer> first = model.stream()
+                        .filter(numbers -> !numbers.isEmpty())
+                        .findFirst()
+                        .orElse(null);
+                ByteBuffer polled = sendQueue.poll();
+                assertEquals(first == null ? null : first.remove(0), polled == null ? null : polled.getInt(4));
             }
             assertTrue(sendQueue.bytes() <= 20_000 && sendQueue.frames() <= 40);
             assertEquals(model.stream().mapToInt(List::size).sum(), sendQueue.frames());
@@ -60,12 +62,13 @@
         while (sendQueue.offer(MessageKind.CONTENT, frame(5, content, 100))) {
             content++;
         }
-        assertEquals(50, content, "content takes half");
+        assertEquals(50, content, "content may fill half of the queue");
         assertTrue(sendQueue.offer(MessageKind.EVIDENCE, frame(4, 0, 100)));
         for (int i = 0; i < 49; i++) {
             assertTrue(sendQueue.offer(MessageKind.RAFT, frame(0, i, 100)));
         }
-        assertFalse(sendQueue.offer(MessageKind.RAFT, frame(0, 49, 100)), "the queue is bounded for all");
+        assertFalse(
+                sendQueue.offer(MessageKind.RAFT, frame(0, 49, 100)), "the bound applies to the most urgent kind too");
         assertEquals(0, sendQueue.poll().getInt(0));
     }
 
@@ -84,8 +87,8 @@
         Backoff backoff = new Backoff(100, 5000, new SplittableRandom(seed));
         long bound = 100;
         for (int i = 0; i < 30; i++) {
-            long pause = backoff.nextDelayUs();
-            assertTrue(pause >= bound / 2 && pause <= bound, "pause " + pause + " of " + bound);
+            long delayUs = backoff.nextDelayUs();
+            assertTrue(delayUs >= bound / 2 && delayUs <= bound, "delay " + delayUs + " of " + bound);
             bound = Math.min(5000, 2 * bound);
         }
         backoff.reset();
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkLoggerTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/LinkLoggerTest.java
@@ -5,15 +5,15 @@
 import org.junit.jupiter.api.Test;
 
 class LinkLoggerTest {
-    /** Guards against a log filled by whoever reaches the port. */
+    /** Guards against a log that anybody who can reach the port may fill. */
     @Test
     void rejectionLinesAreLimitedPerMinute() {
-        LinkLogger log = new LinkLogger();
+        LinkLogger logger = new LinkLogger();
         int written = 0;
         for (int i = 0; i < 1000; i++) {
-            written += log.tryAcquireLine(i * 60_000L) ? 1 : 0;
+            written += logger.tryAcquireLine(i * 60_000L) ? 1 : 0;
         }
         assertEquals(LinkLogger.MAX_REJECTIONS_PER_MINUTE, written);
-        assertEquals(true, log.tryAcquireLine(60_000_000));
+        assertEquals(true, logger.tryAcquireLine(60_000_000));
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/RawPeer.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/RawPeer.java
@@ -15,9 +15,9 @@
 import sandpaddle.fleet.member.Member;
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
-/** The other end of a connection, which does only what a story lets it do. */
+/** A peer on a plain blocking socket that sends and receives only what a test asks for. */
 final class RawPeer implements AutoCloseable {
-    static final int PATIENCE_MS = 10_000;
+    static final int TIMEOUT_MS = 10_000;
 
     private final Socket socket;
     private final DataInputStream in;
@@ -25,7 +25,7 @@
 
     private RawPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         in = new DataInputStream(socket.getInputStream());
         out = socket.getOutputStream();
     }
@@ -36,9 +36,9 @@
 
     static ServerSocket listen() throws IOException {
         ServerSocket server = new ServerSocket();
-        server.setReceiveBufferSize(8192); // what is not read fills up soon
+        server.setReceiveBufferSize(8192); // small, so that a peer that reads nothing stalls the sender soon
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        server.setSoTimeout(PATIENCE_MS);
+        server.setSoTimeout(TIMEOUT_MS);
         return server;
     }
 
@@ -46,22 +46,23 @@
         return new RawPeer(server.accept());
     }
 
-    static Greeting greeting(int version, String cluster, String name, String to, long incarnation) {
-        return new Greeting(version, version, cluster, new Member(name, "hall-9", "127.0.0.1", 1), to, incarnation, 1);
+    static Greeting greeting(int version, String cluster, String name, String targetName, long incarnation) {
+        return new Greeting(
+                version, version, cluster, new Member(name, "hall-9", "127.0.0.1", 1), targetName, incarnation, 1);
     }
 
-    RawPeer say(Frame frame) throws IOException {
+    RawPeer send(Frame frame) throws IOException {
         ByteBuffer bytes = frame.encode();
-        return bytes(bytes.array());
+        return sendBytes(bytes.array());
     }
 
-    RawPeer bytes(byte[] bytes) throws IOException {
+    RawPeer sendBytes(byte[] bytes) throws IOException {
         out.write(bytes);
         return this;
     }
 
-    /** The next frame, or null where the other side has closed. */
-    Frame hear() throws IOException, FaultyMessageException {
+    /** The next frame, or null if the other side has closed the connection. */
+    Frame receive() throws IOException, FaultyMessageException {
         try {
             byte[] body = new byte[in.readInt()];
             in.readFully(body);
@@ -71,31 +72,32 @@
         }
     }
 
-    /** The next frame of a sort, or null; others are passed over. */
-    <T extends Frame> T hear(Class<T> sort) throws IOException, FaultyMessageException {
-        for (Frame f = hear(); f != null; f = hear()) {
-            if (sort.isInstance(f)) {
-                return sort.cast(f);
+    /** The next frame of a type, or null; other frames are skipped. */
+    <T extends Frame> T receive(Class<T> type) throws IOException, FaultyMessageException {
+        for (Frame frame = receive(); frame != null; frame = receive()) {
+            if (type.isInstance(frame)) {
+                return type.cast(frame);
             }
         }
         return null;
     }
 
-    /** Greets as the dialler and shows that the answer came. */
-    RawPeer greet(Greeting greeting) throws IOException, FaultyMessageException {
-        say(new Frame.Hello(greeting));
-        if (hear(Frame.Welcome.class) == null) {
+    /** Completes the handshake as the connecting side. */
+    RawPeer handshake(Greeting greeting) throws IOException, FaultyMessageException {
+        send(new Frame.Hello(greeting));
+        if (receive(Frame.Welcome.class) == null) {
             throw new IOException("no welcome");
         }
-        return say(new Frame.Ping(1));
+        return send(new Frame.Ping(1));
     }
 
-    /** Answers a greeting as the one that was dialled. */
-    RawPeer welcome(Greeting greeting) throws IOException, FaultyMessageException {
-        hear(Frame.Hello.class);
-        return say(new Frame.Welcome(greeting));
+    /** Reads a greeting and answers it as the accepting side. */
+    RawPeer answerHello(Greeting greeting) throws IOException, FaultyMessageException {
+        receive(Frame.Hello.class);
+        return send(new Frame.Welcome(greeting));
     }
 
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/gateway/src/test/java/sandpaddle/fleet/link/tcp/TestNode.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/tcp/TestNode.java
@@ -22,18 +22,19 @@
 import sandpaddle.fleet.link.MessageKind;
 import sandpaddle.fleet.member.Member;
 
-/** One gateway's links on loopback, and what its listener was told. */
+/** The links of one gateway on the loopback interface, with the events that its listener received. */
 final class TestNode implements Links.Listener, AutoCloseable {
     static final String CLUSTER = "paddle";
-    /** Long enough for a busy machine, short enough for a story: silence, clogging, connecting, greeting, pauses. */
-    static final LinkSettings.Times TIMES =
+    /** Short liveness, send stall and handshake timeouts, which still suffice on a busy machine. */
+    static final LinkSettings.Times SHORT_TIMEOUTS =
             new LinkSettings.Times(1_000_000, 600_000, 2_000_000, 600_000, 10_000, 50_000);
 
-    static final LinkSettings.Times PATIENT =
+    /** Liveness and send stall timeouts that do not elapse during a test. */
+    static final LinkSettings.Times LONG_TIMEOUTS =
             new LinkSettings.Times(60_000_000, 60_000_000, 2_000_000, 600_000, 10_000, 50_000);
 
-    /** What was told, in order; of a message its number stands in the first byte. */
-    record Event(String what, String peer, String detail) {}
+    /** An event of the listener: a message, a link that came up with its incarnation, or a loss with its reason. */
+    record Event(String type, String peer, String detail) {}
 
     final String name;
     final TcpLinks links;
@@ -41,7 +42,7 @@
     final ExecutorService fleet = Executors.newSingleThreadExecutor();
 
     TestNode(String name, LinkSettings.Times times) throws IOException {
-        this(name, CLUSTER, 1, 0, times, LinkSettings.Bounds.DEFAULT, Map.of(), n -> true);
+        this(name, CLUSTER, 1, 0, times, LinkSettings.Bounds.DEFAULT, Map.of(), member -> true);
     }
 
     TestNode(
@@ -51,16 +52,16 @@
             int port,
             LinkSettings.Times times,
             LinkSettings.Bounds bounds,
-            Map<String, LinkSettings.Address> routes,
-            Predicate<String> known)
+            Map<String, LinkSettings.Address> addressOverrides,
+            Predicate<String> isMember)
             throws IOException {
         this.name = name;
         LinkSettings settings = new LinkSettings(
-                cluster, new Member(name, "hall-1", "127.0.0.1", 1), incarnation, times, bounds, routes);
+                cluster, new Member(name, "hall-1", "127.0.0.1", 1), incarnation, times, bounds, addressOverrides);
         links = new TcpLinks(
                 settings,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                known,
+                isMember,
                 this,
                 fleet,
                 name.hashCode());
@@ -74,7 +75,7 @@
         return at(name, links.port());
     }
 
-    TestNode want(Member... members) {
+    TestNode connectTo(Member... members) {
         links.setPeers(Set.of(members));
         return this;
     }
@@ -94,27 +95,28 @@
         events.add(new Event(reason.logName(), peer, detail));
     }
 
-    /** Waits for an event, passing over others; fails where it does not come. */
-    Event await(String what) throws InterruptedException {
-        List<Event> passed = new ArrayList<>();
-        for (Event e = next(); e != null; e = next()) {
-            if (e.what.equals(what)) {
-                return e;
+    /** Waits for an event of a type and skips others; fails after the timeout. */
+    Event await(String type) throws InterruptedException {
+        List<Event> skipped = new ArrayList<>();
+        for (Event event = next(); event != null; event = next()) {
+            if (event.type.equals(type)) {
+                return event;
             }
-            passed.add(e);
+            skipped.add(event);
         }
-        assertNotNull(null, "no " + what + " at " + name + " after " + passed);
+        assertNotNull(null, "no " + type + " at " + name + " after " + skipped);
         return null;
     }
 
     private Event next() throws InterruptedException {
-        return events.poll(RawPeer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return events.poll(RawPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    static void until(String what, BooleanSupplier is) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawPeer.PATIENCE_MS);
-        while (!is.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never: " + what);
+    /** Waits for a condition; fails after the timeout. */
+    static void until(String condition, BooleanSupplier holds) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RawPeer.TIMEOUT_MS);
+        while (!holds.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, "timed out waiting until " + condition);
             Thread.onSpinWait();
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/MessageFaults.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/MessageFaults.java
@@ -7,17 +7,17 @@
 import sandpaddle.fleet.wire.CborIn.FaultyMessageException;
 
 /**
- * Delays frames unevenly, loses single messages, and brings some a second time. What the links themselves say is only
- * delayed.
+ * Random faults of messages: jitter, loss and duplication. Only messages of the fleet are lost or duplicated; frames of
+ * the links themselves, such as handshakes and pings, are only delayed.
  */
 final class MessageFaults {
-    private static final long DUPLICATE_WITHIN_US = 1_000_000;
-    private static final int LAST_SHORT_NUMBER = 23; // CBOR writes a number up to it in one byte
+    private static final long MAX_DUPLICATE_DELAY_US = 1_000_000;
+    private static final int MAX_ONE_BYTE_NUMBER = 23; // CBOR encodes numbers up to this in one byte
 
     private final VirtualTime time;
     private final SplittableRandom random;
-    double drop;
-    double duplicate;
+    double dropProbability;
+    double duplicateProbability;
     long jitterUs;
 
     MessageFaults(VirtualTime time, SplittableRandom random) {
@@ -25,28 +25,28 @@
         this.random = random;
     }
 
-    long jitter() {
+    long drawJitterUs() {
         return jitterUs == 0 ? 0 : random.nextLong(jitterUs);
     }
 
-    /** Whether a frame goes on its way; a copy of it may come later by itself. */
-    boolean passes(VirtualPipe.End from, VirtualPipe.End to, ByteBuffer frame) {
+    /** Whether a frame is delivered; may also schedule the delivery of a duplicate. */
+    boolean isDelivered(VirtualConnection.End from, VirtualConnection.End to, ByteBuffer frame) {
         int number = frame.get(FrameDecoder.HEADER_BYTES);
-        if (number < Frame.FIRST_KIND || number > LAST_SHORT_NUMBER) {
+        if (number < Frame.FIRST_KIND || number > MAX_ONE_BYTE_NUMBER) {
             return true;
         }
-        if (drop > 0 && random.nextDouble() < drop) {
+        if (dropProbability > 0 && random.nextDouble() < dropProbability) {
             return false;
         }
-        if (duplicate > 0 && random.nextDouble() < duplicate) {
+        if (duplicateProbability > 0 && random.nextDouble() < duplicateProbability) {
             byte[] body = new byte[frame.remaining() - FrameDecoder.HEADER_BYTES];
             frame.get(frame.position() + FrameDecoder.HEADER_BYTES, body);
-            time.after(random.nextLong(DUPLICATE_WITHIN_US), () -> again(from.node.name(), to, body));
+            time.after(random.nextLong(MAX_DUPLICATE_DELAY_US), () -> deliverDuplicate(from.node.name(), to, body));
         }
         return true;
     }
 
-    private static void again(String from, VirtualPipe.End to, byte[] body) {
+    private static void deliverDuplicate(String from, VirtualConnection.End to, byte[] body) {
         try {
             if (to.node.runs(to.generation) && Frame.decode(body) instanceof Frame.Data data) {
                 to.node.messageReceived(from, data.kind(), data.payload());
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/NetworkPaths.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/NetworkPaths.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The state of each way from one node to another. */
-final class Ways {
-    private static final long USUAL_DELAY_US = 200;
+/** Delay and faults of each directed path between two nodes. */
+final class NetworkPaths {
+    private static final long DEFAULT_DELAY_US = 200;
 
     private final Map<String, Long> delays = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
-    private final Set<String> clogs = new HashSet<>();
-    private long delayUs = USUAL_DELAY_US;
+    private final Set<String> stalledReads = new HashSet<>();
+    private long delayUs = DEFAULT_DELAY_US;
 
-    private static String way(String from, String to) {
+    private static String path(String from, String to) {
         return from + ">" + to;
     }
 
     void cut(String from, String to) {
-        cuts.add(way(from, to));
+        cuts.add(path(from, to));
     }
 
     void heal(String from, String to) {
-        cuts.remove(way(from, to));
+        cuts.remove(path(from, to));
     }
 
     void healAll() {
@@ -31,23 +31,23 @@
     }
 
     boolean isCut(String from, String to) {
-        return !cuts.isEmpty() && cuts.contains(way(from, to));
+        return !cuts.isEmpty() && cuts.contains(path(from, to));
     }
 
-    void clog(String from, String to) {
-        clogs.add(way(from, to));
+    void stallReads(String from, String to) {
+        stalledReads.add(path(from, to));
     }
 
-    void unclog(String from, String to) {
-        clogs.remove(way(from, to));
+    void resumeReads(String from, String to) {
+        stalledReads.remove(path(from, to));
     }
 
-    boolean isClogged(String from, String to) {
-        return !clogs.isEmpty() && clogs.contains(way(from, to));
+    boolean isStalled(String from, String to) {
+        return !stalledReads.isEmpty() && stalledReads.contains(path(from, to));
     }
 
     void delay(String from, String to, long us) {
-        delays.put(way(from, to), us);
+        delays.put(path(from, to), us);
     }
 
     void delay(long us) {
@@ -55,6 +55,6 @@
     }
 
     long delayOf(String from, String to) {
-        return delays.isEmpty() ? delayUs : delays.getOrDefault(way(from, to), delayUs);
+        return delays.isEmpty() ? delayUs : delays.getOrDefault(path(from, to), delayUs);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualConnection.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualConnection.java
@@ -4,92 +4,93 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** A connection of two nodes: two directions that keep their order, as TCP does; what a cut holds up comes after it. */
-final class VirtualPipe {
-    /** One end: a node's process, and its number for the connection. */
+/** A connection of two nodes like TCP: each direction keeps its order, and a cut delays it until it heals. */
+final class VirtualConnection {
+    /** One end: a process of a node, and its id of the connection. */
     static final class End {
         final VirtualNode node;
         final long generation;
-        long wire;
+        long connectionId;
         boolean open = true;
-        final Queue<Runnable> held = new ArrayDeque<>(); // arrived at a cut, on the way to this end
-        long lastArrival;
+        final Queue<Runnable> heldBack = new ArrayDeque<>(); // arrivals at this end that a cut delays
+        long lastArrivalUs;
 
         End(VirtualNode node, long connectionId) {
             this.node = node;
             this.generation = node.generation();
-            this.wire = connectionId;
+            this.connectionId = connectionId;
         }
 
-        boolean lives() {
+        boolean isAlive() {
             return open && node.runs(generation);
         }
     }
 
-    final End dialler;
-    final End dialled;
+    final End connecting;
+    final End accepting;
     private final VirtualNet net;
 
-    VirtualPipe(VirtualNet net, End dialler, End dialled) {
+    VirtualConnection(VirtualNet net, End connecting, End accepting) {
         this.net = net;
-        this.dialler = dialler;
-        this.dialled = dialled;
+        this.connecting = connecting;
+        this.accepting = accepting;
     }
 
     End other(End end) {
-        return end == dialler ? dialled : dialler;
+        return end == connecting ? accepting : connecting;
     }
 
     /** Sends a frame from one end to the other. */
-    void frame(End from, ByteBuffer frame) {
+    void sendFrame(End from, ByteBuffer frame) {
         End to = other(from);
-        carry(from, to, () -> {
-            if (to.lives()) {
-                to.node.run(() -> to.node.bytes(to.wire, frame));
-            } else if (!to.node.isVanished()) {
-                carry(to, from, () -> broken(from, "reset by the peer"));
+        schedule(from, to, () -> {
+            if (to.isAlive()) {
+                to.node.run(() -> to.node.bytesReceived(to.connectionId, frame));
+            } else if (!to.node.isPoweredOff()) {
+                schedule(to, from, () -> endConnection(from, "reset by the peer"));
             }
         });
     }
 
-    /** One end closes: its order is kept behind the frames. */
+    /** Closes one end; the other end sees it after the frames sent before. */
     void close(End from) {
         from.open = false;
         End to = other(from);
-        carry(from, to, () -> broken(to, "closed by the peer"));
+        schedule(from, to, () -> endConnection(to, "closed by the peer"));
     }
 
-    private static void broken(End end, String detail) {
-        if (end.lives()) {
+    private static void endConnection(End end, String detail) {
+        if (end.isAlive()) {
             end.open = false;
-            end.node.run(() -> end.node.broken(end.wire, detail));
+            end.node.run(() -> end.node.connectionEnded(end.connectionId, detail));
         }
     }
 
-    private void carry(End from, End to, Runnable arrival) {
-        to.lastArrival = Math.max(
-                to.lastArrival, net.time().now() + net.jitter() + net.ways().delayOf(from.node.name(), to.node.name()));
-        net.time().at(to.lastArrival, () -> {
-            if (!to.held.isEmpty() || net.ways().isCut(from.node.name(), to.node.name())) {
-                to.held.add(arrival);
+    private void schedule(End from, End to, Runnable arrival) {
+        to.lastArrivalUs = Math.max(
+                to.lastArrivalUs,
+                net.time().now() + net.drawJitterUs() + net.paths().delayOf(from.node.name(), to.node.name()));
+        net.time().at(to.lastArrivalUs, () -> {
+            if (!to.heldBack.isEmpty() || net.paths().isCut(from.node.name(), to.node.name())) {
+                to.heldBack.add(arrival);
             } else {
                 arrival.run();
             }
         });
     }
 
-    /** Brings over what a cut held up. */
-    void healed() {
-        for (End to : new End[] {dialler, dialled}) {
-            if (!to.held.isEmpty() && !net.ways().isCut(other(to).node.name(), to.node.name())) {
-                for (Runnable task = to.held.poll(); task != null; task = to.held.poll()) {
+    /** Delivers what a cut has delayed, if the cut has healed. */
+    void deliverHeldBack() {
+        for (End to : new End[] {connecting, accepting}) {
+            if (!to.heldBack.isEmpty() && !net.paths().isCut(other(to).node.name(), to.node.name())) {
+                for (Runnable task = to.heldBack.poll(); task != null; task = to.heldBack.poll()) {
                     task.run();
                 }
             }
         }
     }
 
-    boolean isOver() {
-        return !dialler.lives() && !dialled.lives();
+    boolean isClosed() {
+        return !connecting.isAlive() && !accepting.isAlive();
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNet.java
@@ -16,173 +16,179 @@
 import sandpaddle.fleet.member.Member;
 
 /**
- * Links between any number of gateways in virtual time, without sockets or threads; a seed replays a run. Connections
- * behave as TCP does: in order, held up by a cut and brought over after it, closed or reset by whoever ended. {@link
- * #drop} and {@link #duplicate} are harsher than TCP: they strike single messages on links that stay up, as a message
- * of the layers above may be lost with its link and come again over the next. Each node runs the program's own
- * {@link sandpaddle.fleet.link.manager.LinkManager}.
- * Listeners are called one event at a time.
+ * A simulated network of any number of gateways in virtual time, without sockets or threads; a run is reproducible by
+ * its seed. Connections have TCP's semantics: frames arrive in order, a cut delays them until it heals, and the end of
+ * a process closes or resets its connections. {@link #drop} and {@link #duplicate} go beyond TCP: they affect single
+ * messages on links that stay up, because a message may be lost with its link and sent again over the next one. Each
+ * node runs the production {@link sandpaddle.fleet.link.manager.LinkManager}. Listeners get one event at a time.
  */
 public final class VirtualNet {
-    private static final int MANY_PIPES = 1024;
-    private static final long SYN_AGAIN_US = 500_000;
+    private static final int CLEANUP_INTERVAL = 1024;
+    private static final long SYN_RETRY_US = 500_000;
 
-    /** A connection or greeting that a node refused. */
-    public record Refused(String by, String who, RejectionCode code) {}
+    /** A connection or greeting that a node rejected. */
+    public record Rejection(String rejectedBy, String claimedName, RejectionCode code) {}
 
-    private final Ways ways = new Ways();
+    private final NetworkPaths paths = new NetworkPaths();
     private final VirtualTime time = new VirtualTime();
     private final MessageFaults faults;
     private final LinkSettings.Times times;
     private final Map<String, VirtualNode> nodes = new TreeMap<>();
-    private final List<Refused> refused = new ArrayList<>();
-    private final List<VirtualPipe> pipes = new ArrayList<>();
-    Predicate<String> known = nodes::containsKey;
-    private long incarnations;
+    private final List<Rejection> rejections = new ArrayList<>();
+    private final List<VirtualConnection> connections = new ArrayList<>();
+    Predicate<String> isMember = nodes::containsKey;
+    private long lastIncarnation;
 
+    /** Creates a network with the default timeouts. */
     public VirtualNet(long seed) {
         this(seed, LinkSettings.Times.DEFAULT);
     }
 
+    /** Creates a network whose nodes have these timeouts. */
     public VirtualNet(long seed, LinkSettings.Times times) {
         faults = new MessageFaults(time, new SplittableRandom(seed));
         this.times = times;
     }
 
-    /** A member whose address leads to the node of the same name. */
+    /** A member whose address is that of the node with the same name. */
     public static Member member(String name, String zone) {
         return new Member(name, zone, name, 1);
     }
 
-    /** Starts a gateway. What it is told, it is told in virtual time. */
+    /** Starts a gateway; its listener is called in virtual time. */
     public Links node(String name, String zone, Links.Listener listener) {
         VirtualNode node = new VirtualNode(this, member(name, zone), listener);
         nodes.put(name, node);
-        node.start(++incarnations);
+        node.start(++lastIncarnation);
         return node;
     }
 
-    /** All nodes as members, by name. */
+    /** All nodes as members. */
     public Set<Member> members() {
-        Set<Member> all = new HashSet<>();
-        nodes.values().forEach(n -> all.add(n.self));
-        return all;
+        Set<Member> members = new HashSet<>();
+        nodes.values().forEach(node -> members.add(node.self));
+        return members;
     }
 
-    /** Who may greet; all nodes where it was never called. */
-    public void known(Predicate<String> members) {
-        known = members;
+    /** Sets which names are members; by default all nodes are. */
+    public void setMembership(Predicate<String> membership) {
+        isMember = membership;
     }
 
-    /** Kills a process; its peers' connections are closed by its kernel. */
+    /** Kills a process; its kernel closes its connections. */
     public void crash(String name) {
-        nodes.get(name).end(false);
+        nodes.get(name).endProcess(false);
     }
 
-    /** A machine loses its power: nobody is told, and nobody answers. */
-    public void vanish(String name) {
-        nodes.get(name).end(true);
+    /** Powers off a machine: its connections are not closed, and it does not answer. */
+    public void powerOff(String name) {
+        nodes.get(name).endProcess(true);
     }
 
-    /** Starts it again, with a higher incarnation; it wants no links until it is told to. */
+    /** Starts a process again with a higher incarnation and without required peers. */
     public void restart(String name) {
-        nodes.get(name).start(++incarnations);
+        nodes.get(name).start(++lastIncarnation);
     }
 
-    /** Stops a process as SIGSTOP does: its kernel still takes what comes. */
+    /** Stops a process like SIGSTOP: its kernel still receives data. */
     public void stop(String name) {
         nodes.get(name).stop();
     }
 
+    /** Continues a stopped process like SIGCONT. */
     public void resume(String name) {
         nodes.get(name).resume();
     }
 
-    /** Nothing comes over in this direction. */
+    /** Cuts one direction: nothing arrives any more. */
     public void cut(String from, String to) {
-        ways.cut(from, to);
+        paths.cut(from, to);
     }
 
-    /** It does again, and first what was held up. */
+    /** Ends the cut of one direction and delivers what it delayed. */
     public void heal(String from, String to) {
-        ways.heal(from, to);
-        List.copyOf(pipes).forEach(VirtualPipe::healed);
+        paths.heal(from, to);
+        List.copyOf(connections).forEach(VirtualConnection::deliverHeldBack);
     }
 
-    /** Cuts a node off from all others, both ways. */
+    /** Cuts both directions between a node and all others. */
     public void isolate(String name) {
-        nodes.keySet().forEach(other -> ways.cut(name, other));
-        nodes.keySet().forEach(other -> ways.cut(other, name));
+        nodes.keySet().forEach(other -> paths.cut(name, other));
+        nodes.keySet().forEach(other -> paths.cut(other, name));
     }
 
-    /** Ends all cuts. */
+    /** Ends all cuts and delivers what they delayed. */
     public void healAll() {
-        ways.healAll();
-        List.copyOf(pipes).forEach(VirtualPipe::healed);
+        paths.healAll();
+        List.copyOf(connections).forEach(VirtualConnection::deliverHeldBack);
     }
 
-    /** The second takes nothing from the first while the connection stays open. */
-    public void clog(String from, String to) {
-        ways.clog(from, to);
+    /** The second node reads nothing from the first, while the connection stays open. */
+    public void stallReads(String from, String to) {
+        paths.stallReads(from, to);
     }
 
-    /** It does again, from the next message on. */
-    public void unclog(String from, String to) {
-        ways.unclog(from, to);
+    /** The second node reads again, from the next message on. */
+    public void resumeReads(String from, String to) {
+        paths.resumeReads(from, to);
     }
 
-    /** One way's time. */
+    /** Sets the delay of one direction (us). */
     public void delay(String from, String to, long us) {
-        ways.delay(from, to, us);
+        paths.delay(from, to, us);
     }
 
-    /** Every way's time, but those set one by one. */
+    /** Sets the delay of all directions that have no delay of their own (us). */
     public void delay(long us) {
-        ways.delay(us);
+        paths.delay(us);
     }
 
-    /** Up to so much more for each frame, drawn; one connection keeps its order, two do not. */
+    /** Sets the maximum random additional delay of a frame (us); only frames of one connection stay in order. */
     public void jitter(long us) {
         faults.jitterUs = us;
     }
 
-    /** The part of messages that are lost, from 0 to 1. */
-    public void drop(double part) {
-        faults.drop = part;
+    /** Sets the probability that a message is lost. */
+    public void drop(double probability) {
+        faults.dropProbability = probability;
     }
 
-    /** The part of messages that come a second time, up to a second later and out of order, from 0 to 1. */
-    public void duplicate(double part) {
-        faults.duplicate = part;
+    /** Sets the probability that a message is delivered twice, up to a second later and out of order. */
+    public void duplicate(double probability) {
+        faults.duplicateProbability = probability;
     }
 
-    /** Runs something at a time (us). */
-    public void at(long us, Runnable what) {
-        time.at(us, what);
+    /** Schedules an action at a time (us). */
+    public void at(long us, Runnable action) {
+        time.at(us, action);
     }
 
+    /** Runs all events up to a time (us). */
     public void advance(long toUs) {
         time.advance(toUs);
     }
 
+    /** Virtual time since the start (us). */
     public long now() {
         return time.now();
     }
 
+    /** The counters of a node. */
     public LinkCounts counts(String name) {
         return nodes.get(name).counts();
     }
 
-    public List<Refused> refused() {
-        return refused;
+    /** The rejections so far, in order. */
+    public List<Rejection> rejections() {
+        return rejections;
     }
 
-    long jitter() {
-        return faults.jitter();
+    long drawJitterUs() {
+        return faults.drawJitterUs();
     }
 
-    Ways ways() {
-        return ways;
+    NetworkPaths paths() {
+        return paths;
     }
 
     VirtualTime time() {
@@ -193,58 +199,59 @@
         return times;
     }
 
-    void refused(String by, String claimedName, RejectionCode code) {
-        refused.add(new Refused(by, claimedName, code));
+    void connectionRejected(String by, String claimedName, RejectionCode code) {
+        rejections.add(new Rejection(by, claimedName, code));
     }
 
-    /** Connects as a kernel does: asked again while cut, refused where no process listens. */
-    void dial(VirtualNode from, long generation, long connectionId, String host) {
+    /** Connects like a kernel: retries the SYN during a cut, refused if no process listens. */
+    void startConnect(VirtualNode from, long generation, long connectionId, String host) {
         VirtualNode to = nodes.get(host);
-        if (!from.wants(generation, connectionId)) {
+        if (!from.isConnecting(generation, connectionId)) {
             return;
         }
         if (to == null) {
-            from.failed(connectionId, Links.LossReason.UNREACHABLE, "host " + host + " is not known");
+            from.connectFailed(connectionId, Links.LossReason.UNREACHABLE, "host " + host + " is not known");
             return;
         }
-        long roundTrip = ways.delayOf(from.name(), host) + ways.delayOf(host, from.name()) + faults.jitter();
-        boolean lost = to.isVanished() || ways.isCut(from.name(), host) || ways.isCut(host, from.name());
-        time.after(lost ? SYN_AGAIN_US : roundTrip, () -> {
+        long roundTrip = paths.delayOf(from.name(), host) + paths.delayOf(host, from.name()) + faults.drawJitterUs();
+        boolean lost = to.isPoweredOff() || paths.isCut(from.name(), host) || paths.isCut(host, from.name());
+        time.after(lost ? SYN_RETRY_US : roundTrip, () -> {
             if (lost) {
-                dial(from, generation, connectionId, host);
-            } else if (from.wants(generation, connectionId)) {
-                connect(from, connectionId, to);
+                startConnect(from, generation, connectionId, host);
+            } else if (from.isConnecting(generation, connectionId)) {
+                completeConnect(from, connectionId, to);
             }
         });
     }
 
-    private void connect(VirtualNode from, long connectionId, VirtualNode to) {
+    private void completeConnect(VirtualNode from, long connectionId, VirtualNode to) {
         if (!to.runs(to.generation())) {
-            from.failed(connectionId, Links.LossReason.REFUSED, "nobody listens at " + to.name());
+            from.connectFailed(connectionId, Links.LossReason.REFUSED, "no process listens at " + to.name());
             return;
         }
-        VirtualPipe.End there = new VirtualPipe.End(to, 0);
-        VirtualPipe pipe = new VirtualPipe(this, new VirtualPipe.End(from, connectionId), there);
-        pipes.add(pipe);
-        if (pipes.size() % MANY_PIPES == 0) {
-            pipes.removeIf(VirtualPipe::isOver);
+        VirtualConnection.End acceptingEnd = new VirtualConnection.End(to, 0);
+        VirtualConnection connection =
+                new VirtualConnection(this, new VirtualConnection.End(from, connectionId), acceptingEnd);
+        connections.add(connection);
+        if (connections.size() % CLEANUP_INTERVAL == 0) {
+            connections.removeIf(VirtualConnection::isClosed);
         }
-        from.attach(pipe, pipe.dialler);
+        from.attach(connection, connection.connecting);
         to.run(() -> {
-            there.wire = to.accept(from.name());
-            if (there.wire == 0) {
-                pipe.close(there);
+            acceptingEnd.connectionId = to.accept(from.name());
+            if (acceptingEnd.connectionId == 0) {
+                connection.close(acceptingEnd);
             } else {
-                to.attach(pipe, there);
+                to.attach(connection, acceptingEnd);
             }
         });
         from.connected(connectionId);
     }
 
-    /** Sends what a node has for a pipe. */
-    void carry(VirtualPipe pipe, VirtualPipe.End from, ByteBuffer frame) {
-        if (faults.passes(from, pipe.other(from), frame)) {
-            pipe.frame(from, frame);
+    /** Sends a frame over a connection, unless it is lost. */
+    void transmit(VirtualConnection connection, VirtualConnection.End from, ByteBuffer frame) {
+        if (faults.isDelivered(from, connection.other(from), frame)) {
+            connection.sendFrame(from, frame);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualNode.java
@@ -18,21 +18,21 @@
 import sandpaddle.fleet.link.manager.LinkTransport;
 import sandpaddle.fleet.member.Member;
 
-/** One gateway's links in virtual time: the link manager of the program on pipes in place of sockets. */
+/** One gateway's links in virtual time: the production link manager on virtual connections. */
 final class VirtualNode implements Links, LinkTransport, LinkEvents {
     private final VirtualNet net;
     final Member self;
     private final Links.Listener listener;
-    private final Map<Long, VirtualPipe.End> ends = new HashMap<>();
-    private final Map<Long, VirtualPipe> pipes = new HashMap<>();
-    private final Set<Long> dialled = new HashSet<>(); // and not connected yet
-    private final Set<Long> ready = new HashSet<>();
-    private final Queue<Runnable> missed = new ArrayDeque<>(); // what came while the process was stopped
-    private LinkManager board;
+    private final Map<Long, VirtualConnection.End> ends = new HashMap<>();
+    private final Map<Long, VirtualConnection> connections = new HashMap<>();
+    private final Set<Long> connecting = new HashSet<>(); // attempts in progress
+    private final Set<Long> scheduledWrites = new HashSet<>();
+    private final Queue<Runnable> deferredEvents = new ArrayDeque<>(); // events during a stop
+    private LinkManager manager;
     private long generation;
     private boolean running;
     private boolean stopped;
-    private boolean vanished;
+    private boolean poweredOff;
 
     VirtualNode(VirtualNet net, Member self, Links.Listener listener) {
         this.net = net;
@@ -52,48 +52,48 @@
         return running && generation == ofGeneration;
     }
 
-    boolean isVanished() {
-        return vanished;
+    boolean isPoweredOff() {
+        return poweredOff;
     }
 
     LinkCounts counts() {
-        return board.counts();
+        return manager.counts();
     }
 
-    /** Starts the process, or another one under the same name. */
+    /** Starts a process; after an earlier one of the same name, a restart. */
     void start(long incarnation) {
         generation++;
         running = true;
         stopped = false;
-        vanished = false;
-        missed.clear();
+        poweredOff = false;
+        deferredEvents.clear();
         ends.clear();
-        dialled.clear();
-        ready.clear();
-        pipes.clear();
+        connecting.clear();
+        scheduledWrites.clear();
+        connections.clear();
         LinkSettings settings =
                 new LinkSettings("virtual", self, incarnation, net.times(), LinkSettings.Bounds.DEFAULT, Map.of());
         SplittableRandom random =
                 new SplittableRandom(incarnation * 31 + self.name().hashCode());
-        board = new LinkManager(settings, name -> net.known.test(name), random, this, this);
+        manager = new LinkManager(settings, name -> net.isMember.test(name), random, this, this);
         tick(generation);
     }
 
-    private void tick(long of) {
-        if (runs(of)) {
+    private void tick(long ofGeneration) {
+        if (runs(ofGeneration)) {
             if (!stopped) {
-                board.tick(net.time().now(), true);
+                manager.tick(net.time().now(), true);
             }
-            net.time().after(net.times().livenessTimeoutUs() / 20, () -> tick(of));
+            net.time().after(net.times().livenessTimeoutUs() / 20, () -> tick(ofGeneration));
         }
     }
 
-    /** Ends the process; {@code vanish}: with its machine, so that nobody is told. */
-    void end(boolean vanish) {
+    /** Ends the process; {@code powerOff}: with its machine, so that its connections are not closed. */
+    void endProcess(boolean powerOff) {
         running = false;
-        vanished = vanish;
-        if (!vanish) {
-            Map.copyOf(pipes).forEach((wire, pipe) -> pipe.close(ends.get(wire)));
+        poweredOff = powerOff;
+        if (!powerOff) {
+            Map.copyOf(connections).forEach((connectionId, connection) -> connection.close(ends.get(connectionId)));
         }
     }
 
@@ -103,91 +103,91 @@
 
     void resume() {
         stopped = false;
-        for (Runnable task = missed.poll(); task != null; task = missed.poll()) {
+        for (Runnable task = deferredEvents.poll(); task != null; task = deferredEvents.poll()) {
             task.run();
         }
     }
 
-    /** Runs something as an event of this process: later where it is stopped, never where it has ended. */
+    /** Runs an event of this process: deferred while it is stopped, discarded after it has ended. */
     void run(Runnable event) {
-        long of = generation;
+        long currentGeneration = generation;
         if (stopped) {
-            missed.add(() -> run(event));
-        } else if (runs(of)) {
+            deferredEvents.add(() -> run(event));
+        } else if (runs(currentGeneration)) {
             event.run();
         }
     }
 
-    private void tell(Runnable event) {
-        long of = generation;
+    private void notifyListener(Runnable event) {
+        long currentGeneration = generation;
         net.time().after(0, () -> {
-            if (runs(of)) {
+            if (runs(currentGeneration)) {
                 run(event);
             }
         });
     }
 
-    void attach(VirtualPipe pipe, VirtualPipe.End end) {
-        dialled.remove(end.wire);
-        ends.put(end.wire, end);
-        pipes.put(end.wire, pipe);
+    void attach(VirtualConnection connection, VirtualConnection.End end) {
+        connecting.remove(end.connectionId);
+        ends.put(end.connectionId, end);
+        connections.put(end.connectionId, connection);
     }
 
-    /** Takes a connection; 0: it is closed at once. */
+    /** Accepts a connection; returns 0 if it must be closed at once. */
     long accept(String from) {
-        return board.connectionAccepted(net.time().now(), from);
+        return manager.connectionAccepted(net.time().now(), from);
     }
 
     void connected(long connectionId) {
-        run(() -> board.connectionEstablished(net.time().now(), connectionId));
+        run(() -> manager.connectionEstablished(net.time().now(), connectionId));
     }
 
-    void failed(long connectionId, LossReason reason, String detail) {
-        dialled.remove(connectionId);
-        run(() -> board.connectionEnded(net.time().now(), connectionId, reason, detail));
+    void connectFailed(long connectionId, LossReason reason, String detail) {
+        connecting.remove(connectionId);
+        run(() -> manager.connectionEnded(net.time().now(), connectionId, reason, detail));
     }
 
-    void bytes(long connectionId, ByteBuffer frame) {
-        run(() -> board.bytesReceived(net.time().now(), connectionId, frame));
+    void bytesReceived(long connectionId, ByteBuffer frame) {
+        run(() -> manager.bytesReceived(net.time().now(), connectionId, frame));
     }
 
-    void broken(long connectionId, String detail) {
-        run(() -> board.connectionEnded(net.time().now(), connectionId, LossReason.CLOSED, detail));
+    void connectionEnded(long connectionId, String detail) {
+        run(() -> manager.connectionEnded(net.time().now(), connectionId, LossReason.CLOSED, detail));
         ends.remove(connectionId);
-        pipes.remove(connectionId);
+        connections.remove(connectionId);
     }
 
-    /** Whether an attempt to connect goes on. */
-    boolean wants(long ofGeneration, long connectionId) {
-        return runs(ofGeneration) && dialled.contains(connectionId);
+    /** Whether an attempt to connect is still in progress. */
+    boolean isConnecting(long ofGeneration, long connectionId) {
+        return runs(ofGeneration) && connecting.contains(connectionId);
     }
 
     @Override
     public boolean send(String to, MessageKind kind, byte[] payload) {
-        return running && !stopped && board.send(net.time().now(), to, kind, payload);
+        return running && !stopped && manager.send(net.time().now(), to, kind, payload);
     }
 
     @Override
     public void setPeers(Set<Member> peers) {
         if (running) {
-            board.setPeers(net.time().now(), peers);
+            manager.setPeers(net.time().now(), peers);
         }
     }
 
     @Override
     public void connect(long connectionId, LinkSettings.Address address) {
-        long of = generation;
-        dialled.add(connectionId);
-        net.time().after(0, () -> net.dial(this, of, connectionId, address.host()));
+        long currentGeneration = generation;
+        connecting.add(connectionId);
+        net.time().after(0, () -> net.startConnect(this, currentGeneration, connectionId, address.host()));
     }
 
     @Override
     public void framesQueued(long connectionId) {
-        long of = generation;
-        if (ready.add(connectionId)) {
+        long currentGeneration = generation;
+        if (scheduledWrites.add(connectionId)) {
             net.time().after(0, () -> {
-                if (runs(of)) {
-                    ready.remove(connectionId);
+                if (runs(currentGeneration)) {
+                    scheduledWrites.remove(connectionId);
                     write(connectionId);
                 }
             });
@@ -195,58 +195,61 @@
     }
 
     private void write(long connectionId) {
-        VirtualPipe.End end = ends.get(connectionId);
+        VirtualConnection.End end = ends.get(connectionId);
         if (end != null
                 && end.open
-                && !net.ways()
-                        .isClogged(
-                                name(), pipes.get(connectionId).other(end).node.name())) {
-            pump(connectionId, end);
+                && !net.paths()
+                        .isStalled(
+                                name(),
+                                connections.get(connectionId).other(end).node.name())) {
+            writeFrames(connectionId, end);
         }
     }
 
-    private void pump(long connectionId, VirtualPipe.End end) {
-        for (ByteBuffer f = board.nextFrame(connectionId); f != null; f = board.nextFrame(connectionId)) {
-            net.carry(pipes.get(connectionId), end, f);
-            board.bytesWritten(net.time().now(), connectionId, true);
+    private void writeFrames(long connectionId, VirtualConnection.End end) {
+        for (ByteBuffer frame = manager.nextFrame(connectionId);
+                frame != null;
+                frame = manager.nextFrame(connectionId)) {
+            net.transmit(connections.get(connectionId), end, frame);
+            manager.bytesWritten(net.time().now(), connectionId, true);
         }
     }
 
     @Override
     public void close(long connectionId, ByteBuffer finalFrame) {
-        dialled.remove(connectionId);
-        VirtualPipe.End end = ends.remove(connectionId);
-        VirtualPipe pipe = pipes.remove(connectionId);
+        connecting.remove(connectionId);
+        VirtualConnection.End end = ends.remove(connectionId);
+        VirtualConnection connection = connections.remove(connectionId);
         if (end != null && end.open) {
             if (finalFrame != null) {
-                pipe.frame(end, finalFrame);
+                connection.sendFrame(end, finalFrame);
             }
-            pipe.close(end);
+            connection.close(end);
         }
     }
 
     @Override
     public void messageReceived(String from, MessageKind kind, byte[] payload) {
-        tell(() -> listener.messageReceived(from, kind, payload));
+        notifyListener(() -> listener.messageReceived(from, kind, payload));
     }
 
     @Override
     public void peerUp(Member peer, long incarnation) {
-        tell(() -> listener.peerUp(peer, incarnation));
+        notifyListener(() -> listener.peerUp(peer, incarnation));
     }
 
     @Override
     public void peerDown(String peer, LossReason reason, String detail) {
-        tell(() -> listener.peerDown(peer, reason, detail));
+        notifyListener(() -> listener.peerDown(peer, reason, detail));
     }
 
     @Override
     public void roundTripMeasured(String peer, long roundTripUs) {
-        tell(() -> listener.roundTripMeasured(peer, roundTripUs));
+        notifyListener(() -> listener.roundTripMeasured(peer, roundTripUs));
     }
 
     @Override
     public void connectionRejected(String address, String claimedName, RejectionCode code, String detail) {
-        net.refused(self.name(), claimedName, code);
+        net.connectionRejected(self.name(), claimedName, code);
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualTime.java
+++ b/gateway/src/test/java/sandpaddle/fleet/link/virtual/VirtualTime.java
@@ -2,40 +2,41 @@
 
 import java.util.PriorityQueue;
 
-/** A clock that moves from event to event; events of one time run in the order of their making. */
+/** A discrete event scheduler with a virtual clock; events of the same time run in the order of their scheduling. */
 public final class VirtualTime {
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long atUs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long now;
-    private long made;
+    private long nowUs;
+    private long lastSequence;
 
     /** Microseconds since the start. */
     public long now() {
-        return now;
+        return nowUs;
     }
 
-    /** Runs something at a time, or now where that has passed. */
-    public void at(long us, Runnable what) {
-        events.add(new Event(Math.max(now, us), ++made, what));
+    /** Schedules an action at a time (us), or now if that has passed. */
+    public void at(long us, Runnable action) {
+        events.add(new Event(Math.max(nowUs, us), ++lastSequence, action));
     }
 
-    public void after(long us, Runnable what) {
-        at(now + us, what);
+    /** Schedules an action after a delay (us). */
+    public void after(long us, Runnable action) {
+        at(nowUs + us, action);
     }
 
-    /** Runs all events up to a time, and those that they bring, and stands there. */
+    /** Runs all events up to a time (us), including those scheduled meanwhile, and sets the clock to it. */
     public void advance(long toUs) {
-        while (!events.isEmpty() && events.peek().at <= toUs) {
-            Event e = events.poll();
-            now = e.at;
-            e.what.run();
+        while (!events.isEmpty() && events.peek().atUs <= toUs) {
+            Event event = events.poll();
+            nowUs = event.atUs;
+            event.action.run();
         }
-        now = Math.max(now, toUs);
+        nowUs = Math.max(nowUs, toUs);
     }
 }
