--- a/gateway/src/main/antlr4/sandpaddle/fleet/pool/lang/PoolPolicy.g4
+++ b/gateway/src/main/antlr4/sandpaddle/fleet/pool/lang/PoolPolicy.g4
@@ -1,6 +1,7 @@
-// The policy language of connection pools, version 1. Every choice is made by the next token alone (LL(1)), so reading
-// costs time in the length of the file and no more, whatever stands there. A statement ends with its line; a line that
-// ends with a comma goes on in the next. The reader calls "line" until the file ends, so that a fault costs one line.
+// The policy language of connection pools, version 1. The grammar is LL(1): one token of lookahead decides every
+// alternative, so parsing takes time linear in the length of any input. A statement ends at the end of its line, except
+// that a line that ends with a comma continues in the next. PolicyReader invokes the rule "line" until the end of the
+// file, so that a syntax error discards one line only.
 grammar PoolPolicy;
 
 line : statement? NL ;
@@ -8,11 +9,11 @@
 statement
     : policy
     | group
-    | ruling
-    | WHEN condition (AND condition)* ruling
+    | directive
+    | WHEN condition (AND condition)* directive
     ;
 
-ruling : budget | reserve | borrow | share ;
+directive : budget | reserve | borrow | share ;
 
 policy : POLICY STRING VERSION INT (LANGUAGE INT)? ;
 
@@ -20,7 +21,7 @@
 
 member : STRING | GROUP groupName ;
 
-// the words for units stand nowhere else where a group could
+// no rule allows a unit at a position where a group name is allowed, so units can be group names
 groupName : NAME | H | MIN | MS | S ;
 
 budget : BUDGET budgetOf INT CONNECTIONS EACH? ;
--- a/gateway/src/main/java/sandpaddle/config/PoolPolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PoolPolicyReader.java
@@ -13,7 +13,7 @@
 import sandpaddle.fleet.node.agree.FleetConfig;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
 import sandpaddle.fleet.pool.model.KnownNames;
-import sandpaddle.fleet.pool.model.PolicyFault;
+import sandpaddle.fleet.pool.model.PolicyDiagnostic;
 
 /**
  * Reads the file of the pool policy that {@code fleet.agreed.pool} names. Its errors are errors of the operator's file,
@@ -48,10 +48,10 @@
                     "a policy of " + FleetConfig.MAX_TEXT_BYTES + " bytes at most, which gateways send to each other");
             return "";
         }
-        List<PolicyFault> errors =
+        List<PolicyDiagnostic> errors =
                 PoolPolicyCheck.check(text, knownNames(members)).errors();
         errors.forEach(error -> section.addErrorInFile(
-                KEY, file.get(), error.at().line(), error.at().column(), error.found(), error.allowed()));
+                KEY, file.get(), error.position().line(), error.position().column(), error.found(), error.allowed()));
         return errors.isEmpty() ? new String(text, StandardCharsets.UTF_8) : "";
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
@@ -36,9 +36,9 @@
             return true;
         }
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-        activePolicy.read(check);
-        activePolicy.agreed(new PolicyVersion(version, check.version()));
-        if (activePolicy.standing() == Status.APPLIES) {
+        activePolicy.add(check);
+        activePolicy.commit(new PolicyVersion(version, check.hash()));
+        if (activePolicy.status() == Status.APPLIED) {
             Policy p = activePolicy.policy().orElseThrow();
             Logger.info("fleet: pool policy \"{}\" {} rules with version {}", p.name(), p.version(), version);
             UnsupportedStatements.notes(p).forEach(note -> Logger.warn("fleet: pool policy, {}", note));
@@ -57,7 +57,7 @@
 
     /** Whether no more than floors may be used here, since the fleet divides by what this gateway cannot read. */
     public boolean isBehind() {
-        return activePolicy.standing() == Status.UNREADABLE || activePolicy.standing() == Status.MISSING;
+        return activePolicy.status() == Status.UNREADABLE || activePolicy.status() == Status.MISSING;
     }
 
     /** The policy to go by; empty: none. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -79,19 +79,19 @@
                     || !next.rows().equals(allotment.rows())
                     || !next.cells().equals(allotment.cells())
                     || !next.budgets().equals(allotment.budgets());
-            if (other && (allotment == null || !next.unmet().equals(allotment.unmet()))) {
-                next.unmet()
+            if (other && (allotment == null || !next.unmetFloors().equals(allotment.unmetFloors()))) {
+                next.unmetFloors()
                         .forEach(u -> Logger.warn(
                                 "fleet: pool policy, line {}: floor of {}: {} asked for, {} kept",
                                 u.line(),
-                                u.of(),
-                                u.asked(),
-                                u.got()));
+                                u.selector(),
+                                u.demanded(),
+                                u.allocated()));
             }
             allotment = next;
             next.budgets()
                     .forEach(room -> amounts.put(
-                            room.limit().id(), (long) room.capacity().left()));
+                            room.limit().id(), (long) room.capacity().available()));
             targets = new PoolTargets(next, known.engines());
             return other;
         } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
@@ -17,8 +17,8 @@
     /** What the ids of all limits by a policy begin with. */
     static final String PREFIX = "pool/";
 
-    static final String KIND = new Limit(Limit.Of.KIND, "").id();
-    static final String ENGINE = new Limit(Limit.Of.ENGINE, "").id();
+    static final String KIND = new Limit(Limit.Scope.KIND, "").id();
+    static final String ENGINE = new Limit(Limit.Scope.ENGINE, "").id();
     /** The one slot of a gateway in the limit of an engine, which all tenants share. */
     static final String ALL = "*";
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -22,24 +22,25 @@
         List<String> notes = new ArrayList<>();
         policy.shares().stream()
                 .filter(UnsupportedStatements::isOfClass)
-                .sorted(Comparator.comparing(Statement::at))
+                .sorted(Comparator.comparing(Statement::position))
                 .limit(MAX_LISTED)
-                .forEach(s -> notes.add("line " + s.at().line() + ": " + s.of() + ": gateways tell demand by tenant, "
-                        + "so what is said of classes has no effect"));
+                .forEach(s -> notes.add("line " + s.position().line() + ": " + s.selector()
+                        + ": gateways tell demand by tenant, " + "so what is said of classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
-                .filter(s -> s.when().stream().anyMatch(UnsupportedStatements::neverHolds))
-                .sorted(Comparator.comparing(Statement::at))
+                .filter(s -> s.conditions().stream().anyMatch(UnsupportedStatements::neverHolds))
+                .sorted(Comparator.comparing(Statement::position))
                 .limit(MAX_LISTED)
-                .forEach(s -> notes.add("line " + s.at().line() + ": conditions on storm, recovery and outages do not "
-                        + "hold in this version, so this statement has no effect"));
+                .forEach(s ->
+                        notes.add("line " + s.position().line() + ": conditions on storm, recovery and outages do not "
+                                + "hold in this version, so this statement has no effect"));
         return notes;
     }
 
     private static final int MAX_LISTED = 3;
 
     private static boolean isOfClass(Statement.Share share) {
-        return share.of().forms().stream().anyMatch(f -> f.dimension() == Dimension.CLASS);
+        return share.selector().forms().stream().anyMatch(f -> f.dimension() == Dimension.CLASS);
     }
 
     /** The leader knows of calm alone, and of no foreseen outage ({@code PoolSide.state}). */
--- a/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/quota/PoolCoordinator.java
@@ -122,7 +122,7 @@
      * down.
      */
     private void addControlConnections(Policy policy, List<PoolEngine> all, Map<String, Integer> controlConnections) {
-        Budgets budgets = Budgets.at(policy, fleetState(all, List.of(), Set.of()));
+        Budgets budgets = Budgets.of(policy, fleetState(all, List.of(), Set.of()));
         for (PoolEngine engine : all) {
             budgets.budget(Scope.ENGINE, engine.name())
                     .or(() -> budgets.budget(Scope.EACH_OF_KIND, engine.kind()))
--- a/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/ActivePolicy.java
@@ -6,80 +6,89 @@
 import sandpaddle.fleet.pool.model.Policy;
 
 /**
- * The policy in force at one gateway. The version that the fleet agreed on should be; a gateway that lacks its text, or
- * cannot read it, goes on with the last one that it could read, reports so, and holds no more than the lesser of the
- * floors of both, since the fleet plans without it. It keeps the {@value #MAX_KEPT} texts read last.
+ * The policy in force at one gateway, normally the version that the fleet committed. A gateway that lacks the text of
+ * that version, or cannot parse it, continues with the last committed version that it could parse and reports this in
+ * {@link #status}. It must then hold no more than the lesser of the floors of both versions, since the fleet computes
+ * targets without it. The {@value #MAX_RETAINED_TEXTS} texts added last are retained.
  */
 public final class ActivePolicy {
-    private static final int MAX_KEPT = 4;
+    private static final int MAX_RETAINED_TEXTS = 4;
 
-    /** How the gateway stands to the version that rules. */
+    /** The status of the committed version at this gateway. */
     public enum Status {
-        /** The fleet has agreed on none: no pool is limited. */
+        /** The fleet has committed no version, so no pool is limited. */
         NONE,
-        /** This gateway goes by the version that rules. */
-        APPLIES,
-        /** It never saw that version's text. */
+        /** The committed version is in force. */
+        APPLIED,
+        /** The text of the committed version has not been received. */
         MISSING,
-        /** It saw the text and has found errors, as an older program may. */
+        /** The text has errors for this gateway, for example because its software is older. */
         UNREADABLE
     }
 
-    private final Map<PolicyHash, PoolPolicyCheck> read = new LinkedHashMap<>();
-    private Optional<PolicyVersion> ruling = Optional.empty();
+    private final Map<PolicyHash, PoolPolicyCheck> checkedByHash = new LinkedHashMap<>();
+    private Optional<PolicyVersion> committed = Optional.empty();
     private Optional<PolicyVersion> applied = Optional.empty();
     private Optional<Policy> policy = Optional.empty();
 
-    /** Takes a text that was checked, from the operator's file or from another gateway. */
-    public void read(PoolPolicyCheck checked) {
-        read.remove(checked.version());
-        read.put(checked.version(), checked);
-        if (read.size() > MAX_KEPT) {
-            PolicyHash oldest = read.keySet().stream()
-                    .filter(h -> ruling.isEmpty() || !ruling.get().hash().equals(h))
+    /**
+     * Adds a checked text, from the operator's file or from another gateway. Past {@value #MAX_RETAINED_TEXTS} texts,
+     * the oldest that is not the committed one is evicted.
+     */
+    public void add(PoolPolicyCheck checked) {
+        checkedByHash.remove(checked.hash());
+        checkedByHash.put(checked.hash(), checked);
+        if (checkedByHash.size() > MAX_RETAINED_TEXTS) {
+            PolicyHash oldest = checkedByHash.keySet().stream()
+                    .filter(hash ->
+                            committed.isEmpty() || !committed.get().hash().equals(hash))
                     .findFirst()
                     .orElseThrow();
-            read.remove(oldest);
+            checkedByHash.remove(oldest);
         }
-        apply();
+        applyCommitted();
     }
 
-    /** The fleet agreed on this version; an epoch that is not newer changes nothing. */
-    public void agreed(PolicyVersion version) {
-        if (ruling.isEmpty() || version.epoch() > ruling.get().epoch()) {
-            ruling = Optional.of(version);
-            apply();
+    /** Sets the version that the fleet committed; one whose epoch is not newer is ignored. */
+    public void commit(PolicyVersion version) {
+        if (committed.isEmpty() || version.epoch() > committed.get().epoch()) {
+            committed = Optional.of(version);
+            applyCommitted();
         }
     }
 
-    private void apply() {
-        ruling.map(v -> read.get(v.hash())).flatMap(PoolPolicyCheck::policy).ifPresent(p -> {
-            policy = Optional.of(p);
-            applied = ruling;
-        });
+    private void applyCommitted() {
+        committed
+                .map(version -> checkedByHash.get(version.hash()))
+                .flatMap(PoolPolicyCheck::policy)
+                .ifPresent(committedPolicy -> {
+                    policy = Optional.of(committedPolicy);
+                    applied = committed;
+                });
     }
 
-    public Status standing() {
-        if (ruling.isEmpty()) {
+    /** The status of the committed version at this gateway. */
+    public Status status() {
+        if (committed.isEmpty()) {
             return Status.NONE;
         }
-        if (applied.equals(ruling)) {
-            return Status.APPLIES;
+        if (applied.equals(committed)) {
+            return Status.APPLIED;
         }
-        return read.containsKey(ruling.get().hash()) ? Status.UNREADABLE : Status.MISSING;
+        return checkedByHash.containsKey(committed.get().hash()) ? Status.UNREADABLE : Status.MISSING;
     }
 
-    /** The version that the fleet agreed on. */
-    public Optional<PolicyVersion> ruling() {
-        return ruling;
+    /** The version that the fleet committed last. */
+    public Optional<PolicyVersion> committed() {
+        return committed;
     }
 
-    /** The version that {@link #policy} is of; behind the ruling one unless the standing is {@code APPLIES}. */
+    /** The version of {@link #policy}; older than {@link #committed} unless the status is {@code APPLIED}. */
     public Optional<PolicyVersion> applied() {
         return applied;
     }
 
-    /** The policy that this gateway could read last among those that ruled. */
+    /** The last committed policy that this gateway could parse. */
     public Optional<Policy> policy() {
         return policy;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PolicyVersion.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/PolicyVersion.java
@@ -1,13 +1,17 @@
 package sandpaddle.fleet.pool;
 
 /**
- * A policy as the fleet agreed on it: the epoch counts agreements, and the one with the greatest rules everywhere, also
- * where an operator's file went back to an older text.
+ * A version of the policy that the fleet committed. The version with the highest epoch is in force, also where the
+ * operator has reverted the file to an earlier text.
+ *
+ * @param epoch counts the versions that the fleet committed, from 1
+ * @param hash of the policy file
  */
 public record PolicyVersion(long epoch, PolicyHash hash) {
+    /** @throws IllegalArgumentException if the epoch is less than 1 */
     public PolicyVersion {
         if (epoch < 1) {
-            throw new IllegalArgumentException("epoch " + epoch + ", 1 or more");
+            throw new IllegalArgumentException("epoch " + epoch + "; expected 1 or more");
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
@@ -7,52 +7,55 @@
 import java.util.List;
 import java.util.Optional;
 import sandpaddle.fleet.pool.check.PolicyChecker;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.KnownNames;
-import sandpaddle.fleet.pool.model.Limits;
 import sandpaddle.fleet.pool.model.Policy;
-import sandpaddle.fleet.pool.model.PolicyFault;
-import sandpaddle.fleet.pool.model.PolicyFault.Severity;
+import sandpaddle.fleet.pool.model.PolicyDiagnostic;
+import sandpaddle.fleet.pool.model.PolicyDiagnostic.Severity;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
- * What comes of checking one policy.
+ * The result of checking one policy file.
  *
- * @param policy present where there is no error
- * @param faults errors and warnings by place, {@value FaultList#MAX_ERRORS} and {@value FaultList#MAX_WARNINGS} at
- * most
- * @param cut whether there were more
- * @param version the name under which gateways agree on these bytes, readable or not
+ * @param policy present if there is no error
+ * @param diagnostics sorted by position; at most {@value DiagnosticList#MAX_ERRORS} errors and
+ * {@value DiagnosticList#MAX_WARNINGS} warnings
+ * @param truncated whether there were more diagnostics
+ * @param hash identifies the bytes of the file, valid or not, among gateways
  */
-public record PoolPolicyCheck(Optional<Policy> policy, List<PolicyFault> faults, boolean cut, PolicyHash version) {
-    /** Checks a file's bytes, judging names by what the caller knows. */
+public record PoolPolicyCheck(
+        Optional<Policy> policy, List<PolicyDiagnostic> diagnostics, boolean truncated, PolicyHash hash) {
+    /** Checks the bytes of a file; names are checked against those that the caller knows. */
     public static PoolPolicyCheck check(byte[] file, KnownNames known) {
-        FaultList faults = new FaultList();
-        Optional<Policy> policy = PolicyChecker.check(file, known, faults);
-        return new PoolPolicyCheck(policy, faults.list(), faults.isCut(), PolicyHash.of(file));
+        DiagnosticList diagnostics = new DiagnosticList();
+        Optional<Policy> policy = PolicyChecker.check(file, known, diagnostics);
+        return new PoolPolicyCheck(policy, diagnostics.list(), diagnostics.isTruncated(), PolicyHash.of(file));
     }
 
-    /** Checks a file, of which no more is read than a policy may hold. */
+    /** Checks a file, of which at most one byte more than {@link PolicyLimits#MAX_BYTES} is read. */
     public static PoolPolicyCheck check(Path file, KnownNames known) {
         try (InputStream in = Files.newInputStream(file)) {
-            return check(in.readNBytes(Limits.MAX_BYTES + 1), known);
+            return check(in.readNBytes(PolicyLimits.MAX_BYTES + 1), known);
         } catch (IOException e) {
-            FaultList faults = new FaultList();
-            faults.error(
+            DiagnosticList diagnostics = new DiagnosticList();
+            diagnostics.error(
                     new SourcePosition(1, 1),
-                    "a file that cannot be read: " + FaultList.shown(e.toString(), 300),
+                    "a file that cannot be read: " + DiagnosticList.printable(e.toString(), 300),
                     "a file that this process may read");
-            return new PoolPolicyCheck(Optional.empty(), faults.list(), false, PolicyHash.of(new byte[0]));
+            return new PoolPolicyCheck(Optional.empty(), diagnostics.list(), false, PolicyHash.of(new byte[0]));
         }
     }
 
-    /** Those for which the policy may not rule. */
-    public List<PolicyFault> errors() {
-        return faults.stream().filter(f -> f.severity() == Severity.ERROR).toList();
+    /** The diagnostics that make the policy invalid. */
+    public List<PolicyDiagnostic> errors() {
+        return diagnostics.stream().filter(f -> f.severity() == Severity.ERROR).toList();
     }
 
-    /** Those with which it may. */
-    public List<PolicyFault> warnings() {
-        return faults.stream().filter(f -> f.severity() == Severity.WARNING).toList();
+    /** The diagnostics that leave the policy valid. */
+    public List<PolicyDiagnostic> warnings() {
+        return diagnostics.stream()
+                .filter(f -> f.severity() == Severity.WARNING)
+                .toList();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
@@ -13,70 +13,73 @@
 import sandpaddle.fleet.pool.model.Condition.OutageLasts;
 import sandpaddle.fleet.pool.model.Condition.OutageWithin;
 import sandpaddle.fleet.pool.model.Condition.TimeOfDay;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.Statement;
 
 /**
- * Tells rules that never hold. Times of day in several time zones are compared over each minute of a day in winter and
- * one in summer; a relation that holds only in the hours when clocks change is not seen.
+ * Reports statements whose conditions never hold together. Times of day in several time zones are compared at each
+ * minute of one day in winter and one in summer; an overlap that exists only on other days, such as those on which the
+ * clocks change, is not found.
  */
 final class ConditionsCheck {
-    static final List<Instant> DAYS =
+    static final List<Instant> SAMPLE_DAYS =
             List.of(Instant.parse("2026-01-15T00:00:00Z"), Instant.parse("2026-07-15T00:00:00Z"));
-    private static final int DAY = 24 * 60;
+    private static final int MINUTES_PER_DAY = 24 * 60;
 
-    private final FaultList faults;
-    private final Map<ZoneId, int[]> minutes = new HashMap<>();
+    private final DiagnosticList diagnostics;
+    private final Map<ZoneId, int[]> minutesByTimeZone = new HashMap<>();
 
-    ConditionsCheck(FaultList faults) {
-        this.faults = faults;
+    ConditionsCheck(DiagnosticList diagnostics) {
+        this.diagnostics = diagnostics;
     }
 
-    void check(Statement rule) {
-        String never = never(rule.when());
-        if (never != null) {
-            faults.error(rule.at(), never, "conditions that can hold together");
+    void check(Statement statement) {
+        String contradiction = contradiction(statement.conditions());
+        if (contradiction != null) {
+            diagnostics.error(statement.position(), contradiction, "conditions that can hold together");
         }
     }
 
-    private String never(List<Condition> when) {
+    private String contradiction(List<Condition> conditions) {
         List<TimeOfDay> withTimeZone = new ArrayList<>();
         List<TimeOfDay> local = new ArrayList<>();
-        for (int i = 0; i < when.size(); i++) {
-            Condition a = when.get(i);
-            if (a instanceof TimeOfDay time) {
+        for (int i = 0; i < conditions.size(); i++) {
+            Condition first = conditions.get(i);
+            if (first instanceof TimeOfDay time) {
                 if (time.from() == time.to()) {
                     return "a time of day that is empty";
                 }
                 (time.timeZone().isPresent() ? withTimeZone : local).add(time);
             }
-            for (Condition b : when.subList(0, i)) {
-                if (a instanceof InPhase && b instanceof InPhase) {
+            for (Condition second : conditions.subList(0, i)) {
+                if (first instanceof InPhase && second instanceof InPhase) {
                     return "two phases at once";
                 }
-                if (excluded(a, b) || excluded(b, a)) {
+                if (excludes(first, second) || excludes(second, first)) {
                     return "an outage that lasts and is yet to come";
                 }
             }
         }
-        return meet(withTimeZone) && meet(local) ? null : "times of day that never meet";
+        return canOverlap(withTimeZone) && canOverlap(local) ? null : "times of day that never meet";
     }
 
-    /** While an outage lasts, none of the zone comes as conditions mean it. */
-    private static boolean excluded(Condition a, Condition b) {
-        return a instanceof OutageLasts lasts
-                && b instanceof OutageWithin within
+    /**
+     * Whether the conditions exclude each other: {@link OutageWithin} never holds while an outage of the zone lasts.
+     */
+    private static boolean excludes(Condition first, Condition second) {
+        return first instanceof OutageLasts lasts
+                && second instanceof OutageWithin within
                 && lasts.zone().equals(within.zone());
     }
 
-    private boolean meet(List<TimeOfDay> times) {
+    private boolean canOverlap(List<TimeOfDay> times) {
         if (times.size() < 2) {
             return true;
         }
-        for (int minute = 0; minute < DAYS.size() * DAY; minute++) {
+        for (int minute = 0; minute < SAMPLE_DAYS.size() * MINUTES_PER_DAY; minute++) {
             boolean all = true;
             for (TimeOfDay time : times) {
-                all &= time.contains(minutesOf(time.timeZone().orElse(ZoneOffset.UTC))[minute]);
+                all &= time.contains(localMinutes(time.timeZone().orElse(ZoneOffset.UTC))[minute]);
             }
             if (all) {
                 return true;
@@ -85,44 +88,45 @@
         return false;
     }
 
-    /** The time zone's time of day at each minute of the days that are looked at. */
-    private int[] minutesOf(ZoneId timeZone) {
-        return minutes.computeIfAbsent(timeZone, z -> {
-            int[] of = new int[DAYS.size() * DAY];
-            for (int i = 0; i < of.length; i++) {
-                LocalTime time = LocalTime.ofInstant(DAYS.get(i / DAY).plusSeconds(i % DAY * 60L), z);
-                of[i] = time.getHour() * 60 + time.getMinute();
+    /** The local time of day in the time zone, in minutes since midnight, at each minute of the sample days. */
+    private int[] localMinutes(ZoneId timeZone) {
+        return minutesByTimeZone.computeIfAbsent(timeZone, zone -> {
+            int[] localMinute = new int[SAMPLE_DAYS.size() * MINUTES_PER_DAY];
+            for (int i = 0; i < localMinute.length; i++) {
+                LocalTime time = LocalTime.ofInstant(
+                        SAMPLE_DAYS.get(i / MINUTES_PER_DAY).plusSeconds(i % MINUTES_PER_DAY * 60L), zone);
+                localMinute[i] = time.getHour() * 60 + time.getMinute();
             }
-            return of;
+            return localMinute;
         });
     }
 
-    /** Whether {@code a} can hold only where {@code b} holds; false also where that is not known. */
-    static boolean implies(List<Condition> a, List<Condition> b) {
-        return b.stream().allMatch(wanted -> a.stream().anyMatch(given -> implies(given, wanted)));
+    /** Whether {@code conditions} are known to imply {@code implied}; false also if that cannot be determined. */
+    static boolean implies(List<Condition> conditions, List<Condition> implied) {
+        return implied.stream().allMatch(required -> conditions.stream().anyMatch(given -> implies(given, required)));
     }
 
-    private static boolean implies(Condition a, Condition b) {
-        if (a.equals(b)) {
+    private static boolean implies(Condition first, Condition second) {
+        if (first.equals(second)) {
             return true;
         }
-        if (a instanceof Condition.Condemned x && b instanceof Condition.Condemned y) {
-            return x.overPercent() >= y.overPercent();
+        if (first instanceof Condition.EjectedOver inner && second instanceof Condition.EjectedOver outer) {
+            return inner.overPercent() >= outer.overPercent();
         }
-        if (a instanceof OutageWithin x && b instanceof OutageWithin y) {
-            return x.zone().equals(y.zone()) && x.within().compareTo(y.within()) <= 0;
+        if (first instanceof OutageWithin inner && second instanceof OutageWithin outer) {
+            return inner.zone().equals(outer.zone()) && inner.within().compareTo(outer.within()) <= 0;
         }
-        return a instanceof TimeOfDay x
-                && b instanceof TimeOfDay y
-                && x.timeZone().equals(y.timeZone())
-                && within(x, y);
+        return first instanceof TimeOfDay inner
+                && second instanceof TimeOfDay outer
+                && inner.timeZone().equals(outer.timeZone())
+                && within(inner, outer);
     }
 
     private static boolean within(TimeOfDay inner, TimeOfDay outer) {
         if (inner.from() <= inner.to()) {
             return within(inner.from(), inner.to(), outer);
         }
-        return within(inner.from(), DAY, outer) && within(0, inner.to(), outer);
+        return within(inner.from(), MINUTES_PER_DAY, outer) && within(0, inner.to(), outer);
     }
 
     private static boolean within(int from, int to, TimeOfDay outer) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/FloorSums.java
@@ -15,12 +15,13 @@
 import sandpaddle.fleet.pool.model.Statement.Share;
 
 /**
- * How many connections all floors of one kind of selection need together, at least: floors by tenant are disjoint, as
- * are those by zone, so each such family adds up. A default counts for all that may be and have no floor of their own.
+ * Lower bounds of the connections that floors need together. Floors whose selectors have the same dimensions form a
+ * family: those by tenant are disjoint, for example, as are those by zone, so the floors of a family add up. The floor
+ * of a default counts for each name that it may apply to and that has no floor of its own.
  */
 final class FloorSums {
-    /** The sum of a family, and the statement that adds most to it. */
-    record Family(long sum, Share max) {}
+    /** The sum of the floors of a family, and the statement that contributes most to it. */
+    record FloorFamily(long sum, Share largest) {}
 
     private final int tenants;
     private final int classes;
@@ -32,7 +33,7 @@
         selections.forEach(s -> s.terms()
                 .forEach(t ->
                         names.computeIfAbsent(t.form(), f -> new HashSet<>()).add(t.name())));
-        this.tenants = tenants + 1; // all others share one
+        this.tenants = tenants + 1; // all tenants that are not named share the default tenant
         classes = known.classes().map(Set::size).orElse(Math.max(1, size(names, Form.CLASS)));
         zones = known.zones().map(Set::size).orElse(Math.max(1, size(names, Form.ZONE)));
         gateways = Math.max(known.maxGateways(), size(names, Form.GATEWAY));
@@ -42,24 +43,24 @@
         return names.getOrDefault(form, Set.of()).size();
     }
 
-    /** The families of these floors, each selection with the statement that rules it. */
-    Map<List<String>, Family> of(Map<Selector, Share> floors) {
+    /** Sums the floors by family; the map holds the statement in force for each selector. */
+    Map<List<String>, FloorFamily> of(Map<Selector, Share> floors) {
         Map<List<String>, Map<Selector, Share>> families = new LinkedHashMap<>();
         floors.forEach((s, share) ->
                 families.computeIfAbsent(family(s), f -> new LinkedHashMap<>()).put(s, share));
-        Map<List<String>, Family> sums = new LinkedHashMap<>();
+        Map<List<String>, FloorFamily> sums = new LinkedHashMap<>();
         families.forEach((family, members) -> sums.put(family, sum(members)));
         return sums;
     }
 
-    /** Selections of one family never overlap, but for defaults with what is named. */
-    private static List<String> family(Selector of) {
+    /** The family of a selector. Selectors of one family never overlap, except defaults with names. */
+    private static List<String> family(Selector selector) {
         List<String> family = new ArrayList<>();
-        for (Term term : of.terms()) {
+        for (Term term : selector.terms()) {
             family.add(
                     switch (term.form()) {
                         case TENANT, ANY_TENANT, GROUP -> "tenant";
-                        case TOGETHER -> "tenant group " + term.name() + " together";
+                        case GROUP_TOTAL -> "tenant group " + term.name() + " together";
                         case CLASS, ANY_CLASS -> "class";
                         case GATEWAY, ANY_GATEWAY -> "gateway";
                         default -> "hall";
@@ -68,38 +69,39 @@
         return family;
     }
 
-    private Family sum(Map<Selector, Share> members) {
-        Map<Selector, Long> own = new HashMap<>(); // selections under a default that have a floor of their own
-        boolean crossing = crossing(members.keySet());
+    private FloorFamily sum(Map<Selector, Share> members) {
+        Map<Selector, Long> namedSizes =
+                new HashMap<>(); // by default selector: the named ones under it that have their own floor
+        boolean hasCrossingDefaults = hasCrossingDefaults(members.keySet());
         for (Selector each : members.keySet()) {
-            for (Selector general : generals(each)) {
-                own.merge(general, size(each), Long::sum);
+            for (Selector generalization : generalizations(each)) {
+                namedSizes.merge(generalization, size(each), Long::sum);
             }
         }
-        Map<Share, Long> parts = new LinkedHashMap<>();
+        Map<Share, Long> partByShare = new LinkedHashMap<>();
         long sum = 0;
         for (Map.Entry<Selector, Share> each : members.entrySet()) {
             long count = size(each.getKey());
             if (count != 1
                     || each.getKey().terms().stream().anyMatch(t -> t.form().isDefault())) {
-                // crossing defaults overlap, and the sum is to be none that could be less
-                count = crossing ? 0 : Math.max(0, count - own.getOrDefault(each.getKey(), 0L));
+                // crossing defaults overlap; 0 keeps the sum a lower bound
+                count = hasCrossingDefaults ? 0 : Math.max(0, count - namedSizes.getOrDefault(each.getKey(), 0L));
             }
             long part = count * each.getValue().floor().getAsInt();
             sum += part;
-            parts.merge(each.getValue(), part, Long::sum);
+            partByShare.merge(each.getValue(), part, Long::sum);
         }
-        Share max = null;
-        for (Map.Entry<Share, Long> part : parts.entrySet()) {
-            if (max == null || part.getValue() > parts.get(max)) {
-                max = part.getKey();
+        Share largest = null;
+        for (Map.Entry<Share, Long> part : partByShare.entrySet()) {
+            if (largest == null || part.getValue() > partByShare.get(largest)) {
+                largest = part.getKey();
             }
         }
-        return new Family(sum, max);
+        return new FloorFamily(sum, largest);
     }
 
-    /** Whether there are defaults of which neither holds the other. */
-    private static boolean crossing(Set<Selector> members) {
+    /** Whether there are two selectors with defaults of which neither includes the other. */
+    private static boolean hasCrossingDefaults(Set<Selector> members) {
         Set<Set<Integer>> defaults = new HashSet<>();
         for (Selector each : members) {
             Set<Integer> at = new HashSet<>();
@@ -113,10 +115,10 @@
         return defaults.stream().anyMatch(a -> defaults.stream().anyMatch(b -> !a.containsAll(b) && !b.containsAll(a)));
     }
 
-    /** How many selections named in full this one stands for. */
-    private long size(Selector of) {
+    /** The number of selectors without defaults that this one includes. */
+    private long size(Selector selector) {
         long size = 1;
-        for (Term term : of.terms()) {
+        for (Term term : selector.terms()) {
             size *= switch (term.form()) {
                 case ANY_TENANT -> tenants;
                 case ANY_CLASS -> classes;
@@ -128,29 +130,29 @@
         return size;
     }
 
-    /** The same selection with one or more of its names replaced by the default; a group together has none. */
-    static List<Selector> generals(Selector of) {
-        List<Selector> generals = new ArrayList<>();
-        int terms = of.terms().size();
+    /** The selectors with one or more of the names replaced by the default; sums over groups have no default. */
+    static List<Selector> generalizations(Selector selector) {
+        List<Selector> generalizations = new ArrayList<>();
+        int terms = selector.terms().size();
         Set<Form> replaceable = EnumSet.of(Form.TENANT, Form.CLASS, Form.GATEWAY, Form.ZONE);
         for (int mask = 1; mask < 1 << terms; mask++) {
-            List<Term> changed = new ArrayList<>(of.terms());
+            List<Term> changed = new ArrayList<>(selector.terms());
             boolean possible = true;
             for (int i = 0; i < terms; i++) {
                 if ((mask >> i & 1) != 0) {
-                    Form form = of.terms().get(i).form();
+                    Form form = selector.terms().get(i).form();
                     possible &= replaceable.contains(form);
-                    changed.set(i, new Term(general(form), ""));
+                    changed.set(i, new Term(generalization(form), ""));
                 }
             }
             if (possible) {
-                generals.add(new Selector(changed));
+                generalizations.add(new Selector(changed));
             }
         }
-        return generals;
+        return generalizations;
     }
 
-    private static Form general(Form form) {
+    private static Form generalization(Form form) {
         return switch (form.dimension()) {
             case TENANT -> Form.ANY_TENANT;
             case CLASS -> Form.ANY_CLASS;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Groups.java
@@ -6,117 +6,123 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import sandpaddle.fleet.pool.lang.PolicyDraft;
-import sandpaddle.fleet.pool.lang.PolicyDraft.GroupDraft;
-import sandpaddle.fleet.pool.lang.PolicyDraft.Member;
-import sandpaddle.fleet.pool.model.FaultList;
-import sandpaddle.fleet.pool.model.Limits;
+import sandpaddle.fleet.pool.lang.ParsedPolicy;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.GroupDefinition;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.Member;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.Policy;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
- * Resolves groups to their tenants. Each group is visited once, and what all visits copy is bounded, so groups within
- * groups cannot make a small file stand for a large set.
+ * Resolves groups to their tenants by depth-first search. Each group is visited once, and the number of tenants copied
+ * by all visits is bounded, so nested groups cannot expand a small file to a large set.
  */
 final class Groups {
-    private final FaultList faults;
-    private final Map<String, GroupDraft> drafts = new LinkedHashMap<>();
+    private final DiagnosticList diagnostics;
+    private final Map<String, GroupDefinition> definitions = new LinkedHashMap<>();
     private final Map<String, Set<String>> resolved = new HashMap<>();
-    private final Map<String, Integer> heights = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private int copied;
+    private final Map<String, Integer> depths = new HashMap<>();
+    private final Set<String> visiting = new HashSet<>();
+    private int copiedTenants;
 
-    private Groups(FaultList faults) {
-        this.faults = faults;
+    private Groups(DiagnosticList diagnostics) {
+        this.diagnostics = diagnostics;
     }
 
-    /** Every group with its tenants; members that are faulty are told and left out. */
-    static Map<String, Set<String>> resolve(PolicyDraft draft, FaultList faults) {
-        Groups groups = new Groups(faults);
-        for (GroupDraft each : draft.groups) {
+    /** Returns the tenants of every group; invalid members are reported and left out. */
+    static Map<String, Set<String>> resolve(ParsedPolicy parsed, DiagnosticList diagnostics) {
+        Groups groups = new Groups(diagnostics);
+        for (GroupDefinition each : parsed.groups) {
             groups.add(each);
         }
-        for (GroupDraft each : groups.drafts.values()) {
+        for (GroupDefinition each : groups.definitions.values()) {
             groups.visit(each);
         }
         return groups.resolved;
     }
 
-    private void add(GroupDraft group) {
-        if (drafts.size() == Limits.MAX_GROUPS) {
-            faults.error(group.at(), "more than " + Limits.MAX_GROUPS + " groups", Limits.MAX_GROUPS + " at most");
+    private void add(GroupDefinition group) {
+        if (definitions.size() == PolicyLimits.MAX_GROUPS) {
+            diagnostics.error(
+                    group.position(),
+                    "more than " + PolicyLimits.MAX_GROUPS + " groups",
+                    PolicyLimits.MAX_GROUPS + " at most");
             return;
         }
-        GroupDraft first = drafts.putIfAbsent(group.name(), group);
+        GroupDefinition first = definitions.putIfAbsent(group.name(), group);
         if (first != null) {
-            faults.error(
-                    group.at(),
-                    "group " + group.name() + " again, which line " + first.at().line() + " has",
+            diagnostics.error(
+                    group.position(),
+                    "group " + group.name() + " again, which line "
+                            + first.position().line() + " has",
                     "one group of a name");
         }
     }
 
-    private int visit(GroupDraft group) {
-        Integer known = heights.get(group.name());
-        if (known != null) {
-            return known;
+    private int visit(GroupDefinition group) {
+        Integer visitedDepth = depths.get(group.name());
+        if (visitedDepth != null) {
+            return visitedDepth;
         }
-        open.add(group.name());
+        visiting.add(group.name());
         Set<String> tenants = new TreeSet<>();
-        Set<Member> seen = new HashSet<>();
-        int height = 1;
+        Set<Member> seenMembers = new HashSet<>();
+        int depth = 1;
         for (Member member : group.members()) {
-            if (!seen.add(new Member(new SourcePosition(1, 1), member.group(), member.name()))) {
-                faults.error(member.at(), "'" + member.name() + "' twice in a group", "once");
-            } else if (!member.group()) {
-                tenant(member, tenants);
+            if (!seenMembers.add(new Member(new SourcePosition(1, 1), member.isGroup(), member.name()))) {
+                diagnostics.error(member.position(), "'" + member.name() + "' twice in a group", "once");
+            } else if (!member.isGroup()) {
+                addTenant(member, tenants);
             } else {
-                height = Math.max(height, 1 + nested(group, member, tenants));
+                depth = Math.max(depth, 1 + addNested(group, member, tenants));
             }
         }
-        if (height > Limits.MAX_NESTING && heights.values().stream().noneMatch(h -> h > Limits.MAX_NESTING)) {
-            faults.error(group.at(), "groups nested " + height + " deep", Limits.MAX_NESTING + " at most");
+        if (depth > PolicyLimits.MAX_GROUP_NESTING
+                && depths.values().stream().noneMatch(nesting -> nesting > PolicyLimits.MAX_GROUP_NESTING)) {
+            diagnostics.error(
+                    group.position(), "groups nested " + depth + " deep", PolicyLimits.MAX_GROUP_NESTING + " at most");
         }
-        open.remove(group.name());
-        heights.put(group.name(), height);
+        visiting.remove(group.name());
+        depths.put(group.name(), depth);
         resolved.put(group.name(), tenants);
-        return height;
+        return depth;
     }
 
-    private void tenant(Member member, Set<String> tenants) {
+    private void addTenant(Member member, Set<String> tenants) {
         if (member.name().equals(Policy.DEFAULT_TENANT)) {
-            faults.error(member.at(), "the tenant \"default\"", "'default tenant', which is in no group");
+            diagnostics.error(member.position(), "the tenant \"default\"", "'default tenant', which is in no group");
         } else {
             tenants.add(member.name());
         }
     }
 
-    private int nested(GroupDraft group, Member member, Set<String> tenants) {
-        GroupDraft inner = drafts.get(member.name());
+    private int addNested(GroupDefinition group, Member member, Set<String> tenants) {
+        GroupDefinition inner = definitions.get(member.name());
         if (inner == null) {
-            faults.error(
-                    member.at(),
+            diagnostics.error(
+                    member.position(),
                     "the unknown group " + member.name(),
-                    NameSuggestions.words("a group of this file", member.name(), drafts.keySet()));
+                    NameSuggestions.describe("a group of this file", member.name(), definitions.keySet()));
             return 0;
         }
-        if (open.contains(member.name())) {
-            faults.error(
-                    member.at(),
+        if (visiting.contains(member.name())) {
+            diagnostics.error(
+                    member.position(),
                     "group " + member.name() + ", which holds group " + group.name() + " itself",
                     "groups without a circle");
             return 0;
         }
-        int height = visit(inner);
-        copied += resolved.get(member.name()).size();
-        if (copied <= Limits.MAX_EXPANDED) {
+        int depth = visit(inner);
+        copiedTenants += resolved.get(member.name()).size();
+        if (copiedTenants <= PolicyLimits.MAX_EXPANDED_SELECTORS) {
             tenants.addAll(resolved.get(member.name()));
-        } else if (copied - resolved.get(member.name()).size() <= Limits.MAX_EXPANDED) {
-            faults.error(
-                    member.at(),
-                    "groups that copy more than " + Limits.MAX_EXPANDED + " members",
-                    Limits.MAX_EXPANDED + " at most");
+        } else if (copiedTenants - resolved.get(member.name()).size() <= PolicyLimits.MAX_EXPANDED_SELECTORS) {
+            diagnostics.error(
+                    member.position(),
+                    "groups that copy more than " + PolicyLimits.MAX_EXPANDED_SELECTORS + " members",
+                    PolicyLimits.MAX_EXPANDED_SELECTORS + " at most");
         }
-        return height;
+        return depth;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NameSuggestions.java
@@ -10,38 +10,39 @@
 
     private NameSuggestions() {}
 
-    /** What is allowed: in general, and the names that may have been meant. */
-    static String words(String general, String unknown, Collection<String> names) {
-        List<String> near = names.stream()
-                .filter(name -> near(unknown, name))
+    /** Describes what is allowed, followed by similar names if there are any. */
+    static String describe(String general, String unknown, Collection<String> names) {
+        List<String> suggestions = names.stream()
+                .filter(name -> isNear(unknown, name))
                 .sorted()
                 .limit(MAX_SHOWN)
                 .toList();
-        return near.isEmpty() ? general : general + ", perhaps " + String.join(" or ", near);
+        return suggestions.isEmpty() ? general : general + ", perhaps " + String.join(" or ", suggestions);
     }
 
-    private static boolean near(String a, String b) {
-        if (Math.abs(a.length() - b.length()) > MAX_DISTANCE) {
+    private static boolean isNear(String unknown, String candidate) {
+        if (Math.abs(unknown.length() - candidate.length()) > MAX_DISTANCE) {
             return false;
         }
-        int[] above = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
-            above[j] = j;
+        int[] previousRow = new int[candidate.length() + 1];
+        for (int column = 0; column <= candidate.length(); column++) {
+            previousRow[column] = column;
         }
-        for (int i = 1; i <= a.length(); i++) {
-            int[] row = new int[b.length() + 1];
-            row[0] = i;
-            int min = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int changed = above[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                row[j] = Math.min(changed, 1 + Math.min(above[j], row[j - 1]));
-                min = Math.min(min, row[j]);
+        for (int row = 1; row <= unknown.length(); row++) {
+            int[] currentRow = new int[candidate.length() + 1];
+            currentRow[0] = row;
+            int rowMinimum = row;
+            for (int column = 1; column <= candidate.length(); column++) {
+                int substituted =
+                        previousRow[column - 1] + (unknown.charAt(row - 1) == candidate.charAt(column - 1) ? 0 : 1);
+                currentRow[column] = Math.min(substituted, 1 + Math.min(previousRow[column], currentRow[column - 1]));
+                rowMinimum = Math.min(rowMinimum, currentRow[column]);
             }
-            if (min > MAX_DISTANCE) {
+            if (rowMinimum > MAX_DISTANCE) {
                 return false;
             }
-            above = row;
+            previousRow = currentRow;
         }
-        return above[b.length()] <= Math.min(MAX_DISTANCE, Math.max(1, a.length() / 2));
+        return previousRow[candidate.length()] <= Math.min(MAX_DISTANCE, Math.max(1, unknown.length() / 2));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/PolicyChecker.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/PolicyChecker.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sandpaddle.fleet.pool.lang.PolicyDraft;
+import sandpaddle.fleet.pool.lang.ParsedPolicy;
 import sandpaddle.fleet.pool.lang.PolicyReader;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.SourcePosition;
@@ -21,71 +21,72 @@
 import sandpaddle.fleet.pool.model.Statement.Share;
 
 /**
- * Reads a policy and tells all that is wrong with it at once. Statements that cannot be read are left out of what is
- * checked between statements, and checks that rest on the whole run only where every statement could be read, so that
- * one fault does not bring forth others.
+ * Parses a policy and reports all its errors at once. Statements with errors are excluded from the checks between
+ * statements, and checks of the policy as a whole run only if all statements could be parsed, so that one error does
+ * not cause others.
  */
 public final class PolicyChecker {
     private PolicyChecker() {}
 
-    /** The policy; empty where it has an error. */
-    public static Optional<Policy> check(byte[] file, KnownNames known, FaultList faults) {
-        PolicyDraft draft = PolicyReader.read(file, faults);
-        boolean readable = faults.errors() == 0;
-        header(draft, readable, faults);
-        Map<String, Set<String>> groups = Groups.resolve(draft, faults);
-        Set<String> tenants = NamesCheck.check(draft, groups, known, faults);
-        ConditionsCheck conditions = new ConditionsCheck(faults);
-        for (Statement rule : draft.rules) {
-            conditions.check(rule);
+    /** Returns the policy; empty if it has an error. */
+    public static Optional<Policy> check(byte[] file, KnownNames known, DiagnosticList diagnostics) {
+        ParsedPolicy parsed = PolicyReader.read(file, diagnostics);
+        boolean readable = diagnostics.errorCount() == 0;
+        checkHeader(parsed, readable, diagnostics);
+        Map<String, Set<String>> groups = Groups.resolve(parsed, diagnostics);
+        Set<String> tenants = NamesCheck.check(parsed, groups, known, diagnostics);
+        ConditionsCheck conditions = new ConditionsCheck(diagnostics);
+        for (Statement statement : parsed.statements) {
+            conditions.check(statement);
         }
-        Optional<Expansion> expansion = Expansion.of(draft.rules, groups, faults);
-        if (expansion.isPresent() && !faults.isFull()) {
-            new ShadowCheck(faults).check(draft.rules, expansion.get());
+        Optional<Expansion> expansion = Expansion.of(parsed.statements, groups, diagnostics);
+        if (expansion.isPresent() && !diagnostics.isErrorLimitReached()) {
+            new ShadowCheck(diagnostics).check(parsed.statements, expansion.get());
         }
-        Policy policy = policy(draft, groups, tenants);
+        Policy policy = policy(parsed, groups, tenants);
         if (policy.budgets().isEmpty() && readable) {
-            faults.warning(
+            diagnostics.warning(
                     new SourcePosition(1, 1),
                     "a policy without a budget",
                     "a budget, without which nothing is limited");
         }
-        if (readable && expansion.isPresent() && !faults.isFull()) {
-            new ScenarioCheck(policy, expansion.get(), known, faults).check(draft.rules);
+        if (readable && expansion.isPresent() && !diagnostics.isErrorLimitReached()) {
+            new ScenarioCheck(policy, expansion.get(), known, diagnostics).check(parsed.statements);
         }
-        return faults.errors() > 0 ? Optional.empty() : Optional.of(policy);
+        return diagnostics.errorCount() > 0 ? Optional.empty() : Optional.of(policy);
     }
 
-    private static void header(PolicyDraft draft, boolean readable, FaultList faults) {
-        if (draft.headers.isEmpty() && readable) {
-            faults.error(new SourcePosition(1, 1), "no statement that names the policy", "policy \"name\" version 1");
+    private static void checkHeader(ParsedPolicy parsed, boolean readable, DiagnosticList diagnostics) {
+        if (parsed.headers.isEmpty() && readable) {
+            diagnostics.error(
+                    new SourcePosition(1, 1), "no statement that names the policy", "policy \"name\" version 1");
         }
-        for (int i = 1; i < draft.headers.size(); i++) {
-            faults.error(
-                    draft.headers.get(i).at(),
+        for (int i = 1; i < parsed.headers.size(); i++) {
+            diagnostics.error(
+                    parsed.headers.get(i).position(),
                     "a second name of the policy",
-                    "one, which line " + draft.headers.get(0).at().line() + " has");
+                    "one, which line " + parsed.headers.get(0).position().line() + " has");
         }
     }
 
-    private static Policy policy(PolicyDraft draft, Map<String, Set<String>> groups, Set<String> tenants) {
+    private static Policy policy(ParsedPolicy parsed, Map<String, Set<String>> groups, Set<String> tenants) {
         List<Budget> budgets = new ArrayList<>();
         List<Reserve> reserves = new ArrayList<>();
         List<Borrow> borrows = new ArrayList<>();
         List<Share> shares = new ArrayList<>();
-        for (Statement rule : draft.rules) {
-            if (rule instanceof Budget budget) {
+        for (Statement statement : parsed.statements) {
+            if (statement instanceof Budget budget) {
                 budgets.add(budget);
-            } else if (rule instanceof Reserve reserve) {
+            } else if (statement instanceof Reserve reserve) {
                 reserves.add(reserve);
-            } else if (rule instanceof Borrow borrow) {
+            } else if (statement instanceof Borrow borrow) {
                 borrows.add(borrow);
-            } else if (rule instanceof Share share) {
+            } else if (statement instanceof Share share) {
                 shares.add(share);
             }
         }
-        String name = draft.headers.isEmpty() ? "" : draft.headers.get(0).name();
-        int version = draft.headers.isEmpty() ? 0 : draft.headers.get(0).version();
+        String name = parsed.headers.isEmpty() ? "" : parsed.headers.get(0).name();
+        int version = parsed.headers.isEmpty() ? 0 : parsed.headers.get(0).version();
         return new Policy(
                 name,
                 version,
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Predicate;
-import sandpaddle.fleet.pool.check.FloorSums.Family;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.check.FloorSums.FloorFamily;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.FleetState;
 import sandpaddle.fleet.pool.model.KnownNames;
 import sandpaddle.fleet.pool.model.Policy;
@@ -21,136 +21,146 @@
 import sandpaddle.fleet.pool.rule.Budgets;
 import sandpaddle.fleet.pool.rule.Capacity;
 
-/** Tells what cannot be kept in some state of the fleet: floors above ceilings or budgets, budgets without room. */
+/**
+ * Reports what cannot be satisfied in some state of the fleet: floors above ceilings or budgets, and budgets that
+ * reserves use up.
+ */
 final class ScenarioCheck {
-    /** Scenarios times statements, so that the cost stays in bounds whatever the conditions are. */
-    private static final int MAX_STEPS = 2_000_000;
+    /** Limit of the number of scenarios times the number of statements, which bounds the cost for any conditions. */
+    private static final int MAX_EVALUATIONS = 2_000_000;
 
     private static final int MAX_STATES = 4_096;
 
-    private record Excess(Family family, long capacity) {}
+    private record Excess(FloorFamily family, long capacity) {}
 
-    private final FaultList faults;
+    private final DiagnosticList diagnostics;
     private final Policy policy;
     private final KnownNames known;
     private final Expansion expansion;
     private final FloorSums sums;
     private final Map<List<String>, Excess> excesses = new LinkedHashMap<>();
-    private Excess inSum;
+    private Excess totalExcess;
 
-    ScenarioCheck(Policy policy, Expansion expansion, KnownNames known, FaultList faults) {
+    ScenarioCheck(Policy policy, Expansion expansion, KnownNames known, DiagnosticList diagnostics) {
         this.policy = policy;
         this.expansion = expansion;
         this.known = known;
-        this.faults = faults;
-        this.sums = new FloorSums(expansion.keys().keySet(), policy.tenants().size(), known);
+        this.diagnostics = diagnostics;
+        this.sums = new FloorSums(
+                expansion.sharesBySelector().keySet(), policy.tenants().size(), known);
     }
 
-    void check(List<Statement> rules) {
-        int each = rules.size() + expansion.keys().size() + 1;
-        Scenarios scenarios = Scenarios.of(rules, Math.max(16, Math.min(MAX_STATES, MAX_STEPS / each)));
+    void check(List<Statement> statements) {
+        int each = statements.size() + expansion.sharesBySelector().size() + 1;
+        Scenarios scenarios = Scenarios.of(statements, Math.max(16, Math.min(MAX_STATES, MAX_EVALUATIONS / each)));
         if (!scenarios.complete()) {
-            faults.warning(
+            diagnostics.warning(
                     new SourcePosition(1, 1),
                     "more combinations of conditions than are tried",
                     "fewer conditions; each was tried by itself, and all together");
         }
         scenarios.states().forEach(this::check);
-        excesses.forEach((family, excess) -> faults.error(
-                excess.family.max().at(),
+        excesses.forEach((family, excess) -> diagnostics.error(
+                excess.family.largest().position(),
                 "floors by " + String.join(" and ", family) + " of " + excess.family.sum() + " connections in sum",
                 excess.capacity + " at most, which the budgets leave"));
-        if (inSum != null && excesses.isEmpty()) {
-            faults.warning(
-                    inSum.family.max().at(),
-                    "floors by several selections of " + inSum.family.sum() + " connections in sum",
-                    inSum.capacity + ", which the budgets leave, or floors that overlap");
+        if (totalExcess != null && excesses.isEmpty()) {
+            diagnostics.warning(
+                    totalExcess.family.largest().position(),
+                    "floors by several selections of " + totalExcess.family.sum() + " connections in sum",
+                    totalExcess.capacity + ", which the budgets leave, or floors that overlap");
         }
     }
 
     private void check(FleetState state) {
-        Budgets budgets = Budgets.at(policy, state);
-        policy.budgets().forEach(b -> room(budgets, b));
-        Map<Selector, Share> floors = strongest(state, s -> s.floor().isPresent());
-        Map<Selector, Share> ceilings = strongest(state, s -> s.ceiling().isPresent());
-        floors.forEach((key, floor) -> against(key, floor, ceilings));
-        ceilings.forEach((key, ceiling) -> FloorSums.generals(key).stream()
+        Budgets budgets = Budgets.of(policy, state);
+        policy.budgets().forEach(budget -> checkRemainder(budgets, budget));
+        Map<Selector, Share> floors = effectiveShares(state, s -> s.floor().isPresent());
+        Map<Selector, Share> ceilings = effectiveShares(state, s -> s.ceiling().isPresent());
+        floors.forEach((key, floor) -> checkAgainstCeilings(key, floor, ceilings));
+        ceilings.forEach((key, ceiling) -> FloorSums.generalizations(key).stream()
                 .filter(floors::containsKey)
                 .filter(k -> !floors.containsKey(key))
-                .forEach(k -> cross(floors.get(k), ceiling)));
+                .forEach(k -> warnAboutDefaultCeiling(floors.get(k), ceiling)));
         OptionalLong capacity = capacity(budgets);
         if (capacity.isPresent()) {
             sums(sums.of(floors), capacity.getAsLong());
         }
     }
 
-    private Map<Selector, Share> strongest(FleetState state, Predicate<Share> sets) {
-        Map<Selector, Share> strongest = new LinkedHashMap<>();
-        expansion.keys().forEach((key, shares) -> {
+    private Map<Selector, Share> effectiveShares(FleetState state, Predicate<Share> hasSetting) {
+        Map<Selector, Share> effectiveShares = new LinkedHashMap<>();
+        expansion.sharesBySelector().forEach((key, shares) -> {
             for (Share share : shares) {
-                if (sets.test(share) && share.holds(state)) {
-                    strongest.merge(key, share, (a, b) -> Statement.PRECEDENCE.compare(a, b) >= 0 ? a : b);
+                if (hasSetting.test(share) && share.holds(state)) {
+                    effectiveShares.merge(
+                            key,
+                            share,
+                            (first, second) -> Statement.PRECEDENCE.compare(first, second) >= 0 ? first : second);
                 }
             }
         });
-        return strongest;
+        return effectiveShares;
     }
 
-    private void against(Selector key, Share floor, Map<Selector, Share> ceilings) {
+    private void checkAgainstCeilings(Selector key, Share floor, Map<Selector, Share> ceilings) {
         Share ceiling = ceilings.get(key);
         if (ceiling == null) {
-            FloorSums.generals(key).stream().filter(ceilings::containsKey).forEach(k -> cross(floor, ceilings.get(k)));
+            FloorSums.generalizations(key).stream()
+                    .filter(ceilings::containsKey)
+                    .forEach(k -> warnAboutDefaultCeiling(floor, ceilings.get(k)));
         } else if (floor.floor().getAsInt() > ceiling.ceiling().getAsInt()) {
-            Share later = floor.at().compareTo(ceiling.at()) >= 0 ? floor : ceiling;
-            faults.error(
-                    later.at(),
+            Share later = floor.position().compareTo(ceiling.position()) >= 0 ? floor : ceiling;
+            diagnostics.error(
+                    later.position(),
                     "floor " + floor.floor().getAsInt() + " of line "
-                            + floor.at().line() + " above ceiling "
+                            + floor.position().line() + " above ceiling "
                             + ceiling.ceiling().getAsInt() + " of line "
-                            + ceiling.at().line(),
+                            + ceiling.position().line(),
                     "a floor up to the ceiling of the same selection");
         }
     }
 
-    /** A default and a name: the ceiling wins, and the author is told. */
-    private void cross(Share floor, Share ceiling) {
+    /** Warns about a floor above a ceiling when one of them is set by a default; the ceiling takes precedence. */
+    private void warnAboutDefaultCeiling(Share floor, Share ceiling) {
         if (floor.floor().getAsInt() > ceiling.ceiling().getAsInt()) {
-            Share later = floor.at().compareTo(ceiling.at()) >= 0 ? floor : ceiling;
-            faults.warning(
-                    later.at(),
+            Share later = floor.position().compareTo(ceiling.position()) >= 0 ? floor : ceiling;
+            diagnostics.warning(
+                    later.position(),
                     "floor " + floor.floor().getAsInt() + " of line "
-                            + floor.at().line()
+                            + floor.position().line()
                             + " above ceiling " + ceiling.ceiling().getAsInt() + " of line "
-                            + ceiling.at().line()
+                            + ceiling.position().line()
                             + ", by a default",
                     "a floor of its own for what has a lower ceiling");
         }
     }
 
-    private void room(Budgets budgets, Budget budget) {
-        Optional<Budget> rules = budgets.budget(budget.scope(), budget.name());
-        if (rules.isEmpty() || rules.get() != budget) {
+    private void checkRemainder(Budgets budgets, Budget budget) {
+        Optional<Budget> effective = budgets.budget(budget.scope(), budget.name());
+        if (effective.isEmpty() || effective.get() != budget) {
             return;
         }
-        boolean one = budget.scope() == Scope.ENGINE || budget.scope() == Scope.EACH_OF_KIND;
-        Capacity capacity =
-                one ? Capacity.ofEngine(budgets, budget, false) : Capacity.ofMany(budgets, budget, engines(budget));
-        if (capacity.left() == 0) {
-            faults.error(
-                    budget.at(),
+        boolean singleEngine = budget.scope() == Scope.ENGINE || budget.scope() == Scope.EACH_OF_KIND;
+        Capacity capacity = singleEngine
+                ? Capacity.ofEngine(budgets, budget, false)
+                : Capacity.ofMany(budgets, budget, engines(budget));
+        if (capacity.available() == 0) {
+            diagnostics.error(
+                    budget.position(),
                     "a budget of " + budget.connections() + " connections, of which reserves take "
                             + (capacity.control() + capacity.returning()),
                     "a budget above its reserves");
-        } else if (one && Capacity.ofEngine(budgets, budget, true).left() == 0) {
-            faults.warning(
-                    budget.at(),
+        } else if (singleEngine && Capacity.ofEngine(budgets, budget, true).available() == 0) {
+            diagnostics.warning(
+                    budget.position(),
                     "a budget of " + budget.connections()
                             + " connections, all of which reserves take while the engine returns",
                     "a budget above its reserves");
         }
     }
 
-    /** As far as is known; one at least, else there is nothing to share. */
+    /** The number of known engines that share the budget, at least 1. */
     private int engines(Budget budget) {
         Map<String, Set<String>> kinds = known.engines().orElse(Map.of());
         int engines = budget.scope() == Scope.KIND
@@ -159,17 +169,19 @@
         return Math.max(1, engines);
     }
 
-    /** What all budgets leave for tenants with every known engine up; empty where some engine has no budget. */
+    /**
+     * The capacity for tenants with all known engines up; empty if some engine has no budget and the fleet has none.
+     */
     private OptionalLong capacity(Budgets budgets) {
         long max = Long.MAX_VALUE;
         Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
         if (fleet.isPresent()) {
-            max = Capacity.ofMany(budgets, fleet.get(), engines(fleet.get())).left();
+            max = Capacity.ofMany(budgets, fleet.get(), engines(fleet.get())).available();
         }
         if (known.engines().isPresent()) {
             long kinds = 0;
             for (Map.Entry<String, Set<String>> kind : known.engines().get().entrySet()) {
-                OptionalLong left = ofKind(budgets, kind.getKey(), kind.getValue());
+                OptionalLong left = capacityOfKind(budgets, kind.getKey(), kind.getValue());
                 if (left.isEmpty()) {
                     return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
                 }
@@ -180,11 +192,11 @@
         return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
     }
 
-    private OptionalLong ofKind(Budgets budgets, String kind, Set<String> engines) {
+    private OptionalLong capacityOfKind(Budgets budgets, String kind, Set<String> engines) {
         long max = Long.MAX_VALUE;
         Optional<Budget> whole = budgets.budget(Scope.KIND, kind);
         if (whole.isPresent()) {
-            max = Capacity.ofMany(budgets, whole.get(), engines.size()).left();
+            max = Capacity.ofMany(budgets, whole.get(), engines.size()).available();
         }
         Optional<Budget> each = budgets.budget(Scope.EACH_OF_KIND, kind);
         long sum = 0;
@@ -193,33 +205,33 @@
             if (own.isEmpty()) {
                 return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
             }
-            sum += Capacity.ofEngine(budgets, own.get(), false).left();
+            sum += Capacity.ofEngine(budgets, own.get(), false).available();
         }
         return OptionalLong.of(Math.min(max, sum));
     }
 
-    private void sums(Map<List<String>, Family> families, long capacity) {
+    private void sums(Map<List<String>, FloorFamily> families, long capacity) {
         long all = 0;
         Share max = null;
         long maxSum = -1;
-        for (Map.Entry<List<String>, Family> each : families.entrySet()) {
-            Family family = each.getValue();
+        for (Map.Entry<List<String>, FloorFamily> each : families.entrySet()) {
+            FloorFamily family = each.getValue();
             all += family.sum();
             if (family.sum() > maxSum) {
                 maxSum = family.sum();
-                max = family.max();
+                max = family.largest();
             }
             if (family.sum() > capacity) {
-                excesses.merge(each.getKey(), new Excess(family, capacity), ScenarioCheck::worse);
+                excesses.merge(each.getKey(), new Excess(family, capacity), ScenarioCheck::larger);
             }
         }
         if (all > capacity) {
-            Excess excess = new Excess(new Family(all, max), capacity);
-            inSum = inSum == null ? excess : worse(inSum, excess);
+            Excess excess = new Excess(new FloorFamily(all, max), capacity);
+            totalExcess = totalExcess == null ? excess : larger(totalExcess, excess);
         }
     }
 
-    private static Excess worse(Excess a, Excess b) {
-        return b.family.sum() - b.capacity > a.family.sum() - a.capacity ? b : a;
+    private static Excess larger(Excess first, Excess second) {
+        return second.family.sum() - second.capacity > first.family.sum() - first.capacity ? second : first;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
@@ -23,53 +23,55 @@
 import sandpaddle.fleet.pool.model.Statement;
 
 /**
- * States of the fleet that tell all combinations of a policy's conditions apart: each phase, a moment between any two
- * times of day, each threshold, each zone isolated or not, each outage. Where the combinations are too many, each
- * change is tried by itself and all together, and {@code complete} is false.
+ * States of the fleet that cover all combinations of the conditions of a policy: each phase, each boundary of a range
+ * of times of day, each threshold, each zone isolated or not, each outage. If there are too many combinations, each
+ * change is tried on its own and all of them together.
+ *
+ * @param complete whether all combinations are covered
  */
 record Scenarios(List<FleetState> states, boolean complete) {
-    /** The ways in which one thing may be, each as a change of the state. */
-    private record Choice(List<UnaryOperator<FleetState>> ways) {}
+    /** One aspect of the state, with its possible values as modifications of a state. */
+    private record Variable(List<UnaryOperator<FleetState>> variants) {}
 
-    /** At most so many states. */
-    static Scenarios of(Collection<? extends Statement> rules, int max) {
+    /** Enumerates at most {@code maxStates} states. */
+    static Scenarios of(Collection<? extends Statement> statements, int maxStates) {
         Set<Condition> conditions = new LinkedHashSet<>();
-        rules.forEach(rule -> conditions.addAll(rule.when()));
-        List<Choice> choices = choices(conditions);
+        statements.forEach(statement -> conditions.addAll(statement.conditions()));
+        List<Variable> variables = variables(conditions);
         FleetState calm =
-                new FleetState(ConditionsCheck.DAYS.get(0), ZoneOffset.UTC, Phase.CALM, 0, Set.of(), List.of());
+                new FleetState(ConditionsCheck.SAMPLE_DAYS.get(0), ZoneOffset.UTC, Phase.CALM, 0, Set.of(), List.of());
         List<FleetState> states = List.of(calm);
-        for (Choice choice : choices) {
-            if ((long) states.size() * choice.ways.size() > max) {
-                return new Scenarios(single(calm, choices, max), false);
+        for (Variable variable : variables) {
+            if ((long) states.size() * variable.variants.size() > maxStates) {
+                return new Scenarios(oneAtATime(calm, variables, maxStates), false);
             }
-            List<FleetState> more = new ArrayList<>(states.size() * choice.ways.size());
-            for (UnaryOperator<FleetState> way : choice.ways) {
-                states.forEach(s -> more.add(way.apply(s)));
+            List<FleetState> product = new ArrayList<>(states.size() * variable.variants.size());
+            for (UnaryOperator<FleetState> variant : variable.variants) {
+                states.forEach(state -> product.add(variant.apply(state)));
             }
-            states = more;
+            states = product;
         }
         return new Scenarios(states, true);
     }
 
-    private static List<FleetState> single(FleetState calm, List<Choice> choices, int max) {
+    private static List<FleetState> oneAtATime(FleetState calm, List<Variable> variables, int maxStates) {
         Set<FleetState> states = new LinkedHashSet<>();
         FleetState last = calm;
-        for (Choice choice : choices) {
-            last = choice.ways.get(choice.ways.size() - 1).apply(last);
+        for (Variable variable : variables) {
+            last = variable.variants.get(variable.variants.size() - 1).apply(last);
         }
         states.add(last);
-        for (Choice choice : choices) {
-            for (UnaryOperator<FleetState> way : choice.ways) {
-                if (states.size() < max) {
-                    states.add(way.apply(calm));
+        for (Variable variable : variables) {
+            for (UnaryOperator<FleetState> variant : variable.variants) {
+                if (states.size() < maxStates) {
+                    states.add(variant.apply(calm));
                 }
             }
         }
         return List.copyOf(states);
     }
 
-    private static List<Choice> choices(Set<Condition> conditions) {
+    private static List<Variable> variables(Set<Condition> conditions) {
         Set<Instant> moments = new TreeSet<>();
         Set<Integer> thresholds = new TreeSet<>();
         Set<String> isolated = new TreeSet<>();
@@ -80,7 +82,7 @@
                 phases.add(c.phase());
             } else if (condition instanceof Condition.TimeOfDay c) {
                 moments.addAll(moments(c));
-            } else if (condition instanceof Condition.Condemned c) {
+            } else if (condition instanceof Condition.EjectedOver c) {
                 thresholds.add(c.overPercent());
             } else if (condition instanceof Condition.Isolated c) {
                 isolated.add(c.zone());
@@ -90,66 +92,84 @@
                 outages.computeIfAbsent(c.zone(), h -> new TreeSet<>()).add(c.within());
             }
         }
-        List<Choice> choices = new ArrayList<>();
+        List<Variable> variables = new ArrayList<>();
         if (!moments.isEmpty()) {
-            choices.add(choice(
+            variables.add(variable(
                     moments,
-                    (s, now) -> new FleetState(
-                            now, s.timeZone(), s.phase(), s.condemnedShare(), s.isolatedZones(), s.outages())));
+                    (state, now) -> new FleetState(
+                            now,
+                            state.timeZone(),
+                            state.phase(),
+                            state.ejectedFraction(),
+                            state.isolatedZones(),
+                            state.outages())));
         }
         if (!phases.isEmpty()) {
-            choices.add(choice(
+            variables.add(variable(
                     List.of(Phase.values()),
-                    (s, phase) -> new FleetState(
-                            s.now(), s.timeZone(), phase, s.condemnedShare(), s.isolatedZones(), s.outages())));
+                    (state, phase) -> new FleetState(
+                            state.now(),
+                            state.timeZone(),
+                            phase,
+                            state.ejectedFraction(),
+                            state.isolatedZones(),
+                            state.outages())));
         }
         if (!thresholds.isEmpty()) {
             List<Double> shares = new ArrayList<>(List.of(0.0));
             thresholds.forEach(percent -> shares.add((percent + 0.5) / 100));
-            choices.add(choice(
+            variables.add(variable(
                     shares,
-                    (s, share) ->
-                            new FleetState(s.now(), s.timeZone(), s.phase(), share, s.isolatedZones(), s.outages())));
+                    (state, share) -> new FleetState(
+                            state.now(),
+                            state.timeZone(),
+                            state.phase(),
+                            share,
+                            state.isolatedZones(),
+                            state.outages())));
         }
-        isolated.forEach(zone -> choices.add(choice(List.of(false, true), (s, is) -> is ? isolated(s, zone) : s)));
-        outages.forEach((zone, times) -> choices.add(outage(zone, times)));
-        return choices;
+        isolated.forEach(zone ->
+                variables.add(variable(List.of(false, true), (state, is) -> is ? isolated(state, zone) : state)));
+        outages.forEach((zone, times) -> variables.add(outage(zone, times)));
+        return variables;
     }
 
     private interface Change<T> {
         FleetState apply(FleetState state, T value);
     }
 
-    private static <T> Choice choice(Collection<T> values, Change<T> change) {
-        List<UnaryOperator<FleetState>> ways = new ArrayList<>();
-        values.forEach(value -> ways.add(state -> change.apply(state, value)));
-        return new Choice(ways);
+    private static <T> Variable variable(Collection<T> values, Change<T> change) {
+        List<UnaryOperator<FleetState>> variants = new ArrayList<>();
+        values.forEach(value -> variants.add(state -> change.apply(state, value)));
+        return new Variable(variants);
     }
 
-    private static FleetState isolated(FleetState s, String zone) {
-        Set<String> zones = new HashSet<>(s.isolatedZones());
+    private static FleetState isolated(FleetState state, String zone) {
+        Set<String> zones = new HashSet<>(state.isolatedZones());
         zones.add(zone);
-        return new FleetState(s.now(), s.timeZone(), s.phase(), s.condemnedShare(), zones, s.outages());
+        return new FleetState(
+                state.now(), state.timeZone(), state.phase(), state.ejectedFraction(), zones, state.outages());
     }
 
-    /** No outage, or one that comes after just the time of a condition; after no time it lasts. */
-    private static Choice outage(String zone, Set<Duration> times) {
-        Map<Duration, Duration> ways = new LinkedHashMap<>();
-        times.forEach(t -> ways.put(t, t));
-        Choice choice = choice(ways.values(), (s, in) -> {
-            List<Outage> all = new ArrayList<>(s.outages());
-            all.add(new Outage(zone, s.now().plus(in), s.now().plus(in).plus(Duration.ofHours(1))));
-            return new FleetState(s.now(), s.timeZone(), s.phase(), s.condemnedShare(), s.isolatedZones(), all);
+    /** No outage, or one that begins after the time of a condition; after zero time it is in progress. */
+    private static Variable outage(String zone, Set<Duration> times) {
+        Map<Duration, Duration> variants = new LinkedHashMap<>();
+        times.forEach(t -> variants.put(t, t));
+        Variable variable = variable(variants.values(), (state, in) -> {
+            List<Outage> all = new ArrayList<>(state.outages());
+            all.add(new Outage(zone, state.now().plus(in), state.now().plus(in).plus(Duration.ofHours(1))));
+            return new FleetState(
+                    state.now(), state.timeZone(), state.phase(), state.ejectedFraction(), state.isolatedZones(), all);
         });
-        choice.ways.add(0, s -> s);
-        return choice;
+        variable.variants.add(0, state -> state);
+        return variable;
     }
 
-    /** Where the range begins and ends, on a day in winter and one in summer. */
+    /** The begin and the end of the range, on a day in winter and one in summer. */
     private static List<Instant> moments(Condition.TimeOfDay time) {
         ZoneId timeZone = time.timeZone().orElse(ZoneOffset.UTC);
         List<Instant> moments = new ArrayList<>();
-        for (Instant day : ConditionsCheck.DAYS) {
+        for (Instant day : ConditionsCheck.SAMPLE_DAYS) {
             LocalDate date = LocalDate.ofInstant(day, ZoneOffset.UTC);
             for (int minute : new int[] {time.from(), time.to()}) {
                 moments.add(
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ShadowCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ShadowCheck.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.function.ToIntFunction;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.Statement;
 import sandpaddle.fleet.pool.model.Statement.Borrow;
 import sandpaddle.fleet.pool.model.Statement.Budget;
@@ -14,99 +14,104 @@
 import sandpaddle.fleet.pool.model.Statement.Share;
 
 /**
- * Tells statements and settings that never take effect, since another one takes precedence wherever they would rule.
- * Compared are statements of the same subject only; there are at most {@value #MAX_OF_ONE} of each.
+ * Reports shadowed statements and settings, which never take effect because another one takes precedence whenever they
+ * apply. Only statements of the same subject are compared, at most {@value #MAX_STATEMENTS_PER_SUBJECT} of each.
  */
 final class ShadowCheck {
-    static final int MAX_OF_ONE = 200;
+    static final int MAX_STATEMENTS_PER_SUBJECT = 200;
 
-    private final FaultList faults;
+    private final DiagnosticList diagnostics;
 
-    ShadowCheck(FaultList faults) {
-        this.faults = faults;
+    ShadowCheck(DiagnosticList diagnostics) {
+        this.diagnostics = diagnostics;
     }
 
-    void check(List<Statement> rules, Expansion expansion) {
-        Map<Object, List<Statement>> plain = new LinkedHashMap<>();
-        for (Statement rule : rules) {
-            if (!(rule instanceof Share)) {
-                plain.computeIfAbsent(subject(rule), s -> new ArrayList<>()).add(rule);
+    void check(List<Statement> statements, Expansion expansion) {
+        Map<Object, List<Statement>> bySubject = new LinkedHashMap<>();
+        for (Statement statement : statements) {
+            if (!(statement instanceof Share)) {
+                bySubject
+                        .computeIfAbsent(subject(statement), share -> new ArrayList<>())
+                        .add(statement);
             }
         }
-        plain.values().forEach(this::sameSubject);
-        setting("weight", expansion, s -> s.weight().isPresent());
-        setting("floor", expansion, s -> s.floor().isPresent());
-        setting("ceiling", expansion, s -> s.ceiling().isPresent());
+        bySubject.values().forEach(this::checkSameSubject);
+        checkSetting("weight", expansion, share -> share.weight().isPresent());
+        checkSetting("floor", expansion, share -> share.floor().isPresent());
+        checkSetting("ceiling", expansion, share -> share.ceiling().isPresent());
     }
 
-    private static Object subject(Statement rule) {
-        if (rule instanceof Budget budget) {
+    private static Object subject(Statement statement) {
+        if (statement instanceof Budget budget) {
             return List.of(budget.scope(), budget.name());
         }
-        return rule instanceof Reserve reserve ? reserve.use() : Borrow.class;
+        return statement instanceof Reserve reserve ? reserve.purpose() : Borrow.class;
     }
 
-    private void sameSubject(List<Statement> rules) {
-        if (tooMany(rules, "of one subject")) {
+    private void checkSameSubject(List<Statement> statements) {
+        if (exceedsLimit(statements, "of one subject")) {
             return;
         }
-        for (Statement rule : rules) {
-            Statement by = shadow(rule, rules, Statement.BY_CONDITIONS::compare);
-            if (by != null) {
-                faults.error(
-                        rule.at(),
-                        "a statement that line " + by.at().line() + " always replaces",
+        for (Statement statement : statements) {
+            Statement shadowing = findShadowing(statement, statements, Statement.BY_CONDITIONS::compare);
+            if (shadowing != null) {
+                diagnostics.error(
+                        statement.position(),
+                        "a statement that line " + shadowing.position().line() + " always replaces",
                         "one statement for a subject and its conditions");
             }
         }
     }
 
     private interface Order<T> {
-        int compare(T a, T b);
+        int compare(T first, T second);
     }
 
-    private static <T extends Statement> T shadow(T rule, List<T> among, Order<T> order) {
-        for (T other : among) {
-            if (other != rule && order.compare(other, rule) > 0 && ConditionsCheck.implies(rule.when(), other.when())) {
+    private static <T extends Statement> T findShadowing(T statement, List<T> others, Order<T> order) {
+        for (T other : others) {
+            if (other != statement
+                    && order.compare(other, statement) > 0
+                    && ConditionsCheck.implies(statement.conditions(), other.conditions())) {
                 return other;
             }
         }
         return null;
     }
 
-    /** A setting is in vain where each selection that its statement stands for has a stronger one. */
-    private void setting(String word, Expansion expansion, Predicate<Share> sets) {
-        Map<Object, List<Share>> byKey = new LinkedHashMap<>();
-        expansion.keys().forEach((key, shares) -> {
-            List<Share> those = shares.stream().filter(sets).toList();
-            if (!tooMany(those, "with a " + word + " for one selection")) {
-                byKey.put(key, those);
+    /** Reports a setting if it is shadowed for each selector that its statement expands to. */
+    private void checkSetting(String setting, Expansion expansion, Predicate<Share> hasSetting) {
+        Map<Object, List<Share>> settingsBySelector = new LinkedHashMap<>();
+        expansion.sharesBySelector().forEach((selector, shares) -> {
+            List<Share> settingShares = shares.stream().filter(hasSetting).toList();
+            if (!exceedsLimit(settingShares, "with a " + setting + " for one selection")) {
+                settingsBySelector.put(selector, settingShares);
             }
         });
         Map<Share, Share> shadows = new LinkedHashMap<>();
-        ToIntFunction<Share> line = s -> s.at().line();
-        byKey.values()
-                .forEach(those -> those.forEach(share -> {
+        ToIntFunction<Share> line = share -> share.position().line();
+        settingsBySelector
+                .values()
+                .forEach(settingShares -> settingShares.forEach(share -> {
                     if (!shadows.containsKey(share) || shadows.get(share) != null) {
-                        shadows.put(share, shadow(share, those, Statement.PRECEDENCE::compare));
+                        shadows.put(share, findShadowing(share, settingShares, Statement.PRECEDENCE::compare));
                     }
                 }));
-        shadows.forEach((share, by) -> {
-            if (by != null) {
-                faults.error(
-                        share.at(),
-                        "a " + word + " that line " + line.applyAsInt(by) + " always replaces",
-                        "one " + word + " for a selection and its conditions");
+        shadows.forEach((share, shadowing) -> {
+            if (shadowing != null) {
+                diagnostics.error(
+                        share.position(),
+                        "a " + setting + " that line " + line.applyAsInt(shadowing) + " always replaces",
+                        "one " + setting + " for a selection and its conditions");
             }
         });
     }
 
-    private boolean tooMany(List<? extends Statement> rules, String what) {
-        if (rules.size() > MAX_OF_ONE) {
-            faults.error(
-                    rules.get(MAX_OF_ONE).at(),
-                    "more than " + MAX_OF_ONE + " statements " + what,
-                    MAX_OF_ONE + " at most");
+    private boolean exceedsLimit(List<? extends Statement> statements, String description) {
+        if (statements.size() > MAX_STATEMENTS_PER_SUBJECT) {
+            diagnostics.error(
+                    statements.get(MAX_STATEMENTS_PER_SUBJECT).position(),
+                    "more than " + MAX_STATEMENTS_PER_SUBJECT + " statements " + description,
+                    MAX_STATEMENTS_PER_SUBJECT + " at most");
             return true;
         }
         return false;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
@@ -6,61 +6,65 @@
 import java.util.Optional;
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.tree.TerminalNode;
-import sandpaddle.fleet.pool.model.FaultList;
-import sandpaddle.fleet.pool.model.Limits;
+import sandpaddle.fleet.pool.model.DiagnosticList;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 
-/** Numbers, names, durations and times of a policy: each is checked for its range, and told where it is outside. */
+/**
+ * Converts the literals of a policy: numbers, names, durations and times. Those out of range are reported as errors.
+ */
 final class Literals {
-    private final FaultList faults;
+    private final DiagnosticList diagnostics;
 
-    Literals(FaultList faults) {
-        this.faults = faults;
+    Literals(DiagnosticList diagnostics) {
+        this.diagnostics = diagnostics;
     }
 
-    /** A whole number; where it is out of range that is told, and the nearest in range returned. */
-    int whole(TerminalNode node, int min, int max, String what) {
+    /** Converts an integer; one that is out of range is reported, and clamped to the range. */
+    int integer(TerminalNode node, int min, int max, String label) {
         String digits = node.getText();
         long value = digits.length() > 12 ? Long.MAX_VALUE : Long.parseLong(digits);
         if (value < min || value > max) {
-            faults.error(
-                    LineErrors.spot(node.getSymbol()),
-                    what + " " + FaultList.shown(digits),
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(node.getSymbol()),
+                    label + " " + DiagnosticList.printable(digits),
                     "from " + min + " to " + max);
         }
         return (int) Math.max(min, Math.min(max, value));
     }
 
-    /** A weight in hundredths. */
+    /** Converts a weight to hundredths; one that is out of range is reported, and clamped. */
     int weight(Token token) {
         String digits = token.getText();
         int point = digits.indexOf('.');
         double value = Double.parseDouble(digits) * 100;
-        if (!(value >= Limits.MIN_HUNDREDTHS && value <= Limits.MAX_HUNDREDTHS)
+        if (!(value >= PolicyLimits.MIN_WEIGHT_HUNDREDTHS && value <= PolicyLimits.MAX_WEIGHT_HUNDREDTHS)
                 || point >= 0 && digits.length() - point > 3) {
-            faults.error(
-                    LineErrors.spot(token),
-                    "weight " + FaultList.shown(digits),
-                    "from 0.01 to " + Limits.MAX_HUNDREDTHS / 100 + " with two decimals at most");
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(token),
+                    "weight " + DiagnosticList.printable(digits),
+                    "from 0.01 to " + PolicyLimits.MAX_WEIGHT_HUNDREDTHS / 100 + " with two decimals at most");
         }
-        return (int) Math.max(Limits.MIN_HUNDREDTHS, Math.min(Limits.MAX_HUNDREDTHS, Math.round(value)));
+        return (int) Math.max(
+                PolicyLimits.MIN_WEIGHT_HUNDREDTHS, Math.min(PolicyLimits.MAX_WEIGHT_HUNDREDTHS, Math.round(value)));
     }
 
-    /** The text between the quotes. */
+    /** Removes the quotes from a name; one of invalid length or with control characters is reported. */
     String name(TerminalNode node) {
         String quoted = node.getText();
         String name = quoted.substring(1, quoted.length() - 1);
         if (name.isEmpty()
-                || name.codePointCount(0, name.length()) > Limits.MAX_NAME
+                || name.codePointCount(0, name.length()) > PolicyLimits.MAX_NAME_LENGTH
                 || name.chars().anyMatch(Character::isISOControl)) {
-            faults.error(
-                    LineErrors.spot(node.getSymbol()),
-                    "the name " + FaultList.shown(quoted),
-                    "1 to " + Limits.MAX_NAME + " characters, none of them a control character");
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(node.getSymbol()),
+                    "the name " + DiagnosticList.printable(quoted),
+                    "1 to " + PolicyLimits.MAX_NAME_LENGTH + " characters, none of them a control character");
         }
         return name;
     }
 
-    Duration duration(PoolPolicyParser.DurationContext from, Duration min, Duration max, String what) {
+    /** Converts a duration; one that is out of range is reported, and clamped to the range. */
+    Duration duration(PoolPolicyParser.DurationContext from, Duration min, Duration max, String label) {
         Token unit = from.getStop();
         String digits = from.INT().getText();
         long number = digits.length() > 12 ? Long.MAX_VALUE / 3_600_000 : Long.parseLong(digits);
@@ -71,15 +75,15 @@
             default -> number * 3_600_000;
         };
         if (millis < min.toMillis() || millis > max.toMillis()) {
-            faults.error(
-                    LineErrors.spot(from.getStart()),
-                    what + " " + FaultList.shown(digits) + " " + unit.getText(),
-                    "from " + words(min) + " to " + words(max));
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(from.getStart()),
+                    label + " " + DiagnosticList.printable(digits) + " " + unit.getText(),
+                    "from " + format(min) + " to " + format(max));
         }
         return Duration.ofMillis(Math.max(min.toMillis(), Math.min(max.toMillis(), millis)));
     }
 
-    private static String words(Duration duration) {
+    private static String format(Duration duration) {
         long millis = duration.toMillis();
         if (millis % 3_600_000 == 0) {
             return millis / 3_600_000 + " h";
@@ -87,27 +91,33 @@
         return millis % 60_000 == 0 ? millis / 60_000 + " min" : millis + " ms";
     }
 
-    /** Minutes since midnight, 0 to 1440; where there is no such time that is told, and {@code otherwise} returned. */
-    int minute(TerminalNode node, int otherwise) {
+    /**
+     * Converts a time of day to minutes since midnight, 0 to 1440.
+     *
+     * @param defaultMinute returned if the time is invalid, which is reported
+     */
+    int minute(TerminalNode node, int defaultMinute) {
         String text = node.getText();
         int hour = Integer.parseInt(text.substring(0, 2));
         int minute = Integer.parseInt(text.substring(3));
         int value = hour * 60 + minute;
         if (minute > 59 || value > 24 * 60) {
-            faults.error(LineErrors.spot(node.getSymbol()), "the time " + text, "from 00:00 to 24:00");
-            return otherwise;
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(node.getSymbol()), "the time " + text, "from 00:00 to 24:00");
+            return defaultMinute;
         }
         return value;
     }
 
+    /** Converts a time zone; one that is unknown is reported, and empty returned. */
     Optional<ZoneId> timeZone(TerminalNode node) {
         String text = node.getText();
         try {
             return Optional.of(ZoneId.of(text.substring(1, text.length() - 1)));
         } catch (DateTimeException e) {
-            faults.error(
-                    LineErrors.spot(node.getSymbol()),
-                    "the zone " + FaultList.shown(text),
+            diagnostics.error(
+                    LineErrorStrategy.positionOf(node.getSymbol()),
+                    "the zone " + DiagnosticList.printable(text),
                     "a zone's name such as \"Europe/Berlin\", or an offset such as \"+02:00\"");
             return Optional.empty();
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
@@ -10,31 +10,31 @@
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.CommonTokenStream;
 import org.antlr.v4.runtime.Token;
-import sandpaddle.fleet.pool.model.FaultList;
-import sandpaddle.fleet.pool.model.Limits;
+import sandpaddle.fleet.pool.model.DiagnosticList;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 import sandpaddle.fleet.pool.model.SourcePosition;
 
 /**
- * Reads the text of a policy into a draft, and tells every fault of a single statement. Each line is parsed by itself
- * with one token of lookahead, so the cost is linear in the length, which is bounded before anything is read.
+ * Parses the text of a policy, and reports the errors that concern single statements. Each line is parsed separately
+ * with one token of lookahead, so the cost is linear in the length of the file, which is checked before parsing.
  */
 public final class PolicyReader {
     private PolicyReader() {}
 
-    /** The statements that could be read; those with a fault are left out, and their faults told. */
-    public static PolicyDraft read(byte[] file, FaultList faults) {
-        PolicyDraft draft = new PolicyDraft();
+    /** Returns the statements that could be parsed; errors of the others are added to the diagnostics. */
+    public static ParsedPolicy read(byte[] file, DiagnosticList diagnostics) {
+        ParsedPolicy parsed = new ParsedPolicy();
         SourcePosition start = new SourcePosition(1, 1);
-        if (file.length > Limits.MAX_BYTES) {
-            faults.error(start, "a file of " + file.length + " bytes", Limits.MAX_BYTES + " bytes at most");
-            return draft;
+        if (file.length > PolicyLimits.MAX_BYTES) {
+            diagnostics.error(start, "a file of " + file.length + " bytes", PolicyLimits.MAX_BYTES + " bytes at most");
+            return parsed;
         }
-        Optional<String> text = decode(file, faults);
-        text.ifPresent(t -> read(t, draft, faults));
-        return draft;
+        Optional<String> text = decode(file, diagnostics);
+        text.ifPresent(decoded -> read(decoded, parsed, diagnostics));
+        return parsed;
     }
 
-    private static Optional<String> decode(byte[] file, FaultList faults) {
+    private static Optional<String> decode(byte[] file, DiagnosticList diagnostics) {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT);
         ByteBuffer from = ByteBuffer.wrap(file);
         CharBuffer to = CharBuffer.allocate(file.length);
@@ -46,32 +46,35 @@
         String before = to.toString();
         int line = 1 + (int) before.chars().filter(c -> c == '\n').count();
         String lastLine = before.substring(before.lastIndexOf('\n') + 1);
-        faults.error(
+        diagnostics.error(
                 new SourcePosition(line, 1 + lastLine.codePointCount(0, lastLine.length())),
                 String.format("a byte 0x%02x that is not UTF-8", file[from.position()]),
                 "text in UTF-8");
         return Optional.empty();
     }
 
-    private static void read(String text, PolicyDraft draft, FaultList faults) {
-        PoolPolicyLexer lexer = new PoolPolicyLexer(CharStreams.fromString(text + "\n")); // so that each line ends
+    private static void read(String text, ParsedPolicy parsed, DiagnosticList diagnostics) {
+        PoolPolicyLexer lexer =
+                new PoolPolicyLexer(CharStreams.fromString(text + "\n")); // the last line may lack its line break
         lexer.removeErrorListeners();
         PoolPolicyParser parser = new PoolPolicyParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
-        parser.setErrorHandler(new LineErrors(faults));
-        StatementReader statements = new StatementReader(draft, faults);
-        while (parser.getInputStream().LA(1) != Token.EOF && !faults.isFull()) {
-            int errors = faults.errors();
-            Token first = parser.getCurrentToken();
+        parser.setErrorHandler(new LineErrorStrategy(diagnostics));
+        StatementReader statements = new StatementReader(parsed, diagnostics);
+        while (parser.getInputStream().LA(1) != Token.EOF && !diagnostics.isErrorLimitReached()) {
+            int errorsBefore = diagnostics.errorCount();
+            Token firstToken = parser.getCurrentToken();
             PoolPolicyParser.LineContext line = parser.line();
-            if (faults.errors() > errors || faults.isFull() || line.statement() == null) {
+            if (diagnostics.errorCount() > errorsBefore
+                    || diagnostics.isErrorLimitReached()
+                    || line.statement() == null) {
                 continue;
             }
-            if (draft.statements() >= Limits.MAX_STATEMENTS) {
-                faults.error(
-                        LineErrors.spot(first),
-                        "more than " + Limits.MAX_STATEMENTS + " statements",
-                        Limits.MAX_STATEMENTS + " at most");
+            if (parsed.statementCount() >= PolicyLimits.MAX_STATEMENTS) {
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(firstToken),
+                        "more than " + PolicyLimits.MAX_STATEMENTS + " statements",
+                        PolicyLimits.MAX_STATEMENTS + " at most");
                 return;
             }
             statements.read(line.statement());
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/SelectorReader.java
@@ -4,52 +4,53 @@
 import java.util.List;
 import java.util.Map;
 import org.antlr.v4.runtime.tree.TerminalNode;
-import sandpaddle.fleet.pool.lang.PolicyDraft.Mention;
-import sandpaddle.fleet.pool.lang.PolicyDraft.Subject;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.NameReference;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.Subject;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.SelectorContext;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.Selector;
 import sandpaddle.fleet.pool.model.Selector.Dimension;
 import sandpaddle.fleet.pool.model.Selector.Form;
 import sandpaddle.fleet.pool.model.Selector.Term;
 
-/** Turns the selections of a share statement into one selector, whose terms are one for each dimension. */
+/** Converts the parsed selectors of a share statement into one {@link Selector} with at most one term per dimension. */
 final class SelectorReader {
-    private final PolicyDraft draft;
-    private final FaultList faults;
+    private final ParsedPolicy parsed;
+    private final DiagnosticList diagnostics;
     private final Literals literals;
 
-    SelectorReader(PolicyDraft draft, FaultList faults, Literals literals) {
-        this.draft = draft;
-        this.faults = faults;
+    SelectorReader(ParsedPolicy parsed, DiagnosticList diagnostics, Literals literals) {
+        this.parsed = parsed;
+        this.diagnostics = diagnostics;
         this.literals = literals;
     }
 
-    Selector read(List<SelectorContext> from, boolean weighs) {
+    Selector read(List<SelectorContext> context, boolean hasWeight) {
         Map<Dimension, Term> terms = new EnumMap<>(Dimension.class);
-        for (SelectorContext each : from) {
-            Term term = term(each);
-            if (term.form() == Form.TOGETHER && weighs) {
-                faults.error(
-                        LineErrors.spot(each.tenant().TOGETHER().getSymbol()),
+        for (SelectorContext selector : context) {
+            Term term = term(selector);
+            if (term.form() == Form.GROUP_TOTAL && hasWeight) {
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(
+                                selector.tenant().TOGETHER().getSymbol()),
                         "'together' with a weight",
                         "'together' with floor and ceiling only, for a weight belongs to each tenant");
             }
-            Term before = terms.putIfAbsent(term.form().dimension(), term);
-            if (before != null) {
-                faults.error(
-                        LineErrors.spot(each.getStart()),
-                        term + " beside " + before,
+            Term first = terms.putIfAbsent(term.form().dimension(), term);
+            if (first != null) {
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(selector.getStart()),
+                        term + " beside " + first,
                         "one tenant or group, one class, and one hall or gateway");
             }
         }
         return new Selector(List.copyOf(terms.values()));
     }
 
-    private Term term(SelectorContext from) {
-        if (from.DEFAULT() != null) {
+    private Term term(SelectorContext context) {
+        if (context.DEFAULT() != null) {
             return new Term(
-                    switch (from.getStop().getType()) {
+                    switch (context.getStop().getType()) {
                         case PoolPolicyParser.TENANT -> Form.ANY_TENANT;
                         case PoolPolicyParser.CLASS -> Form.ANY_CLASS;
                         case PoolPolicyParser.HALL -> Form.ANY_ZONE;
@@ -57,24 +58,25 @@
                     },
                     "");
         }
-        if (from.TENANT() == null) {
-            return switch (from.getStart().getType()) {
-                case PoolPolicyParser.CLASS -> named(Form.CLASS, Subject.CLASS, from.STRING());
-                case PoolPolicyParser.HALL -> named(Form.ZONE, Subject.ZONE, from.STRING());
-                default -> named(Form.GATEWAY, Subject.GATEWAY, from.STRING());
+        if (context.TENANT() == null) {
+            return switch (context.getStart().getType()) {
+                case PoolPolicyParser.CLASS -> namedTerm(Form.CLASS, Subject.CLASS, context.STRING());
+                case PoolPolicyParser.HALL -> namedTerm(Form.ZONE, Subject.ZONE, context.STRING());
+                default -> namedTerm(Form.GATEWAY, Subject.GATEWAY, context.STRING());
             };
         }
-        if (from.tenant().STRING() != null) {
-            return named(Form.TENANT, Subject.TENANT, from.tenant().STRING());
+        if (context.tenant().STRING() != null) {
+            return namedTerm(Form.TENANT, Subject.TENANT, context.tenant().STRING());
         }
-        PoolPolicyParser.GroupNameContext group = from.tenant().groupName();
-        draft.mentions.add(new Mention(LineErrors.spot(group.getStart()), Subject.GROUP, group.getText()));
-        return new Term(from.tenant().TOGETHER() == null ? Form.GROUP : Form.TOGETHER, group.getText());
+        PoolPolicyParser.GroupNameContext group = context.tenant().groupName();
+        parsed.references.add(
+                new NameReference(LineErrorStrategy.positionOf(group.getStart()), Subject.GROUP, group.getText()));
+        return new Term(context.tenant().TOGETHER() == null ? Form.GROUP : Form.GROUP_TOTAL, group.getText());
     }
 
-    private Term named(Form form, Subject subject, TerminalNode node) {
+    private Term namedTerm(Form form, Subject subject, TerminalNode node) {
         String name = literals.name(node);
-        draft.mentions.add(new Mention(LineErrors.spot(node.getSymbol()), subject, name));
+        parsed.references.add(new NameReference(LineErrorStrategy.positionOf(node.getSymbol()), subject, name));
         return new Term(form, name);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/StatementReader.java
@@ -7,168 +7,178 @@
 import java.util.OptionalInt;
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.tree.TerminalNode;
-import sandpaddle.fleet.pool.lang.PolicyDraft.Mention;
-import sandpaddle.fleet.pool.lang.PolicyDraft.Subject;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.NameReference;
+import sandpaddle.fleet.pool.lang.ParsedPolicy.Subject;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.BorrowContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.BudgetContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.ConditionContext;
+import sandpaddle.fleet.pool.lang.PoolPolicyParser.DirectiveContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.GroupContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.MemberContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.PolicyContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.ReserveContext;
-import sandpaddle.fleet.pool.lang.PoolPolicyParser.RulingContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.SettingContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.ShareContext;
 import sandpaddle.fleet.pool.lang.PoolPolicyParser.StatementContext;
 import sandpaddle.fleet.pool.model.Condition;
-import sandpaddle.fleet.pool.model.FaultList;
-import sandpaddle.fleet.pool.model.Limits;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.Phase;
 import sandpaddle.fleet.pool.model.Policy;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 import sandpaddle.fleet.pool.model.SourcePosition;
 import sandpaddle.fleet.pool.model.Statement;
 
-/** Turns one parsed statement into its part of the draft, and tells its faults of range. */
+/** Converts the parse tree of one statement, adds it to the parsed policy, and reports values that are out of range. */
 final class StatementReader {
-    private final PolicyDraft draft;
-    private final FaultList faults;
+    private final ParsedPolicy parsed;
+    private final DiagnosticList diagnostics;
     private final Literals literals;
     private final SelectorReader selectors;
 
-    StatementReader(PolicyDraft draft, FaultList faults) {
-        this.draft = draft;
-        this.faults = faults;
-        this.literals = new Literals(faults);
-        this.selectors = new SelectorReader(draft, faults, literals);
+    StatementReader(ParsedPolicy parsed, DiagnosticList diagnostics) {
+        this.parsed = parsed;
+        this.diagnostics = diagnostics;
+        this.literals = new Literals(diagnostics);
+        this.selectors = new SelectorReader(parsed, diagnostics, literals);
     }
 
-    void read(StatementContext from) {
-        SourcePosition at = LineErrors.spot(from.getStart());
-        if (from.policy() != null) {
-            header(at, from.policy());
-        } else if (from.group() != null) {
-            group(at, from.group());
+    void read(StatementContext context) {
+        SourcePosition position = LineErrorStrategy.positionOf(context.getStart());
+        if (context.policy() != null) {
+            readHeader(position, context.policy());
+        } else if (context.group() != null) {
+            readGroup(position, context.group());
         } else {
-            rule(at, conditions(from.condition()), from.ruling());
+            readDirective(position, conditions(context.condition()), context.directive());
         }
     }
 
-    private void header(SourcePosition at, PolicyContext from) {
-        int version = literals.whole(from.INT(0), 1, 1_000_000_000, "version");
-        if (from.LANGUAGE() != null) {
-            literals.whole(from.INT(1), Policy.LANGUAGE, Policy.LANGUAGE, "language");
+    private void readHeader(SourcePosition position, PolicyContext context) {
+        int version = literals.integer(context.INT(0), 1, 1_000_000_000, "version");
+        if (context.LANGUAGE() != null) {
+            literals.integer(context.INT(1), Policy.LANGUAGE, Policy.LANGUAGE, "language");
         }
-        draft.headers.add(new PolicyDraft.Header(at, literals.name(from.STRING()), version));
+        parsed.headers.add(new ParsedPolicy.Header(position, literals.name(context.STRING()), version));
     }
 
-    private void group(SourcePosition at, GroupContext from) {
-        List<PolicyDraft.Member> members = new ArrayList<>();
-        for (MemberContext member : from.member()) {
-            SourcePosition spot = LineErrors.spot(member.getStart());
-            boolean group = member.GROUP() != null;
-            members.add(new PolicyDraft.Member(
-                    spot, group, group ? member.groupName().getText() : literals.name(member.STRING())));
+    private void readGroup(SourcePosition position, GroupContext context) {
+        List<ParsedPolicy.Member> members = new ArrayList<>();
+        for (MemberContext member : context.member()) {
+            SourcePosition memberPosition = LineErrorStrategy.positionOf(member.getStart());
+            boolean isGroup = member.GROUP() != null;
+            members.add(new ParsedPolicy.Member(
+                    memberPosition, isGroup, isGroup ? member.groupName().getText() : literals.name(member.STRING())));
         }
-        draft.groups.add(new PolicyDraft.GroupDraft(at, from.groupName().getText(), members));
+        parsed.groups.add(
+                new ParsedPolicy.GroupDefinition(position, context.groupName().getText(), members));
     }
 
-    private void rule(SourcePosition at, List<Condition> when, RulingContext from) {
-        if (from.budget() != null) {
-            draft.rules.add(budget(at, when, from.budget()));
-        } else if (from.reserve() != null) {
-            draft.rules.add(reserve(at, when, from.reserve()));
-        } else if (from.borrow() != null) {
-            draft.rules.add(borrow(at, when, from.borrow()));
+    private void readDirective(SourcePosition position, List<Condition> conditions, DirectiveContext context) {
+        if (context.budget() != null) {
+            parsed.statements.add(readBudget(position, conditions, context.budget()));
+        } else if (context.reserve() != null) {
+            parsed.statements.add(readReserve(position, conditions, context.reserve()));
+        } else if (context.borrow() != null) {
+            parsed.statements.add(readBorrow(position, conditions, context.borrow()));
         } else {
-            draft.rules.add(share(at, when, from.share()));
+            parsed.statements.add(readShare(position, conditions, context.share()));
         }
     }
 
-    private Statement.Budget budget(SourcePosition at, List<Condition> when, BudgetContext from) {
-        int connections = literals.whole(from.INT(), 1, Limits.MAX_CONNECTIONS, "a budget of");
+    private Statement.Budget readBudget(SourcePosition position, List<Condition> conditions, BudgetContext context) {
+        int connections = literals.integer(context.INT(), 1, PolicyLimits.MAX_CONNECTIONS, "a budget of");
         Statement.Scope scope = Statement.Scope.FLEET;
         String name = "";
-        if (from.budgetOf().FLEET() == null) {
-            boolean kind = from.budgetOf().KIND() != null;
+        if (context.budgetOf().FLEET() == null) {
+            boolean kind = context.budgetOf().KIND() != null;
             scope = kind ? Statement.Scope.KIND : Statement.Scope.ENGINE;
-            name = mention(kind ? Subject.KIND : Subject.ENGINE, from.budgetOf().STRING());
+            name = readReference(
+                    kind ? Subject.KIND : Subject.ENGINE, context.budgetOf().STRING());
         }
-        if (from.EACH() != null) {
+        if (context.EACH() != null) {
             if (scope != Statement.Scope.KIND) {
-                faults.error(
-                        LineErrors.spot(from.EACH().getSymbol()),
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(context.EACH().getSymbol()),
                         "'each' of a budget for " + (scope == Statement.Scope.FLEET ? "the fleet" : "one engine"),
                         "'each' for an engine kind");
             }
             scope = Statement.Scope.EACH_OF_KIND;
         }
-        return new Statement.Budget(at, when, scope, name, connections);
+        return new Statement.Budget(position, conditions, scope, name, connections);
     }
 
-    private Statement.Reserve reserve(SourcePosition at, List<Condition> when, ReserveContext from) {
-        boolean percent = from.PERCENT() != null;
+    private Statement.Reserve readReserve(SourcePosition position, List<Condition> conditions, ReserveContext context) {
+        boolean percent = context.PERCENT() != null;
         int amount = percent
-                ? literals.whole(from.INT(), 0, 99, "a reserve in percent of")
-                : literals.whole(from.INT(), 0, Limits.MAX_CONNECTIONS, "a reserve of");
+                ? literals.integer(context.INT(), 0, 99, "a reserve in percent of")
+                : literals.integer(context.INT(), 0, PolicyLimits.MAX_CONNECTIONS, "a reserve of");
         return new Statement.Reserve(
-                at, when, from.CONTROL() != null ? Statement.Use.CONTROL : Statement.Use.RETURNING, percent, amount);
+                position,
+                conditions,
+                context.CONTROL() != null ? Statement.ReservePurpose.CONTROL : Statement.ReservePurpose.RETURNING,
+                percent,
+                amount);
     }
 
-    private Statement.Borrow borrow(SourcePosition at, List<Condition> when, BorrowContext from) {
-        if (from.IDLE() == null) {
-            return new Statement.Borrow(at, when, false, Duration.ZERO);
+    private Statement.Borrow readBorrow(SourcePosition position, List<Condition> conditions, BorrowContext context) {
+        if (context.IDLE() == null) {
+            return new Statement.Borrow(position, conditions, false, Duration.ZERO);
         }
         return new Statement.Borrow(
-                at,
-                when,
+                position,
+                conditions,
                 true,
-                literals.duration(from.duration(), Duration.ofMillis(100), Duration.ofHours(1), "a time of"));
+                literals.duration(context.duration(), Duration.ofMillis(100), Duration.ofHours(1), "a time of"));
     }
 
-    private Statement.Share share(SourcePosition at, List<Condition> when, ShareContext from) {
+    private Statement.Share readShare(SourcePosition position, List<Condition> conditions, ShareContext context) {
         OptionalInt weight = OptionalInt.empty();
         OptionalInt floor = OptionalInt.empty();
         OptionalInt ceiling = OptionalInt.empty();
-        for (SettingContext setting : from.setting()) {
+        for (SettingContext setting : context.setting()) {
             Token word = setting.getStart();
-            boolean twice;
+            boolean duplicate;
             if (word.getType() == PoolPolicyParser.WEIGHT) {
-                twice = weight.isPresent();
+                duplicate = weight.isPresent();
                 weight = OptionalInt.of(literals.weight(setting.getStop()));
             } else if (word.getType() == PoolPolicyParser.FLOOR) {
-                twice = floor.isPresent();
-                floor = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MAX_CONNECTIONS, "floor"));
+                duplicate = floor.isPresent();
+                floor = OptionalInt.of(literals.integer(setting.INT(), 0, PolicyLimits.MAX_CONNECTIONS, "floor"));
             } else {
-                twice = ceiling.isPresent();
-                ceiling = OptionalInt.of(literals.whole(setting.INT(), 0, Limits.MAX_CONNECTIONS, "ceiling"));
+                duplicate = ceiling.isPresent();
+                ceiling = OptionalInt.of(literals.integer(setting.INT(), 0, PolicyLimits.MAX_CONNECTIONS, "ceiling"));
             }
-            if (twice) {
-                faults.error(LineErrors.spot(word), "'" + word.getText() + "' twice in a statement", "once");
+            if (duplicate) {
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(word), "'" + word.getText() + "' twice in a statement", "once");
             }
         }
         return new Statement.Share(
-                at, when, selectors.read(from.selector(), weight.isPresent()), weight, floor, ceiling);
+                position, conditions, selectors.read(context.selector(), weight.isPresent()), weight, floor, ceiling);
     }
 
-    private String mention(Subject subject, TerminalNode node) {
+    private String readReference(Subject subject, TerminalNode node) {
         String name = literals.name(node);
-        draft.mentions.add(new Mention(LineErrors.spot(node.getSymbol()), subject, name));
+        parsed.references.add(new NameReference(LineErrorStrategy.positionOf(node.getSymbol()), subject, name));
         return name;
     }
 
-    private List<Condition> conditions(List<ConditionContext> from) {
+    private List<Condition> conditions(List<ConditionContext> context) {
         List<Condition> conditions = new ArrayList<>();
-        for (ConditionContext each : from) {
-            if (conditions.size() == Limits.MAX_CONDITIONS) {
-                faults.error(
-                        LineErrors.spot(each.getStart()),
-                        "more than " + Limits.MAX_CONDITIONS + " conditions",
-                        Limits.MAX_CONDITIONS + " at most");
+        for (ConditionContext conditionContext : context) {
+            if (conditions.size() == PolicyLimits.MAX_CONDITIONS) {
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(conditionContext.getStart()),
+                        "more than " + PolicyLimits.MAX_CONDITIONS + " conditions",
+                        PolicyLimits.MAX_CONDITIONS + " at most");
                 break;
             }
-            Condition condition = condition(each);
+            Condition condition = condition(conditionContext);
             if (conditions.contains(condition)) {
-                faults.error(LineErrors.spot(each.getStart()), "a condition twice in a statement", "once");
+                diagnostics.error(
+                        LineErrorStrategy.positionOf(conditionContext.getStart()),
+                        "a condition twice in a statement",
+                        "once");
             } else {
                 conditions.add(condition);
             }
@@ -176,29 +186,29 @@
         return List.copyOf(conditions);
     }
 
-    private Condition condition(ConditionContext from) {
-        return switch (from.getStart().getType()) {
+    private Condition condition(ConditionContext context) {
+        return switch (context.getStart().getType()) {
             case PoolPolicyParser.CALM -> new Condition.InPhase(Phase.CALM);
             case PoolPolicyParser.STORM -> new Condition.InPhase(Phase.STORM);
             case PoolPolicyParser.RECOVERY -> new Condition.InPhase(Phase.RECOVERY);
             case PoolPolicyParser.TIME ->
                 new Condition.TimeOfDay(
-                        literals.minute(from.TIME_OF_DAY(0), 0),
-                        literals.minute(from.TIME_OF_DAY(1), 24 * 60),
-                        from.ZONE() == null ? Optional.empty() : literals.timeZone(from.STRING()));
+                        literals.minute(context.TIME_OF_DAY(0), 0),
+                        literals.minute(context.TIME_OF_DAY(1), 24 * 60),
+                        context.ZONE() == null ? Optional.empty() : literals.timeZone(context.STRING()));
             case PoolPolicyParser.CONDEMNED ->
-                new Condition.Condemned(literals.whole(from.INT(), 0, 99, "a share in percent of"));
-            case PoolPolicyParser.ISOLATED -> new Condition.Isolated(mention(Subject.ZONE, from.STRING()));
-            default -> outage(from);
+                new Condition.EjectedOver(literals.integer(context.INT(), 0, 99, "a share in percent of"));
+            case PoolPolicyParser.ISOLATED -> new Condition.Isolated(readReference(Subject.ZONE, context.STRING()));
+            default -> outage(context);
         };
     }
 
-    private Condition outage(ConditionContext from) {
-        String zone = mention(Subject.ZONE, from.STRING());
-        return from.LASTS() != null
+    private Condition outage(ConditionContext context) {
+        String zone = readReference(Subject.ZONE, context.STRING());
+        return context.LASTS() != null
                 ? new Condition.OutageLasts(zone)
                 : new Condition.OutageWithin(
                         zone,
-                        literals.duration(from.duration(), Duration.ofMinutes(1), Duration.ofDays(7), "a time of"));
+                        literals.duration(context.duration(), Duration.ofMinutes(1), Duration.ofDays(7), "a time of"));
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Condition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Condition.java
@@ -5,11 +5,12 @@
 import java.time.ZoneId;
 import java.util.Optional;
 
-/** One condition of a {@code when}; all conditions of a statement must hold together. */
+/** One condition of a {@code when} clause; a statement applies while all of its conditions hold. */
 public sealed interface Condition {
+    /** Evaluates this condition in the given state. */
     boolean holds(FleetState state);
 
-    /** The fleet is in this phase. */
+    /** Holds while the overload controller is in this phase. */
     record InPhase(Phase phase) implements Condition {
         @Override
         public boolean holds(FleetState state) {
@@ -18,8 +19,12 @@
     }
 
     /**
-     * The wall clock shows a time of day from {@code from} (included) to {@code to} (excluded), in minutes since
-     * midnight, 0 to 1440; past midnight where {@code from} is the greater. Without a time zone, the fleet's holds.
+     * Holds while the local time is in a range of the day; the range includes midnight if {@code from} is greater than
+     * {@code to}.
+     *
+     * @param from first minute of the range, in minutes since midnight, 0 to 1440
+     * @param to end of the range (exclusive), in minutes since midnight, 0 to 1440
+     * @param timeZone if absent, the time zone of the fleet's state applies
      */
     record TimeOfDay(int from, int to, Optional<ZoneId> timeZone) implements Condition {
         @Override
@@ -28,20 +33,21 @@
             return contains(time.getHour() * 60 + time.getMinute());
         }
 
+        /** Whether the range contains a time of day, given in minutes since midnight. */
         public boolean contains(int minute) {
             return from <= to ? minute >= from && minute < to : minute >= from || minute < to;
         }
     }
 
-    /** More than this part of the fleet's engines is condemned by verdicts. */
-    record Condemned(int overPercent) implements Condition {
+    /** Holds while more than this percentage of the fleet's engines is ejected by verdicts. */
+    record EjectedOver(int overPercent) implements Condition {
         @Override
         public boolean holds(FleetState state) {
-            return state.condemnedShare() * 100 > overPercent;
+            return state.ejectedFraction() * 100 > overPercent;
         }
     }
 
-    /** A zone's gateways reach no engine. */
+    /** Holds while the gateways of the zone reach no engine. */
     record Isolated(String zone) implements Condition {
         @Override
         public boolean holds(FleetState state) {
@@ -49,7 +55,7 @@
         }
     }
 
-    /** A foreseen outage of the zone has not begun, and begins within this time. */
+    /** Holds while a planned outage of the zone is due to begin within this time, and none is in progress. */
     record OutageWithin(String zone, Duration within) implements Condition {
         @Override
         public boolean holds(FleetState state) {
@@ -61,7 +67,7 @@
         }
     }
 
-    /** A foreseen outage of the zone has begun and has not ended. */
+    /** Holds while a planned outage of the zone is in progress. */
     record OutageLasts(String zone) implements Condition {
         @Override
         public boolean holds(FleetState state) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/FleetState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/FleetState.java
@@ -6,29 +6,31 @@
 import java.util.Set;
 
 /**
- * What conditions are judged by.
+ * The state of the fleet against which the conditions of a policy are evaluated.
  *
- * @param timeZone time zone of a time of day that names none
- * @param condemnedShare the part of all engines that verdicts condemn, 0 to 1
- * @param outages foreseen ones that last or come; others do no harm
+ * @param timeZone time zone for conditions on a time of day that name none
+ * @param ejectedFraction the fraction of all engines that are ejected by verdicts, 0 to 1
+ * @param isolatedZones zones whose gateways reach no engine
+ * @param outages planned outages, current or future; past ones are ignored
  */
 public record FleetState(
         Instant now,
         ZoneId timeZone,
         Phase phase,
-        double condemnedShare,
+        double ejectedFraction,
         Set<String> isolatedZones,
         List<Outage> outages) {
-    /** One foreseen loss of a zone's uplink. */
+    /** A planned loss of a zone's uplink, from {@code from} (inclusive) to {@code to} (exclusive). */
     public record Outage(String zone, Instant from, Instant to) {
         boolean lasts(Instant now) {
             return !now.isBefore(from) && now.isBefore(to);
         }
     }
 
+    /** @throws IllegalArgumentException if the fraction of ejected engines is not from 0 to 1 */
     public FleetState {
-        if (!(condemnedShare >= 0 && condemnedShare <= 1)) {
-            throw new IllegalArgumentException("share of engines condemned " + condemnedShare + ", not from 0 to 1");
+        if (!(ejectedFraction >= 0 && ejectedFraction <= 1)) {
+            throw new IllegalArgumentException("fraction of ejected engines " + ejectedFraction + "; expected 0 to 1");
         }
         isolatedZones = Set.copyOf(isolatedZones);
         outages = List.copyOf(outages);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/KnownNames.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/KnownNames.java
@@ -5,10 +5,12 @@
 import java.util.Set;
 
 /**
- * What the caller knows of the fleet; the checker judges only by what is known.
+ * The names that exist in the fleet as far as the caller knows them. The checker does not check names of a kind for
+ * which the set is absent.
  *
- * @param engines kind to engine names
- * @param maxGateways how many gateways the fleet may have, 1 or more; a floor of every gateway is counted so often
+ * @param engines names of the engines, by engine kind
+ * @param maxGateways the number of gateways that the fleet may have, 1 or more; a floor that applies to every gateway
+ * is multiplied by it
  */
 public record KnownNames(
         Optional<Map<String, Set<String>>> engines,
@@ -17,7 +19,7 @@
         Optional<Set<String>> gateways,
         Optional<Set<String>> tenants,
         int maxGateways) {
-    /** Nothing is known but that the fleet has a gateway. */
+    /** No names are known; the fleet has one gateway. */
     public static final KnownNames NONE =
             new KnownNames(Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), 1);
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Phase.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Phase.java
@@ -1,8 +1,11 @@
 package sandpaddle.fleet.pool.model;
 
-/** What the fleet goes through, as conditions of a policy name it. */
+/** A phase of the overload controller that the conditions of a policy can refer to. */
 public enum Phase {
+    /** Normal operation; {@code calm} in the policy language. */
     CALM,
+    /** A retry storm; {@code storm} in the policy language. */
     STORM,
+    /** Recovery after a retry storm; {@code recovery} in the policy language. */
     RECOVERY
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Policy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Policy.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * A policy that was checked.
+ * A policy without errors.
  *
- * @param groups every group with all its tenants, those of nested groups too
- * @param tenants all that the policy names; every other tenant shares {@link #DEFAULT_TENANT}
+ * @param groups the tenants of each group, including those of nested groups
+ * @param tenants all tenants that the policy names; every other tenant is accounted to {@link #DEFAULT_TENANT}
  */
 public record Policy(
         String name,
@@ -19,14 +19,14 @@
         List<Statement.Reserve> reserves,
         List<Statement.Borrow> borrows,
         List<Statement.Share> shares) {
-    /** The one that all tenants share which the policy does not name. */
+    /** The tenant to which the connections of all tenants that the policy does not name are accounted. */
     public static final String DEFAULT_TENANT = "default";
 
-    /** The one version of the language that this program reads. */
+    /** The only supported version of the policy language. */
     public static final int LANGUAGE = 1;
 
-    /** The tenant under which this one's connections count. */
-    public String counted(String tenant) {
+    /** The tenant to which the connections of the given tenant are accounted. */
+    public String accountedTenant(String tenant) {
         return tenants.contains(tenant) ? tenant : DEFAULT_TENANT;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
@@ -4,24 +4,25 @@
 import java.util.stream.Collectors;
 
 /**
- * What a share statement speaks of: at most one term each for the tenant, the class, and the place. Terms are in the
- * order of their dimensions, so that equal selections are equal.
+ * The set of connections that a share statement applies to: at most one term for each of tenant, class and place.
+ *
+ * @param terms in the order of their dimensions, so that selectors of the same set are equal
  */
 public record Selector(List<Term> terms) {
-    /** What a term narrows. */
+    /** The property of a connection that a term restricts. */
     public enum Dimension {
         TENANT,
         CLASS,
         PLACE
     }
 
-    /** The forms of a term; {@code level}: the more specific wins over the others of its dimension. */
+    /** The forms of a term. Within one dimension, the form of the higher rank is more specific and takes precedence. */
     public enum Form {
         TENANT(Dimension.TENANT, 4, "tenant"),
-        /** Each tenant of a group for itself. */
+        /** Each tenant of a group individually. */
         GROUP(Dimension.TENANT, 3, "tenant group"),
-        /** All tenants of a group in sum. */
-        TOGETHER(Dimension.TENANT, 2, "tenant group"),
+        /** The sum over all tenants of a group; {@code together} in the policy language. */
+        GROUP_TOTAL(Dimension.TENANT, 2, "tenant group"),
         ANY_TENANT(Dimension.TENANT, 1, "default tenant"),
         CLASS(Dimension.CLASS, 4, "class"),
         ANY_CLASS(Dimension.CLASS, 1, "default class"),
@@ -31,54 +32,62 @@
         ANY_ZONE(Dimension.PLACE, 1, "default hall");
 
         private final Dimension dimension;
-        private final int level;
-        private final String words;
+        private final int rank;
+        private final String keywords;
 
-        Form(Dimension dimension, int level, String words) {
+        Form(Dimension dimension, int rank, String keywords) {
             this.dimension = dimension;
-            this.level = level;
-            this.words = words;
+            this.rank = rank;
+            this.keywords = keywords;
         }
 
+        /** The dimension that terms of this form restrict. */
         public Dimension dimension() {
             return dimension;
         }
 
+        /** Whether this form applies to everything in its dimension that has no term of its own. */
         public boolean isDefault() {
             return this == ANY_TENANT || this == ANY_CLASS || this == ANY_GATEWAY || this == ANY_ZONE;
         }
 
-        /** How the policy's author writes it. */
-        public String words() {
-            return words;
+        /** The keywords that introduce this form in the policy language. */
+        public String keywords() {
+            return keywords;
         }
     }
 
-    /** One term; the name is empty for defaults. */
+    /**
+     * One term of a selector.
+     *
+     * @param name of the tenant, group, class, gateway or zone; empty for defaults
+     */
     public record Term(Form form, String name) {
         @Override
         public String toString() {
             return switch (form) {
-                case GROUP -> form.words + " " + name;
-                case TOGETHER -> form.words + " " + name + " together";
-                default -> form.isDefault() ? form.words : form.words + " \"" + name + "\"";
+                case GROUP -> form.keywords + " " + name;
+                case GROUP_TOTAL -> form.keywords + " " + name + " together";
+                default -> form.isDefault() ? form.keywords : form.keywords + " \"" + name + "\"";
             };
         }
     }
 
+    /** Copies the terms. */
     public Selector {
         terms = List.copyOf(terms);
     }
 
-    /** The more specific selection has the greater number: first by its count of terms, then by their levels. */
+    /** The specificity of this selector: compares first by the number of terms, then by the sum of their ranks. */
     public int specificity() {
-        int levels = 0;
+        int ranks = 0;
         for (Term term : terms) {
-            levels += term.form.level;
+            ranks += term.form.rank;
         }
-        return terms.size() * 100 + levels;
+        return terms.size() * 100 + ranks;
     }
 
+    /** The forms of the terms, in the order of the terms. */
     public List<Form> forms() {
         return terms.stream().map(Term::form).toList();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/SourcePosition.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/SourcePosition.java
@@ -1,6 +1,11 @@
 package sandpaddle.fleet.pool.model;
 
-/** A position in a policy file; line and column count from 1, columns in Unicode characters. */
+/**
+ * A position in a policy file.
+ *
+ * @param line counted from 1
+ * @param column counted from 1, in Unicode code points
+ */
 public record SourcePosition(int line, int column) implements Comparable<SourcePosition> {
     @Override
     public int compareTo(SourcePosition other) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/Capacity.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/Capacity.java
@@ -3,40 +3,41 @@
 import java.util.Optional;
 import sandpaddle.fleet.pool.model.Statement.Budget;
 import sandpaddle.fleet.pool.model.Statement.Reserve;
-import sandpaddle.fleet.pool.model.Statement.Use;
+import sandpaddle.fleet.pool.model.Statement.ReservePurpose;
 
 /**
- * What a budget leaves for tenants: its connections less the reserves, never under nothing.
+ * The connections of a budget and the reserves that are deducted from it.
  *
  * @param budget in connections
- * @param control set aside for the gateways' own connections
- * @param returning set aside for engines that come back
+ * @param control reserved for the gateways' own control connections
+ * @param returning reserved for returning engines
  */
 public record Capacity(long budget, long control, long returning) {
-    public int left() {
+    /** The connections that are left for tenants, 0 or more. */
+    public int available() {
         return (int) Math.max(0, budget - control - returning);
     }
 
     /**
-     * Of a budget for one engine; its reserve for returning engines is set aside only while it comes back, since no
-     * other engine could use it.
+     * The capacity of a budget for one engine. The reserve for returning engines is deducted only while this engine
+     * returns, since no other engine could use it.
      */
-    public static Capacity ofEngine(Budgets budgets, Budget budget, boolean returns) {
+    public static Capacity ofEngine(Budgets budgets, Budget budget, boolean returning) {
         return new Capacity(
                 budget.connections(),
-                part(budgets.reserve(Use.CONTROL), budget, 1),
-                returns ? part(budgets.reserve(Use.RETURNING), budget, 1) : 0);
+                reserved(budgets.reserve(ReservePurpose.CONTROL), budget, 1),
+                returning ? reserved(budgets.reserve(ReservePurpose.RETURNING), budget, 1) : 0);
     }
 
-    /** Of a budget that so many engines share; both reserves are set aside at any time. */
+    /** The capacity of a budget that several engines share; both reserves are always deducted. */
     public static Capacity ofMany(Budgets budgets, Budget budget, int engines) {
         return new Capacity(
                 budget.connections(),
-                part(budgets.reserve(Use.CONTROL), budget, engines),
-                part(budgets.reserve(Use.RETURNING), budget, engines));
+                reserved(budgets.reserve(ReservePurpose.CONTROL), budget, engines),
+                reserved(budgets.reserve(ReservePurpose.RETURNING), budget, engines));
     }
 
-    private static long part(Optional<Reserve> reserve, Budget budget, int engines) {
+    private static long reserved(Optional<Reserve> reserve, Budget budget, int engines) {
         if (reserve.isEmpty()) {
             return 0;
         }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
@@ -14,31 +14,35 @@
 import sandpaddle.fleet.pool.model.Statement.Share;
 
 /**
- * Finds the share statements that match one subject. They are kept by the forms of their terms, of which a policy has
- * few, so a look-up costs a hash for each of these and for each group of the tenant, not a pass over the statements.
+ * Finds the share statements that match a subject. Statements are indexed by the forms of their terms, of which a
+ * policy has few combinations, so a lookup costs one hash access for each combination and group of the tenant rather
+ * than a scan of all statements.
  */
 public final class ShareIndex {
-    /** Who uses connections, and where. */
+    /** The tenant, class, gateway and zone that a connection is used for. */
     public record Subject(String tenant, String className, String gateway, String zone) {}
 
     private final Map<List<Form>, Map<List<String>, Share>> byForms = new LinkedHashMap<>();
     private final Map<String, List<String>> groupsOf;
 
-    /** Indexes those of the statements that are wanted; of one selection, the one that takes precedence. */
-    ShareIndex(List<Share> shares, Predicate<Share> wanted, Map<String, List<String>> groupsOf) {
+    /** Indexes the statements that pass the filter; for each selector, the one that takes precedence. */
+    ShareIndex(List<Share> shares, Predicate<Share> filter, Map<String, List<String>> groupsOf) {
         this.groupsOf = groupsOf;
         for (Share share : shares) {
-            if (wanted.test(share)) {
-                byForms.computeIfAbsent(share.of().forms(), f -> new HashMap<>())
+            if (filter.test(share)) {
+                byForms.computeIfAbsent(share.selector().forms(), f -> new HashMap<>())
                         .merge(
-                                share.of().terms().stream().map(Term::name).toList(),
+                                share.selector().terms().stream()
+                                        .map(Term::name)
+                                        .toList(),
                                 share,
-                                (a, b) -> Statement.BY_CONDITIONS.compare(a, b) >= 0 ? a : b);
+                                (first, second) ->
+                                        Statement.BY_CONDITIONS.compare(first, second) >= 0 ? first : second);
             }
         }
     }
 
-    /** For each tenant, the groups that it is in, by name. */
+    /** The groups of each tenant, sorted by name. */
     static Map<String, List<String>> groupsOf(Map<String, Set<String>> groups) {
         Map<String, List<String>> of = new HashMap<>();
         groups.keySet().stream()
@@ -49,57 +53,60 @@
         return of;
     }
 
-    /** All statements that match, in no order. */
+    /** All statements that match the subject, in no particular order. */
     public List<Share> matching(Subject subject) {
-        List<Share> found = new ArrayList<>();
+        List<Share> matches = new ArrayList<>();
         List<String> groups = groupsOf.getOrDefault(subject.tenant, List.of());
         byForms.forEach((forms, shares) -> {
             Form first = forms.get(0);
-            if (first == Form.GROUP || first == Form.TOGETHER) {
-                groups.forEach(group -> add(found, shares.get(names(forms, subject, group))));
+            if (first == Form.GROUP || first == Form.GROUP_TOTAL) {
+                groups.forEach(group -> add(matches, shares.get(termNames(forms, subject, group))));
             } else {
-                add(found, shares.get(names(forms, subject, "")));
+                add(matches, shares.get(termNames(forms, subject, "")));
             }
         });
-        return found;
+        return matches;
     }
 
-    private static void add(List<Share> found, Share share) {
+    private static void add(List<Share> matches, Share share) {
         if (share != null) {
-            found.add(share);
+            matches.add(share);
         }
     }
 
-    private static List<String> names(List<Form> forms, Subject subject, String group) {
-        String[] names = new String[forms.size()];
-        for (int i = 0; i < names.length; i++) {
-            names[i] = switch (forms.get(i)) {
+    private static List<String> termNames(List<Form> forms, Subject subject, String group) {
+        String[] termNames = new String[forms.size()];
+        for (int i = 0; i < termNames.length; i++) {
+            termNames[i] = switch (forms.get(i)) {
                 case TENANT -> subject.tenant;
-                case GROUP, TOGETHER -> group;
+                case GROUP, GROUP_TOTAL -> group;
                 case CLASS -> subject.className;
                 case GATEWAY -> subject.gateway;
                 case ZONE -> subject.zone;
                 default -> "";
             };
         }
-        return List.of(names);
+        return List.of(termNames);
     }
 
     /**
-     * What floors and ceilings bind: for each set of connections that a matching statement speaks of, named in full,
-     * the statement that takes precedence there.
+     * The statements in force for the subject: for each selector of a matching statement, with defaults and groups
+     * resolved to the names of the subject, the statement that takes precedence.
      */
-    public Map<Selector, Share> binding(Subject subject) {
-        Map<Selector, Share> bound = new LinkedHashMap<>();
+    public Map<Selector, Share> effectiveBySelector(Subject subject) {
+        Map<Selector, Share> effective = new LinkedHashMap<>();
         for (Share share : matching(subject)) {
-            bound.merge(named(share.of(), subject), share, (a, b) -> Statement.PRECEDENCE.compare(a, b) >= 0 ? a : b);
+            effective.merge(
+                    resolve(share.selector(), subject),
+                    share,
+                    (first, second) -> Statement.PRECEDENCE.compare(first, second) >= 0 ? first : second);
         }
-        return bound;
+        return effective;
     }
 
-    private static Selector named(Selector of, Subject subject) {
-        List<Term> terms = new ArrayList<>(of.terms().size());
-        for (Term term : of.terms()) {
+    private static Selector resolve(Selector selector, Subject subject) {
+        List<Term> terms = new ArrayList<>(selector.terms().size());
+        for (Term term : selector.terms()) {
             terms.add(
                     switch (term.form()) {
                         case GROUP, ANY_TENANT -> new Term(Form.TENANT, subject.tenant);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/Shares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/Shares.java
@@ -11,7 +11,7 @@
 import sandpaddle.fleet.pool.model.Statement;
 import sandpaddle.fleet.pool.model.Statement.Share;
 
-/** What a policy says of weights, floors and ceilings in one state of the fleet, indexed for look-ups by subject. */
+/** The weights, floors and ceilings of a policy that apply in one state of the fleet, indexed by subject. */
 public final class Shares {
     private final ShareIndex weights;
     private final ShareIndex floors;
@@ -26,43 +26,48 @@
         ceilings = new ShareIndex(shares, s -> s.ceiling().isPresent(), groupsOf);
     }
 
-    public static Shares at(Policy policy, FleetState state) {
+    /** Selects the share statements whose conditions hold in the given state. */
+    public static Shares of(Policy policy, FleetState state) {
         return new Shares(policy, state);
     }
 
     /**
-     * In millionths, 1 to 10^12: the product of the weights of tenant, class and place, each from the statement that
-     * takes precedence; one of several terms stands for all of their dimensions at once. Without a statement a
-     * dimension weighs 1.
+     * The weight of a subject in millionths, 1 to 10^12: the product of the weights of tenant, class and place, each
+     * from the statement that takes precedence. A statement of several terms covers all their dimensions at once. The
+     * weight of a dimension that no statement covers is 1.
      */
     public long weight(ShareIndex.Subject subject) {
         List<Share> matching = weights.matching(subject);
         matching.sort(Statement.PRECEDENCE.reversed());
-        Set<Dimension> settled = EnumSet.noneOf(Dimension.class);
+        Set<Dimension> coveredDimensions = EnumSet.noneOf(Dimension.class);
         long weight = 1;
         for (Share share : matching) {
-            boolean free = true;
-            for (Term term : share.of().terms()) {
-                free &= !settled.contains(term.form().dimension());
+            boolean isUncovered = true;
+            for (Term term : share.selector().terms()) {
+                isUncovered &= !coveredDimensions.contains(term.form().dimension());
             }
-            if (free) {
-                share.of().terms().forEach(t -> settled.add(t.form().dimension()));
+            if (isUncovered) {
+                share.selector()
+                        .terms()
+                        .forEach(t -> coveredDimensions.add(t.form().dimension()));
                 weight *= share.weight().getAsInt();
-                for (int i = 1; i < share.of().terms().size(); i++) {
-                    weight *= 100; // it stands for several factors
+                for (int i = 1; i < share.selector().terms().size(); i++) {
+                    weight *= 100; // covers one more dimension, with a factor of 1.00
                 }
             }
         }
-        for (int i = settled.size(); i < Dimension.values().length; i++) {
+        for (int i = coveredDimensions.size(); i < Dimension.values().length; i++) {
             weight *= 100;
         }
         return weight;
     }
 
+    /** The statements that set a floor. */
     public ShareIndex floors() {
         return floors;
     }
 
+    /** The statements that set a ceiling. */
     public ShareIndex ceilings() {
         return ceilings;
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Allocation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Allocation.java
@@ -8,51 +8,59 @@
 import sandpaddle.fleet.pool.rule.Capacity;
 
 /**
- * How connections are divided: among tenants by engine kind, and among gateways by engine.
+ * A division of the fleet's connections: among tenants by engine kind, and among gateways by engine.
  *
- * @param rows by kind, gateway, tenant and class
- * @param cells for each engine with a budget and each gateway that has connections there; a gateway's tenants share
- * its connections to an engine in the proportion of their rows
- * @param budgets what each budget leaves, by limit
- * @param unmet floors that could not be kept
- * @param giveBack how soon a tenant's own connections must be back with it when it wants them again; empty where
+ * @param rows sorted by engine kind, gateway, tenant and class
+ * @param cells one for each engine with a budget and each gateway that has connections to it; the tenants of a gateway
+ * share its connections to an engine in proportion to their rows
+ * @param budgets the capacity that each budget leaves for tenants
+ * @param unmetFloors floors that could not be granted in full
+ * @param reclaimWithin the time within which lent connections return to a tenant that needs them again; empty if
  * nothing is lent
- * @param steps what the division cost, in steps of heaps and passes
+ * @param steps heap operations and row visits of the division, as a measure of its cost
  */
 public record Allocation(
         List<Row> rows,
         List<Cell> cells,
-        List<Room> budgets,
-        List<Unmet> unmet,
-        Optional<Duration> giveBack,
+        List<BudgetCapacity> budgets,
+        List<UnmetFloor> unmetFloors,
+        Optional<Duration> reclaimWithin,
         long steps) {
-    /** Nothing was divided yet. */
+    /** The empty allocation. */
     public static final Allocation NONE =
             new Allocation(List.of(), List.of(), List.of(), List.of(), Optional.empty(), 0);
 
     /**
-     * What a tenant may have on a gateway for a class, at engines of a kind.
+     * The connections of a tenant on a gateway for a class, to engines of a kind.
      *
-     * @param entitled what it would have if everybody asked for all that they may; more than this is borrowed
-     * @param floor what of {@code connections} is its due by floors
+     * @param entitled its connections if all rows demanded as much as their limits allow; any excess over this is
+     * borrowed
+     * @param floor the part of {@code connections} that is guaranteed by floors
      */
     public record Row(
             String kind, String gateway, String tenant, String className, int connections, int entitled, int floor) {
+        /** The connections in excess of those that the row is entitled to. */
         public int borrowed() {
             return Math.max(0, connections - entitled);
         }
     }
 
-    /** What a gateway may have at one engine. */
+    /** The connections of a gateway to one engine. */
     public record Cell(String kind, String engine, String gateway, int connections) {}
 
-    /** A budget by its limit. */
-    public record Room(Limit limit, Capacity capacity) {}
+    /** The capacity of a budget, and the limit that enforces it. */
+    public record BudgetCapacity(Limit limit, Capacity capacity) {}
 
-    /** A floor that was cut: how much of it was asked for, what it got, and the line of the policy that has it. */
-    public record Unmet(Selector of, int line, int floor, long asked, long got) {}
+    /**
+     * A floor that could not be granted in full.
+     *
+     * @param line of the statement in the policy file
+     * @param demanded the sum of the upper bounds of its rows, in connections
+     * @param allocated connections that its rows received
+     */
+    public record UnmetFloor(Selector selector, int line, int floor, long demanded, long allocated) {}
 
-    /** The row of that name, or 0. */
+    /** The connections of the row with these keys; 0 if there is none. */
     public int connections(String kind, String gateway, String tenant, String className) {
         OptionalInt found = rows.stream()
                 .filter(r -> r.kind.equals(kind)
@@ -64,16 +72,16 @@
         return found.orElse(0);
     }
 
-    /** What a tenant has in sum. */
-    public int ofTenant(String tenant) {
+    /** The connections of a tenant in all rows. */
+    public int connectionsOfTenant(String tenant) {
         return rows.stream()
                 .filter(r -> r.tenant.equals(tenant))
                 .mapToInt(Row::connections)
                 .sum();
     }
 
-    /** What a gateway has in sum. */
-    public int ofGateway(String gateway) {
+    /** The connections of a gateway in all rows. */
+    public int connectionsOfGateway(String gateway) {
         return rows.stream()
                 .filter(r -> r.gateway.equals(gateway))
                 .mapToInt(Row::connections)
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
@@ -14,21 +14,22 @@
 import sandpaddle.fleet.pool.rule.Capacity;
 
 /**
- * What each budget leaves for tenants with the engines that are there now.
+ * The capacity that each budget leaves for tenants, given the engines that are present.
  *
- * @param kinds budgets of kinds as a whole, by kind
- * @param engines budgets of single engines, by kind and engine; an engine without a budget is not in it
- * @param counts how many engines there are of each kind
+ * @param fleet capacity of the budget of the whole fleet
+ * @param kinds capacities of the budgets of whole kinds, by kind
+ * @param engines capacities of single engines, by kind and engine; engines without a budget are absent
+ * @param counts number of engines, by kind
  */
 record Capacities(
         Optional<Capacity> fleet,
         Map<String, Capacity> kinds,
         Map<String, Map<String, Capacity>> engines,
         Map<String, Integer> counts) {
-    static Capacities of(Budgets budgets, SolverInput solverInput) {
+    static Capacities of(Budgets budgets, SolverInput input) {
         Map<String, Integer> counts = new TreeMap<>();
         Map<String, Map<String, Capacity>> engines = new TreeMap<>();
-        List<Engine> sorted = solverInput.engines().stream()
+        List<Engine> sorted = input.engines().stream()
                 .sorted((a, b) -> a.name().compareTo(b.name()))
                 .toList();
         for (Engine engine : sorted) {
@@ -43,25 +44,25 @@
             budgets.budget(Scope.KIND, kind.getKey())
                     .ifPresent(b -> kinds.put(kind.getKey(), Capacity.ofMany(budgets, b, kind.getValue())));
         }
-        Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
+        Optional<Budget> fleetBudget = budgets.budget(Scope.FLEET, "");
         return new Capacities(
-                fleet.map(b -> Capacity.ofMany(budgets, b, solverInput.engines().size())), kinds, engines, counts);
+                fleetBudget.map(b -> Capacity.ofMany(budgets, b, input.engines().size())), kinds, engines, counts);
     }
 
-    /** What connections to engines of a kind are bounded by in sum; a kind without an engine leaves nothing. */
-    OptionalLong kind(String kind) {
+    /** The bound of all connections to engines of a kind: 0 if there is no engine, empty if no budget applies. */
+    OptionalLong availableForKind(String kind) {
         if (!counts.containsKey(kind)) {
             return OptionalLong.of(0);
         }
-        Optional<Capacity> whole = whole(kind);
-        return whole.isPresent() ? OptionalLong.of(whole.get().left()) : OptionalLong.empty();
+        Optional<Capacity> kindCapacity = ofKind(kind);
+        return kindCapacity.isPresent() ? OptionalLong.of(kindCapacity.get().available()) : OptionalLong.empty();
     }
 
     /**
-     * The kind's own budget or, where each of its engines has one and they leave less, the sum of these; empty where
-     * nothing bounds it.
+     * The capacity of a kind: that of its own budget or, if each of its engines has a budget and their sum is less,
+     * that sum; empty if neither applies.
      */
-    Optional<Capacity> whole(String kind) {
+    Optional<Capacity> ofKind(String kind) {
         Optional<Capacity> own = Optional.ofNullable(kinds.get(kind));
         Map<String, Capacity> each = engines.getOrDefault(kind, Map.of());
         if (each.size() < counts.getOrDefault(kind, 0)) {
@@ -71,11 +72,11 @@
         long control = 0;
         long returning = 0;
         for (Capacity engine : each.values()) {
-            left += engine.left();
+            left += engine.available();
             control += engine.control();
             returning += engine.returning();
         }
         Capacity sum = new Capacity(left + control + returning, control, returning);
-        return own.isPresent() && own.get().left() <= sum.left() ? own : Optional.of(sum);
+        return own.isPresent() && own.get().available() <= sum.available() ? own : Optional.of(sum);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
@@ -3,108 +3,119 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import sandpaddle.fleet.pool.solve.Allocation.Unmet;
+import sandpaddle.fleet.pool.solve.Allocation.UnmetFloor;
 import sandpaddle.fleet.pool.solve.Rows.Floor;
 
 /**
- * Divides among rows: first the floors, family by family from the most specific, then what is left by the same filling.
- * A family is filled with its floors as links beside all others, so that floors within it are cut alike where they do
- * not fit together, and a later family gives way to an earlier one. What floors gave is every row's least afterwards.
+ * Divides the capacity among the rows: first the floors, one family after the other from the most specific one, then
+ * the remaining capacity, each by progressive filling. For a family, its floors are added as links, so that floors that
+ * exceed the capacity are scaled fairly within the family, and earlier families take precedence over later ones. The
+ * connections that a row receives from floors are its minimum in the following steps.
  */
 final class Division {
     private final Rows rows;
     private final int[] max;
     private final int[] min;
-    private final long[] used; // of each link, by floors
+    private final long[] usedByFloors; // for each link
     private long steps;
 
     private Division(Rows rows, int[] max) {
         this.rows = rows;
         this.max = max;
         min = new int[max.length];
-        used = new long[rows.capacity.length];
+        usedByFloors = new long[rows.capacity.length];
     }
 
-    /** What each row gets, what of this by floors, which floors were cut, and the cost. */
-    record Result(int[] whole, int[] floors, List<Unmet> unmet, long steps) {}
+    /**
+     * The result of a division.
+     *
+     * @param connections of each row
+     * @param floors the part of {@code connections} that floors guarantee, for each row
+     * @param unmetFloors floors that could not be granted in full
+     * @param steps operations performed, as a measure of the cost
+     */
+    record Result(int[] connections, int[] floors, List<UnmetFloor> unmetFloors, long steps) {}
 
     static Result divide(Rows rows, int[] max, int[] previous) {
         Division division = new Division(rows, max);
-        rows.floors.forEach(division::grant);
-        Network net = new Network(rows.weight, division.min, max, rows.links, rows.capacity);
-        int[] whole = division.solve(net, previous, rows.ties);
-        return new Result(whole, division.min, division.unmet(whole), division.steps);
+        rows.floors.forEach(division::grantFamily);
+        Network network = new Network(rows.weight, division.min, max, rows.links, rows.capacity);
+        int[] connections = division.solve(network, previous, rows.tieBreakers);
+        return new Result(connections, division.min, division.unmetFloors(connections), division.steps);
     }
 
-    private int[] solve(Network net, int[] before, int[] ties) {
-        ProgressiveFilling.Shares shares = ProgressiveFilling.fill(net);
+    private int[] solve(Network network, int[] previous, int[] tieBreakers) {
+        ProgressiveFilling.Shares shares = ProgressiveFilling.fill(network);
         steps += shares.steps();
-        return Rounding.round(net, shares.value(), before, ties);
+        return Rounding.round(network, shares.value(), previous, tieBreakers);
     }
 
     /**
-     * Raises the least of the family's rows to their floors, as far as all links have room. What rows had before counts
-     * for nothing here: it was their whole share, not their floor, and would favour whoever borrowed.
+     * Raises the minimum of the family's rows to their floors, as far as the links have capacity. The previous
+     * allocation is not passed to the rounding here: it holds whole shares rather than floors, and would favor rows
+     * that borrowed.
      */
-    private void grant(List<Floor> family) {
-        int[] of = family.stream()
-                .flatMap(f -> f.rows().stream())
+    private void grantFamily(List<Floor> family) {
+        int[] rowIndices = family.stream()
+                .flatMap(floor -> floor.rows().stream())
                 .mapToInt(Integer::intValue)
                 .toArray();
-        int count = of.length;
+        int count = rowIndices.length;
         int base = rows.capacity.length;
         long[] capacity = Arrays.copyOf(rows.capacity, base + family.size());
         for (int link = 0; link < base; link++) {
-            capacity[link] -= used[link];
+            capacity[link] -= usedByFloors[link];
         }
         long[] weight = new long[count];
-        int[] low = new int[count];
-        int[] high = new int[count];
-        int[] ties = new int[count];
+        int[] familyMin = new int[count];
+        int[] familyMax = new int[count];
+        int[] tieBreakers = new int[count];
         int[][] links = new int[count][];
-        int at = 0;
-        for (int f = 0; f < family.size(); f++) {
+        int next = 0;
+        for (int floorIndex = 0; floorIndex < family.size(); floorIndex++) {
             long held = 0;
-            for (int row : family.get(f).rows()) {
-                weight[at] = rows.weight[row];
-                low[at] = min[row];
-                high[at] = Math.max(max[row], min[row]);
-                ties[at] = rows.ties[row];
-                links[at] = Arrays.copyOf(rows.links[row], rows.links[row].length + 1);
-                links[at][rows.links[row].length] = base + f;
+            for (int row : family.get(floorIndex).rows()) {
+                weight[next] = rows.weight[row];
+                familyMin[next] = min[row];
+                familyMax[next] = Math.max(max[row], min[row]);
+                tieBreakers[next] = rows.tieBreakers[row];
+                links[next] = Arrays.copyOf(rows.links[row], rows.links[row].length + 1);
+                links[next][rows.links[row].length] = base + floorIndex;
                 for (int link : rows.links[row]) {
-                    capacity[link] += min[row]; // counts as held within the family, not as used outside
+                    capacity[link] += min[row]; // held by rows of the family, so it is not used by others
                 }
                 held += min[row];
-                at++;
+                next++;
             }
-            capacity[base + f] = Math.max(held, family.get(f).by().floor().getAsInt());
+            capacity[base + floorIndex] =
+                    Math.max(held, family.get(floorIndex).share().floor().getAsInt());
         }
-        int[] granted = solve(new Network(weight, low, high, links, capacity), new int[count], ties);
+        int[] granted = solve(new Network(weight, familyMin, familyMax, links, capacity), new int[count], tieBreakers);
         for (int i = 0; i < count; i++) {
-            for (int link : rows.links[of[i]]) {
-                used[link] += granted[i] - min[of[i]];
+            for (int link : rows.links[rowIndices[i]]) {
+                usedByFloors[link] += granted[i] - min[rowIndices[i]];
             }
-            min[of[i]] = granted[i];
+            min[rowIndices[i]] = granted[i];
         }
     }
 
-    private List<Unmet> unmet(int[] whole) {
-        List<Unmet> unmet = new ArrayList<>();
+    private List<UnmetFloor> unmetFloors(int[] connections) {
+        List<UnmetFloor> unmetFloors = new ArrayList<>();
         for (List<Floor> family : rows.floors) {
             for (Floor floor : family) {
-                long asked = 0;
-                long got = 0;
+                long demanded = 0;
+                long allocated = 0;
                 for (int row : floor.rows()) {
-                    asked += max[row];
-                    got += whole[row];
+                    demanded += max[row];
+                    allocated += connections[row];
                 }
-                int size = floor.by().floor().getAsInt();
-                if (got < Math.min(size, asked)) {
-                    unmet.add(new Unmet(floor.of(), floor.by().at().line(), size, asked, got));
+                int size = floor.share().floor().getAsInt();
+                if (allocated < Math.min(size, demanded)) {
+                    unmetFloors.add(new UnmetFloor(
+                            floor.selector(), floor.share().position().line(), size, demanded, allocated));
                 }
             }
         }
-        return unmet;
+        return unmetFloors;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/EngineSpread.java
@@ -10,149 +10,160 @@
 import sandpaddle.fleet.pool.solve.Allocation.Cell;
 
 /**
- * Spreads what each gateway has at engines of a kind over those engines, none over its budget. Cells stay as they were
- * as far as they still fit and are no more than their even part; the rest goes to the engine that is least used for
- * its budget, and among equals to the one that rendezvous hashing (Thaler and Ravishankar) prefers for this gateway.
- * So a gateway that comes or goes moves little more than its own. O(c log e) for c connections to e engines, and
- * O(g e) for the table of g gateways.
+ * Spreads the connections of each gateway to an engine kind over the engines of that kind, within the budget of each
+ * engine. Previous cells are kept as far as they fit and do not exceed an even share; each further connection goes to
+ * the engine that the gateway uses least relative to its budget, and among equals to the one preferred by rendezvous
+ * hashing (Thaler and Ravishankar) for this gateway. So a gateway that joins or leaves moves few connections of others.
+ * O(c log e) for c connections to e engines, and O(g e) for the table of g gateways.
  */
 final class EngineSpread {
     private final String kind;
     private final String[] engines;
     private final int[] capacity;
-    private final int[] free;
-    private final long whole;
+    private final int[] remaining;
+    private final long totalCapacity;
 
     private EngineSpread(String kind, Map<String, Capacity> budgets) {
         this.kind = kind;
         engines = budgets.keySet().toArray(new String[0]);
-        capacity = budgets.values().stream().mapToInt(Capacity::left).toArray();
-        free = capacity.clone();
-        whole = Arrays.stream(capacity).asLongStream().sum();
+        capacity = budgets.values().stream().mapToInt(Capacity::available).toArray();
+        remaining = capacity.clone();
+        totalCapacity = Arrays.stream(capacity).asLongStream().sum();
     }
 
     /**
-     * @param budgets of the kind's engines
-     * @param wanted connections of each gateway; where they are more than the budgets, all are cut fairly
+     * Computes the cells of one engine kind.
+     *
+     * @param budgets by engine
+     * @param demands connections by gateway; if their sum exceeds the budgets, they are reduced max-min fairly
      */
     static List<Cell> spread(
-            String kind, Map<String, Capacity> budgets, TreeMap<String, Long> wanted, List<Cell> previous) {
+            String kind, Map<String, Capacity> budgets, TreeMap<String, Long> demands, List<Cell> previous) {
         EngineSpread spread = new EngineSpread(kind, budgets);
-        String[] gateways = wanted.keySet().toArray(new String[0]);
-        int[] sums = spread.cut(
-                gateways, wanted.values().stream().mapToLong(Long::longValue).toArray());
-        int[][] cells = spread.kept(gateways, sums, previous);
+        String[] gateways = demands.keySet().toArray(new String[0]);
+        int[] targets = spread.scaleToCapacity(
+                gateways, demands.values().stream().mapToLong(Long::longValue).toArray());
+        int[][] cells = spread.keepPrevious(gateways, targets, previous);
         List<Cell> result = new ArrayList<>();
-        for (int g = 0; g < gateways.length; g++) {
-            spread.more(gateways[g], cells[g], sums[g] - Arrays.stream(cells[g]).sum());
-            for (int e = 0; e < cells[g].length; e++) {
-                if (cells[g][e] > 0) {
-                    result.add(new Cell(kind, spread.engines[e], gateways[g], cells[g][e]));
+        for (int gatewayIndex = 0; gatewayIndex < gateways.length; gatewayIndex++) {
+            spread.addConnections(
+                    gateways[gatewayIndex],
+                    cells[gatewayIndex],
+                    targets[gatewayIndex] - Arrays.stream(cells[gatewayIndex]).sum());
+            for (int engine = 0; engine < cells[gatewayIndex].length; engine++) {
+                if (cells[gatewayIndex][engine] > 0) {
+                    result.add(new Cell(
+                            kind, spread.engines[engine], gateways[gatewayIndex], cells[gatewayIndex][engine]));
                 }
             }
         }
         return result;
     }
 
-    private int[] cut(String[] gateways, long[] wanted) {
-        int rows = wanted.length;
+    private int[] scaleToCapacity(String[] gateways, long[] demands) {
+        int rows = demands.length;
         long[] weight = new long[rows];
         Arrays.fill(weight, 1);
-        int[] max =
-                Arrays.stream(wanted).mapToInt(w -> (int) Math.min(w, whole)).toArray();
+        int[] max = Arrays.stream(demands)
+                .mapToInt(w -> (int) Math.min(w, totalCapacity))
+                .toArray();
         int[][] links = new int[rows][];
         Arrays.fill(links, new int[] {0});
-        int[] ties = new int[rows];
+        int[] tieBreakers = new int[rows];
         for (int row = 0; row < rows; row++) {
-            ties[row] = Rows.tie(new Rows.Name(kind, gateways[row], "", ""));
+            tieBreakers[row] = Rows.tieBreaker(new Rows.RowKey(kind, gateways[row], "", ""));
         }
-        Network net = new Network(weight, new int[rows], max, links, new long[] {whole});
-        return Rounding.round(net, ProgressiveFilling.fill(net).value(), new int[rows], ties);
+        Network network = new Network(weight, new int[rows], max, links, new long[] {totalCapacity});
+        return Rounding.round(network, ProgressiveFilling.fill(network).value(), new int[rows], tieBreakers);
     }
 
-    private int[][] kept(String[] gateways, int[] sums, List<Cell> previous) {
-        Map<String, Integer> engineAt = new HashMap<>();
-        for (int e = 0; e < engines.length; e++) {
-            engineAt.put(engines[e], e);
+    private int[][] keepPrevious(String[] gateways, int[] targets, List<Cell> previous) {
+        Map<String, Integer> engineIndices = new HashMap<>();
+        for (int engine = 0; engine < engines.length; engine++) {
+            engineIndices.put(engines[engine], engine);
         }
-        Map<String, Integer> gatewayAt = new HashMap<>();
-        for (int g = 0; g < gateways.length; g++) {
-            gatewayAt.put(gateways[g], g);
+        Map<String, Integer> gatewayIndices = new HashMap<>();
+        for (int gatewayIndex = 0; gatewayIndex < gateways.length; gatewayIndex++) {
+            gatewayIndices.put(gateways[gatewayIndex], gatewayIndex);
         }
         int[][] cells = new int[gateways.length][engines.length];
         for (Cell cell : previous) {
-            Integer g = gatewayAt.get(cell.gateway());
-            Integer e = engineAt.get(cell.engine());
-            if (g != null && e != null) {
-                long even = (sums[g] * (long) capacity[e] + whole - 1) / Math.max(1, whole);
-                int kept = (int) Math.min(Math.min(cell.connections(), even), free[e]);
-                cells[g][e] = kept;
-                free[e] -= kept;
+            Integer gatewayIndex = gatewayIndices.get(cell.gateway());
+            Integer engine = engineIndices.get(cell.engine());
+            if (gatewayIndex != null && engine != null) {
+                long evenShare = (targets[gatewayIndex] * (long) capacity[engine] + totalCapacity - 1)
+                        / Math.max(1, totalCapacity);
+                int kept = (int) Math.min(Math.min(cell.connections(), evenShare), remaining[engine]);
+                cells[gatewayIndex][engine] = kept;
+                remaining[engine] -= kept;
             }
         }
-        for (int g = 0; g < gateways.length; g++) {
-            fewer(gateways[g], cells[g], Arrays.stream(cells[g]).sum() - sums[g]);
+        for (int gatewayIndex = 0; gatewayIndex < gateways.length; gatewayIndex++) {
+            removeConnections(
+                    gateways[gatewayIndex],
+                    cells[gatewayIndex],
+                    Arrays.stream(cells[gatewayIndex]).sum() - targets[gatewayIndex]);
         }
         return cells;
     }
 
-    private void fewer(String gateway, int[] cells, int units) {
-        if (units <= 0) {
+    private void removeConnections(String gateway, int[] cells, int count) {
+        if (count <= 0) {
             return;
         }
-        TimeQueue queue = new TimeQueue(engines.length);
-        int[] order = order(gateway);
-        for (int at = 0; at < order.length; at++) {
-            if (cells[order[at]] > 0) {
-                queue.put(order.length - 1 - at, -used(cells, order[at]));
+        IndexedHeap queue = new IndexedHeap(engines.length);
+        int[] preferenceOrder = preferenceOrder(gateway);
+        for (int rank = 0; rank < preferenceOrder.length; rank++) {
+            if (cells[preferenceOrder[rank]] > 0) {
+                queue.putOrUpdate(preferenceOrder.length - 1 - rank, -utilization(cells, preferenceOrder[rank]));
             }
         }
-        for (int i = 0; i < units; i++) {
-            int at = queue.first();
-            int e = order[order.length - 1 - at];
-            cells[e]--;
-            free[e]++;
-            if (cells[e] == 0) {
-                queue.remove(at);
+        for (int i = 0; i < count; i++) {
+            int rank = queue.peek();
+            int engine = preferenceOrder[preferenceOrder.length - 1 - rank];
+            cells[engine]--;
+            remaining[engine]++;
+            if (cells[engine] == 0) {
+                queue.remove(rank);
             } else {
-                queue.put(at, -used(cells, e));
+                queue.putOrUpdate(rank, -utilization(cells, engine));
             }
         }
     }
 
-    private void more(String gateway, int[] cells, int units) {
-        if (units <= 0) {
+    private void addConnections(String gateway, int[] cells, int count) {
+        if (count <= 0) {
             return;
         }
-        TimeQueue queue = new TimeQueue(engines.length);
-        int[] order = order(gateway);
-        for (int at = 0; at < order.length; at++) {
-            if (free[order[at]] > 0) {
-                queue.put(at, used(cells, order[at]));
+        IndexedHeap queue = new IndexedHeap(engines.length);
+        int[] preferenceOrder = preferenceOrder(gateway);
+        for (int rank = 0; rank < preferenceOrder.length; rank++) {
+            if (remaining[preferenceOrder[rank]] > 0) {
+                queue.putOrUpdate(rank, utilization(cells, preferenceOrder[rank]));
             }
         }
-        for (int i = 0; i < units; i++) {
-            int at = queue.first();
-            int e = order[at];
-            cells[e]++;
-            free[e]--;
-            if (free[e] == 0) {
-                queue.remove(at);
+        for (int i = 0; i < count; i++) {
+            int rank = queue.peek();
+            int engine = preferenceOrder[rank];
+            cells[engine]++;
+            remaining[engine]--;
+            if (remaining[engine] == 0) {
+                queue.remove(rank);
             } else {
-                queue.put(at, used(cells, e));
+                queue.putOrUpdate(rank, utilization(cells, engine));
             }
         }
     }
 
-    private double used(int[] cells, int engine) {
+    private double utilization(int[] cells, int engine) {
         return cells[engine] / (double) Math.max(1, capacity[engine]);
     }
 
-    /** The engines as this gateway prefers them. */
-    private int[] order(String gateway) {
+    /** The engines in the order of preference for this gateway, by rendezvous hashing. */
+    private int[] preferenceOrder(String gateway) {
         long[] hashes = new long[engines.length];
-        for (int e = 0; e < engines.length; e++) {
-            hashes[e] = (long) Rows.tie(new Rows.Name(kind, gateway, engines[e], "")) << 32 | e;
+        for (int engine = 0; engine < engines.length; engine++) {
+            hashes[engine] = (long) Rows.tieBreaker(new Rows.RowKey(kind, gateway, engines[engine], "")) << 32 | engine;
         }
         Arrays.sort(hashes);
         return Arrays.stream(hashes).mapToInt(h -> (int) h).toArray();
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Limit.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Limit.java
@@ -1,19 +1,27 @@
 package sandpaddle.fleet.pool.solve;
 
-/** The budget that a limit of the fleet enforces; its identity names the limit there. */
-public record Limit(Of of, String name) {
-    /** What a budget is for. */
-    public enum Of {
+/**
+ * Identifies the fleet-wide limit that enforces a budget.
+ *
+ * @param name of the engine kind or engine; empty for the fleet
+ */
+public record Limit(Scope scope, String name) {
+    /** What the connections of the limit are counted over. */
+    public enum Scope {
+        /** All engines together. */
         FLEET,
+        /** All engines of one kind together. */
         KIND,
+        /** One engine. */
         ENGINE
     }
 
-    public static final Limit FLEET = new Limit(Of.FLEET, "");
+    /** The limit of the whole fleet. */
+    public static final Limit FLEET = new Limit(Scope.FLEET, "");
 
-    /** "pool/fleet", "pool/kind/" with the kind, or "pool/engine/" with the engine. */
+    /** The id in the table of limits: {@code pool/fleet}, {@code pool/kind/KIND} or {@code pool/engine/ENGINE}. */
     public String id() {
-        return switch (of) {
+        return switch (scope) {
             case FLEET -> "pool/fleet";
             case KIND -> "pool/kind/" + name;
             case ENGINE -> "pool/engine/" + name;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Network.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Network.java
@@ -1,13 +1,13 @@
 package sandpaddle.fleet.pool.solve;
 
 /**
- * A problem of division: rows that want connections, and links, each of which bounds the sum over its rows. Budgets and
- * ceilings are links; the word is that of networks, where flows share links in the same way.
+ * A max-min fair sharing problem: rows, the flows of a network, demand connections, and each link bounds the sum over
+ * the rows that use it. Budgets and ceilings are links.
  *
- * @param weight of each row, 1 to 10^12: whole, so that sums over 2^18 rows are exact
- * @param min what each row has in any case, from floors; the sums of these fit into the links
- * @param max what each row may have, at least {@code min}
- * @param links of each row, none twice
+ * @param weight of each row, 1 to 10^12; integers, so that sums over 2^18 rows are exact
+ * @param min the least share of each row, from floors; within each link, their sum does not exceed the capacity
+ * @param max the greatest share of each row, at least {@code min}
+ * @param links indices of the links that each row uses, without duplicates
  * @param capacity of each link
  */
 record Network(long[] weight, int[] min, int[] max, int[][] links, long[] capacity) {
@@ -15,23 +15,23 @@
         return weight.length;
     }
 
-    /** The rows of each link. */
-    int[][] members() {
+    /** The indices of the rows that use each link. */
+    int[][] rowsByLink() {
         int[] count = new int[capacity.length];
-        for (int[] of : links) {
-            for (int link : of) {
+        for (int[] rowLinks : links) {
+            for (int link : rowLinks) {
                 count[link]++;
             }
         }
-        int[][] members = new int[capacity.length][];
-        for (int link = 0; link < members.length; link++) {
-            members[link] = new int[count[link]];
+        int[][] rowsByLink = new int[capacity.length][];
+        for (int link = 0; link < rowsByLink.length; link++) {
+            rowsByLink[link] = new int[count[link]];
         }
         for (int row = 0; row < links.length; row++) {
             for (int link : links[row]) {
-                members[link][--count[link]] = row;
+                rowsByLink[link][--count[link]] = row;
             }
         }
-        return members;
+        return rowsByLink;
     }
 }
