--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/PoolSolver.java
@@ -12,88 +12,96 @@
 import sandpaddle.fleet.pool.rule.Budgets;
 import sandpaddle.fleet.pool.rule.Capacity;
 import sandpaddle.fleet.pool.rule.Shares;
+import sandpaddle.fleet.pool.solve.Allocation.BudgetCapacity;
 import sandpaddle.fleet.pool.solve.Allocation.Cell;
-import sandpaddle.fleet.pool.solve.Allocation.Room;
 import sandpaddle.fleet.pool.solve.Allocation.Row;
 
 /**
- * Divides the fleet's connections by a policy. Each demand (a tenant on a gateway, for a class, at a kind of engine) is
- * a row whose weight is the product of its weights; budgets and ceilings are links that bound sums of rows; the rows
- * get their weighted max-min fair share (progressive filling), first of the floors and then of the rest, in whole
- * connections by a stable largest remainder. Cost O(n k log n) for n rows in k links each; memory O(n k). Without I/O,
- * clock and chance: equal inputs have equal results in every process.
+ * Divides the fleet's connections according to a policy, by weighted max-min fairness. Each demand (of a tenant on a
+ * gateway, for a class, at an engine kind) is a row, which corresponds to a flow in a network; its weight is the
+ * product of the weights of tenant, class and place. Budgets and ceilings are links, which bound the sum over their
+ * rows. Progressive filling computes the fair shares, first of the floors and then of the remaining capacity; a largest
+ * remainder method that favors the previous allocation rounds them to integers. Time O(n k log n) and memory O(n k) for
+ * n rows with k links each. Deterministic: without I/O, clock or randomness.
  */
 public final class PoolSolver {
     private PoolSolver() {}
 
-    /** The division in these circumstances; {@code previous} keeps what may as well stay where it is. */
-    public static Allocation solve(Policy policy, SolverInput solverInput, Allocation previous) {
-        Budgets budgets = Budgets.at(policy, solverInput.state());
-        Capacities capacities = Capacities.of(budgets, solverInput);
-        Rows rows = new Rows(policy, Shares.at(policy, solverInput.state()), solverInput, capacities);
-        // what each would have if all asked for what they may
-        Division.Result entitled = Division.divide(rows, unbounded(rows), before(rows, previous, Row::entitled));
-        Optional<Borrow> lent = budgets.borrowing();
-        Division.Result result = lent.isPresent()
-                ? Division.divide(rows, rows.demand, before(rows, previous, Row::connections))
+    /**
+     * Computes the allocation for the given input.
+     *
+     * @param previous the allocation before, which is kept where fairness allows; {@link Allocation#NONE} if there is
+     * none
+     */
+    public static Allocation solve(Policy policy, SolverInput input, Allocation previous) {
+        Budgets budgets = Budgets.of(policy, input.state());
+        Capacities capacities = Capacities.of(budgets, input);
+        Rows rows = new Rows(policy, Shares.of(policy, input.state()), input, capacities);
+        // the shares that rows would get if all demanded as much as their limits allow
+        Division.Result entitled =
+                Division.divide(rows, upperBounds(rows), previousValues(rows, previous, Row::entitled));
+        Optional<Borrow> lending = budgets.idleLending();
+        Division.Result result = lending.isPresent()
+                ? Division.divide(rows, rows.demand, previousValues(rows, previous, Row::connections))
                 : entitled;
-        List<Row> divided = new ArrayList<>(rows.names.size());
-        for (int i = 0; i < rows.names.size(); i++) {
-            Rows.Name name = rows.names.get(i);
+        List<Row> divided = new ArrayList<>(rows.keys.size());
+        for (int i = 0; i < rows.keys.size(); i++) {
+            Rows.RowKey key = rows.keys.get(i);
             divided.add(new Row(
-                    name.kind(),
-                    name.gateway(),
-                    name.tenant(),
-                    name.className(),
-                    result.whole()[i],
-                    entitled.whole()[i],
+                    key.kind(),
+                    key.gateway(),
+                    key.tenant(),
+                    key.className(),
+                    result.connections()[i],
+                    entitled.connections()[i],
                     result.floors()[i]));
         }
         return new Allocation(
                 List.copyOf(divided),
                 cells(capacities, divided, previous),
-                rooms(capacities),
-                result.unmet(),
-                lent.map(Borrow::giveBack),
-                result.steps() + (lent.isPresent() ? entitled.steps() : 0));
+                budgetCapacities(capacities),
+                result.unmetFloors(),
+                lending.map(Borrow::reclaimWithin),
+                result.steps() + (lending.isPresent() ? entitled.steps() : 0));
     }
 
-    private static int[] before(Rows rows, Allocation previous, ToIntFunction<Row> what) {
-        int[] had = new int[rows.names.size()];
-        int at = 0;
-        for (Row row : previous.rows()) { // both are in the order of names
-            Rows.Name name = new Rows.Name(row.kind(), row.gateway(), row.tenant(), row.className());
-            while (at < had.length && rows.names.get(at).compareTo(name) < 0) {
-                at++;
+    private static int[] previousValues(Rows rows, Allocation previous, ToIntFunction<Row> value) {
+        int[] values = new int[rows.keys.size()];
+        int index = 0;
+        for (Row row : previous.rows()) { // both are sorted by row key
+            Rows.RowKey key = new Rows.RowKey(row.kind(), row.gateway(), row.tenant(), row.className());
+            while (index < values.length && rows.keys.get(index).compareTo(key) < 0) {
+                index++;
             }
-            if (at < had.length && rows.names.get(at).equals(name)) {
-                had[at] = what.applyAsInt(row);
+            if (index < values.length && rows.keys.get(index).equals(key)) {
+                values[index] = value.applyAsInt(row);
             }
         }
-        return had;
+        return values;
     }
 
-    /** The most that any link lets a row have; a row that nothing bounds has its demand. */
-    private static int[] unbounded(Rows rows) {
-        int[] max = new int[rows.demand.length];
-        for (int row = 0; row < max.length; row++) {
+    /** The least capacity among the links of each row; for a row without links, its demand. */
+    private static int[] upperBounds(Rows rows) {
+        int[] upper = new int[rows.demand.length];
+        for (int row = 0; row < upper.length; row++) {
             long bound = Long.MAX_VALUE;
             for (int link : rows.links[row]) {
                 bound = Math.min(bound, rows.capacity[link]);
             }
-            max[row] = bound == Long.MAX_VALUE ? rows.demand[row] : (int) Math.min(bound, Integer.MAX_VALUE / 2);
+            upper[row] = bound == Long.MAX_VALUE ? rows.demand[row] : (int) Math.min(bound, Integer.MAX_VALUE / 2);
         }
-        return max;
+        return upper;
     }
 
     private static List<Cell> cells(Capacities capacities, List<Row> rows, Allocation previous) {
-        Map<String, TreeMap<String, Long>> wanted = new TreeMap<>();
+        Map<String, TreeMap<String, Long>> connectionsByGateway = new TreeMap<>();
         for (Row row : rows) {
-            wanted.computeIfAbsent(row.kind(), k -> new TreeMap<>())
+            connectionsByGateway
+                    .computeIfAbsent(row.kind(), key -> new TreeMap<>())
                     .merge(row.gateway(), (long) row.connections(), Long::sum);
         }
         List<Cell> cells = new ArrayList<>();
-        wanted.forEach((kind, gateways) -> {
+        connectionsByGateway.forEach((kind, gateways) -> {
             Map<String, Capacity> engines = capacities.engines().get(kind);
             if (engines != null) {
                 cells.addAll(EngineSpread.spread(
@@ -101,26 +109,28 @@
                         engines,
                         gateways,
                         previous.cells().stream()
-                                .filter(c -> c.kind().equals(kind))
+                                .filter(capacity -> capacity.kind().equals(kind))
                                 .toList()));
             }
         });
         return List.copyOf(cells);
     }
 
-    private static List<Room> rooms(Capacities capacities) {
-        List<Room> rooms = new ArrayList<>();
-        capacities.fleet().ifPresent(c -> rooms.add(new Room(Limit.FLEET, c)));
+    private static List<BudgetCapacity> budgetCapacities(Capacities capacities) {
+        List<BudgetCapacity> budgetCapacities = new ArrayList<>();
+        capacities.fleet().ifPresent(capacity -> budgetCapacities.add(new BudgetCapacity(Limit.FLEET, capacity)));
         capacities
                 .counts()
                 .keySet()
-                .forEach(kind ->
-                        capacities.whole(kind).ifPresent(c -> rooms.add(new Room(new Limit(Limit.Of.KIND, kind), c))));
+                .forEach(kind -> capacities
+                        .ofKind(kind)
+                        .ifPresent(capacity ->
+                                budgetCapacities.add(new BudgetCapacity(new Limit(Limit.Scope.KIND, kind), capacity))));
         capacities
                 .engines()
                 .values()
-                .forEach(engines ->
-                        engines.forEach((engine, c) -> rooms.add(new Room(new Limit(Limit.Of.ENGINE, engine), c))));
-        return List.copyOf(rooms);
+                .forEach(engines -> engines.forEach((engine, capacity) ->
+                        budgetCapacities.add(new BudgetCapacity(new Limit(Limit.Scope.ENGINE, engine), capacity))));
+        return List.copyOf(budgetCapacities);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/ProgressiveFilling.java
@@ -1,147 +1,156 @@
 package sandpaddle.fleet.pool.solve;
 
 /**
- * Weighted max-min fairness by progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2), with a least and a
- * most for each row: a level rises from nothing, and each row has its weight times the level, but never under its
- * least; it stops at its most, or when one of its links is full. Then no row can have more without another having less
- * that has no more for its weight. Instead of small steps the next event is taken from two heaps, of rows and of links:
- * O((n + m) k log(n + m)) for n rows of at most k links among m.
+ * Weighted max-min fairness by progressive filling (Bertsekas and Gallager, Data Networks, 6.5.2), also called
+ * water-filling, with a minimum and a maximum for each row. A level rises from 0, and the share of each row is its
+ * weight times the level, but at least its minimum; the share is frozen when it reaches the maximum or one of its links
+ * is saturated. In the result, the share of a row can grow only at the expense of a row whose share relative to its
+ * weight is not greater. The events are taken from two heaps, of rows and of links, rather than found by small
+ * increments of the level: O((n + m) k log(n + m)) for n rows with at most k of m links each.
  */
 final class ProgressiveFilling {
-    private static final byte HELD = 0;
+    private static final byte AT_MINIMUM = 0;
     private static final byte RISING = 1;
-    private static final byte DONE = 2;
+    private static final byte FROZEN = 2;
 
-    private final Network net;
-    private final int[][] members;
+    private final Network network;
+    private final int[][] rowsByLink;
     private final byte[] state;
     private final double[] value;
-    private final double[] fixed; // of each link: the sum over rows that do not rise
-    private final long[] rate; // of each link: the weights of rows that rise; exact, or a link could be passed
-    private final int[] risers;
-    private final TimeQueue rowEvents;
-    private final TimeQueue linkEvents;
+    private final double[] fixedSum; // for each link: sum of the shares of its rows that are not rising
+    private final long[]
+            risingWeight; // for each link: sum of the weights of its rising rows; integers, since rounding could exceed
+    // the capacity
+    private final int[] risingRows;
+    private final IndexedHeap rowEvents;
+    private final IndexedHeap linkEvents;
     private double level;
     private long steps;
 
-    private ProgressiveFilling(Network net) {
-        this.net = net;
-        int links = net.capacity().length;
-        members = net.members();
-        state = new byte[net.rows()];
-        value = new double[net.rows()];
-        fixed = new double[links];
-        rate = new long[links];
-        risers = new int[links];
-        rowEvents = new TimeQueue(net.rows());
-        linkEvents = new TimeQueue(links);
+    private ProgressiveFilling(Network network) {
+        this.network = network;
+        int links = network.capacity().length;
+        rowsByLink = network.rowsByLink();
+        state = new byte[network.rows()];
+        value = new double[network.rows()];
+        fixedSum = new double[links];
+        risingWeight = new long[links];
+        risingRows = new int[links];
+        rowEvents = new IndexedHeap(network.rows());
+        linkEvents = new IndexedHeap(links);
     }
 
-    /** The exact shares, and what they cost in steps. */
+    /** The shares before rounding to integers, and the number of steps as a measure of the cost. */
     record Shares(double[] value, long steps) {}
 
-    static Shares fill(Network net) {
-        ProgressiveFilling filling = new ProgressiveFilling(net);
+    static Shares fill(Network network) {
+        ProgressiveFilling filling = new ProgressiveFilling(network);
         filling.run();
         return new Shares(filling.value, filling.steps + filling.rowEvents.steps() + filling.linkEvents.steps());
     }
 
     private void run() {
-        for (int row = 0; row < net.rows(); row++) {
-            int min = net.min()[row];
+        for (int row = 0; row < network.rows(); row++) {
+            int min = network.min()[row];
             value[row] = min;
-            for (int link : net.links()[row]) {
-                fixed[link] += min;
+            for (int link : network.links()[row]) {
+                fixedSum[link] += min;
             }
-            if (net.max()[row] <= min) {
-                state[row] = DONE;
+            if (network.max()[row] <= min) {
+                state[row] = FROZEN;
             } else if (min > 0) {
-                rowEvents.put(row, min / (double) net.weight()[row]);
+                rowEvents.putOrUpdate(row, min / (double) network.weight()[row]);
             } else {
-                rise(row);
+                startRising(row);
             }
         }
-        for (int link = 0; link < fixed.length; link++) {
-            expect(link);
+        for (int link = 0; link < fixedSum.length; link++) {
+            scheduleSaturation(link);
         }
         while (!rowEvents.isEmpty()) {
-            if (linkEvents.firstKey() <= rowEvents.firstKey()) {
-                next(linkEvents.first(), linkEvents.firstKey());
+            if (linkEvents.peekKey() <= rowEvents.peekKey()) {
+                onLinkEvent(linkEvents.peek(), linkEvents.peekKey());
             } else {
-                level = Math.max(level, rowEvents.firstKey());
-                next(rowEvents.first());
+                level = Math.max(level, rowEvents.peekKey());
+                onRowEvent(rowEvents.peek());
             }
         }
     }
 
-    /** The level has reached what the row holds, or the most that it may have. */
-    private void next(int row) {
+    /** Handles the event that the level has reached the minimum or the maximum of the row. */
+    private void onRowEvent(int row) {
         if (state[row] == RISING) {
-            stop(row, net.max()[row]);
+            freeze(row, network.max()[row]);
             return;
         }
-        rise(row);
-        for (int link : net.links()[row]) {
-            expect(link);
+        startRising(row);
+        for (int link : network.links()[row]) {
+            scheduleSaturation(link);
         }
     }
 
-    private void rise(int row) {
+    private void startRising(int row) {
         state[row] = RISING;
-        for (int link : net.links()[row]) {
-            fixed[link] -= net.min()[row];
-            rate[link] += net.weight()[row];
-            risers[link]++;
+        for (int link : network.links()[row]) {
+            fixedSum[link] -= network.min()[row];
+            risingWeight[link] += network.weight()[row];
+            risingRows[link]++;
         }
-        rowEvents.put(row, net.max()[row] / (double) net.weight()[row]);
+        rowEvents.putOrUpdate(row, network.max()[row] / (double) network.weight()[row]);
     }
 
-    /** The link may be full; rows that stopped since its event was set put that off, and nothing was done for it. */
-    private void next(int link, double due) {
+    /**
+     * Handles the event that the link may be saturated. Rows that were frozen since the event was scheduled delay the
+     * saturation without rescheduling the event, so this checks the level anew and reschedules if needed.
+     */
+    private void onLinkEvent(int link, double scheduledLevel) {
         steps++;
-        double now = risers[link] == 0 ? Double.POSITIVE_INFINITY : (net.capacity()[link] - fixed[link]) / rate[link];
-        if (now > due && now > level) {
-            expect(link);
+        double currentLevel = risingRows[link] == 0
+                ? Double.POSITIVE_INFINITY
+                : (network.capacity()[link] - fixedSum[link]) / risingWeight[link];
+        if (currentLevel > scheduledLevel && currentLevel > level) {
+            scheduleSaturation(link);
         } else {
-            level = Math.max(level, due); // rounding may put it a little back
-            full(link);
+            level = Math.max(level, scheduledLevel); // a rounding error must not lower the level
+            saturate(link);
         }
     }
 
-    /** No row of the link gets more. */
-    private void full(int link) {
-        for (int row : members[link]) {
+    /** Freezes all rows of a saturated link. */
+    private void saturate(int link) {
+        for (int row : rowsByLink[link]) {
             steps++;
-            if (state[row] != DONE) {
-                double reached = state[row] == RISING ? net.weight()[row] * level : net.min()[row];
-                stop(row, Math.max(net.min()[row], Math.min(net.max()[row], reached)));
+            if (state[row] != FROZEN) {
+                double reached = state[row] == RISING ? network.weight()[row] * level : network.min()[row];
+                freeze(row, Math.max(network.min()[row], Math.min(network.max()[row], reached)));
             }
         }
         linkEvents.remove(link);
     }
 
-    private void stop(int row, double at) {
-        boolean rose = state[row] == RISING;
-        state[row] = DONE;
-        value[row] = at;
+    private void freeze(int row, double frozenValue) {
+        boolean wasRising = state[row] == RISING;
+        state[row] = FROZEN;
+        value[row] = frozenValue;
         rowEvents.remove(row);
-        if (!rose) {
+        if (!wasRising) {
             return;
         }
-        for (int link : net.links()[row]) {
-            fixed[link] += at;
-            risers[link]--;
-            rate[link] -= net.weight()[row];
+        for (int link : network.links()[row]) {
+            fixedSum[link] += frozenValue;
+            risingRows[link]--;
+            risingWeight[link] -= network.weight()[row];
         }
     }
 
-    /** When the link will be full, at the present rate. */
-    private void expect(int link) {
+    /** Schedules the event of the saturation of the link, by the weights of its rising rows. */
+    private void scheduleSaturation(int link) {
         steps++;
-        if (risers[link] == 0) {
+        if (risingRows[link] == 0) {
             linkEvents.remove(link);
         } else {
-            linkEvents.put(link, Math.max(level, (net.capacity()[link] - fixed[link]) / rate[link]));
+            linkEvents.putOrUpdate(
+                    link, Math.max(level, (network.capacity()[link] - fixedSum[link]) / risingWeight[link]));
         }
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -17,12 +17,15 @@
 import sandpaddle.fleet.pool.rule.ShareIndex;
 import sandpaddle.fleet.pool.rule.Shares;
 
-/** The rows among which connections are divided, with their rules, in an order that depends on their names only. */
+/** The rows among which connections are divided, with their weights, links and floors, sorted by key. */
 final class Rows {
-    /** What a row is called; demands of one name are added up, those of all tenants that share the default too. */
-    record Name(String kind, String gateway, String tenant, String className) implements Comparable<Name> {
+    /**
+     * The key of a row; demands of equal keys are added up, as are those of all tenants accounted to the default
+     * tenant.
+     */
+    record RowKey(String kind, String gateway, String tenant, String className) implements Comparable<RowKey> {
         @Override
-        public int compareTo(Name other) {
+        public int compareTo(RowKey other) {
             int order = kind.compareTo(other.kind);
             order = order != 0 ? order : gateway.compareTo(other.gateway);
             order = order != 0 ? order : tenant.compareTo(other.tenant);
@@ -30,94 +33,113 @@
         }
     }
 
-    /** A floor, what it stands for and the statement that rules it. */
-    record Floor(Selector of, Share by, List<Integer> rows) {}
+    /**
+     * A floor that applies to a set of rows.
+     *
+     * @param selector the set, with all defaults resolved to names
+     * @param share the statement that sets the floor
+     * @param rows indices of the rows
+     */
+    record Floor(Selector selector, Share share, List<Integer> rows) {}
 
     private static final Object FLEET = new Object();
 
-    final List<Name> names;
+    final List<RowKey> keys;
     final int[] demand;
     final long[] weight;
-    final int[] ties;
+    final int[] tieBreakers;
     final int[][] links;
     final long[] capacity;
-    /** Families of floors whose sets do not overlap, in the order in which they are granted. */
+    /** The floors by family, in the order in which they are granted; the sets of rows within a family are disjoint. */
     final List<List<Floor>> floors;
 
     Rows(Policy policy, Shares shares, SolverInput solverInput, Capacities capacities) {
-        TreeMap<Name, Integer> sums = new TreeMap<>();
-        for (Demand d : solverInput.demands()) {
+        TreeMap<RowKey, Integer> sums = new TreeMap<>();
+        for (Demand tenantDemand : solverInput.demands()) {
             sums.merge(
-                    new Name(d.kind(), d.gateway(), policy.counted(d.tenant()), d.className()),
-                    d.connections(),
+                    new RowKey(
+                            tenantDemand.kind(),
+                            tenantDemand.gateway(),
+                            policy.accountedTenant(tenantDemand.tenant()),
+                            tenantDemand.className()),
+                    tenantDemand.connections(),
                     (a, b) -> Math.min(a + b, SolverInput.MAX_CONNECTIONS));
         }
-        names = List.copyOf(sums.keySet());
+        keys = List.copyOf(sums.keySet());
         demand = sums.values().stream().mapToInt(Integer::intValue).toArray();
         weight = new long[demand.length];
-        ties = new int[demand.length];
+        tieBreakers = new int[demand.length];
         links = new int[demand.length][];
         Map<String, String> zones = solverInput.zonesByGateway();
         Map<String, OptionalLong> kinds = new HashMap<>();
         Map<Object, Integer> linkNumbers = new HashMap<>();
-        List<Long> bounds = new ArrayList<>();
-        Map<Selector, Floor> floorSets = new LinkedHashMap<>();
+        List<Long> linkCapacities = new ArrayList<>();
+        Map<Selector, Floor> floorsBySelector = new LinkedHashMap<>();
         for (int row = 0; row < demand.length; row++) {
-            Name name = names.get(row);
+            RowKey key = keys.get(row);
             ShareIndex.Subject subject =
-                    new ShareIndex.Subject(name.tenant, name.className, name.gateway, zones.get(name.gateway));
+                    new ShareIndex.Subject(key.tenant, key.className, key.gateway, zones.get(key.gateway));
             weight[row] = shares.weight(subject);
-            ties[row] = tie(name);
-            List<Integer> of = new ArrayList<>(6);
-            capacities.fleet().ifPresent(c -> of.add(link(linkNumbers, bounds, FLEET, c.left())));
-            kinds.computeIfAbsent(name.kind, capacities::kind)
-                    .ifPresent(c -> of.add(link(linkNumbers, bounds, name.kind, c)));
+            tieBreakers[row] = tieBreaker(key);
+            List<Integer> rowLinks = new ArrayList<>(6);
+            capacities.fleet().ifPresent(c -> rowLinks.add(link(linkNumbers, linkCapacities, FLEET, c.available())));
+            kinds.computeIfAbsent(key.kind, capacities::availableForKind)
+                    .ifPresent(c -> rowLinks.add(link(linkNumbers, linkCapacities, key.kind, c)));
             shares.ceilings()
-                    .binding(subject)
-                    .forEach((set, share) -> of.add(
-                            link(linkNumbers, bounds, set, share.ceiling().getAsInt())));
-            links[row] = of.stream().mapToInt(Integer::intValue).toArray();
-            int number = row;
+                    .effectiveBySelector(subject)
+                    .forEach((selector, share) -> rowLinks.add(link(
+                            linkNumbers,
+                            linkCapacities,
+                            selector,
+                            share.ceiling().getAsInt())));
+            links[row] = rowLinks.stream().mapToInt(Integer::intValue).toArray();
+            int rowIndex = row;
             shares.floors()
-                    .binding(subject)
-                    .forEach((set, share) -> floorSets
-                            .computeIfAbsent(set, s -> new Floor(s, share, new ArrayList<>()))
+                    .effectiveBySelector(subject)
+                    .forEach((selector, share) -> floorsBySelector
+                            .computeIfAbsent(selector, absent -> new Floor(absent, share, new ArrayList<>()))
                             .rows
-                            .add(number));
+                            .add(rowIndex));
         }
-        capacity = bounds.stream().mapToLong(Long::longValue).toArray();
-        floors = families(floorSets);
+        capacity = linkCapacities.stream().mapToLong(Long::longValue).toArray();
+        floors = groupIntoFamilies(floorsBySelector);
     }
 
-    private static int link(Map<Object, Integer> numbers, List<Long> bounds, Object what, long bound) {
-        // the fleet is an object, a kind a text and a ceiling a selection: they never meet
-        return numbers.computeIfAbsent(what, w -> {
-            bounds.add(bound);
-            return bounds.size() - 1;
+    private static int link(
+            Map<Object, Integer> linkNumbers, List<Long> linkCapacities, Object constraint, long bound) {
+        // keys of the three types of constraint differ in class (Object, String, Selector), so they are never equal
+        return linkNumbers.computeIfAbsent(constraint, w -> {
+            linkCapacities.add(bound);
+            return linkCapacities.size() - 1;
         });
     }
 
-    /** The most specific first, as in the rest of the language; groups together may overlap, so each is by itself. */
-    private static List<List<Floor>> families(Map<Selector, Floor> sets) {
-        Map<List<Object>, List<Floor>> families = new LinkedHashMap<>();
-        sets.values().stream()
-                .sorted(Comparator.<Floor>comparingInt(f -> -f.of.specificity())
-                        .thenComparing(f -> f.by.at())
-                        .thenComparing(f -> f.of.toString()))
+    /**
+     * Groups floors by the forms of their selectors, the most specific first, as for precedence. Sums over groups may
+     * overlap, so each group forms a family of its own.
+     */
+    private static List<List<Floor>> groupIntoFamilies(Map<Selector, Floor> floorsBySelector) {
+        Map<List<Object>, List<Floor>> disjointFamilies = new LinkedHashMap<>();
+        floorsBySelector.values().stream()
+                .sorted(Comparator.<Floor>comparingInt(floor -> -floor.selector.specificity())
+                        .thenComparing(floor -> floor.share.position())
+                        .thenComparing(floor -> floor.selector.toString()))
                 .forEach(floor -> {
-                    List<Object> family = new ArrayList<>(floor.of.forms());
-                    floor.of.terms().stream()
-                            .filter(t -> t.form() == Form.TOGETHER)
-                            .forEach(t -> family.add(t.name()));
-                    families.computeIfAbsent(family, f -> new ArrayList<>()).add(floor);
+                    List<Object> family = new ArrayList<>(floor.selector.forms());
+                    floor.selector.terms().stream()
+                            .filter(term -> term.form() == Form.GROUP_TOTAL)
+                            .forEach(term -> family.add(term.name()));
+                    disjointFamilies
+                            .computeIfAbsent(family, absent -> new ArrayList<>())
+                            .add(floor);
                 });
-        return List.copyOf(families.values());
+        return List.copyOf(disjointFamilies.values());
     }
 
-    /** FNV-1a over the names, mixed: the same in every process and version. */
-    static int tie(Name name) {
+    /** A hash of the key: FNV-1a with a finalizer; it must be the same in all processes and versions. */
+    static int tieBreaker(RowKey key) {
         int hash = 0x811c9dc5;
-        for (String part : List.of(name.tenant, "\n", name.gateway, "\n", name.kind, "\n", name.className)) {
+        for (String part : List.of(key.tenant, "\n", key.gateway, "\n", key.kind, "\n", key.className)) {
             for (int i = 0; i < part.length(); i++) {
                 hash = (hash ^ part.charAt(i)) * 0x01000193;
             }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
@@ -11,12 +11,17 @@
 import sandpaddle.fleet.pool.solve.Allocation.Row;
 
 /**
- * What one slot of a limit is to have. In every limit the targets sum up to its capacity at most.
+ * The target quota of one slot of a limit. The sum of the targets in a limit never exceeds its capacity.
  *
- * @param floor of the target, the part that is the slot's due; the rest may be lent
+ * @param target in connections
+ * @param floor the part of the target that is guaranteed to the slot; the rest may be lent
  */
 public record Target(Slot slot, int target, int floor) {
-    /** A holder of a quota in a limit; the tenant is empty in limits of single engines. */
+    /**
+     * The holder of a quota in a limit.
+     *
+     * @param tenant empty in limits of single engines
+     */
     public record Slot(Limit limit, String gateway, String tenant) implements Comparable<Slot> {
         @Override
         public int compareTo(Slot other) {
@@ -30,32 +35,32 @@
         return new Target(slot, target + other.target, floor + other.floor);
     }
 
-    /** The targets of all limits, by slot. */
-    public static List<Target> of(Allocation allotment) {
+    /** Derives the targets of all limits from an allocation, sorted by slot. */
+    public static List<Target> of(Allocation allocation) {
         Set<Limit> limits = new HashSet<>();
-        allotment.budgets().forEach(room -> limits.add(room.limit()));
+        allocation.budgets().forEach(budget -> limits.add(budget.limit()));
         Map<Slot, Target> targets = new TreeMap<>();
         Map<List<String>, Row> sums = new HashMap<>();
-        for (Row row : allotment.rows()) {
+        for (Row row : allocation.rows()) {
             add(targets, limits, Limit.FLEET, row);
-            add(targets, limits, new Limit(Limit.Of.KIND, row.kind()), row);
+            add(targets, limits, new Limit(Limit.Scope.KIND, row.kind()), row);
             sums.merge(
                     List.of(row.kind(), row.gateway()),
                     row,
-                    (a, b) -> new Row(
-                            a.kind(),
-                            a.gateway(),
+                    (first, second) -> new Row(
+                            first.kind(),
+                            first.gateway(),
                             "",
                             "",
-                            a.connections() + b.connections(),
+                            first.connections() + second.connections(),
                             0,
-                            a.floor() + b.floor()));
+                            first.floor() + second.floor()));
         }
-        for (Cell cell : allotment.cells()) {
-            Row of = sums.get(List.of(cell.kind(), cell.gateway()));
+        for (Cell cell : allocation.cells()) {
+            Row total = sums.get(List.of(cell.kind(), cell.gateway()));
             int floor = (int) Math.min(
-                    cell.connections(), (long) of.floor() * cell.connections() / Math.max(1, of.connections()));
-            Slot slot = new Slot(new Limit(Limit.Of.ENGINE, cell.engine()), cell.gateway(), "");
+                    cell.connections(), (long) total.floor() * cell.connections() / Math.max(1, total.connections()));
+            Slot slot = new Slot(new Limit(Limit.Scope.ENGINE, cell.engine()), cell.gateway(), "");
             targets.put(slot, new Target(slot, cell.connections(), floor));
         }
         return new ArrayList<>(targets.values());
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/TransitionPlan.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/TransitionPlan.java
@@ -8,48 +8,56 @@
 import sandpaddle.fleet.pool.solve.Target.Slot;
 
 /**
- * The next steps from what slots hold to what they are to hold: every lower may begin at once, and a raise only takes
- * what its limit has free while each slot still counts with all that it holds. So a limit is never passed, whichever
- * of these steps are lost or late. Planned again after each lower is confirmed, it ends at the targets.
+ * The next quota changes on the way from the quotas that slots hold to their targets. Decreases may start at once;
+ * increases use only the free capacity of their limit, in which each slot counts with all that it still holds. So no
+ * limit is ever exceeded, whichever of the changes are lost or delayed. If planning is repeated as decreases are
+ * confirmed, the quotas converge to the targets.
  *
- * @param lowers to ask for now, by slot
- * @param raises to grant now, by slot
+ * @param decreases to request now, sorted by slot
+ * @param increases to grant now, sorted by slot
  */
-public record TransitionPlan(List<Move> lowers, List<Move> raises) {
-    /** One slot from what it holds to another number; {@code to} is the compare-and-set's new value. */
-    public record Move(Slot slot, int from, int to) {}
+public record TransitionPlan(List<QuotaChange> decreases, List<QuotaChange> increases) {
+    /**
+     * A change of the quota of one slot, to be applied as a compare-and-set.
+     *
+     * @param current the expected quota
+     * @param target the new quota
+     */
+    public record QuotaChange(Slot slot, int current, int target) {}
 
     /**
-     * Plans what may be done now. A slot that {@code wanted} does not have is to hold nothing; a limit that
-     * {@code capacities} does not have raises nobody.
+     * Plans the changes that are safe now.
      *
-     * @param present what slots hold at most as far as is known, lowers that are not confirmed not counted
+     * @param held upper bounds of the quotas that slots hold: decreases count only once they are confirmed
+     * @param targets quotas to reach; the target of a slot that is absent is 0
+     * @param capacities of the limits; in a limit that is absent, no quota is increased
      */
     public static TransitionPlan plan(
-            Map<Slot, Integer> present, Map<Slot, Integer> wanted, Map<Limit, Integer> capacities) {
-        Map<Limit, Long> free = new HashMap<>();
-        capacities.forEach((limit, capacity) -> free.put(limit, (long) capacity));
-        List<Move> lowers = new ArrayList<>();
-        new TreeMap<>(present).forEach((slot, holds) -> {
-            free.computeIfPresent(slot.limit(), (limit, left) -> left - holds);
-            int to = wanted.getOrDefault(slot, 0);
-            if (to < holds) {
-                lowers.add(new Move(slot, holds, to));
+            Map<Slot, Integer> held, Map<Slot, Integer> targets, Map<Limit, Integer> capacities) {
+        Map<Limit, Long> remainingByLimit = new HashMap<>();
+        capacities.forEach((limit, capacity) -> remainingByLimit.put(limit, (long) capacity));
+        List<QuotaChange> decreases = new ArrayList<>();
+        new TreeMap<>(held).forEach((slot, heldBySlot) -> {
+            remainingByLimit.computeIfPresent(slot.limit(), (limit, remaining) -> remaining - heldBySlot);
+            int target = targets.getOrDefault(slot, 0);
+            if (target < heldBySlot) {
+                decreases.add(new QuotaChange(slot, heldBySlot, target));
             }
         });
-        List<Move> raises = new ArrayList<>();
-        new TreeMap<>(wanted).forEach((slot, to) -> {
-            int holds = present.getOrDefault(slot, 0);
-            long room = Math.min(to - holds, free.getOrDefault(slot.limit(), 0L));
-            if (room > 0) {
-                raises.add(new Move(slot, holds, (int) (holds + room)));
-                free.merge(slot.limit(), -room, Long::sum);
+        List<QuotaChange> increases = new ArrayList<>();
+        new TreeMap<>(targets).forEach((slot, target) -> {
+            int heldBySlot = held.getOrDefault(slot, 0);
+            long increase = Math.min(target - heldBySlot, remainingByLimit.getOrDefault(slot.limit(), 0L));
+            if (increase > 0) {
+                increases.add(new QuotaChange(slot, heldBySlot, (int) (heldBySlot + increase)));
+                remainingByLimit.merge(slot.limit(), -increase, Long::sum);
             }
         });
-        return new TransitionPlan(List.copyOf(lowers), List.copyOf(raises));
+        return new TransitionPlan(List.copyOf(decreases), List.copyOf(increases));
     }
 
+    /** Whether there is nothing to change now. */
     public boolean isEmpty() {
-        return lowers.isEmpty() && raises.isEmpty();
+        return decreases.isEmpty() && increases.isEmpty();
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/PoolEnforcedTest.java
@@ -60,7 +60,7 @@
                 default gateway floor 2
                 """.formatted(BUDGET, each, acme, borea);
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-        return check.policy().orElseThrow(() -> new AssertionError(check.faults()));
+        return check.policy().orElseThrow(() -> new AssertionError(check.diagnostics()));
     }
 
     private void rules(Policy policy) {
--- a/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/pool/UnsupportedStatementsTest.java
@@ -17,8 +17,8 @@
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
         assertEquals(List.of(), check.errors());
         ActivePolicy activePolicy = new ActivePolicy();
-        activePolicy.read(check);
-        activePolicy.agreed(new PolicyVersion(1, check.version()));
+        activePolicy.add(check);
+        activePolicy.commit(new PolicyVersion(1, check.hash()));
         return UnsupportedStatements.notes(activePolicy.policy().orElseThrow()).stream()
                 .map(n -> n.substring(0, n.indexOf(':')))
                 .toList();
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyFuzzProperties.java
@@ -15,19 +15,19 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.KnownNames;
-import sandpaddle.fleet.pool.model.Limits;
+import sandpaddle.fleet.pool.model.PolicyLimits;
 import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
-/** Whatever the bytes are: the check ends with a policy or with faults, none of which is longer than a few lines. */
+/** For any input, the check returns a policy or errors; each diagnostic is a single line of bounded length. */
 class PolicyFuzzProperties {
     private static PoolPolicyCheck check(byte[] file) {
         PoolPolicyCheck check = PoolPolicyCheck.check(file, KnownNames.NONE);
-        assertTrue(check.faults().size() <= FaultList.MAX_ERRORS + FaultList.MAX_WARNINGS);
+        assertTrue(check.diagnostics().size() <= DiagnosticList.MAX_ERRORS + DiagnosticList.MAX_WARNINGS);
         assertEquals(check.policy().isEmpty(), !check.errors().isEmpty());
-        check.faults()
+        check.diagnostics()
                 .forEach(f -> assertTrue(
                         f.toString().length() < 600 && f.toString().lines().count() == 1, f::toString));
         return check;
@@ -38,17 +38,17 @@
     }
 
     @Property(seed = "51", tries = 500)
-    void randomBytes(@ForAll @Size(max = 400) byte[] file) {
-        assertFalse(check(file).policy().isPresent(), "chance writes no policy");
+    void randomBytesAreNeverAValidPolicy(@ForAll @Size(max = 400) byte[] file) {
+        assertFalse(check(file).policy().isPresent(), "random bytes must not be a valid policy");
     }
 
-    /** Files of the suite with bytes changed, lines swapped, or words of other files put in. */
+    /** Mutates files of the suite: inserts, removes or replaces lines, or splices in parts of other files. */
     @Property(seed = "52", tries = 400)
-    void mutatedFiles(@ForAll long seed) throws IOException {
+    void mutatedPoliciesYieldAPolicyOrDiagnostics(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
-        List<String> lines = new ArrayList<>(Files.readAllLines(any(random)));
+        List<String> lines = new ArrayList<>(Files.readAllLines(randomFile(random)));
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
-            List<String> other = Files.readAllLines(any(random));
+            List<String> other = Files.readAllLines(randomFile(random));
             String line = other.get(random.nextInt(other.size()));
             int at = random.nextInt(lines.size());
             switch (random.nextInt(4)) {
@@ -66,21 +66,21 @@
             }
         }
         PoolPolicyCheck check = check(String.join("\n", lines));
-        SuiteFile file = new SuiteFile(any(random));
+        SuiteFile file = new SuiteFile(randomFile(random));
         check.policy()
                 .ifPresent(p -> assertTrue(PoolSolver.solve(p, file.solverInput(), Allocation.NONE).rows().stream()
                         .allMatch(r -> r.connections() >= 0)));
     }
 
-    private static Path any(Random random) {
-        List<Path> files = SuiteFile.all(random.nextInt(3) > 0 ? "good" : "bad");
+    private static Path randomFile(Random random) {
+        List<Path> files = SuiteFile.files(random.nextInt(3) > 0 ? "good" : "bad");
         return files.get(random.nextInt(files.size()));
     }
 
-    /** The longest files, of what a parser with lookahead or recursion would stumble over. */
+    /** Inputs of maximum size that would be expensive for a parser with unbounded lookahead or recursion. */
     @Example
-    void longFilesOfOneThing() {
-        for (String unit : List.of(
+    void maximumSizeFilesOfOneRepeatedFragmentAreInvalid() {
+        for (String fragment : List.of(
                 "(",
                 "\"",
                 "a",
@@ -99,8 +99,8 @@
                 "\"a\",\n",
                 "\r\r",
                 "=")) {
-            String text = unit.repeat(Limits.MAX_BYTES / unit.length());
-            assertTrue(check(text).policy().isEmpty(), unit);
+            String text = fragment.repeat(PolicyLimits.MAX_BYTES / fragment.length());
+            assertTrue(check(text).policy().isEmpty(), fragment);
             check("policy \"p\" version 1\ntenant \"a\" weight 1\n" + text.substring(0, text.length() - 100));
         }
     }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicySuiteTest.java
@@ -13,82 +13,86 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import sandpaddle.fleet.pool.model.PolicyFault;
+import sandpaddle.fleet.pool.model.PolicyDiagnostic;
 import sandpaddle.fleet.pool.solve.Allocation;
 import sandpaddle.fleet.pool.solve.PoolSolver;
 
-/** Every file of the suite: what its comments foretell is found, and nothing more. */
+/** Checks that each file of the suite yields exactly the diagnostics and allocations that its comments state. */
 class PolicySuiteTest {
     @TestFactory
-    Stream<DynamicTest> good() {
-        return SuiteFile.all("good").stream()
+    Stream<DynamicTest> validPolicies() {
+        return SuiteFile.files("good").stream()
                 .map(p -> DynamicTest.dynamicTest(p.getFileName().toString(), () -> {
                     SuiteFile file = new SuiteFile(p);
                     PoolPolicyCheck check = PoolPolicyCheck.check(p, file.known());
-                    assertFaults(file, check);
-                    assertTrue(check.policy().isPresent(), "it may rule");
-                    assertTrue(!file.results.isEmpty(), "it expects a result");
-                    Allocation allotment = PoolSolver.solve(check.policy().get(), file.solverInput(), Allocation.NONE);
-                    for (String[] expect : file.results) {
+                    assertDiagnostics(file, check);
+                    assertTrue(check.policy().isPresent(), "the policy must be valid");
+                    assertTrue(!file.expectedAllocations.isEmpty(), "the file must state an expected allocation");
+                    Allocation allocation = PoolSolver.solve(check.policy().get(), file.solverInput(), Allocation.NONE);
+                    for (String[] expect : file.expectedAllocations) {
                         assertEquals(
                                 Integer.parseInt(expect[3]),
-                                sum(allotment, expect[1], expect[2]),
-                                String.join(" ", expect) + " in " + allotment.rows());
+                                sum(allocation, expect[1], expect[2]),
+                                String.join(" ", expect) + " in " + allocation.rows());
                     }
                 }));
     }
 
     @TestFactory
-    Stream<DynamicTest> bad() {
-        return SuiteFile.all("bad").stream()
+    Stream<DynamicTest> invalidPolicies() {
+        return SuiteFile.files("bad").stream()
                 .map(p -> DynamicTest.dynamicTest(p.getFileName().toString(), () -> {
                     SuiteFile file = new SuiteFile(p);
                     PoolPolicyCheck check = PoolPolicyCheck.check(p, file.known());
-                    assertFaults(file, check);
-                    assertTrue(check.policy().isEmpty() && !check.errors().isEmpty(), "it may not rule");
+                    assertDiagnostics(file, check);
+                    assertTrue(check.policy().isEmpty() && !check.errors().isEmpty(), "the policy must be invalid");
                 }));
     }
 
     @Test
-    void theSuiteIsWhole() {
-        assertTrue(SuiteFile.all("good").size() >= 25 && SuiteFile.all("bad").size() >= 35);
+    void suiteHasAtLeastTheExpectedNumberOfFiles() {
+        assertTrue(
+                SuiteFile.files("good").size() >= 25 && SuiteFile.files("bad").size() >= 35);
     }
 
-    private static int sum(Allocation allotment, String tenant, String gateway) {
-        return allotment.rows().stream()
+    private static int sum(Allocation allocation, String tenant, String gateway) {
+        return allocation.rows().stream()
                 .filter(r -> tenant.equals("*") || r.tenant().equals(tenant))
                 .filter(r -> gateway.equals("*") || r.gateway().equals(gateway))
                 .mapToInt(Allocation.Row::connections)
                 .sum();
     }
 
-    /** Each fault by its place, and the words of it that the file gives. */
-    private static void assertFaults(SuiteFile file, PoolPolicyCheck check) {
-        Set<String> left = new TreeSet<>(file.expected);
-        List<String> unforeseen = new ArrayList<>();
-        for (PolicyFault fault : check.faults()) {
-            String kind = fault.severity() == PolicyFault.Severity.ERROR ? "fault " : "warning ";
-            String place = kind + fault.at().line() + ":" + fault.at().column() + " ";
-            String text = "found " + fault.found() + "; allowed: " + fault.allowed();
-            boolean foretold = left.removeIf(e -> e.startsWith(place) && text.contains(e.substring(place.length())));
-            if (!foretold) {
-                unforeseen.add(place + text);
+    /** Compares diagnostics by severity, position and the part of the text that the file states. */
+    private static void assertDiagnostics(SuiteFile file, PoolPolicyCheck check) {
+        Set<String> unmatched = new TreeSet<>(file.expectedDiagnostics);
+        List<String> unexpected = new ArrayList<>();
+        for (PolicyDiagnostic diagnostic : check.diagnostics()) {
+            String prefix = diagnostic.severity() == PolicyDiagnostic.Severity.ERROR ? "fault " : "warning ";
+            String position = prefix + diagnostic.position().line() + ":"
+                    + diagnostic.position().column() + " ";
+            String text = "found " + diagnostic.found() + "; allowed: " + diagnostic.allowed();
+            boolean matched =
+                    unmatched.removeIf(e -> e.startsWith(position) && text.contains(e.substring(position.length())));
+            if (!matched) {
+                unexpected.add(position + text);
             }
         }
-        assertEquals(List.of(), unforeseen, file.name + " has faults that it does not foretell");
-        assertEquals(Set.of(), left, file.name + " foretells faults that are not found");
+        assertEquals(List.of(), unexpected, file.name + ": unexpected diagnostics");
+        assertEquals(Set.of(), unmatched, file.name + ": missing diagnostics");
     }
 
-    /** Prints the faults of files, to be read before they are foretold. */
+    /** Prints the diagnostics and allocations of policy files, as a help for writing their expected results. */
     public static void main(String[] files) throws IOException {
-        for (String each : files) {
-            SuiteFile file = new SuiteFile(Path.of(each));
+        for (String path : files) {
+            SuiteFile file = new SuiteFile(Path.of(path));
             System.out.println("## " + file.name);
-            PoolPolicyCheck check = PoolPolicyCheck.check(Path.of(each), file.known());
-            check.faults()
-                    .forEach(
-                            f -> System.out.println((f.severity() == PolicyFault.Severity.ERROR ? "fault " : "warning ")
-                                    + f.at().line() + ":" + f.at().column() + " found " + f.found() + "; allowed: "
+            PoolPolicyCheck check = PoolPolicyCheck.check(Path.of(path), file.known());
+            check.diagnostics()
+                    .forEach(f ->
+                            System.out.println((f.severity() == PolicyDiagnostic.Severity.ERROR ? "fault " : "warning ")
+                                    + f.position().line() + ":" + f.position().column() + " found " + f.found()
+                                    + "; allowed: "
                                     + f.allowed()));
             check.policy().ifPresent(p -> System.out.println(PoolSolver.solve(p, file.solverInput(), Allocation.NONE)));
         }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -23,16 +23,16 @@
 import sandpaddle.fleet.pool.model.SolverInput;
 
 /**
- * A policy of the suite with what its comments say of it. In each file: "# known THING NAME..." for the checker,
- * "# engine KIND COUNT", "# gateway NAME ZONE", "# demand TENANT CLASS GATEWAY KIND CONNECTIONS" and "# state WORD
- * VALUE" for the solver; then what must come out: "# fault LINE:COLUMN TEXT", "# warning LINE:COLUMN TEXT",
- * "# expect TENANT GATEWAY CONNECTIONS" with "*" for all of them.
+ * A policy file of the suite. Its comments hold the input of the checker ("# known KIND NAME...") and of the solver ("#
+ * engine KIND COUNT", "# gateway NAME ZONE", "# demand TENANT CLASS GATEWAY KIND CONNECTIONS", "# state KEY VALUE"),
+ * and the expected results: "# fault LINE:COLUMN TEXT", "# warning LINE:COLUMN TEXT" and "# expect TENANT GATEWAY
+ * CONNECTIONS", where "*" stands for all tenants or gateways.
  */
 final class SuiteFile {
     final String name;
     final byte[] bytes;
-    final Set<String> expected = new TreeSet<>();
-    final List<String[]> results = new ArrayList<>();
+    final Set<String> expectedDiagnostics = new TreeSet<>();
+    final List<String[]> expectedAllocations = new ArrayList<>();
     private final Map<String, Set<String>> known = new HashMap<>();
     private final Map<String, Set<String>> knownEngines = new HashMap<>();
     private int maxGateways = 1;
@@ -42,7 +42,7 @@
     private Instant now = Instant.parse("2026-01-15T12:00:00Z");
     private ZoneId timeZone = ZoneId.of("UTC");
     private Phase phase = Phase.CALM;
-    private double condemned;
+    private double ejectedFraction;
     private final Set<String> isolated = new HashSet<>();
     private final List<FleetState.Outage> outages = new ArrayList<>();
 
@@ -52,15 +52,15 @@
         for (String line : new String(bytes, StandardCharsets.UTF_8).split("\r\n|\r|\n")) {
             if (line.startsWith("# ")) {
                 String[] words = line.substring(2).split(" +");
-                read(words, line.substring(2));
+                readComment(words, line.substring(2));
             }
         }
     }
 
-    private void read(String[] words, String line) {
+    private void readComment(String[] words, String line) {
         switch (words[0]) {
-            case "fault", "warning" -> expected.add(line);
-            case "expect" -> results.add(words);
+            case "fault", "warning" -> expectedDiagnostics.add(line);
+            case "expect" -> expectedAllocations.add(words);
             case "known" -> known(words);
             case "engine" -> {
                 for (int i = 1; i <= Integer.parseInt(words[2]); i++) {
@@ -71,7 +71,7 @@
             case "demand" ->
                 demands.add(new SolverInput.Demand(words[1], words[2], words[3], words[4], Integer.parseInt(words[5])));
             case "state" -> state(words[1], words[2], words.length > 3 ? Integer.parseInt(words[3]) : 0);
-            default -> {} // a comment for people
+            default -> {} // an ordinary comment
         }
     }
 
@@ -94,17 +94,17 @@
         }
     }
 
-    private void state(String what, String value, int minutes) {
-        switch (what) {
+    private void state(String key, String value, int minutes) {
+        switch (key) {
             case "phase" -> phase = Phase.valueOf(value);
             case "now" -> now = Instant.parse(value);
             case "zone" -> timeZone = ZoneId.of(value);
-            case "condemned" -> condemned = Double.parseDouble(value);
+            case "condemned" -> ejectedFraction = Double.parseDouble(value);
             case "isolated" -> isolated.add(value);
             case "outage" ->
                 outages.add(new FleetState.Outage(
                         value, now.plus(Duration.ofMinutes(minutes)), now.plus(Duration.ofMinutes(minutes + 60L))));
-            default -> throw new IllegalArgumentException(name + ": " + what);
+            default -> throw new IllegalArgumentException(name + ": " + key);
         }
     }
 
@@ -120,10 +120,10 @@
 
     SolverInput solverInput() {
         return new SolverInput(
-                new FleetState(now, timeZone, phase, condemned, isolated, outages), gateways, engines, demands);
+                new FleetState(now, timeZone, phase, ejectedFraction, isolated, outages), gateways, engines, demands);
     }
 
-    static List<Path> all(String folder) {
+    static List<Path> files(String folder) {
         try (var files = Files.list(Path.of(SuiteFile.class.getResource(folder).toURI()))) {
             return files.sorted().toList();
         } catch (IOException | URISyntaxException e) {
--- a/gateway/src/test/java/sandpaddle/fleet/pool/lang/GrammarTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/lang/GrammarTest.java
@@ -19,13 +19,13 @@
 import org.antlr.v4.runtime.atn.DecisionInfo;
 import org.junit.jupiter.api.Test;
 import sandpaddle.fleet.pool.PoolPolicyCheck;
-import sandpaddle.fleet.pool.model.FaultList;
+import sandpaddle.fleet.pool.model.DiagnosticList;
 import sandpaddle.fleet.pool.model.KnownNames;
 
 class GrammarTest {
-    /** A choice that needs more than the next token would be predicted, at a cost that no bound is stated for. */
+    /** A decision that needs more lookahead would invoke adaptive prediction, whose cost is not bounded. */
     @Test
-    void everyChoiceIsMadeByTheNextToken() {
+    void everyDecisionNeedsOneTokenOfLookahead() {
         String text = """
                 policy "p" version 1 language 1
                 group a = "x", group b,
@@ -45,13 +45,13 @@
         PoolPolicyParser parser =
                 new PoolPolicyParser(new CommonTokenStream(new PoolPolicyLexer(CharStreams.fromString(text))));
         parser.removeErrorListeners();
-        parser.setErrorHandler(new LineErrors(new FaultList()));
+        parser.setErrorHandler(new LineErrorStrategy(new DiagnosticList()));
         parser.setProfile(true);
         int lines = 0;
         for (; parser.getInputStream().LA(1) != Token.EOF; lines++) {
             parser.line();
         }
-        assertEquals(13, lines, "one of the lines goes on in the next");
+        assertEquals(13, lines, "one statement spans two lines");
         assertEquals(
                 0,
                 Arrays.stream(parser.getParseInfo().getDecisionInfo())
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theReferenceListsEveryWordOfTheLanguage() throws IOException, URISyntaxException {
+    void referenceListsEveryKeyword() throws IOException, URISyntaxException {
         String words = reference().split("## Words of the language", 2)[1].split("##", 2)[0];
         List<String> missing = new ArrayList<>();
         for (int type = 1; type <= PoolPolicyParser.VOCABULARY.getMaxTokenType(); type++) {
@@ -80,16 +80,16 @@
     }
 
     @Test
-    void theExamplesOfTheReferenceHaveNoFault() throws IOException, URISyntaxException {
+    void referenceExamplesHaveNoDiagnostics() throws IOException, URISyntaxException {
         Matcher examples =
                 Pattern.compile("```policy\n(.*?)```", Pattern.DOTALL).matcher(reference());
         int count = 0;
         while (examples.find()) {
             PoolPolicyCheck check =
                     PoolPolicyCheck.check(examples.group(1).getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-            assertEquals(List.of(), check.faults(), examples.group(1));
+            assertEquals(List.of(), check.diagnostics(), examples.group(1));
             count++;
         }
-        assertTrue(count >= 2, "there are examples");
+        assertTrue(count >= 2, "the reference must have examples");
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
@@ -10,107 +10,117 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Filling and rounding against a slow solver and against every whole division of small cases. */
+/** Compares filling and rounding with a reference solver and with all integer divisions of small problems. */
 class DivisionProperties {
-    private static int[] ties(int rows, long seed) {
+    private static int[] tieBreakers(int rows, long seed) {
         return new Random(seed).ints(rows).toArray();
     }
 
-    private static int[] solve(Network net, int[] previous) {
-        return Rounding.round(net, ProgressiveFilling.fill(net).value(), previous, ties(net.rows(), 5));
+    private static int[] solve(Network network, int[] previous) {
+        return Rounding.round(
+                network, ProgressiveFilling.fill(network).value(), previous, tieBreakers(network.rows(), 5));
     }
 
     @Property(seed = "21", tries = 1_000)
-    void exactSharesAreThoseOfTheSlowSolver(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 8, 20, 4);
-        assertArrayEquals(Networks.slowly(net), ProgressiveFilling.fill(net).value(), 1e-4);
+    void exactSharesEqualReferenceSolution(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 8, 20, 4);
+        assertArrayEquals(
+                Networks.referenceShares(network),
+                ProgressiveFilling.fill(network).value(),
+                1e-4);
     }
 
-    /** No whole division has a greater least share, or an equal one and a greater second, and so on. */
+    /** No integer division has a lexicographically greater sorted vector of shares relative to weights. */
     @Property(seed = "22", tries = 300)
-    void noWholeDivisionIsFairerThanTheExactOne(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 4, 4, 3);
-        double[] best = normalised(net, ProgressiveFilling.fill(net).value());
-        int[] each = net.min().clone();
+    void exactSharesAreLexicographicallyMaxMin(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 4, 4, 3);
+        double[] best =
+                normalizedShares(network, ProgressiveFilling.fill(network).value());
+        int[] candidate = network.min().clone();
         do {
-            if (Networks.fits(net, each)) {
-                double[] other =
-                        normalised(net, Arrays.stream(each).asDoubleStream().toArray());
+            if (Networks.fits(network, candidate)) {
+                double[] other = normalizedShares(
+                        network, Arrays.stream(candidate).asDoubleStream().toArray());
                 assertFalse(
-                        fairer(other, best),
-                        () -> Arrays.toString(each) + " is fairer than "
-                                + Arrays.toString(ProgressiveFilling.fill(net).value()));
+                        isFairer(other, best),
+                        () -> Arrays.toString(candidate) + " is fairer than "
+                                + Arrays.toString(
+                                        ProgressiveFilling.fill(network).value()));
             }
-        } while (next(net, each));
+        } while (nextVector(network, candidate));
     }
 
-    /** The whole division is dominated by no other: nothing is idle while somebody may have it. */
+    /** No other integer division gives some row more and no row less. */
     @Property(seed = "23", tries = 300)
-    void noWholeDivisionGivesSomebodyMoreAndNobodyLess(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 4, 4, 3);
-        int[] whole = solve(net, new int[net.rows()]);
-        int[] each = net.min().clone();
+    void integerDivisionIsParetoOptimal(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 4, 4, 3);
+        int[] whole = solve(network, new int[network.rows()]);
+        int[] candidate = network.min().clone();
         do {
             boolean noLess = true;
             int more = 0;
             for (int row = 0; row < whole.length; row++) {
-                noLess &= each[row] >= whole[row];
-                more += each[row] - whole[row];
+                noLess &= candidate[row] >= whole[row];
+                more += candidate[row] - whole[row];
             }
-            assertFalse(noLess && more > 0 && Networks.fits(net, each), () -> Arrays.toString(each) + " dominates");
-        } while (next(net, each));
+            assertFalse(
+                    noLess && more > 0 && Networks.fits(network, candidate),
+                    () -> Arrays.toString(candidate) + " dominates");
+        } while (nextVector(network, candidate));
     }
 
     @Property(seed = "24", tries = 1_000)
-    void neverOverNeverUnderTheLeastAndNearTheExactShare(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 40, 30, 5);
-        double[] shares = ProgressiveFilling.fill(net).value();
-        int[] whole = solve(net, new int[net.rows()]);
-        assertTrue(Networks.fits(net, whole));
+    void integerDivisionRespectsBoundsAndStaysNearExactShares(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 40, 30, 5);
+        double[] shares = ProgressiveFilling.fill(network).value();
+        int[] whole = solve(network, new int[network.rows()]);
+        assertTrue(Networks.fits(network, whole));
         for (int row = 0; row < whole.length; row++) {
-            assertTrue(whole[row] >= net.min()[row] && whole[row] <= net.max()[row]);
-            assertTrue(whole[row] > shares[row] - 1, "less than a connection under its share");
+            assertTrue(whole[row] >= network.min()[row] && whole[row] <= network.max()[row]);
+            assertTrue(whole[row] > shares[row] - 1, "must be less than one connection below its share");
         }
     }
 
     @Property(seed = "25", tries = 500)
-    void withOneLinkEveryRowIsWithinOneOfItsShare(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 40, 30, 1);
-        double[] shares = ProgressiveFilling.fill(net).value();
-        int[] whole = solve(net, new int[net.rows()]);
+    void withOneLinkEveryRowIsWithinOneConnectionOfItsShare(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 40, 30, 1);
+        double[] shares = ProgressiveFilling.fill(network).value();
+        int[] whole = solve(network, new int[network.rows()]);
         for (int row = 0; row < whole.length; row++) {
             assertTrue(Math.abs(whole[row] - shares[row]) < 1, whole[row] + " for " + shares[row]);
         }
     }
 
     @Property(seed = "26", tries = 500)
-    void moreWeightIsNeverLess(@ForAll long seed) {
+    void higherWeightNeverYieldsASmallerShare(@ForAll long seed) {
         Random random = new Random(seed);
-        Network net = Networks.draw(random, 12, 30, 1);
-        int raised = random.nextInt(net.rows());
-        long[] weight = net.weight().clone();
+        Network network = Networks.draw(random, 12, 30, 1);
+        int raised = random.nextInt(network.rows());
+        long[] weight = network.weight().clone();
         weight[raised] = weight[raised] * (2 + random.nextInt(20)) / (1 + random.nextInt(2)) + 1;
-        Network heavier = new Network(weight, net.min(), net.max(), net.links(), net.capacity());
-        int[] none = new int[net.rows()];
+        Network heavier = new Network(weight, network.min(), network.max(), network.links(), network.capacity());
+        int[] none = new int[network.rows()];
         assertTrue(ProgressiveFilling.fill(heavier).value()[raised]
-                >= ProgressiveFilling.fill(net).value()[raised] - 1e-9);
-        assertTrue(solve(heavier, none)[raised] >= solve(net, none)[raised]);
+                >= ProgressiveFilling.fill(network).value()[raised] - 1e-9);
+        assertTrue(solve(heavier, none)[raised] >= solve(network, none)[raised]);
     }
 
     @Property(seed = "27", tries = 1_000)
-    void whatIsDividedStaysWhenNothingChanges(@ForAll long seed) {
-        Network net = Networks.draw(new Random(seed), 40, 30, 4);
-        int[] first = solve(net, new int[net.rows()]);
-        assertArrayEquals(first, solve(net, first));
+    void unchangedInputKeepsTheDivision(@ForAll long seed) {
+        Network network = Networks.draw(new Random(seed), 40, 30, 4);
+        int[] first = solve(network, new int[network.rows()]);
+        assertArrayEquals(first, solve(network, first));
     }
 
-    /** A connection more in the budget moves that connection, and at most one besides. */
+    /** One more connection of capacity goes to one row, and at most one other connection moves. */
     @Property(seed = "28", tries = 500)
-    void aSmallChangeMovesLittle(@ForAll long seed) {
+    void oneMoreConnectionOfCapacityMovesAtMostThree(@ForAll long seed) {
         Random random = new Random(seed);
-        Network net = Networks.draw(random, 40, 30, 1);
-        int[] first = solve(net, new int[net.rows()]);
-        Network more = new Network(net.weight(), net.min(), net.max(), net.links(), new long[] {net.capacity()[0] + 1});
+        Network network = Networks.draw(random, 40, 30, 1);
+        int[] first = solve(network, new int[network.rows()]);
+        Network more = new Network(
+                network.weight(), network.min(), network.max(), network.links(), new long[] {network.capacity()[0] + 1
+                });
         int[] second = solve(more, first);
         int moved = 0;
         for (int row = 0; row < first.length; row++) {
@@ -120,19 +130,19 @@
     }
 
     @Property(seed = "29", tries = 20)
-    void stepsGrowNoFasterThanRowsTimesTheirLogarithm(@ForAll long seed) {
+    void stepsAreBoundedByRowsTimesLogRows(@ForAll long seed) {
         Random random = new Random(seed);
         for (int rows : new int[] {1_000, 8_000}) {
-            Network net = large(random, rows);
+            Network network = drawLarge(random, rows);
             double bound = 12.0 * rows * 4 * Math.log(rows) / Math.log(2);
             assertTrue(
-                    ProgressiveFilling.fill(net).steps() <= bound,
-                    ProgressiveFilling.fill(net).steps() + " steps for " + rows);
-            assertEquals(rows, net.rows());
+                    ProgressiveFilling.fill(network).steps() <= bound,
+                    ProgressiveFilling.fill(network).steps() + " steps for " + rows);
+            assertEquals(rows, network.rows());
         }
     }
 
-    private static Network large(Random random, int rows) {
+    private static Network drawLarge(Random random, int rows) {
         int groups = rows / 20;
         long[] weight = random.longs(rows, 10_000, 5_000_000).toArray();
         int[] max = random.ints(rows, 0, 100).toArray();
@@ -145,16 +155,16 @@
         return new Network(weight, new int[rows], max, links, capacity);
     }
 
-    private static double[] normalised(Network net, double[] value) {
+    private static double[] normalizedShares(Network network, double[] value) {
         double[] share = new double[value.length];
         for (int row = 0; row < share.length; row++) {
-            share[row] = value[row] / net.weight()[row] * 1e6;
+            share[row] = value[row] / network.weight()[row] * 1e6;
         }
         Arrays.sort(share);
         return share;
     }
 
-    private static boolean fairer(double[] a, double[] b) {
+    private static boolean isFairer(double[] a, double[] b) {
         for (int i = 0; i < a.length; i++) {
             if (Math.abs(a[i] - b[i]) > 1e-4) {
                 return a[i] > b[i];
@@ -163,14 +173,14 @@
         return false;
     }
 
-    /** The next vector between least and most. */
-    private static boolean next(Network net, int[] each) {
-        for (int row = 0; row < each.length; row++) {
-            if (each[row] < net.max()[row]) {
-                each[row]++;
+    /** Advances to the next vector between the minima and the maxima; false after the last one. */
+    private static boolean nextVector(Network network, int[] candidate) {
+        for (int row = 0; row < candidate.length; row++) {
+            if (candidate[row] < network.max()[row]) {
+                candidate[row]++;
                 return true;
             }
-            each[row] = net.min()[row];
+            candidate[row] = network.min()[row];
         }
         return false;
     }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/EngineSpreadProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/EngineSpreadProperties.java
@@ -24,62 +24,63 @@
     }
 
     private static TreeMap<String, Long> gateways(Random random, int count, int sum) {
-        TreeMap<String, Long> wanted = new TreeMap<>();
+        TreeMap<String, Long> demands = new TreeMap<>();
         for (int i = 0; i < sum; i++) {
-            wanted.merge("g" + random.nextInt(count), 1L, Long::sum);
+            demands.merge("g" + random.nextInt(count), 1L, Long::sum);
         }
-        return wanted;
+        return demands;
     }
 
-    private static int moved(List<Cell> a, List<Cell> b) {
-        Map<String, Integer> moved = new HashMap<>();
-        a.forEach(c -> moved.merge(c.gateway() + "/" + c.engine(), c.connections(), Integer::sum));
-        b.forEach(c -> moved.merge(c.gateway() + "/" + c.engine(), -c.connections(), Integer::sum));
-        return moved.values().stream().mapToInt(Math::abs).sum();
+    private static int movedConnections(List<Cell> a, List<Cell> b) {
+        Map<String, Integer> movedConnections = new HashMap<>();
+        a.forEach(c -> movedConnections.merge(c.gateway() + "/" + c.engine(), c.connections(), Integer::sum));
+        b.forEach(c -> movedConnections.merge(c.gateway() + "/" + c.engine(), -c.connections(), Integer::sum));
+        return movedConnections.values().stream().mapToInt(Math::abs).sum();
     }
 
-    /** From any earlier spread: every gateway has what it should, and no engine has more than its budget. */
+    /** For any previous cells, each gateway gets its connections, and no engine exceeds its budget. */
     @Property(seed = "61", tries = 300)
-    void sumsHoldFromAnyEarlierSpread(@ForAll long seed) {
+    void keepsGatewaySumsAndEngineBudgetsFromAnyPreviousSpread(@ForAll long seed) {
         Random random = new Random(seed);
         List<Cell> cells = List.of();
         for (int round = 0; round < 4; round++) {
             Map<String, Capacity> engines = engines(1 + random.nextInt(6), 1 + random.nextInt(9));
-            int room = engines.values().stream().mapToInt(Capacity::left).sum();
-            TreeMap<String, Long> wanted = gateways(random, 8, random.nextInt(room + 1));
-            cells = EngineSpread.spread("k", engines, wanted, cells);
+            int available =
+                    engines.values().stream().mapToInt(Capacity::available).sum();
+            TreeMap<String, Long> demands = gateways(random, 8, random.nextInt(available + 1));
+            cells = EngineSpread.spread("k", engines, demands, cells);
             Map<String, Long> sums = new TreeMap<>();
             Map<String, Integer> used = new HashMap<>();
             for (Cell cell : cells) {
                 sums.merge(cell.gateway(), (long) cell.connections(), Long::sum);
                 used.merge(cell.engine(), cell.connections(), Integer::sum);
             }
-            assertEquals(wanted, sums);
-            used.forEach((engine, sum) -> assertTrue(sum <= engines.get(engine).left(), engine));
+            assertEquals(demands, sums);
+            used.forEach((engine, sum) -> assertTrue(sum <= engines.get(engine).available(), engine));
         }
     }
 
-    /** A gateway gives one up and another takes it: nothing else moves, as long as engines have room. */
+    /** One connection moves from one gateway to another; no others move while the engines have capacity. */
     @Property(seed = "62", tries = 300)
-    void oneConnectionMovesAlone(@ForAll long seed) {
+    void movingOneConnectionMovesNoOthersWhileEnginesHaveCapacity(@ForAll long seed) {
         Random random = new Random(seed);
         Map<String, Capacity> engines = engines(6, 40);
-        TreeMap<String, Long> wanted = gateways(random, 8, 180);
-        List<Cell> first = EngineSpread.spread("k", engines, wanted, List.of());
-        assertEquals(0, moved(first, EngineSpread.spread("k", engines, wanted, first)));
-        wanted.merge(wanted.firstKey(), -1L, Long::sum);
-        wanted.merge(wanted.lastKey(), 1L, Long::sum);
-        assertTrue(moved(first, EngineSpread.spread("k", engines, wanted, first)) <= 4);
+        TreeMap<String, Long> demands = gateways(random, 8, 180);
+        List<Cell> first = EngineSpread.spread("k", engines, demands, List.of());
+        assertEquals(0, movedConnections(first, EngineSpread.spread("k", engines, demands, first)));
+        demands.merge(demands.firstKey(), -1L, Long::sum);
+        demands.merge(demands.lastKey(), 1L, Long::sum);
+        assertTrue(movedConnections(first, EngineSpread.spread("k", engines, demands, first)) <= 4);
     }
 
-    /** No engine carries much more of a gateway than another: a dead engine costs each gateway its part only. */
+    /** No engine has more than an even share of a gateway, so the failure of an engine costs each gateway no more. */
     @Property(seed = "63", tries = 100)
-    void everyGatewayIsSpreadOverTheEngines(@ForAll long seed) {
+    void spreadsEachGatewayEvenlyOverEngines(@ForAll long seed) {
         Random random = new Random(seed);
-        TreeMap<String, Long> wanted = gateways(random, 6, 120);
-        for (Cell cell : EngineSpread.spread("k", engines(10, 30), wanted, List.of())) {
-            long even = (wanted.get(cell.gateway()) + 9) / 10;
-            assertTrue(cell.connections() <= even, cell + " of " + wanted);
+        TreeMap<String, Long> demands = gateways(random, 6, 120);
+        for (Cell cell : EngineSpread.spread("k", engines(10, 30), demands, List.of())) {
+            long even = (demands.get(cell.gateway()) + 9) / 10;
+            assertTrue(cell.connections() <= even, cell + " of " + demands);
         }
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/Fleets.java
@@ -14,14 +14,14 @@
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.SolverInput;
 
-/** Draws policies and fleets. */
+/** Generates random policies and fleets. */
 final class Fleets {
     private Fleets() {}
 
     static Policy policy(String... lines) {
         String text = "policy \"p\" version 1\n" + String.join("\n", lines) + "\n";
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-        return check.policy().orElseThrow(() -> new AssertionError(check.faults() + " in\n" + text));
+        return check.policy().orElseThrow(() -> new AssertionError(check.diagnostics() + " in\n" + text));
     }
 
     static FleetState calm() {
@@ -29,21 +29,24 @@
                 Instant.parse("2026-01-15T12:00:00Z"), ZoneOffset.UTC, Phase.CALM, 0, Set.of(), List.of());
     }
 
-    /** Gateways g0.. in zones h0.. to h2, engines of kinds k0 and k1, tenants t0.. with demand on some gateways. */
+    /**
+     * Gateways g0, g1, ... in zones h0 to h2, engines of kinds k0 and k1, tenants t0, t1, ... with demand on some
+     * gateways.
+     */
     static SolverInput draw(Random random, int tenants, int gateways, int engines, int maxDemand) {
-        List<SolverInput.Gateway> g = new ArrayList<>();
+        List<SolverInput.Gateway> gatewayList = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            g.add(new SolverInput.Gateway("g" + i, "h" + i % 3));
+            gatewayList.add(new SolverInput.Gateway("g" + i, "h" + i % 3));
         }
-        List<SolverInput.Engine> e = new ArrayList<>();
+        List<SolverInput.Engine> engineList = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            e.add(new SolverInput.Engine("e" + i, "k" + i % 2, random.nextInt(8) == 0));
+            engineList.add(new SolverInput.Engine("e" + i, "k" + i % 2, random.nextInt(8) == 0));
         }
-        List<SolverInput.Demand> d = new ArrayList<>();
+        List<SolverInput.Demand> demandList = new ArrayList<>();
         for (int t = 0; t < tenants; t++) {
             for (int i = 0; i < gateways; i++) {
                 if (random.nextInt(4) > 0) {
-                    d.add(new SolverInput.Demand(
+                    demandList.add(new SolverInput.Demand(
                             "t" + t,
                             random.nextBoolean() ? "dash" : "adhoc",
                             "g" + i,
@@ -52,11 +55,14 @@
                 }
             }
         }
-        return new SolverInput(calm(), g, e, d);
+        return new SolverInput(calm(), gatewayList, engineList, demandList);
     }
 
-    /** Weights, ceilings and floors of tenants drawn; floors of one family that fit into the fleet's budget. */
-    static Policy draw(Random random, int tenants, int fleet, boolean lent) {
+    /**
+     * Random weights, ceilings and floors of tenants; the floors form one family that fits into the budget of the
+     * fleet.
+     */
+    static Policy draw(Random random, int tenants, int fleet, boolean lendIdle) {
         List<String> lines = new ArrayList<>();
         lines.add("budget fleet " + fleet + " connections");
         lines.add("budget engine kind \"k0\" " + (3 + random.nextInt(20)) + " connections each");
@@ -65,7 +71,7 @@
         lines.add("budget engine \"e0\" " + (3 + random.nextInt(5)) + " connections");
         lines.add("reserve control 1 percent");
         lines.add("reserve returning 5 percent");
-        lines.add(lent ? "borrow idle give back within 2 s" : "borrow nothing");
+        lines.add(lendIdle ? "borrow idle give back within 2 s" : "borrow nothing");
         lines.add("hall \"h0\" weight " + (1 + random.nextInt(5)));
         lines.add("hall \"h1\" ceiling " + (fleet / 4 + random.nextInt(fleet)));
         lines.add("class \"dash\" weight 2.5");
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/PoolSolverProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/PoolSolverProperties.java
@@ -14,46 +14,46 @@
 import net.jqwik.api.Property;
 import sandpaddle.fleet.pool.model.Policy;
 import sandpaddle.fleet.pool.model.SolverInput;
+import sandpaddle.fleet.pool.solve.Allocation.BudgetCapacity;
 import sandpaddle.fleet.pool.solve.Allocation.Cell;
-import sandpaddle.fleet.pool.solve.Allocation.Room;
 import sandpaddle.fleet.pool.solve.Allocation.Row;
 
-/** The whole way from policy and facts to targets, on fleets that are drawn. */
+/** Checks the solver from policy and input to targets, on random fleets. */
 class PoolSolverProperties {
     @Property(seed = "31", tries = 200)
-    void noLimitIsPassedAndTargetsAddUp(@ForAll long seed) {
+    void targetsNeverExceedTheirBudget(@ForAll long seed) {
         Random random = new Random(seed);
         SolverInput solverInput = Fleets.draw(random, 8, 6, 5, 30);
-        Allocation allotment =
+        Allocation allocation =
                 PoolSolver.solve(Fleets.draw(random, 8, 60, random.nextBoolean()), solverInput, Allocation.NONE);
         Map<Limit, Integer> sums = new HashMap<>();
-        for (Target target : Target.of(allotment)) {
+        for (Target target : Target.of(allocation)) {
             assertTrue(target.floor() <= target.target() && target.floor() >= 0);
             sums.merge(target.slot().limit(), target.target(), Integer::sum);
         }
-        for (Room room : allotment.budgets()) {
-            assertTrue(sums.getOrDefault(room.limit(), 0) <= room.capacity().left(), room + " of " + sums);
+        for (BudgetCapacity budget : allocation.budgets()) {
+            assertTrue(sums.getOrDefault(budget.limit(), 0) <= budget.capacity().available(), budget + " of " + sums);
         }
     }
 
-    /** Where every engine of a kind has a budget, what gateways have there is what its tenants have. */
+    /** If each engine of a kind has a budget, the cells of a gateway add up to the rows of its tenants. */
     @Property(seed = "32", tries = 200)
-    void enginesCarryWhatTenantsHave(@ForAll long seed) {
+    void engineConnectionsEqualTenantConnections(@ForAll long seed) {
         Random random = new Random(seed);
         SolverInput solverInput = Fleets.draw(random, 8, 6, 5, 30);
-        Allocation allotment = PoolSolver.solve(Fleets.draw(random, 8, 60, true), solverInput, Allocation.NONE);
+        Allocation allocation = PoolSolver.solve(Fleets.draw(random, 8, 60, true), solverInput, Allocation.NONE);
         Map<String, Integer> rows = new HashMap<>();
-        for (Row row : allotment.rows()) {
+        for (Row row : allocation.rows()) {
             rows.merge(row.gateway() + row.kind(), row.connections(), Integer::sum);
         }
-        for (Cell cell : allotment.cells()) {
+        for (Cell cell : allocation.cells()) {
             rows.merge(cell.gateway() + cell.kind(), -cell.connections(), Integer::sum);
         }
         rows.forEach((gateway, left) -> assertEquals(0, left, gateway));
     }
 
     @Property(seed = "33", tries = 200)
-    void floorsOfOneFamilyAreKept(@ForAll long seed) {
+    void grantsFloorsOfOneFamily(@ForAll long seed) {
         Random random = new Random(seed);
         SolverInput solverInput = Fleets.draw(random, 8, 6, 8, 30);
         Policy policy = Fleets.policy(
@@ -62,19 +62,19 @@
                 "tenant \"t3\" weight 9",
                 "tenant \"t4\" floor 9",
                 "borrow idle give back within 1 s");
-        Allocation allotment = PoolSolver.solve(policy, solverInput, Allocation.NONE);
-        assertEquals(List.of(), allotment.unmet());
+        Allocation allocation = PoolSolver.solve(policy, solverInput, Allocation.NONE);
+        assertEquals(List.of(), allocation.unmetFloors());
         for (String tenant : List.of("t3", "t4", "default")) {
-            int asked = solverInput.demands().stream()
-                    .filter(d -> policy.counted(d.tenant()).equals(tenant))
+            int demanded = solverInput.demands().stream()
+                    .filter(d -> policy.accountedTenant(d.tenant()).equals(tenant))
                     .mapToInt(SolverInput.Demand::connections)
                     .sum();
-            assertTrue(allotment.ofTenant(tenant) >= Math.min(asked, tenant.equals("t4") ? 9 : 7));
+            assertTrue(allocation.connectionsOfTenant(tenant) >= Math.min(demanded, tenant.equals("t4") ? 9 : 7));
         }
     }
 
     @Property(seed = "34", tries = 100)
-    void equalInputsHaveEqualResultsInAnyOrderAndStay(@ForAll long seed) {
+    void resultIsIndependentOfInputOrderAndStable(@ForAll long seed) {
         Random random = new Random(seed);
         SolverInput solverInput = Fleets.draw(random, 8, 6, 5, 30);
         Policy policy = Fleets.draw(random, 8, 60, true);
@@ -94,9 +94,9 @@
         assertEquals(first.cells(), again.cells());
     }
 
-    /** One tenant asks for a connection more; what moves is small against the 500 connections that there are. */
+    /** One tenant demands one more connection; few of the 500 connections move. */
     @Property(seed = "35", tries = 50)
-    void aSmallChangeMovesLittle(@ForAll long seed) {
+    void oneMoreConnectionOfDemandMovesFewConnections(@ForAll long seed) {
         Random random = new Random(seed);
         SolverInput solverInput = Fleets.draw(random, 20, 10, 20, 10);
         Policy policy = Fleets.policy(
@@ -130,9 +130,9 @@
         return new Row(row.kind(), row.gateway(), row.tenant(), row.className(), 0, 0, 0);
     }
 
-    /** Floors that do not fit are cut alike within a family, a less specific family gives way, and all is told. */
+    /** Floors that do not fit are scaled fairly within a family, after more specific families, and all are reported. */
     @Example
-    void floorsThatDoNotFitAreCutAndTold() {
+    void scalesFloorsThatDoNotFitAndReportsThem() {
         Policy policy = Fleets.policy(
                 "budget fleet 100 connections",
                 "budget engine kind \"k0\" 20 connections each",
@@ -148,19 +148,23 @@
                         new SolverInput.Demand("a", "c", "g0", "k0", 50),
                         new SolverInput.Demand("a", "c", "g1", "k0", 50),
                         new SolverInput.Demand("b", "c", "g1", "k0", 50)));
-        Allocation allotment = PoolSolver.solve(policy, solverInput, Allocation.NONE);
-        assertEquals(20, allotment.ofTenant("a") + allotment.ofTenant("b"));
-        assertEquals(8, allotment.connections("k0", "g0", "a", "c"));
+        Allocation allocation = PoolSolver.solve(policy, solverInput, Allocation.NONE);
+        assertEquals(20, allocation.connectionsOfTenant("a") + allocation.connectionsOfTenant("b"));
+        assertEquals(8, allocation.connections("k0", "g0", "a", "c"));
         assertEquals(
                 List.of("tenant \"a\"", "tenant \"b\""),
-                allotment.unmet().stream().map(u -> u.of().toString()).toList());
+                allocation.unmetFloors().stream()
+                        .map(u -> u.selector().toString())
+                        .toList());
         assertEquals(
                 List.of(4, 5),
-                allotment.unmet().stream().map(Allocation.Unmet::line).toList());
+                allocation.unmetFloors().stream()
+                        .map(Allocation.UnmetFloor::line)
+                        .toList());
     }
 
     @Example
-    void whatIsBorrowedIsTold() {
+    void reportsBorrowedConnections() {
         Policy policy = Fleets.policy(
                 "budget fleet 100 connections",
                 "tenant \"a\" weight 1",
@@ -173,9 +177,9 @@
                 List.of(
                         new SolverInput.Demand("a", "c", "g0", "k0", 10),
                         new SolverInput.Demand("b", "c", "g0", "k0", 500)));
-        Allocation allotment = PoolSolver.solve(policy, solverInput, Allocation.NONE);
+        Allocation allocation = PoolSolver.solve(policy, solverInput, Allocation.NONE);
         assertEquals(
-                List.of(0, 40), allotment.rows().stream().map(Row::borrowed).toList());
-        assertEquals(2, allotment.giveBack().orElseThrow().toSeconds());
+                List.of(0, 40), allocation.rows().stream().map(Row::borrowed).toList());
+        assertEquals(2, allocation.reclaimWithin().orElseThrow().toSeconds());
     }
 }
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/SolverInputTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/SolverInputTest.java
@@ -14,7 +14,7 @@
 class SolverInputTest {
     private static final SolverInput.Gateway GATEWAY = new SolverInput.Gateway("g", "h");
 
-    private static String refused(
+    private static String rejectionMessage(
             List<SolverInput.Gateway> gateways, List<SolverInput.Engine> engines, List<SolverInput.Demand> demands) {
         return assertThrows(
                         IllegalArgumentException.class,
@@ -23,30 +23,30 @@
     }
 
     @Test
-    void namesTwiceUnknownOnesAndNumbersOutOfRangeAreRefused() {
+    void rejectsDuplicateNamesUnknownGatewaysAndDemandOutOfRange() {
         SolverInput.Engine engine = new SolverInput.Engine("e", "k", false);
-        assertEquals("gateway twice: g", refused(List.of(GATEWAY, GATEWAY), List.of(), List.of()));
-        assertEquals("engine twice: e", refused(List.of(GATEWAY), List.of(engine, engine), List.of()));
+        assertEquals("duplicate gateway g", rejectionMessage(List.of(GATEWAY, GATEWAY), List.of(), List.of()));
+        assertEquals("duplicate engine e", rejectionMessage(List.of(GATEWAY), List.of(engine, engine), List.of()));
         assertEquals(
-                "demand of a gateway unknown: x",
-                refused(List.of(GATEWAY), List.of(), List.of(new SolverInput.Demand("t", "c", "x", "k", 1))));
+                "demand for unknown gateway x",
+                rejectionMessage(List.of(GATEWAY), List.of(), List.of(new SolverInput.Demand("t", "c", "x", "k", 1))));
         assertEquals(
-                "demand of -1 connections by tenant t, not from 0 to 1000000",
-                refused(List.of(GATEWAY), List.of(), List.of(new SolverInput.Demand("t", "c", "g", "k", -1))));
+                "demand of -1 connections by tenant t; expected 0 to 1000000",
+                rejectionMessage(List.of(GATEWAY), List.of(), List.of(new SolverInput.Demand("t", "c", "g", "k", -1))));
     }
 
     @Test
-    void tooManyDemandsAreRefused() {
+    void rejectsTooManyDemands() {
         assertEquals(
-                "262145 demands, 262144 at most",
-                refused(
+                "262145 demands; at most 262144 are allowed",
+                rejectionMessage(
                         List.of(GATEWAY),
                         List.of(),
                         Collections.nCopies(262_145, new SolverInput.Demand("t", "c", "g", "k", 1))));
     }
 
     @Test
-    void aShareOfEnginesIsAPart() {
+    void rejectsEjectedFractionOutOfRange() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new FleetState(
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/TransitionPlanProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/TransitionPlanProperties.java
@@ -9,47 +9,47 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import sandpaddle.fleet.pool.solve.Target.Slot;
-import sandpaddle.fleet.pool.solve.TransitionPlan.Move;
+import sandpaddle.fleet.pool.solve.TransitionPlan.QuotaChange;
 
-/** Steps that are lost, late or out of order: no limit is passed, and in the end the targets are reached. */
+/** With changes lost, delayed or reordered, no capacity is exceeded and the quotas converge to the targets. */
 class TransitionPlanProperties {
-    private static final Limit LIMIT = new Limit(Limit.Of.KIND, "k");
+    private static final Limit LIMIT = new Limit(Limit.Scope.KIND, "k");
 
     @Property(seed = "41", tries = 500)
-    void shrinkingFirstNeverPassesALimit(@ForAll long seed) {
+    void lostOrLateChangesNeverExceedTheCapacity(@ForAll long seed) {
         Random random = new Random(seed);
         int capacity = 10 + random.nextInt(30);
-        Map<Slot, Integer> present = draw(random, capacity);
-        Map<Slot, Integer> wanted = draw(random, capacity);
+        Map<Slot, Integer> held = drawSlots(random, capacity);
+        Map<Slot, Integer> targets = drawSlots(random, capacity);
         for (int round = 0; round < 200; round++) {
-            TransitionPlan moves = TransitionPlan.plan(present, wanted, Map.of(LIMIT, capacity));
-            if (moves.isEmpty()) {
+            TransitionPlan plan = TransitionPlan.plan(held, targets, Map.of(LIMIT, capacity));
+            if (plan.isEmpty()) {
                 break;
             }
             boolean reliable = round > 100;
-            for (Move move : moves.raises()) {
+            for (QuotaChange change : plan.increases()) {
                 if (reliable || random.nextInt(3) == 0) {
-                    apply(present, move);
+                    apply(held, change);
                 }
             }
-            assertTrue(sum(present) <= capacity, "passed before any lower was confirmed");
-            for (Move move : moves.lowers()) {
+            assertTrue(sum(held) <= capacity, "capacity exceeded before a decrease was confirmed");
+            for (QuotaChange change : plan.decreases()) {
                 if (reliable || random.nextInt(3) == 0) {
-                    apply(present, move);
+                    apply(held, change);
                 }
             }
         }
-        wanted.values().removeIf(v -> v == 0);
-        present.values().removeIf(v -> v == 0);
-        assertEquals(wanted, present);
+        targets.values().removeIf(v -> v == 0);
+        held.values().removeIf(v -> v == 0);
+        assertEquals(targets, held);
     }
 
-    private static void apply(Map<Slot, Integer> present, Move move) {
-        assertEquals(move.from(), present.getOrDefault(move.slot(), 0), "compare-and-set");
-        present.put(move.slot(), move.to());
+    private static void apply(Map<Slot, Integer> held, QuotaChange change) {
+        assertEquals(change.current(), held.getOrDefault(change.slot(), 0), "compare-and-set");
+        held.put(change.slot(), change.target());
     }
 
-    private static Map<Slot, Integer> draw(Random random, int capacity) {
+    private static Map<Slot, Integer> drawSlots(Random random, int capacity) {
         Map<Slot, Integer> slots = new HashMap<>();
         int left = capacity;
         for (int g = 0; g < 5; g++) {
