--- a/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/PoolPolicyCheck.java
@@ -49,13 +49,15 @@
 
     /** The diagnostics that make the policy invalid. */
     public List<PolicyDiagnostic> errors() {
-        return diagnostics.stream().filter(f -> f.severity() == Severity.ERROR).toList();
+        return diagnostics.stream()
+                .filter(diagnostic -> diagnostic.severity() == Severity.ERROR)
+                .toList();
     }
 
     /** The diagnostics that leave the policy valid. */
     public List<PolicyDiagnostic> warnings() {
         return diagnostics.stream()
-                .filter(f -> f.severity() == Severity.WARNING)
+                .filter(diagnostic -> diagnostic.severity() == Severity.WARNING)
                 .toList();
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ConditionsCheck.java
@@ -91,13 +91,13 @@
     /** The local time of day in the time zone, in minutes since midnight, at each minute of the sample days. */
     private int[] localMinutes(ZoneId timeZone) {
         return minutesByTimeZone.computeIfAbsent(timeZone, zone -> {
-            int[] localMinute = new int[SAMPLE_DAYS.size() * MINUTES_PER_DAY];
-            for (int i = 0; i < localMinute.length; i++) {
+            int[] minutes = new int[SAMPLE_DAYS.size() * MINUTES_PER_DAY];
+            for (int i = 0; i < minutes.length; i++) {
                 LocalTime time = LocalTime.ofInstant(
                         SAMPLE_DAYS.get(i / MINUTES_PER_DAY).plusSeconds(i % MINUTES_PER_DAY * 60L), zone);
-                localMinute[i] = time.getHour() * 60 + time.getMinute();
+                minutes[i] = time.getHour() * 60 + time.getMinute();
             }
-            return localMinute;
+            return minutes;
         });
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/NamesCheck.java
@@ -40,10 +40,10 @@
                 tenants.add(reference.name());
             }
             if (!diagnostics.isErrorLimitReached()) {
-                check.reference(reference);
+                check.checkReference(reference);
             }
         }
-        check.members(parsed, usedGroups);
+        check.checkMembers(parsed, usedGroups);
         if (tenants.size() > PolicyLimits.MAX_TENANTS) {
             diagnostics.error(
                     new SourcePosition(1, 1),
@@ -53,9 +53,9 @@
         return tenants;
     }
 
-    private void reference(NameReference reference) {
+    private void checkReference(NameReference reference) {
         switch (reference.subject()) {
-            case TENANT -> tenant(reference);
+            case TENANT -> checkTenant(reference);
             case GROUP -> {
                 if (!groups.containsKey(reference.name())) {
                     diagnostics.error(
@@ -77,7 +77,7 @@
         }
     }
 
-    private void tenant(NameReference reference) {
+    private void checkTenant(NameReference reference) {
         if (reference.name().equals(Policy.DEFAULT_TENANT)) {
             diagnostics.error(
                     reference.position(), "the tenant \"default\"", "'default tenant' for those that are not named");
@@ -107,7 +107,7 @@
         }
     }
 
-    private void members(ParsedPolicy parsed, Set<String> usedGroups) {
+    private void checkMembers(ParsedPolicy parsed, Set<String> usedGroups) {
         for (ParsedPolicy.GroupDefinition group : parsed.groups) {
             for (ParsedPolicy.Member member : group.members()) {
                 if (member.isGroup()) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/ScenarioCheck.java
@@ -37,7 +37,7 @@
     private final Policy policy;
     private final KnownNames known;
     private final Expansion expansion;
-    private final FloorSums sums;
+    private final FloorSums floorSums;
     private final Map<List<String>, Excess> excesses = new LinkedHashMap<>();
     private Excess totalExcess;
 
@@ -46,13 +46,15 @@
         this.expansion = expansion;
         this.known = known;
         this.diagnostics = diagnostics;
-        this.sums = new FloorSums(
+        this.floorSums = new FloorSums(
                 expansion.sharesBySelector().keySet(), policy.tenants().size(), known);
     }
 
     void check(List<Statement> statements) {
-        int each = statements.size() + expansion.sharesBySelector().size() + 1;
-        Scenarios scenarios = Scenarios.of(statements, Math.max(16, Math.min(MAX_STATES, MAX_EVALUATIONS / each)));
+        int evaluationsPerState =
+                statements.size() + expansion.sharesBySelector().size() + 1;
+        Scenarios scenarios =
+                Scenarios.of(statements, Math.max(16, Math.min(MAX_STATES, MAX_EVALUATIONS / evaluationsPerState)));
         if (!scenarios.complete()) {
             diagnostics.warning(
                     new SourcePosition(1, 1),
@@ -74,27 +76,27 @@
 
     private void check(FleetState state) {
         Budgets budgets = Budgets.of(policy, state);
-        policy.budgets().forEach(budget -> checkRemainder(budgets, budget));
+        policy.budgets().forEach(budget -> checkCapacityAfterReserves(budgets, budget));
         Map<Selector, Share> floors = effectiveShares(state, s -> s.floor().isPresent());
         Map<Selector, Share> ceilings = effectiveShares(state, s -> s.ceiling().isPresent());
-        floors.forEach((key, floor) -> checkAgainstCeilings(key, floor, ceilings));
-        ceilings.forEach((key, ceiling) -> FloorSums.generalizations(key).stream()
+        floors.forEach((selector, floor) -> checkAgainstCeilings(selector, floor, ceilings));
+        ceilings.forEach((selector, ceiling) -> FloorSums.generalizations(selector).stream()
                 .filter(floors::containsKey)
-                .filter(k -> !floors.containsKey(key))
-                .forEach(k -> warnAboutDefaultCeiling(floors.get(k), ceiling)));
-        OptionalLong capacity = capacity(budgets);
+                .filter(general -> !floors.containsKey(selector))
+                .forEach(general -> warnAboutDefaultCeiling(floors.get(general), ceiling)));
+        OptionalLong capacity = totalCapacity(budgets);
         if (capacity.isPresent()) {
-            sums(sums.of(floors), capacity.getAsLong());
+            checkSums(floorSums.of(floors), capacity.getAsLong());
         }
     }
 
     private Map<Selector, Share> effectiveShares(FleetState state, Predicate<Share> hasSetting) {
         Map<Selector, Share> effectiveShares = new LinkedHashMap<>();
-        expansion.sharesBySelector().forEach((key, shares) -> {
+        expansion.sharesBySelector().forEach((selector, shares) -> {
             for (Share share : shares) {
                 if (hasSetting.test(share) && share.holds(state)) {
                     effectiveShares.merge(
-                            key,
+                            selector,
                             share,
                             (first, second) -> Statement.PRECEDENCE.compare(first, second) >= 0 ? first : second);
                 }
@@ -103,12 +105,12 @@
         return effectiveShares;
     }
 
-    private void checkAgainstCeilings(Selector key, Share floor, Map<Selector, Share> ceilings) {
-        Share ceiling = ceilings.get(key);
+    private void checkAgainstCeilings(Selector selector, Share floor, Map<Selector, Share> ceilings) {
+        Share ceiling = ceilings.get(selector);
         if (ceiling == null) {
-            FloorSums.generalizations(key).stream()
+            FloorSums.generalizations(selector).stream()
                     .filter(ceilings::containsKey)
-                    .forEach(k -> warnAboutDefaultCeiling(floor, ceilings.get(k)));
+                    .forEach(general -> warnAboutDefaultCeiling(floor, ceilings.get(general)));
         } else if (floor.floor().getAsInt() > ceiling.ceiling().getAsInt()) {
             Share later = floor.position().compareTo(ceiling.position()) >= 0 ? floor : ceiling;
             diagnostics.error(
@@ -136,7 +138,7 @@
         }
     }
 
-    private void checkRemainder(Budgets budgets, Budget budget) {
+    private void checkCapacityAfterReserves(Budgets budgets, Budget budget) {
         Optional<Budget> effective = budgets.budget(budget.scope(), budget.name());
         if (effective.isEmpty() || effective.get() != budget) {
             return;
@@ -144,7 +146,7 @@
         boolean singleEngine = budget.scope() == Scope.ENGINE || budget.scope() == Scope.EACH_OF_KIND;
         Capacity capacity = singleEngine
                 ? Capacity.ofEngine(budgets, budget, false)
-                : Capacity.ofMany(budgets, budget, engines(budget));
+                : Capacity.ofMany(budgets, budget, engineCount(budget));
         if (capacity.available() == 0) {
             diagnostics.error(
                     budget.position(),
@@ -161,31 +163,33 @@
     }
 
     /** The number of known engines that share the budget, at least 1. */
-    private int engines(Budget budget) {
+    private int engineCount(Budget budget) {
         Map<String, Set<String>> kinds = known.engines().orElse(Map.of());
-        int engines = budget.scope() == Scope.KIND
+        int engineCount = budget.scope() == Scope.KIND
                 ? kinds.getOrDefault(budget.name(), Set.of()).size()
                 : kinds.values().stream().mapToInt(Set::size).sum();
-        return Math.max(1, engines);
+        return Math.max(1, engineCount);
     }
 
     /**
-     * The capacity for tenants with all known engines up; empty if some engine has no budget and the fleet has none.
+     * The capacity for tenants with all known engines up; empty if the fleet has no budget and some engine is bounded
+     * neither by its own budget nor by that of its kind.
      */
-    private OptionalLong capacity(Budgets budgets) {
+    private OptionalLong totalCapacity(Budgets budgets) {
         long max = Long.MAX_VALUE;
-        Optional<Budget> fleet = budgets.budget(Scope.FLEET, "");
-        if (fleet.isPresent()) {
-            max = Capacity.ofMany(budgets, fleet.get(), engines(fleet.get())).available();
+        Optional<Budget> fleetBudget = budgets.budget(Scope.FLEET, "");
+        if (fleetBudget.isPresent()) {
+            max = Capacity.ofMany(budgets, fleetBudget.get(), engineCount(fleetBudget.get()))
+                    .available();
         }
         if (known.engines().isPresent()) {
             long kinds = 0;
             for (Map.Entry<String, Set<String>> kind : known.engines().get().entrySet()) {
-                OptionalLong left = capacityOfKind(budgets, kind.getKey(), kind.getValue());
-                if (left.isEmpty()) {
+                OptionalLong kindCapacity = capacityOfKind(budgets, kind.getKey(), kind.getValue());
+                if (kindCapacity.isEmpty()) {
                     return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
                 }
-                kinds += left.getAsLong();
+                kinds += kindCapacity.getAsLong();
             }
             max = Math.min(max, kinds);
         }
@@ -194,39 +198,39 @@
 
     private OptionalLong capacityOfKind(Budgets budgets, String kind, Set<String> engines) {
         long max = Long.MAX_VALUE;
-        Optional<Budget> whole = budgets.budget(Scope.KIND, kind);
-        if (whole.isPresent()) {
-            max = Capacity.ofMany(budgets, whole.get(), engines.size()).available();
+        Optional<Budget> kindBudget = budgets.budget(Scope.KIND, kind);
+        if (kindBudget.isPresent()) {
+            max = Capacity.ofMany(budgets, kindBudget.get(), engines.size()).available();
         }
-        Optional<Budget> each = budgets.budget(Scope.EACH_OF_KIND, kind);
+        Optional<Budget> defaultBudget = budgets.budget(Scope.EACH_OF_KIND, kind);
         long sum = 0;
         for (String engine : engines) {
-            Optional<Budget> own = budgets.budget(Scope.ENGINE, engine).or(() -> each);
-            if (own.isEmpty()) {
+            Optional<Budget> engineBudget = budgets.budget(Scope.ENGINE, engine).or(() -> defaultBudget);
+            if (engineBudget.isEmpty()) {
                 return max == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(max);
             }
-            sum += Capacity.ofEngine(budgets, own.get(), false).available();
+            sum += Capacity.ofEngine(budgets, engineBudget.get(), false).available();
         }
         return OptionalLong.of(Math.min(max, sum));
     }
 
-    private void sums(Map<List<String>, FloorFamily> families, long capacity) {
-        long all = 0;
-        Share max = null;
+    private void checkSums(Map<List<String>, FloorFamily> families, long capacity) {
+        long total = 0;
+        Share largest = null;
         long maxSum = -1;
         for (Map.Entry<List<String>, FloorFamily> each : families.entrySet()) {
             FloorFamily family = each.getValue();
-            all += family.sum();
+            total += family.sum();
             if (family.sum() > maxSum) {
                 maxSum = family.sum();
-                max = family.largest();
+                largest = family.largest();
             }
             if (family.sum() > capacity) {
                 excesses.merge(each.getKey(), new Excess(family, capacity), ScenarioCheck::larger);
             }
         }
-        if (all > capacity) {
-            Excess excess = new Excess(new FloorFamily(all, max), capacity);
+        if (total > capacity) {
+            Excess excess = new Excess(new FloorFamily(total, largest), capacity);
             totalExcess = totalExcess == null ? excess : larger(totalExcess, excess);
         }
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/check/Scenarios.java
@@ -74,22 +74,22 @@
     private static List<Variable> variables(Set<Condition> conditions) {
         Set<Instant> moments = new TreeSet<>();
         Set<Integer> thresholds = new TreeSet<>();
-        Set<String> isolated = new TreeSet<>();
+        Set<String> isolatedZones = new TreeSet<>();
         Map<String, Set<Duration>> outages = new TreeMap<>();
         Set<Phase> phases = new HashSet<>();
         for (Condition condition : conditions) {
-            if (condition instanceof Condition.InPhase c) {
-                phases.add(c.phase());
-            } else if (condition instanceof Condition.TimeOfDay c) {
-                moments.addAll(moments(c));
-            } else if (condition instanceof Condition.EjectedOver c) {
-                thresholds.add(c.overPercent());
-            } else if (condition instanceof Condition.Isolated c) {
-                isolated.add(c.zone());
-            } else if (condition instanceof Condition.OutageLasts c) {
-                outages.computeIfAbsent(c.zone(), h -> new TreeSet<>()).add(Duration.ZERO);
-            } else if (condition instanceof Condition.OutageWithin c) {
-                outages.computeIfAbsent(c.zone(), h -> new TreeSet<>()).add(c.within());
+            if (condition instanceof Condition.InPhase matched) {
+                phases.add(matched.phase());
+            } else if (condition instanceof Condition.TimeOfDay matched) {
+                moments.addAll(moments(matched));
+            } else if (condition instanceof Condition.EjectedOver matched) {
+                thresholds.add(matched.overPercent());
+            } else if (condition instanceof Condition.Isolated matched) {
+                isolatedZones.add(matched.zone());
+            } else if (condition instanceof Condition.OutageLasts matched) {
+                outages.computeIfAbsent(matched.zone(), zone -> new TreeSet<>()).add(Duration.ZERO);
+            } else if (condition instanceof Condition.OutageWithin matched) {
+                outages.computeIfAbsent(matched.zone(), zone -> new TreeSet<>()).add(matched.within());
             }
         }
         List<Variable> variables = new ArrayList<>();
@@ -128,8 +128,8 @@
                             state.isolatedZones(),
                             state.outages())));
         }
-        isolated.forEach(zone ->
-                variables.add(variable(List.of(false, true), (state, is) -> is ? isolated(state, zone) : state)));
+        isolatedZones.forEach(zone -> variables.add(variable(
+                List.of(false, true), (state, isIsolated) -> isIsolated ? withIsolatedZone(state, zone) : state)));
         outages.forEach((zone, times) -> variables.add(outage(zone, times)));
         return variables;
     }
@@ -144,7 +144,7 @@
         return new Variable(variants);
     }
 
-    private static FleetState isolated(FleetState state, String zone) {
+    private static FleetState withIsolatedZone(FleetState state, String zone) {
         Set<String> zones = new HashSet<>(state.isolatedZones());
         zones.add(zone);
         return new FleetState(
@@ -154,10 +154,11 @@
     /** No outage, or one that begins after the time of a condition; after zero time it is in progress. */
     private static Variable outage(String zone, Set<Duration> times) {
         Map<Duration, Duration> variants = new LinkedHashMap<>();
-        times.forEach(t -> variants.put(t, t));
-        Variable variable = variable(variants.values(), (state, in) -> {
+        times.forEach(delay -> variants.put(delay, delay));
+        Variable variable = variable(variants.values(), (state, delay) -> {
             List<Outage> all = new ArrayList<>(state.outages());
-            all.add(new Outage(zone, state.now().plus(in), state.now().plus(in).plus(Duration.ofHours(1))));
+            all.add(new Outage(
+                    zone, state.now().plus(delay), state.now().plus(delay).plus(Duration.ofHours(1))));
             return new FleetState(
                     state.now(), state.timeZone(), state.phase(), state.ejectedFraction(), state.isolatedZones(), all);
         });
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/Literals.java
@@ -35,10 +35,10 @@
     /** Converts a weight to hundredths; one that is out of range is reported, and clamped. */
     int weight(Token token) {
         String digits = token.getText();
-        int point = digits.indexOf('.');
+        int decimalPoint = digits.indexOf('.');
         double value = Double.parseDouble(digits) * 100;
         if (!(value >= PolicyLimits.MIN_WEIGHT_HUNDREDTHS && value <= PolicyLimits.MAX_WEIGHT_HUNDREDTHS)
-                || point >= 0 && digits.length() - point > 3) {
+                || decimalPoint >= 0 && digits.length() - decimalPoint > 3) {
             diagnostics.error(
                     LineErrorStrategy.positionOf(token),
                     "weight " + DiagnosticList.printable(digits),
--- a/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/lang/PolicyReader.java
@@ -36,19 +36,19 @@
 
     private static Optional<String> decode(byte[] file, DiagnosticList diagnostics) {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT);
-        ByteBuffer from = ByteBuffer.wrap(file);
-        CharBuffer to = CharBuffer.allocate(file.length);
-        CoderResult result = decoder.decode(from, to, true);
-        to.flip();
+        ByteBuffer input = ByteBuffer.wrap(file);
+        CharBuffer output = CharBuffer.allocate(file.length);
+        CoderResult result = decoder.decode(input, output, true);
+        output.flip();
         if (!result.isError()) {
-            return Optional.of(to.toString());
+            return Optional.of(output.toString());
         }
-        String before = to.toString();
+        String before = output.toString();
         int line = 1 + (int) before.chars().filter(c -> c == '\n').count();
         String lastLine = before.substring(before.lastIndexOf('\n') + 1);
         diagnostics.error(
                 new SourcePosition(line, 1 + lastLine.codePointCount(0, lastLine.length())),
-                String.format("a byte 0x%02x that is not UTF-8", file[from.position()]),
+                String.format("a byte 0x%02x that is not UTF-8", file[input.position()]),
                 "text in UTF-8");
         return Optional.empty();
     }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/model/Selector.java
@@ -11,24 +11,35 @@
 public record Selector(List<Term> terms) {
     /** The property of a connection that a term restricts. */
     public enum Dimension {
+        /** The tenant that a connection is used for. */
         TENANT,
+        /** The request class that a connection is used for. */
         CLASS,
+        /** The gateway or zone that a connection starts from. */
         PLACE
     }
 
     /** The forms of a term. Within one dimension, the form of the higher rank is more specific and takes precedence. */
     public enum Form {
+        /** A tenant by name. */
         TENANT(Dimension.TENANT, 4, "tenant"),
         /** Each tenant of a group individually. */
         GROUP(Dimension.TENANT, 3, "tenant group"),
         /** The sum over all tenants of a group; {@code together} in the policy language. */
         GROUP_TOTAL(Dimension.TENANT, 2, "tenant group"),
+        /** Each tenant without a term of its own. */
         ANY_TENANT(Dimension.TENANT, 1, "default tenant"),
+        /** A request class by name. */
         CLASS(Dimension.CLASS, 4, "class"),
+        /** Each request class without a term of its own. */
         ANY_CLASS(Dimension.CLASS, 1, "default class"),
+        /** A gateway by name. */
         GATEWAY(Dimension.PLACE, 4, "gateway"),
+        /** All gateways of a zone together; {@code hall} in the policy language. */
         ZONE(Dimension.PLACE, 3, "hall"),
+        /** Each gateway without a term of its own. */
         ANY_GATEWAY(Dimension.PLACE, 2, "default gateway"),
+        /** Each zone without a term of its own. */
         ANY_ZONE(Dimension.PLACE, 1, "default hall");
 
         private final Dimension dimension;
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/ShareIndex.java
@@ -23,11 +23,11 @@
     public record Subject(String tenant, String className, String gateway, String zone) {}
 
     private final Map<List<Form>, Map<List<String>, Share>> byForms = new LinkedHashMap<>();
-    private final Map<String, List<String>> groupsOf;
+    private final Map<String, List<String>> groupsByTenant;
 
     /** Indexes the statements that pass the filter; for each selector, the one that takes precedence. */
-    ShareIndex(List<Share> shares, Predicate<Share> filter, Map<String, List<String>> groupsOf) {
-        this.groupsOf = groupsOf;
+    ShareIndex(List<Share> shares, Predicate<Share> filter, Map<String, List<String>> groupsByTenant) {
+        this.groupsByTenant = groupsByTenant;
         for (Share share : shares) {
             if (filter.test(share)) {
                 byForms.computeIfAbsent(share.selector().forms(), f -> new HashMap<>())
@@ -43,20 +43,21 @@
     }
 
     /** The groups of each tenant, sorted by name. */
-    static Map<String, List<String>> groupsOf(Map<String, Set<String>> groups) {
-        Map<String, List<String>> of = new HashMap<>();
+    static Map<String, List<String>> groupsByTenant(Map<String, Set<String>> groups) {
+        Map<String, List<String>> groupsByTenant = new HashMap<>();
         groups.keySet().stream()
                 .sorted()
                 .forEach(group -> groups.get(group)
-                        .forEach(tenant -> of.computeIfAbsent(tenant, t -> new ArrayList<>())
+                        .forEach(tenant -> groupsByTenant
+                                .computeIfAbsent(tenant, t -> new ArrayList<>())
                                 .add(group)));
-        return of;
+        return groupsByTenant;
     }
 
     /** All statements that match the subject, in no particular order. */
     public List<Share> matching(Subject subject) {
         List<Share> matches = new ArrayList<>();
-        List<String> groups = groupsOf.getOrDefault(subject.tenant, List.of());
+        List<String> groups = groupsByTenant.getOrDefault(subject.tenant, List.of());
         byForms.forEach((forms, shares) -> {
             Form first = forms.get(0);
             if (first == Form.GROUP || first == Form.GROUP_TOTAL) {
--- a/gateway/src/main/java/sandpaddle/fleet/pool/rule/Shares.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/rule/Shares.java
@@ -20,10 +20,10 @@
     private Shares(Policy policy, FleetState state) {
         List<Share> shares =
                 policy.shares().stream().filter(s -> s.holds(state)).toList();
-        Map<String, List<String>> groupsOf = ShareIndex.groupsOf(policy.groups());
-        weights = new ShareIndex(shares, s -> s.weight().isPresent(), groupsOf);
-        floors = new ShareIndex(shares, s -> s.floor().isPresent(), groupsOf);
-        ceilings = new ShareIndex(shares, s -> s.ceiling().isPresent(), groupsOf);
+        Map<String, List<String>> groupsByTenant = ShareIndex.groupsByTenant(policy.groups());
+        weights = new ShareIndex(shares, s -> s.weight().isPresent(), groupsByTenant);
+        floors = new ShareIndex(shares, s -> s.floor().isPresent(), groupsByTenant);
+        ceilings = new ShareIndex(shares, s -> s.ceiling().isPresent(), groupsByTenant);
     }
 
     /** Selects the share statements whose conditions hold in the given state. */
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Capacities.java
@@ -63,20 +63,22 @@
      * that sum; empty if neither applies.
      */
     Optional<Capacity> ofKind(String kind) {
-        Optional<Capacity> own = Optional.ofNullable(kinds.get(kind));
-        Map<String, Capacity> each = engines.getOrDefault(kind, Map.of());
-        if (each.size() < counts.getOrDefault(kind, 0)) {
-            return own;
+        Optional<Capacity> kindCapacity = Optional.ofNullable(kinds.get(kind));
+        Map<String, Capacity> engineCapacities = engines.getOrDefault(kind, Map.of());
+        if (engineCapacities.size() < counts.getOrDefault(kind, 0)) {
+            return kindCapacity;
         }
-        long left = 0;
+        long available = 0;
         long control = 0;
         long returning = 0;
-        for (Capacity engine : each.values()) {
-            left += engine.available();
+        for (Capacity engine : engineCapacities.values()) {
+            available += engine.available();
             control += engine.control();
             returning += engine.returning();
         }
-        Capacity sum = new Capacity(left + control + returning, control, returning);
-        return own.isPresent() && own.get().available() <= sum.available() ? own : Optional.of(sum);
+        Capacity sum = new Capacity(available + control + returning, control, returning);
+        return kindCapacity.isPresent() && kindCapacity.get().available() <= sum.available()
+                ? kindCapacity
+                : Optional.of(sum);
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Division.java
@@ -61,9 +61,9 @@
                 .mapToInt(Integer::intValue)
                 .toArray();
         int count = rowIndices.length;
-        int base = rows.capacity.length;
-        long[] capacity = Arrays.copyOf(rows.capacity, base + family.size());
-        for (int link = 0; link < base; link++) {
+        int linkCount = rows.capacity.length;
+        long[] capacity = Arrays.copyOf(rows.capacity, linkCount + family.size());
+        for (int link = 0; link < linkCount; link++) {
             capacity[link] -= usedByFloors[link];
         }
         long[] weight = new long[count];
@@ -80,14 +80,14 @@
                 familyMax[next] = Math.max(max[row], min[row]);
                 tieBreakers[next] = rows.tieBreakers[row];
                 links[next] = Arrays.copyOf(rows.links[row], rows.links[row].length + 1);
-                links[next][rows.links[row].length] = base + floorIndex;
+                links[next][rows.links[row].length] = linkCount + floorIndex;
                 for (int link : rows.links[row]) {
                     capacity[link] += min[row]; // held by rows of the family, so it is not used by others
                 }
                 held += min[row];
                 next++;
             }
-            capacity[base + floorIndex] =
+            capacity[linkCount + floorIndex] =
                     Math.max(held, family.get(floorIndex).share().floor().getAsInt());
         }
         int[] granted = solve(new Network(weight, familyMin, familyMax, links, capacity), new int[count], tieBreakers);
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Rows.java
@@ -54,9 +54,9 @@
     final List<List<Floor>> floors;
 
     Rows(Policy policy, Shares shares, SolverInput solverInput, Capacities capacities) {
-        TreeMap<RowKey, Integer> sums = new TreeMap<>();
+        TreeMap<RowKey, Integer> demandByKey = new TreeMap<>();
         for (Demand tenantDemand : solverInput.demands()) {
-            sums.merge(
+            demandByKey.merge(
                     new RowKey(
                             tenantDemand.kind(),
                             tenantDemand.gateway(),
@@ -65,13 +65,13 @@
                     tenantDemand.connections(),
                     (a, b) -> Math.min(a + b, SolverInput.MAX_CONNECTIONS));
         }
-        keys = List.copyOf(sums.keySet());
-        demand = sums.values().stream().mapToInt(Integer::intValue).toArray();
+        keys = List.copyOf(demandByKey.keySet());
+        demand = demandByKey.values().stream().mapToInt(Integer::intValue).toArray();
         weight = new long[demand.length];
         tieBreakers = new int[demand.length];
         links = new int[demand.length][];
         Map<String, String> zones = solverInput.zonesByGateway();
-        Map<String, OptionalLong> kinds = new HashMap<>();
+        Map<String, OptionalLong> availableByKind = new HashMap<>();
         Map<Object, Integer> linkNumbers = new HashMap<>();
         List<Long> linkCapacities = new ArrayList<>();
         Map<Selector, Floor> floorsBySelector = new LinkedHashMap<>();
@@ -83,7 +83,8 @@
             tieBreakers[row] = tieBreaker(key);
             List<Integer> rowLinks = new ArrayList<>(6);
             capacities.fleet().ifPresent(c -> rowLinks.add(link(linkNumbers, linkCapacities, FLEET, c.available())));
-            kinds.computeIfAbsent(key.kind, capacities::availableForKind)
+            availableByKind
+                    .computeIfAbsent(key.kind, capacities::availableForKind)
                     .ifPresent(c -> rowLinks.add(link(linkNumbers, linkCapacities, key.kind, c)));
             shares.ceilings()
                     .effectiveBySelector(subject)
--- a/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
+++ b/gateway/src/main/java/sandpaddle/fleet/pool/solve/Target.java
@@ -40,11 +40,11 @@
         Set<Limit> limits = new HashSet<>();
         allocation.budgets().forEach(budget -> limits.add(budget.limit()));
         Map<Slot, Target> targets = new TreeMap<>();
-        Map<List<String>, Row> sums = new HashMap<>();
+        Map<List<String>, Row> rowsByKindAndGateway = new HashMap<>();
         for (Row row : allocation.rows()) {
             add(targets, limits, Limit.FLEET, row);
             add(targets, limits, new Limit(Limit.Scope.KIND, row.kind()), row);
-            sums.merge(
+            rowsByKindAndGateway.merge(
                     List.of(row.kind(), row.gateway()),
                     row,
                     (first, second) -> new Row(
@@ -57,7 +57,7 @@
                             first.floor() + second.floor()));
         }
         for (Cell cell : allocation.cells()) {
-            Row total = sums.get(List.of(cell.kind(), cell.gateway()));
+            Row total = rowsByKindAndGateway.get(List.of(cell.kind(), cell.gateway()));
             int floor = (int) Math.min(
                     cell.connections(), (long) total.floor() * cell.connections() / Math.max(1, total.connections()));
             Slot slot = new Slot(new Limit(Limit.Scope.ENGINE, cell.engine()), cell.gateway(), "");
--- a/gateway/src/test/java/sandpaddle/fleet/pool/PolicyBoundsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/PolicyBoundsTest.java
@@ -84,12 +84,13 @@
 
     @Test
     void rejectsTooManyStatementsOfOneSubject() {
-        String each = IntStream.range(0, 201)
+        String statements = IntStream.range(0, 201)
                 .mapToObj(i -> String.format(
                         "when time %02d:%02d to %02d:%02d budget fleet 9 connections",
                         i / 60, i % 60, 20 + i / 60, i % 60))
                 .collect(Collectors.joining("\n"));
-        assertTrue(onlyError("policy \"p\" version 1\n" + each).contains("more than 200 statements of one subject"));
+        assertTrue(
+                onlyError("policy \"p\" version 1\n" + statements).contains("more than 200 statements of one subject"));
     }
 
     @Test
--- a/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/SuiteFile.java
@@ -23,10 +23,15 @@
 import sandpaddle.fleet.pool.model.SolverInput;
 
 /**
- * A policy file of the suite. Its comments hold the input of the checker ("# known KIND NAME...") and of the solver ("#
- * engine KIND COUNT", "# gateway NAME ZONE", "# demand TENANT CLASS GATEWAY KIND CONNECTIONS", "# state KEY VALUE"),
- * and the expected results: "# fault LINE:COLUMN TEXT", "# warning LINE:COLUMN TEXT" and "# expect TENANT GATEWAY
- * CONNECTIONS", where "*" stands for all tenants or gateways.
+ * A policy file of the suite, with the input and the expected results that its comments state.
+ *
+ * <ul>
+ *   <li>Input of the checker: {@code # known KIND NAME...}
+ *   <li>Input of the solver: {@code # engine KIND COUNT}, {@code # gateway NAME ZONE},
+ *       {@code # demand TENANT CLASS GATEWAY KIND CONNECTIONS}, {@code # state KEY VALUE}
+ *   <li>Expected results: {@code # fault LINE:COLUMN TEXT}, {@code # warning LINE:COLUMN TEXT},
+ *       {@code # expect TENANT GATEWAY CONNECTIONS} with {@code *} for all tenants or gateways
+ * </ul>
  */
 final class SuiteFile {
     final String name;
--- a/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
+++ b/gateway/src/test/java/sandpaddle/fleet/pool/solve/DivisionProperties.java
@@ -54,14 +54,14 @@
     @Property(seed = "23", tries = 300)
     void integerDivisionIsParetoOptimal(@ForAll long seed) {
         Network network = Networks.draw(new Random(seed), 4, 4, 3);
-        int[] whole = solve(network, new int[network.rows()]);
+        int[] rounded = solve(network, new int[network.rows()]);
         int[] candidate = network.min().clone();
         do {
             boolean noLess = true;
             int more = 0;
-            for (int row = 0; row < whole.length; row++) {
-                noLess &= candidate[row] >= whole[row];
-                more += candidate[row] - whole[row];
+            for (int row = 0; row < rounded.length; row++) {
+                noLess &= candidate[row] >= rounded[row];
+                more += candidate[row] - rounded[row];
             }
             assertFalse(
                     noLess && more > 0 && Networks.fits(network, candidate),
@@ -73,11 +73,11 @@
     void integerDivisionRespectsBoundsAndStaysNearExactShares(@ForAll long seed) {
         Network network = Networks.draw(new Random(seed), 40, 30, 5);
         double[] shares = ProgressiveFilling.fill(network).value();
-        int[] whole = solve(network, new int[network.rows()]);
-        assertTrue(Networks.fits(network, whole));
-        for (int row = 0; row < whole.length; row++) {
-            assertTrue(whole[row] >= network.min()[row] && whole[row] <= network.max()[row]);
-            assertTrue(whole[row] > shares[row] - 1, "must be less than one connection below its share");
+        int[] rounded = solve(network, new int[network.rows()]);
+        assertTrue(Networks.fits(network, rounded));
+        for (int row = 0; row < rounded.length; row++) {
+            assertTrue(rounded[row] >= network.min()[row] && rounded[row] <= network.max()[row]);
+            assertTrue(rounded[row] > shares[row] - 1, "must be less than one connection below its share");
         }
     }
 
@@ -85,9 +85,9 @@
     void withOneLinkEveryRowIsWithinOneConnectionOfItsShare(@ForAll long seed) {
         Network network = Networks.draw(new Random(seed), 40, 30, 1);
         double[] shares = ProgressiveFilling.fill(network).value();
-        int[] whole = solve(network, new int[network.rows()]);
-        for (int row = 0; row < whole.length; row++) {
-            assertTrue(Math.abs(whole[row] - shares[row]) < 1, whole[row] + " for " + shares[row]);
+        int[] rounded = solve(network, new int[network.rows()]);
+        for (int row = 0; row < rounded.length; row++) {
+            assertTrue(Math.abs(rounded[row] - shares[row]) < 1, rounded[row] + " for " + shares[row]);
         }
     }
 
