--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/ActivePoolPolicy.java
@@ -41,9 +41,9 @@
             return true;
         }
         PoolPolicyCheck check = PoolPolicyCheck.check(text.getBytes(StandardCharsets.UTF_8), KnownNames.NONE);
-        activePolicy.read(check);
-        activePolicy.agreed(new PolicyVersion(version, check.version()));
-        if (activePolicy.standing() == Status.APPLIES) {
+        activePolicy.add(check);
+        activePolicy.commit(new PolicyVersion(version, check.hash()));
+        if (activePolicy.status() == Status.APPLIED) {
             Policy policy = activePolicy.policy().orElseThrow();
             Logger.info(
                     "fleet: pool policy \"{}\" version {} is in force with configuration version {}",
@@ -68,7 +68,7 @@
      * Whether this gateway may use floors only, since it cannot read the policy by which the fleet divides budgets.
      */
     public boolean isRestrictedToFloors() {
-        return activePolicy.standing() == Status.UNREADABLE || activePolicy.standing() == Status.MISSING;
+        return activePolicy.status() == Status.UNREADABLE || activePolicy.status() == Status.MISSING;
     }
 
     /** The policy to apply, empty if there is none. */
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolAllocator.java
@@ -98,19 +98,19 @@
                     || !next.rows().equals(allocation.rows())
                     || !next.cells().equals(allocation.cells())
                     || !next.budgets().equals(allocation.budgets());
-            if (isDifferent && (allocation == null || !next.unmet().equals(allocation.unmet()))) {
-                next.unmet()
+            if (isDifferent && (allocation == null || !next.unmetFloors().equals(allocation.unmetFloors()))) {
+                next.unmetFloors()
                         .forEach(unmet -> Logger.warn(
                                 "fleet: pool policy, line {}: floor of {}: {} connections requested, {} kept",
                                 unmet.line(),
-                                unmet.of(),
-                                unmet.asked(),
-                                unmet.got()));
+                                unmet.selector(),
+                                unmet.demanded(),
+                                unmet.allocated()));
             }
             allocation = next;
             next.budgets()
                     .forEach(budget -> capacities.put(
-                            budget.limit().id(), (long) budget.capacity().left()));
+                            budget.limit().id(), (long) budget.capacity().available()));
             targets = new PoolTargets(next, input.engines());
             return isDifferent;
         } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/PoolLimitIds.java
@@ -19,9 +19,9 @@
     static final String PREFIX = "pool/";
 
     /** Prefix of the id of a kind's limit; the name of the kind follows. */
-    static final String KIND = new Limit(Limit.Of.KIND, "").id();
+    static final String KIND = new Limit(Limit.Scope.KIND, "").id();
     /** Prefix of the id of an engine's limit; the id of the engine follows. */
-    static final String ENGINE = new Limit(Limit.Of.ENGINE, "").id();
+    static final String ENGINE = new Limit(Limit.Scope.ENGINE, "").id();
     /** Name of the only slot of a gateway in the limit of an engine, which all tenants share. */
     static final String ALL = "*";
 
--- a/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/pool/UnsupportedStatements.java
@@ -23,17 +23,17 @@
         List<String> warnings = new ArrayList<>();
         policy.shares().stream()
                 .filter(UnsupportedStatements::isOfClass)
-                .sorted(Comparator.comparing(Statement::at))
+                .sorted(Comparator.comparing(Statement::position))
                 .limit(MAX_PER_REASON)
-                .forEach(share -> warnings.add("line " + share.at().line() + ": " + share.of() + ": gateways report "
-                        + "demand by tenant only, so a statement about classes has no effect"));
+                .forEach(share -> warnings.add("line " + share.position().line() + ": " + share.selector()
+                        + ": gateways report " + "demand by tenant only, so a statement about classes has no effect"));
         Stream.of(policy.budgets(), policy.reserves(), policy.borrows(), policy.shares())
                 .flatMap(Collection<? extends Statement>::stream)
-                .filter(statement -> statement.when().stream().anyMatch(UnsupportedStatements::neverHolds))
-                .sorted(Comparator.comparing(Statement::at))
+                .filter(statement -> statement.conditions().stream().anyMatch(UnsupportedStatements::neverHolds))
+                .sorted(Comparator.comparing(Statement::position))
                 .limit(MAX_PER_REASON)
                 .forEach(statement ->
-                        warnings.add("line " + statement.at().line() + ": conditions on storm, recovery and "
+                        warnings.add("line " + statement.position().line() + ": conditions on storm, recovery and "
                                 + "outages never hold in this version, so this statement has no effect"));
         return warnings;
     }
@@ -41,7 +41,7 @@
     private static final int MAX_PER_REASON = 3;
 
     private static boolean isOfClass(Statement.Share share) {
-        return share.of().forms().stream().anyMatch(form -> form.dimension() == Dimension.CLASS);
+        return share.selector().forms().stream().anyMatch(form -> form.dimension() == Dimension.CLASS);
     }
 
     /** Whether the condition is always false: {@code PoolCoordinator} always states calm and no expected outages. */
