--- a/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
+++ b/gateway/src/test/java/sandpaddle/discovery/EndpointWatcherTest.java
@@ -20,8 +20,8 @@
 import sandpaddle.config.EndpointListEvent;
 import sandpaddle.config.PlatformNames;
 import sandpaddle.eventloop.EventLoop;
+import sandpaddle.integration.ScriptedFeed;
 import sandpaddle.interleaving.ManualClock;
-import sandpaddle.story.ScriptedFeed;
 
 /** Control feeds that fail, change their address or stop sending. The clock is virtual, the sockets are real. */
 public class EndpointWatcherTest {
@@ -85,8 +85,8 @@
     }
 
     /** Accepts the next connection and reads its subscription. */
-    private ScriptedFeed.Link accept(ScriptedFeed feed) throws IOException {
-        CompletableFuture<ScriptedFeed.Link> link = CompletableFuture.supplyAsync(() -> {
+    private ScriptedFeed.Connection accept(ScriptedFeed feed) throws IOException {
+        CompletableFuture<ScriptedFeed.Connection> link = CompletableFuture.supplyAsync(() -> {
             try {
                 return feed.accept();
             } catch (IOException e) {
@@ -124,12 +124,12 @@
         watcher.setAddress(address(nextFeed));
         var next = accept(nextFeed);
         assertEquals(next.subscription(), "SUB 1");
-        next.line("1");
+        next.writeLine("1");
         advance(HEARTBEAT.minus(STEP));
-        previous.line(drain(2));
+        previous.writeLine(drain(2));
         await(() -> versions().equals(List.of(2L)));
-        next.line(drain(2));
-        next.line(event(3, false, host("f", "Ready", 0)));
+        next.writeLine(drain(2));
+        next.writeLine(event(3, false, host("f", "Ready", 0)));
         await(() -> events.size() == 2);
         assertEquals(versions(), List.of(2L, 3L)); // an event from both feeds is applied once
     }
@@ -140,12 +140,12 @@
         var previous = accept(feed);
         watcher.setAddress(address(nextFeed));
         var next = accept(nextFeed);
-        next.line("1");
+        next.writeLine("1");
         advance(HEARTBEAT);
-        next.line("1");
-        previous.line("1");
+        next.writeLine("1");
+        previous.writeLine("1");
         advance(SILENCE_TIMEOUT.minus(HEARTBEAT).plus(STEP));
-        assertTrue(previous.isLeft());
+        assertTrue(previous.isClosedByGateway());
     }
 
     /** A drain that only the previous feed can announce must not be missed while the next one sends nothing. */
@@ -155,7 +155,7 @@
         watcher.setAddress(address(nextFeed));
         accept(nextFeed);
         advance(HEARTBEAT);
-        previous.line(drain(2));
+        previous.writeLine(drain(2));
         await(() -> versions().equals(List.of(2L)));
         advance(SILENCE_TIMEOUT.minus(HEARTBEAT).plus(FIRST_BACKOFFS));
         assertEquals(accept(nextFeed).subscription(), "SUB 2");
@@ -165,13 +165,13 @@
     @Test
     public void ignoresOutdatedEventsOfNextFeedAndAppliesNewOnes() throws Exception {
         var previous = accept(feed);
-        previous.line(drain(2));
+        previous.writeLine(drain(2));
         await(() -> events.size() == 1);
         watcher.setAddress(address(nextFeed));
         var next = accept(nextFeed);
-        next.line("1");
-        next.line(event(2, false, host("e", "Ready", 0)));
-        next.line(event(3, false, host("f", "Terminating", 0)));
+        next.writeLine("1");
+        next.writeLine(event(2, false, host("e", "Ready", 0)));
+        next.writeLine(event(3, false, host("f", "Terminating", 0)));
         await(() -> events.size() == 2);
         assertEquals(versions(), List.of(2L, 3L));
     }
@@ -189,7 +189,7 @@
             loop.runTurn(
                     () -> {
                         try {
-                            link.line(drain(number));
+                            link.writeLine(drain(number));
                         } catch (IOException e) {
                             throw new AssertionError(e);
                         }
@@ -206,28 +206,28 @@
     public void replacesSilentConnectionAndItsSilentSuccessor() throws Exception {
         var link = accept(feed);
         for (int second = 0; second < 13; second++) {
-            link.line("1");
+            link.writeLine("1");
             advance(HEARTBEAT);
         }
-        link.line("1");
+        link.writeLine("1");
         advance(SILENCE_TIMEOUT.minus(STEP));
         assertFalse(isClosed(link));
         advance(FIRST_BACKOFFS);
-        assertTrue(link.isLeft());
+        assertTrue(link.isClosedByGateway());
         var silent = accept(feed);
         assertEquals(silent.subscription(), "SUB 1");
         advance(SILENCE_TIMEOUT.plus(FIRST_BACKOFFS));
-        assertTrue(silent.isLeft());
+        assertTrue(silent.isClosedByGateway());
         var healthy = accept(feed);
         assertEquals(healthy.subscription(), "SUB 1");
-        healthy.line(drain(2));
+        healthy.writeLine(drain(2));
         await(() -> versions().equals(List.of(2L)));
     }
 
-    private static boolean isClosed(ScriptedFeed.Link link) throws IOException {
+    private static boolean isClosed(ScriptedFeed.Connection link) throws IOException {
         link.socket().setSoTimeout(1);
         try {
-            return link.isLeft();
+            return link.isClosedByGateway();
         } catch (java.net.SocketTimeoutException e) {
             return false;
         } finally {
@@ -242,8 +242,8 @@
         byte[] half = drain(2).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         link.socket().getOutputStream().write(half, 0, half.length / 2);
         advance(SILENCE_TIMEOUT.plus(FIRST_BACKOFFS));
-        assertTrue(link.isLeft());
-        accept(feed).line(drain(2));
+        assertTrue(link.isClosedByGateway());
+        accept(feed).writeLine(drain(2));
         await(() -> versions().equals(List.of(2L)));
     }
 
@@ -290,14 +290,14 @@
     @Test
     public void reconnectsWithBackoffIfHeartbeatIsAheadOfEvents() throws Exception {
         int connections = 0;
-        CompletableFuture<ScriptedFeed.Link> next = acceptLater();
+        CompletableFuture<ScriptedFeed.Connection> next = acceptLater();
         for (Duration passed = Duration.ZERO; passed.compareTo(HEARTBEAT) < 0; passed = passed.plus(STEP)) {
             for (int i = 0; i < 3; i++) {
                 runTurn();
             }
             if (next.isDone()) {
                 connections++;
-                next.join().line("9");
+                next.join().writeLine("9");
                 next = acceptLater();
             }
             clock.advance(STEP);
@@ -305,7 +305,7 @@
         assertTrue(connections >= 2 && connections <= 8, connections + " connections in a second");
     }
 
-    private CompletableFuture<ScriptedFeed.Link> acceptLater() {
+    private CompletableFuture<ScriptedFeed.Connection> acceptLater() {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return feed.accept();
@@ -328,7 +328,7 @@
                         .toArray(String[]::new));
         CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
             try {
-                link.line(completeList);
+                link.writeLine(completeList);
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -349,7 +349,7 @@
         advance(MAX_BACKOFF.plus(STEP.multipliedBy(2)));
         var link = accept(feed);
         assertEquals(link.subscription(), "SUB 1");
-        link.line(drain(2));
+        link.writeLine(drain(2));
         await(() -> versions().equals(List.of(2L)));
     }
 
@@ -357,15 +357,15 @@
     @Test
     public void keepsConnectionWithLineWhenAddressChangesTwice() throws Exception {
         var previous = accept(feed);
-        previous.line("1");
+        previous.writeLine("1");
         runTurn();
         try (var intermediate = new ScriptedFeed()) {
             watcher.setAddress(address(intermediate));
             var silent = accept(intermediate);
             watcher.setAddress(address(nextFeed));
             assertEquals(accept(nextFeed).subscription(), "SUB 1");
-            assertTrue(silent.isLeft());
-            previous.line(drain(2));
+            assertTrue(silent.isClosedByGateway());
+            previous.writeLine(drain(2));
             await(() -> versions().equals(List.of(2L)));
         }
     }
--- a/gateway/src/test/java/sandpaddle/story/Stage.java
+++ b/gateway/src/test/java/sandpaddle/integration/GatewayFixture.java
@@ -1,4 +1,4 @@
-package sandpaddle.story;
+package sandpaddle.integration;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,8 +18,12 @@
 import sandpaddle.config.OperatorFile;
 import sandpaddle.config.ValidationErrors;
 
-/** A gateway in a thread of its own, between the scripted peers of one test. */
-final class Stage implements AutoCloseable {
+/**
+ * Test fixture: a gateway that runs in its own thread, connected to a scripted feed and scripted engines. Closing it
+ * closes its clients and stops the gateway.
+ */
+final class GatewayFixture implements AutoCloseable {
+    /** Platform settings of the gateway under test. */
     static final String SETTINGS = """
             {"balancers":1,"me":0,"zone":0,"discovery":"automatic","models":["std"],"failure_domains":["east"],
             "classes":[
@@ -33,16 +37,17 @@
             "tip_multiple":4.0,"fall_us":1000000},
             "specifics":{"class_threads":[1,2],"size_cores":[8],"grants_count":true,"takes_priority":true}}""";
 
-    /** Clients at one time: a third of the descriptors and 24. */
-    static final int MOST_CLIENTS = 256 / 3 + 24;
+    /** Maximum of concurrent client connections: a third of the file descriptors and 24. */
+    static final int MAX_CLIENTS = 256 / 3 + 24;
 
     final Server server;
-    private volatile Server.ConfigSource source;
-    private volatile Server.OperatorSource operator;
+    private volatile Server.ConfigSource configSource;
+    private volatile Server.OperatorSource operatorSource;
     private final List<Client> clients = new ArrayList<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final CompletableFuture<Void> termination = new CompletableFuture<>();
 
-    Stage(ScriptedFeed feed, ScriptedEngine... engines) throws IOException, InvalidFieldException {
+    /** Starts a gateway whose initial endpoint list holds the given engines as e0, e1 and so on, all ready. */
+    GatewayFixture(ScriptedFeed feed, ScriptedEngine... engines) throws IOException, InvalidFieldException {
         this(
                 feed,
                 event(
@@ -53,111 +58,128 @@
                                 .collect(Collectors.joining(","))));
     }
 
-    /** With an operator's file, and one engine. */
-    Stage(ScriptedFeed feed, OperatorFile file, ScriptedEngine engine) throws IOException, InvalidFieldException {
+    /** Starts a gateway with an operator's file and one engine, e0. */
+    GatewayFixture(ScriptedFeed feed, OperatorFile file, ScriptedEngine engine)
+            throws IOException, InvalidFieldException {
         this(feed, event(1, true, host("e0", engine, "Ready")), file);
     }
 
-    /** With what is known at the start: an event, or nothing. */
-    Stage(ScriptedFeed feed, String known) throws IOException, InvalidFieldException {
-        this(feed, known, OperatorFile.NONE);
+    /** Starts a gateway with an initial endpoint list event, or none if empty. */
+    GatewayFixture(ScriptedFeed feed, String initialEvent) throws IOException, InvalidFieldException {
+        this(feed, initialEvent, OperatorFile.NONE);
     }
 
-    private Stage(ScriptedFeed feed, String known, OperatorFile file) throws IOException, InvalidFieldException {
-        source = () -> config(feed.port(), known);
-        operator = () -> file;
-        server = new Server(() -> source.load(), () -> operator.load(), file, Clock.systemUTC());
+    private GatewayFixture(ScriptedFeed feed, String initialEvent, OperatorFile file)
+            throws IOException, InvalidFieldException {
+        configSource = () -> config(feed.port(), initialEvent);
+        operatorSource = () -> file;
+        server = new Server(() -> configSource.load(), () -> operatorSource.load(), file, Clock.systemUTC());
         ScriptedEngine.daemon(() -> {
             try {
                 server.run();
-                ended.complete(null);
+                termination.complete(null);
             } catch (IOException | RuntimeException e) {
-                ended.completeExceptionally(e);
+                termination.completeExceptionally(e);
             }
         });
     }
 
-    /** A new configuration, as an operator brings it to a running gateway. */
+    /** Replaces the configuration and makes the gateway reload it. */
     void reload(Server.ConfigSource next) {
-        source = next;
+        configSource = next;
         server.reloadConfig();
     }
 
-    /** The same with a new operator's file. */
+    /** Replaces the operator's file and makes the gateway reload it. */
     void reloadOperator(Server.OperatorSource next) {
-        operator = next;
+        operatorSource = next;
         server.reloadConfig();
     }
 
-    /** An operator's file as a text. */
-    static OperatorFile operator(String text) throws OperatorFile.InvalidFileException {
+    /** Parses an operator's file. */
+    static OperatorFile operatorFile(String text) throws OperatorFile.InvalidFileException {
         return OperatorFile.parse(text.getBytes(StandardCharsets.UTF_8), new ValidationErrors("operator.json"));
     }
 
+    /** Returns a configuration with the given feed port and initial endpoint list event, which may be empty. */
     static GatewayConfig config(int feedPort, String event) throws InvalidFieldException {
-        String all = """
+        String json = """
                 {"name":"n0","listen":"127.0.0.1:0","seed":"00000000000000aa",
                 "limits":{"cores":1.0,"memory_mb":192,"sockets":256},"feed":"127.0.0.1:%d",
                 "known":{"events":[%s]},"settings":%s}""".formatted(feedPort, event, SETTINGS);
         try {
-            return GatewayConfig.parse(JsonObject.parse(all.getBytes(StandardCharsets.UTF_8), ""));
+            return GatewayConfig.parse(JsonObject.parse(json.getBytes(StandardCharsets.UTF_8), ""));
         } catch (IOException e) {
             throw new InvalidFieldException(e.getMessage());
         }
     }
 
-    static String event(int number, boolean whole, String hosts) {
+    /**
+     * Returns an endpoint list event.
+     *
+     * @param number its sequence number
+     * @param complete whether the list replaces the previous one; otherwise it updates single engines
+     * @param hosts comma-separated results of {@link #host}
+     */
+    static String event(int number, boolean complete, String hosts) {
         return "{\"n\":%d,\"members\":{\"seq\":%d,\"whole\":%b,\"hosts\":[%s]}}"
-                .formatted(number, number, whole, hosts);
+                .formatted(number, number, complete, hosts);
     }
 
+    /** Returns an endpoint list entry with start time 0. */
     static String host(String id, ScriptedEngine engine, String health) {
         return host(id, engine, health, 0);
     }
 
-    static String host(String id, ScriptedEngine engine, String health, long bornMs) {
+    /** Returns an endpoint list entry of an engine with the given health and start time. */
+    static String host(String id, ScriptedEngine engine, String health, long startTimeMs) {
         return """
                 {"host":"%s","dial":"127.0.0.1:%d","site":"east","class":"std","block":0,"health":"%s","share":1,
-                "born_ms":%d}""".formatted(id, engine.port(), health, bornMs).replace("\n", "");
+                "born_ms":%d}""".formatted(id, engine.port(), health, startTimeMs).replace("\n", "");
     }
 
-    static String fields(String route, int trace, int patienceMs) {
+    /** Returns the comment in front of a statement that holds the fields of the query. */
+    static String queryComment(String route, int trace, int timeoutMs) {
         return String.format(
-                Locale.ROOT, "/* route=%s,trace=%016x,patience=%d,weight=20.0,est_mb=8 */ ", route, trace, patienceMs);
+                Locale.ROOT, "/* route=%s,trace=%016x,patience=%d,weight=20.0,est_mb=8 */ ", route, trace, timeoutMs);
     }
 
     InetSocketAddress address() throws IOException {
         return server.address();
     }
 
+    /** Returns a new client that is logged in; the fixture closes it. */
     Client client() throws IOException {
-        Client c = Client.ready(address());
+        Client c = Client.connect(address());
         clients.add(c);
         return c;
     }
 
-    /** A client that connects and says nothing; it may be sent away. */
-    Client opened() throws IOException {
+    /** Returns a new connection that sends nothing. The gateway may reject or evict it. */
+    Client openConnection() throws IOException {
         Client c = new Client(address());
         clients.add(c);
         return c;
     }
 
-    /** What a new client is answered, which then stays; it may be refused before it is greeted. */
-    String askOnce(String text) throws IOException {
-        Client c = opened();
-        String first = c.answerOrGreeting();
+    /**
+     * Executes a query on a new connection that stays open. Returns the error if the gateway rejects the connection
+     * before the greeting.
+     */
+    String executeOnNewConnection(String text) throws IOException {
+        Client c = openConnection();
+        String first = c.readGreetingOrError();
         if (!first.isEmpty()) {
             return first;
         }
         c.write(Client.login());
-        c.answer();
-        return c.ask(text);
+        c.readAnswer();
+        return c.execute(text);
     }
 
-    /** Waits until the gateway has ended by itself. */
-    void awaitEnd() {
-        ended.orTimeout(8, TimeUnit.SECONDS).join();
+    /** Waits until the gateway's thread has ended. */
+    void awaitTermination() {
+        termination.orTimeout(8, TimeUnit.SECONDS).join();
     }
 
     @Override
@@ -166,6 +188,6 @@
             c.close();
         }
         server.abort();
-        awaitEnd();
+        awaitTermination();
     }
 }
--- a/gateway/src/test/java/sandpaddle/story/Footprint.java
+++ b/gateway/src/test/java/sandpaddle/integration/ProcessInspector.java
@@ -1,4 +1,4 @@
-package sandpaddle.story;
+package sandpaddle.integration;
 
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
@@ -11,27 +11,27 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the kernel says of a process that runs: its ports and its threads. */
-final class Footprint {
-    private static final Pattern SOCKET = Pattern.compile("socket:\\[(\\d+)]");
-    private static final String LISTENS = "0A"; // the state in /proc/net/tcp
-    private static final int LOCAL = 1;
-    private static final int STATE = 3;
-    private static final int INODE = 9;
+/** Reads the listening TCP ports and the thread names of a running process from {@code /proc}. */
+final class ProcessInspector {
+    private static final Pattern SOCKET_LINK = Pattern.compile("socket:\\[(\\d+)]");
+    private static final String STATE_LISTEN = "0A"; // TCP_LISTEN in the field st of /proc/net/tcp
+    private static final int LOCAL_ADDRESS_FIELD = 1;
+    private static final int STATE_FIELD = 3;
+    private static final int INODE_FIELD = 9;
 
     private final Path proc;
 
-    Footprint(long pid) {
+    ProcessInspector(long pid) {
         proc = Path.of("/proc", Long.toString(pid));
     }
 
-    private Set<String> sockets() throws IOException {
+    private Set<String> socketInodes() throws IOException {
         Set<String> inodes = new HashSet<>();
         try (DirectoryStream<Path> open = Files.newDirectoryStream(proc.resolve("fd"))) {
             for (Path fd : open) {
                 Matcher m = Files.isSymbolicLink(fd)
-                        ? SOCKET.matcher(Files.readSymbolicLink(fd).toString())
-                        : SOCKET.matcher("");
+                        ? SOCKET_LINK.matcher(Files.readSymbolicLink(fd).toString())
+                        : SOCKET_LINK.matcher("");
                 if (m.matches()) {
                     inodes.add(m.group(1));
                 }
@@ -40,23 +40,24 @@
         return inodes;
     }
 
-    /** The ports that it listens on. */
-    Set<Integer> ports() throws IOException {
-        Set<String> own = sockets();
+    /** Returns the TCP ports on which the process listens. */
+    Set<Integer> listeningPorts() throws IOException {
+        Set<String> own = socketInodes();
         Set<Integer> ports = new TreeSet<>();
         for (String table : List.of("net/tcp", "net/tcp6")) {
             for (String line : Files.readAllLines(proc.resolve(table))) {
                 String[] f = line.strip().split("\\s+");
-                if (f.length > INODE && f[STATE].equals(LISTENS) && own.contains(f[INODE])) {
-                    ports.add(Integer.parseInt(f[LOCAL].substring(f[LOCAL].indexOf(':') + 1), 16));
+                if (f.length > INODE_FIELD && f[STATE_FIELD].equals(STATE_LISTEN) && own.contains(f[INODE_FIELD])) {
+                    ports.add(Integer.parseInt(
+                            f[LOCAL_ADDRESS_FIELD].substring(f[LOCAL_ADDRESS_FIELD].indexOf(':') + 1), 16));
                 }
             }
         }
         return ports;
     }
 
-    /** The names of its threads, as far as the kernel keeps them. */
-    Set<String> threads() throws IOException {
+    /** Returns the names of its threads, which the kernel truncates to 15 characters. */
+    Set<String> threadNames() throws IOException {
         Set<String> names = new TreeSet<>();
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(proc.resolve("task"))) {
             for (Path t : tasks) {
--- a/gateway/src/test/java/sandpaddle/story/ScriptedEngine.java
+++ b/gateway/src/test/java/sandpaddle/integration/ScriptedEngine.java
@@ -1,4 +1,4 @@
-package sandpaddle.story;
+package sandpaddle.integration;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -17,33 +17,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** An engine that does what a test's script says, and keeps every call that reached it. */
+/** Engine stand-in that answers each HTTP call with the result of a script and records the calls. */
 final class ScriptedEngine implements AutoCloseable {
-    /** What a script may say in place of an answer. */
-    static final String SILENT = "";
-
-    static final String BREAK = "break";
-
-    /** A call that has come whole; {@code connection} numbers the connections from 1. */
-    record Call(int connection, String line, Map<String, String> headers, String body) {
+    /** Script result that leaves the call unanswered and the connection open. */
+    static final String NO_RESPONSE = "";
+
+    /** Script result that closes the connection without a response. */
+    static final String CLOSE_CONNECTION = "break";
+
+    /**
+     * A completely received call.
+     *
+     * @param connection number of its connection, from 1 in the order of accepting
+     * @param requestLine the HTTP request line
+     * @param headers by name in lower case
+     * @param body decoded as ISO-8859-1
+     */
+    record Call(int connection, String requestLine, Map<String, String> headers, String body) {
         boolean is(String method) {
-            return line.startsWith(method + " ");
+            return requestLine.startsWith(method + " ");
         }
     }
 
-    private final ServerSocket listening;
-    private final Thread accepting;
+    private final ServerSocket listener;
+    private final Thread acceptThread;
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private volatile Function<Call, String> script;
-    private volatile Function<Call, String> beside = c -> "HTTP/1.1 204 -\r\n\r\n"; // DELETE and PUT
+    private volatile Function<Call, String> controlScript = c -> "HTTP/1.1 204 -\r\n\r\n"; // DELETE and PUT
 
     ScriptedEngine(Function<Call, String> script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        accepting = daemon(this::accept);
+        listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        acceptThread = daemon(this::accept);
     }
 
+    /** Starts a daemon thread. */
     static Thread daemon(Runnable task) {
         Thread t = new Thread(task);
         t.setDaemon(true);
@@ -51,40 +60,45 @@
         return t;
     }
 
-    static String answer(int status, String headers, String body) {
+    /** Returns an HTTP response; each of the header lines ends with CRLF. */
+    static String response(int status, String headers, String body) {
         return "HTTP/1.1 " + status + " -\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Returns the response to a completed query with one page of rows. */
     static String ok(String body) {
-        return answer(200, "Result-Pages: 1\r\n", body);
+        return response(200, "Result-Pages: 1\r\n", body);
     }
 
     int port() {
-        return listening.getLocalPort();
+        return listener.getLocalPort();
     }
 
+    /** Replaces the script for POST and GET. */
     void script(Function<Call, String> next) {
         script = next;
     }
 
-    void beside(Function<Call, String> next) {
-        beside = next;
+    /** Replaces the script for DELETE and PUT. */
+    void scriptControlCalls(Function<Call, String> next) {
+        controlScript = next;
     }
 
-    /** The next call of a method; other calls before it are dropped. */
+    /** Waits for the next call with a method and drops the calls before it; fails if no call is received for 5 s. */
     Call next(String method) throws InterruptedException {
         for (Call c = poll(); c != null; c = poll()) {
             if (c.is(method)) {
                 return c;
             }
         }
-        throw new AssertionError("no " + method + " came");
+        throw new AssertionError("no " + method + " received within 5 s");
     }
 
     private Call poll() throws InterruptedException {
         return calls.poll(5, TimeUnit.SECONDS);
     }
 
+    /** Returns the number of recorded calls with a method that {@link #next} has not returned or dropped. */
     long count(String method) {
         return calls.stream().filter(c -> c.is(method)).count();
     }
@@ -92,46 +106,47 @@
     private void accept() {
         try {
             while (true) {
-                Socket s = listening.accept();
+                Socket s = listener.accept();
                 sockets.add(s);
                 int number = sockets.size();
                 daemon(() -> serve(s, number));
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // the listener was closed at the end of the test
         }
     }
 
-    private void serve(Socket s, int number) {
-        try (s) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket, int number) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
             for (Call c = read(in, number); c != null; c = read(in, number)) {
-                String answer = c.is("DELETE") || c.is("PUT") ? beside.apply(c) : script.apply(c);
-                calls.add(c); // after it: who has seen the call may change the script
-                if (answer.equals(BREAK)) {
+                String response = c.is("DELETE") || c.is("PUT") ? controlScript.apply(c) : script.apply(c);
+                // recorded after the script ran, so that a test that has seen the call may replace the script
+                calls.add(c);
+                if (response.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
-            // the other side closed
+            // closed by the gateway
         }
     }
 
     private static Call read(InputStream in, int number) throws IOException {
-        String line = line(in);
+        String line = readLine(in);
         if (line == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
+        for (String h = readLine(in); h != null && !h.isEmpty(); h = readLine(in)) {
             headers.put(h.split(":", 2)[0].toLowerCase(Locale.ROOT), h.split(":", 2)[1].strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         return new Call(number, line, headers, new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -142,12 +157,15 @@
         return line.toString().strip();
     }
 
-    /** The kernel goes on accepting until the thread in accept has left it: it is waited for. */
+    /**
+     * Stops accepting and closes all connections. Joins the accepting thread, because the kernel accepts connections
+     * until that thread has left {@code accept}.
+     */
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
         try {
-            accepting.join();
+            acceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/test/java/sandpaddle/interleaving/ScriptedClient.java
+++ b/gateway/src/test/java/sandpaddle/interleaving/ScriptedClient.java
@@ -8,7 +8,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.List;
-import sandpaddle.story.Client;
+import sandpaddle.integration.Client;
 
 /** A MySQL client whose bytes and closes the test scripts, on a non-blocking socket. */
 final class ScriptedClient implements AutoCloseable {
