--- a/gateway/src/test/java/sandpaddle/recorded/RecordedFile.java
+++ b/gateway/src/test/java/sandpaddle/recorded/RecordedFile.java
@@ -18,12 +18,12 @@
 import java.util.Set;
 
 /**
- * A file under {@code src/test/resources/recorded} with the output of an earlier version. Tests compare the present
- * output with it, so that a change of form that also changes behaviour, a stored byte or a byte on the wire shows.
+ * File under {@code src/test/resources/recorded} with the output of an earlier version. Tests compare the present
+ * output with it to detect accidental changes of behaviour, stored bytes or bytes on the wire.
  *
- * <p>A file is written only with {@code -Dsandpaddle.record=NAME,NAME} or {@code =all}, and the test fails then: a run
- * that records is never green. A record is taken anew only where the output is meant to change, and the commit says
- * why.
+ * <p>With {@code -Dsandpaddle.record=NAME,NAME} or {@code =all} a test writes the file instead and fails, so that a
+ * recording run never passes. Record anew only where the output is meant to change, and give the reason in the
+ * commit.
  */
 public final class RecordedFile {
     private static final Path DIRECTORY = Path.of("gateway/src/test/resources/recorded");
@@ -34,17 +34,18 @@
     private final String name;
     private final Path path;
 
+    /** Refers to the file with the given name, which need not exist yet. */
     public RecordedFile(String name) {
         this.name = name;
         path = DIRECTORY.resolve(name);
     }
 
-    /** Whether this run writes the file. */
+    /** Returns whether this run writes the file. */
     public boolean isRecording() {
         return RECORDING.contains(name) || RECORDING.contains("all");
     }
 
-    /** The recorded lines. */
+    /** Returns the recorded lines. */
     public List<String> lines() {
         try {
             return Files.readAllLines(path);
@@ -53,7 +54,10 @@
         }
     }
 
-    /** Fails at the first line that differs from the record. */
+    /**
+     * Compares lines with the record and fails at the first difference; writes the record and fails in a recording
+     * run.
+     */
     public void check(List<String> lines) {
         if (isRecording()) {
             write(lines);
@@ -66,14 +70,14 @@
         assertEquals(expected.size(), lines.size(), name + ": number of lines");
     }
 
-    /** Checks bytes by name against lines of a name and hexadecimal digits. */
+    /** Compares named byte sequences with the record, which holds a name and hexadecimal digits in each line. */
     public void checkBytes(Map<String, byte[]> bytes) {
         List<String> lines = new ArrayList<>();
         bytes.forEach((key, value) -> lines.add(key + " " + HexFormat.of().formatHex(value)));
         check(lines);
     }
 
-    /** The recorded bytes by name. */
+    /** Returns the recorded bytes by name, in the order of the file. */
     public Map<String, byte[]> bytes() {
         Map<String, byte[]> bytes = new LinkedHashMap<>();
         for (String line : lines()) {
@@ -92,7 +96,7 @@
         }
     }
 
-    /** A short digest of some lines. */
+    /** Returns the first 16 hexadecimal digits of the SHA-256 of the lines. */
     public static String digest(List<String> lines) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
