--- a/gateway/src/test/java/sandpaddle/integration/GatewayProcessIntegrationTest.java
+++ b/gateway/src/test/java/sandpaddle/integration/GatewayProcessIntegrationTest.java
@@ -15,7 +15,7 @@
 /** The gateway as a separate process: its start, signals, memory and file descriptors. */
 public class GatewayProcessIntegrationTest {
     private static final String SQL = "SELECT 1";
-    private static final int PING = 14; // COM_PING
+    private static final int COM_PING = 14;
     private static final int FLEET_SIZE = 1024;
     private static final int LARGE_LIST_SIZE = 8500;
     private static final String[] JVM_LIMITS = {
@@ -143,8 +143,7 @@
                         answer = client.execute(GatewayFixture.queryComment("lookup", i, 5000) + SQL);
                     }
                 } catch (IOException e) {
-                    // this connection was evicted as idle before its request was read; the next iteration sends it
-                    // again
+                    // this connection was evicted as idle before its request was read; the next iteration retries
                     answer = "";
                 }
             }
@@ -271,7 +270,7 @@
                     "-Xshare:auto",
                     "-XX:SharedArchiveFile=no-such-file.jsa")) {
                 Client client = Client.connect(process.address());
-                client.write(Client.command(PING, ""));
+                client.write(Client.command(COM_PING, ""));
                 assertEquals(client.readAnswer(), "ok");
                 client.close();
             }
