--- a/lab/src/main/java/sandpaddle/lab/scale/ControlMachine.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ControlMachine.java
@@ -9,9 +9,9 @@
 import sandpaddle.lab.Site;
 import sandpaddle.lab.StandInFeed;
 
-/** A voter of the fleet: a whole gateway's process with its directory, without clients and engines. */
+/** A control machine: a complete gateway process with a voter directory, without clients and engines. */
 final class ControlMachine {
-    /** The most heap of its process: a voter of some hundred gateways needs more than a gateway does. */
+    /** Maximum heap of the process. A voter that serves several hundred gateways needs more than a plain gateway. */
     static final int HEAP_MB = 512;
 
     private final Member member;
@@ -21,10 +21,10 @@
     private FleetProcess process;
     private boolean killed;
 
-    ControlMachine(Member member, int index, ScalePlan plan, ScaleSite site, StandInFeed feed) throws IOException {
+    ControlMachine(Member member, int index, ScalePlan plan, ScaleFleet fleet, StandInFeed feed) throws IOException {
         this.member = member;
         port = GatewayProcess.freePort();
-        operator = site.controlFile(member);
+        operator = fleet.controlFile(member);
         config = Files.writeString(
                 plan.folder().resolve(member.name() + ".json"),
                 Site.configOfPeer(
@@ -35,14 +35,14 @@
                         feed.address(),
                         feed.known(),
                         plan.seed() + index,
-                        site.zones()));
+                        fleet.zones()));
     }
 
     String name() {
         return member.name();
     }
 
-    /** Founds its directory and starts its process. */
+    /** Formats the voter directory and starts the process. */
     void start(ScalePlan plan) throws IOException {
         FleetProcess.format(plan.jar(), operator, member.name());
         process = FleetProcess.start(plan.jar(), plan.folder(), member.name(), port, config, operator, HEAP_MB);
@@ -52,19 +52,19 @@
         return process;
     }
 
-    /** Whether its process has ended without having been killed by the run. */
+    /** Whether the process ended without being killed by the run. */
     boolean hasFailed() {
         return !killed && process != null && !process.isAlive();
     }
 
-    /** Kills its process, as if its machine lost power. */
+    /** Kills the process without a shutdown, as in a power failure of its machine. */
     void kill() {
         killed = true;
         process.kill();
     }
 
-    /** Kills it with the run that is broken off. */
-    void abandon() {
+    /** Kills the process when the run ends or is aborted. */
+    void abort() {
         if (process != null) {
             process.kill();
         }
--- a/lab/src/main/java/sandpaddle/lab/scale/Fault.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/Fault.java
@@ -5,62 +5,70 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** What fails during a scale run. Some are named by the plan for the fleet's size and cannot be played yet. */
+/** A fault injected during a scale run. Some are reserved names from the capacity plan and not implemented yet. */
 public enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE(true),
-    /** The leader's process is killed, as if its machine lost power. */
+    /** The process of the leader is killed without a shutdown, as in a power failure. */
     CONTROL_MACHINE(true),
-    /** The gateways of one zone reach no control machine until the end of the run. */
+    /** The gateways of one zone are partitioned from all control machines until the end of the run. */
     ZONE(true),
-    /** The gateways of one zone are cut off for a while, and come back all together. */
+    /** The gateways of one zone are partitioned for part of the run and reconnect at the same moment. */
     RETURN_ZONE(true),
-    /** A tenth of the gateways crash and start at the same moment. */
+    /** A tenth of the gateways crash and restart at the same moment. */
     RESTART_TENTH(true),
-    /** A tenth of a zone's gateways. */
+    /** A tenth of the gateways of one zone fail. */
     RACK(false),
-    /** All zones of one region. */
+    /** All zones of one region fail. */
     REGION(false),
-    /** The disk of a control machine answers slowly. */
+    /** The disk of a control machine has a high latency. */
     SLOW_DISK(false),
     /** An engine is replaced by its successor. */
     SUCCESSOR(false);
 
-    private final boolean built;
+    private final boolean implemented;
 
-    Fault(boolean built) {
-        this.built = built;
+    Fault(boolean implemented) {
+        this.implemented = implemented;
     }
 
-    /** Whether a run can play it. */
-    public boolean isBuilt() {
-        return built;
+    /** Whether a scale run can inject this fault. */
+    public boolean isImplemented() {
+        return implemented;
     }
 
-    /** As the command line has it. */
+    /** The name on the command line and in reports. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Whether the links of one zone pass a relay that can cut them. */
-    boolean cutsZone() {
+    /** Whether the links of one zone pass through a relay that can disconnect them. */
+    boolean disconnectsZone() {
         return this == ZONE || this == RETURN_ZONE;
     }
 
-    /** The fault of a name. */
-    public static Fault of(String name) throws RefusedException {
+    /**
+     * Returns the fault with a label, ignoring case.
+     *
+     * @throws RunRejectedException if the label is unknown or the fault is not implemented
+     */
+    public static Fault of(String name) throws RunRejectedException {
         Fault found = Arrays.stream(values())
                 .filter(f -> f.label().equalsIgnoreCase(name))
                 .findFirst()
-                .orElseThrow(() ->
-                        new RefusedException(List.of("fault '" + name + "' is not known; there are " + labels())));
-        if (!found.built) {
-            throw new RefusedException(List.of("fault '" + found.label() + "' is not built; there are " + labels()));
+                .orElseThrow(() -> new RunRejectedException(
+                        List.of("fault '" + name + "' is unknown; expected one of " + labels())));
+        if (!found.implemented) {
+            throw new RunRejectedException(
+                    List.of("fault '" + found.label() + "' is not implemented; expected one of " + labels()));
         }
         return found;
     }
 
     private static String labels() {
-        return Arrays.stream(values()).filter(Fault::isBuilt).map(Fault::label).collect(Collectors.joining(", "));
+        return Arrays.stream(values())
+                .filter(Fault::isImplemented)
+                .map(Fault::label)
+                .collect(Collectors.joining(", "));
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/HeapReader.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/HeapReader.java
@@ -7,22 +7,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Heap of another Java process after a collection, by the tool that comes with Java. */
+/** Reads the heap use of another JVM after a garbage collection, with {@code jcmd}. */
 final class HeapReader {
     private static final Pattern USED = Pattern.compile("(?:generation|space|heap)\\s+total \\d+K, used (\\d+)K");
     private static final double KB_PER_MB = 1024;
 
     private HeapReader() {}
 
-    /** Megabytes in use; empty where the process does not say. */
+    /** Heap in use after a collection, in megabytes; empty if {@code jcmd} gives no heap information. */
     static OptionalDouble afterCollection(long pid) {
         try {
             run(pid, "GC.run");
-            Matcher m = USED.matcher(run(pid, "GC.heap_info"));
+            Matcher matcher = USED.matcher(run(pid, "GC.heap_info"));
             double sum = 0;
             boolean found = false;
-            while (m.find()) {
-                sum += Long.parseLong(m.group(1)) / KB_PER_MB;
+            while (matcher.find()) {
+                sum += Long.parseLong(matcher.group(1)) / KB_PER_MB;
                 found = true;
             }
             return found ? OptionalDouble.of(sum) : OptionalDouble.empty();
@@ -32,10 +32,10 @@
     }
 
     private static String run(long pid, String command) throws IOException {
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(), Long.toString(pid), command)
                 .redirectErrorStream(true)
                 .start();
-        return new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/JsonFile.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/JsonFile.java
@@ -9,39 +9,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes figures as JSON: maps, lists, numbers, texts and null. */
+/** Writes a map as a JSON file. Values are maps, lists, numbers, strings or null. */
 final class JsonFile {
     private JsonFile() {}
 
-    static void write(Path file, Map<String, Object> figures) throws IOException {
-        try (JsonGenerator j = new JsonFactory().createGenerator(file.toFile(), JsonEncoding.UTF8)) {
-            j.setPrettyPrinter(new DefaultPrettyPrinter());
-            value(j, figures);
+    static void write(Path file, Map<String, Object> values) throws IOException {
+        try (JsonGenerator json = new JsonFactory().createGenerator(file.toFile(), JsonEncoding.UTF8)) {
+            json.setPrettyPrinter(new DefaultPrettyPrinter());
+            writeValue(json, values);
         }
     }
 
-    private static void value(JsonGenerator j, Object value) throws IOException {
+    private static void writeValue(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            j.writeStartObject();
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                j.writeFieldName(e.getKey().toString());
-                value(j, e.getValue());
+            json.writeStartObject();
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                json.writeFieldName(entry.getKey().toString());
+                writeValue(json, entry.getValue());
             }
-            j.writeEndObject();
+            json.writeEndObject();
         } else if (value instanceof List<?> list) {
-            j.writeStartArray();
-            for (Object each : list) {
-                value(j, each);
+            json.writeStartArray();
+            for (Object element : list) {
+                writeValue(json, element);
             }
-            j.writeEndArray();
-        } else if (value instanceof Double d) {
-            j.writeNumber(d);
-        } else if (value instanceof Number n) {
-            j.writeNumber(n.longValue());
+            json.writeEndArray();
+        } else if (value instanceof Double decimal) {
+            json.writeNumber(decimal);
+        } else if (value instanceof Number number) {
+            json.writeNumber(number.longValue());
         } else if (value == null) {
-            j.writeNull();
+            json.writeNull();
         } else {
-            j.writeString(value.toString());
+            json.writeString(value.toString());
         }
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/ProcessUse.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ProcessSample.java
@@ -13,10 +13,14 @@
 import sandpaddle.lab.ProcessUsage;
 
 /**
- * What a process has taken until one moment, as the operating system counts it. {@code cpuSeconds}: by thread name,
- * threads of one name together; a thread that has ended counts no more. {@code diskBytes}: sent to the disk.
+ * Cumulative resource use of a process at one moment, as counted by the operating system.
+ *
+ * @param atNs time of the sample on the {@link System#nanoTime} clock
+ * @param cpuSeconds CPU time by thread name; threads with the same name are added up, and ended threads are not counted
+ * @param allCpuSeconds CPU time of the process, including threads that have ended
+ * @param diskBytes bytes written to the disk
  */
-record ProcessUse(
+record ProcessSample(
         long atNs,
         Map<String, Double> cpuSeconds,
         double allCpuSeconds,
@@ -24,41 +28,42 @@
         long descriptors,
         double residentMb,
         Map<String, SocketBytes> sockets) {
-    private static final double TICKS_PER_SECOND = 100; // USER_HZ, the same on every Linux that Java runs on
-    private static final int USER_TIME = 11; // fields of a stat line after the name
+    private static final double TICKS_PER_SECOND = 100; // USER_HZ of all Linux platforms that Java supports
+    private static final int USER_TIME = 11; // index in the fields of /proc/PID/stat after the name
     private static final int SYSTEM_TIME = 12;
-    private static final boolean[] BUSY_FIELDS = {true, true, true, false, false, true, true};
+    /** Which fields of the first line of /proc/stat are busy time: all but idle and waiting for I/O. */
+    private static final boolean[] BUSY_CPU_FIELDS = {true, true, true, false, false, true, true};
 
-    /** Bytes of one connection, as the kernel counts them. */
+    /** Bytes received and sent on one connection, as counted by the kernel. */
     record SocketBytes(long in, long out) {}
 
-    /** Reads a process that runs; empty where it does not. */
-    static Optional<ProcessUse> of(long pid, Map<String, SocketBytes> sockets) {
+    /** Samples a process; empty if it is not running. */
+    static Optional<ProcessSample> of(long pid, Map<String, SocketBytes> sockets) {
         Path proc = Path.of("/proc", Long.toString(pid));
-        ProcessUsage now = new ProcessUsage(pid);
+        ProcessUsage usage = new ProcessUsage(pid);
         try {
-            return Optional.of(new ProcessUse(
+            return Optional.of(new ProcessSample(
                     System.nanoTime(),
-                    threads(proc.resolve("task")),
+                    cpuSecondsByThread(proc.resolve("task")),
                     cpuSeconds(proc.resolve("stat")),
                     number(proc.resolve("io"), "write_bytes"),
-                    now.descriptors(),
-                    now.residentMb(),
+                    usage.descriptors(),
+                    usage.residentMb(),
                     sockets));
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    private static Map<String, Double> threads(Path tasks) throws IOException {
+    private static Map<String, Double> cpuSecondsByThread(Path taskDirectory) throws IOException {
         Map<String, Double> seconds = new TreeMap<>();
-        try (Stream<Path> all = Files.list(tasks)) {
-            for (Path task : (Iterable<Path>) all::iterator) {
+        try (Stream<Path> entries = Files.list(taskDirectory)) {
+            for (Path task : (Iterable<Path>) entries::iterator) {
                 try {
                     String name = Files.readString(task.resolve("comm")).strip();
                     seconds.merge(name, cpuSeconds(task.resolve("stat")), Double::sum);
                 } catch (IOException e) {
-                    continue; // this thread has ended since
+                    continue; // the thread has ended since the directory was listed
                 }
             }
         }
@@ -71,27 +76,27 @@
         return (Long.parseLong(fields.get(USER_TIME)) + Long.parseLong(fields.get(SYSTEM_TIME))) / TICKS_PER_SECOND;
     }
 
-    /** Processor time that all processes of this machine have taken since its start. */
+    /** CPU time of all processes of this machine since its start. */
     static double machineCpuSeconds() throws IOException {
         String all = Files.readAllLines(Path.of("/proc/stat")).get(0);
         List<String> fields = List.of(all.split("\\s+")); // cpu, user, nice, system, idle, waiting, interrupts, ...
         long ticks = 0;
-        for (int i = 1; i <= BUSY_FIELDS.length; i++) {
-            ticks += BUSY_FIELDS[i - 1] ? Long.parseLong(fields.get(i)) : 0;
+        for (int i = 1; i <= BUSY_CPU_FIELDS.length; i++) {
+            ticks += BUSY_CPU_FIELDS[i - 1] ? Long.parseLong(fields.get(i)) : 0;
         }
         return ticks / TICKS_PER_SECOND;
     }
 
     private static long number(Path file, String key) throws IOException {
-        Matcher m = Pattern.compile("(?m)^" + key + ":\\s+(\\d+)").matcher(Files.readString(file));
-        if (!m.find()) {
+        Matcher matcher = Pattern.compile("(?m)^" + key + ":\\s+(\\d+)").matcher(Files.readString(file));
+        if (!matcher.find()) {
             throw new IOException(file + " has no " + key);
         }
-        return Long.parseLong(m.group(1));
+        return Long.parseLong(matcher.group(1));
     }
 
-    /** What was taken between two moments, by the second. */
-    Rates until(ProcessUse later) {
+    /** The resource use between this sample and a later one, per second. */
+    Rates ratesUntil(ProcessSample later) {
         double seconds = (later.atNs - atNs) / 1e9;
         Map<String, Double> threads = new TreeMap<>();
         later.cpuSeconds.forEach((name, s) ->
@@ -113,7 +118,14 @@
                 out / seconds);
     }
 
-    /** Each by the second but the last two; bytes are those of connections that were open at the end. */
+    /**
+     * Resource use per second between two samples.
+     *
+     * @param descriptors open descriptors at the later sample
+     * @param residentMb resident memory at the later sample
+     * @param bytesInPerSecond bytes received on connections that were open at the later sample
+     * @param bytesOutPerSecond bytes sent on connections that were open at the later sample
+     */
     record Rates(
             Map<String, Double> cpuByThread,
             double cpuCores,
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleAudit.java
@@ -11,28 +11,31 @@
 import java.util.TreeSet;
 import sandpaddle.lab.FleetAudit;
 
-/** Recounts a scale run from the events of its hosts and its script. It shares no code with the gateways. */
+/**
+ * Evaluates a scale run from the events that its simulation hosts and its script recorded. It shares no code with the
+ * gateways.
+ */
 final class ScaleAudit {
-    /** Memory of the processes of hollow gateways after a collection. */
+    /** Total memory of the processes of simulated gateways after a garbage collection. */
     record HostMemory(double heapMb, double directMb, long gateways) {}
 
-    private final RunningCount running = new RunningCount();
-    private final VersionCount versions = new VersionCount();
-    private final LeaseCount leases = new LeaseCount();
-    private final VerdictCount verdicts = new VerdictCount();
+    private final ConcurrencyCounter running = new ConcurrencyCounter();
+    private final VersionPropagation versions = new VersionPropagation();
+    private final LeaseTimeline leases = new LeaseTimeline();
+    private final VerdictDetection verdicts = new VerdictDetection();
     private final GatewaySamples samples = new GatewaySamples();
-    private final Map<String, Long> starts = new HashMap<>(); // of each gateway, its latest
+    private final Map<String, Long> starts = new HashMap<>(); // latest start number by gateway
     private final Set<String> restarted = new TreeSet<>();
     private final ScalePlan.Size size;
     private HostMemory memory = new HostMemory(0, 0, 0);
-    private String cutZone = "";
+    private String disconnectedZone = "";
     private long joinedMs = -1;
 
     private ScaleAudit(ScalePlan.Size size) {
         this.size = size;
     }
 
-    /** Counts the events of these files. */
+    /** Evaluates the events of these files. */
     static ScaleAudit of(ScalePlan.Size size, List<Path> files) throws IOException {
         List<Map<String, String>> all = new ArrayList<>();
         for (Path file : files) {
@@ -41,111 +44,115 @@
         return ofEvents(size, all);
     }
 
-    /** Counts these events, in any order. */
+    /** Evaluates these events, given in any order. */
     static ScaleAudit ofEvents(ScalePlan.Size size, List<Map<String, String>> events) {
         List<Map<String, String>> all = new ArrayList<>(events);
-        // what ends and what begins in the same microsecond did not run at one time
-        all.sort(Comparator.<Map<String, String>>comparingLong(e -> Long.parseLong(e.get("us")))
-                .thenComparing(e -> !"end".equals(e.get("kind"))));
+        // ends sort before starts in the same microsecond, since these attempts did not overlap
+        all.sort(Comparator.<Map<String, String>>comparingLong(event -> Long.parseLong(event.get("us")))
+                .thenComparing(event -> !"end".equals(event.get("kind"))));
         ScaleAudit audit = new ScaleAudit(size);
-        all.forEach(audit::take);
+        all.forEach(audit::process);
         return audit;
     }
 
-    private void take(Map<String, String> e) {
-        long us = Long.parseLong(e.get("us"));
-        if ("script".equals(e.get("party"))) {
-            script(e, us);
-        } else if ("host".equals(e.get("party"))) {
-            host(e, us);
+    private void process(Map<String, String> event) {
+        long us = Long.parseLong(event.get("us"));
+        if ("script".equals(event.get("party"))) {
+            scriptEvent(event, us);
+        } else if ("host".equals(event.get("party"))) {
+            hostEvent(event, us);
         }
     }
 
-    private void host(Map<String, String> e, long us) {
-        String gateway = e.get("gateway");
-        switch (e.get("kind")) {
-            case "begin" -> running.begins(e.get("attempt"), e.get("tenant"));
-            case "end" -> running.ends(e.get("attempt"));
-            case "gave-up" -> running.gaveUp();
-            case "proposed" -> versions.proposed(Long.parseLong(e.get("version")), us);
+    private void hostEvent(Map<String, String> event, long us) {
+        String gateway = event.get("gateway");
+        switch (event.get("kind")) {
+            case "begin" -> running.attemptStarted(event.get("attempt"), event.get("tenant"));
+            case "end" -> running.attemptEnded(event.get("attempt"));
+            case "gave-up" -> running.quotaWaitTimedOut();
+            case "proposed" -> versions.proposed(Long.parseLong(event.get("version")), us);
             case "rules" ->
-                versions.rules(gateway, Long.parseLong(e.get("start")), Long.parseLong(e.get("version")), us);
-            case "verdict-begins" -> verdicts.begins(gateway, e.get("engine"), us);
-            case "gateway-started" -> starts.put(gateway, Long.parseLong(e.get("start")));
+                versions.versionApplied(
+                        gateway, Long.parseLong(event.get("start")), Long.parseLong(event.get("version")), us);
+            case "verdict-begins" -> verdicts.verdictStarted(gateway, event.get("engine"), us);
+            case "gateway-started" -> starts.put(gateway, Long.parseLong(event.get("start")));
             case "crashed" -> {
                 restarted.add(gateway);
                 leases.crashed(gateway, us);
             }
             case "lease-begins", "lease-renewed" -> leases.renewed(gateway, us);
-            case "lease-ends" -> leases.lapsed(gateway);
+            case "lease-ends" -> leases.leaseExpired(gateway);
             case "memory" ->
                 memory = new HostMemory(
-                        memory.heapMb + Double.parseDouble(e.get("heap_mb")),
-                        memory.directMb + Double.parseDouble(e.get("direct_mb")),
-                        memory.gateways + Long.parseLong(e.get("gateways")));
+                        memory.heapMb + Double.parseDouble(event.get("heap_mb")),
+                        memory.directMb + Double.parseDouble(event.get("direct_mb")),
+                        memory.gateways + Long.parseLong(event.get("gateways")));
             case "sample" -> {
-                if ("begin".equals(e.get("label"))) {
-                    samples.begin(e);
+                if ("begin".equals(event.get("label"))) {
+                    samples.begin(event);
                 } else {
-                    samples.end(e);
+                    samples.end(event);
                 }
             }
-            default -> {} // of no account
+            default -> {} // not evaluated
         }
     }
 
-    private void script(Map<String, String> e, long us) {
-        switch (e.get("kind")) {
-            case "limit" -> running.limit(e.get("limit"), Long.parseLong(e.get("running")));
-            case "joined" -> joinedMs = Long.parseLong(e.get("ms"));
-            case "ready" -> leases.ready();
+    private void scriptEvent(Map<String, String> event, long us) {
+        switch (event.get("kind")) {
+            case "limit" -> running.limit(event.get("limit"), Long.parseLong(event.get("running")));
+            case "joined" -> joinedMs = Long.parseLong(event.get("ms"));
+            case "ready" -> leases.allGatewaysLeased();
             case "killed" -> leases.leaderKilled(us);
-            case "zone-cut" -> cutZone = e.get("zone");
-            case "zone-back" -> leases.zoneReturned(us);
-            case "sick" -> verdicts.sick(e.get("engine"), us);
-            case "well" -> verdicts.well(us);
-            default -> {} // of no account
+            case "zone-cut" -> disconnectedZone = event.get("zone");
+            case "zone-back" -> leases.zoneReconnected(us);
+            case "sick" -> verdicts.engineFailed(event.get("engine"), us);
+            case "well" -> verdicts.engineRecovered(us);
+            default -> {} // not evaluated
         }
     }
 
-    /** Whether a gateway is in the zone that was cut off at any time. */
-    boolean isCut(String gateway) {
-        return cutZone.equals(size.zone(Integer.parseInt(gateway.substring(gateway.lastIndexOf('-') + 1))));
+    /** Whether a gateway is in the zone that was partitioned at any time of the run. */
+    boolean isDisconnected(String gateway) {
+        return disconnectedZone.equals(size.zone(Integer.parseInt(gateway.substring(gateway.lastIndexOf('-') + 1))));
     }
 
-    /** Gateways that reached the control machines all the time. */
-    List<String> reached() {
-        return starts.keySet().stream().filter(g -> !isCut(g)).sorted().toList();
+    /** The gateways that were connected to the control machines all the time, sorted by name. */
+    List<String> connectedGateways() {
+        return starts.keySet().stream()
+                .filter(gateway -> !isDisconnected(gateway))
+                .sorted()
+                .toList();
     }
 
-    /** Gateways of the zone that was cut off. */
-    List<String> cut() {
-        return starts.keySet().stream().filter(this::isCut).sorted().toList();
+    /** The gateways of the zone that was partitioned, sorted by name. */
+    List<String> disconnectedGateways() {
+        return starts.keySet().stream().filter(this::isDisconnected).sorted().toList();
     }
 
-    /** Gateways without a fault of their own that lost their lease. */
-    long bystandersWithoutLease() {
-        return leases.lost(g -> !isCut(g) && !restarted.contains(g));
+    /** The number of gateways that lost their lease although no fault was injected at them. */
+    long unaffectedGatewaysWithoutLease() {
+        return leases.lostLeases(gateway -> !isDisconnected(gateway) && !restarted.contains(gateway));
     }
 
-    /** Versions that were in force and are not at the end. */
-    long agreedLost() {
-        return versions.lost(starts);
+    /** The number of versions that had been applied and are lost at the end. */
+    long lostVersions() {
+        return versions.lostVersions(starts);
     }
 
-    RunningCount running() {
+    ConcurrencyCounter running() {
         return running;
     }
 
-    VersionCount versions() {
+    VersionPropagation versions() {
         return versions;
     }
 
-    LeaseCount leases() {
+    LeaseTimeline leases() {
         return leases;
     }
 
-    VerdictCount verdicts() {
+    VerdictDetection verdicts() {
         return verdicts;
     }
 
@@ -157,7 +164,7 @@
         return memory;
     }
 
-    /** From the start of the hollow gateways until all held a lease, in milliseconds. */
+    /** Milliseconds from the start of the simulated gateways until all held a lease; -1 if not recorded. */
     long joinedMs() {
         return joinedMs;
     }
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
@@ -16,19 +16,20 @@
 import sandpaddle.lab.FleetCommand;
 import sandpaddle.lab.Main;
 
-/** {@code scale}: one {@link ScaleRun}, counted by {@link ScaleAudit}. */
+/** The subcommand {@code scale}: executes one {@link ScaleRun} and evaluates it with {@link ScaleAudit}. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Control machines that are real gateway processes, and hollow gateways by the hundred: the real "
-                + "fleet part over real TCP, with queries and answers that are drawn. Measures what each role takes.",
+        description =
+                "Runs control machines as real gateway processes, and hundreds of simulated gateways: the real fleet "
+                        + "component over TCP, with random queries and outcomes. Measures the resources of each role.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  scale --gateways 100 --limits 10 --seconds 20 --json out.json",
             "  scale --gateways 40 --fault control-machine --short"
         })
 public final class ScaleCommand implements Callable<Integer> {
-    private static final int REFUSED = 2;
+    private static final int EXIT_REJECTED = 2;
     private static final int SHORT_SECONDS = 15;
     private static final Duration WARM_UP = Duration.ofSeconds(10);
     private static final Duration SHORT_WARM_UP = Duration.ofSeconds(4);
@@ -37,28 +38,28 @@
             names = "--gateways",
             defaultValue = "60",
             paramLabel = "N",
-            description = "Hollow gateways (${DEFAULT-VALUE}).")
+            description = "Simulated gateways (${DEFAULT-VALUE}).")
     private int gateways;
 
     @Option(
             names = "--engines",
             defaultValue = "96",
             paramLabel = "M",
-            description = "Engines that each gateway lists (${DEFAULT-VALUE}).")
+            description = "Engines in the list of each gateway (${DEFAULT-VALUE}).")
     private int engines;
 
     @Option(
             names = "--limits",
             defaultValue = "10",
             paramLabel = "L",
-            description = "Concurrent limits: one on all, the others by tenant (${DEFAULT-VALUE}).")
+            description = "Concurrency limits: one on all attempts, the others by tenant (${DEFAULT-VALUE}).")
     private int limits;
 
     @Option(
             names = "--changes-per-second",
             defaultValue = "0.36",
             paramLabel = "C",
-            description = "Changes of the configuration (${DEFAULT-VALUE}).")
+            description = "Changes of the configuration per second (${DEFAULT-VALUE}).")
     private double changes;
 
     @Option(names = "--zones", defaultValue = "6", paramLabel = "Z", description = "Zones (${DEFAULT-VALUE}).")
@@ -68,7 +69,7 @@
             names = "--regions",
             defaultValue = "2",
             paramLabel = "R",
-            description = "Regions that zones belong to (${DEFAULT-VALUE}); ways between them are not longer.")
+            description = "Regions that zones belong to (${DEFAULT-VALUE}); links between them have no added latency.")
     private int regions;
 
     @Option(
@@ -89,16 +90,18 @@
             names = "--seconds",
             defaultValue = "30",
             paramLabel = "S",
-            description = "The measured span (${DEFAULT-VALUE}).")
+            description = "Length of the measurement (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws queries, answers and victims.")
+    @Option(names = "--seed", defaultValue = "1", description = "Random seed of queries, outcomes and fault targets.")
     private long seed;
 
-    @Option(names = "--short", description = "A measured span of at most " + SHORT_SECONDS + " s, less warming up.")
-    private boolean brief;
+    @Option(
+            names = "--short",
+            description = "A measurement of at most " + SHORT_SECONDS + " s, with a shorter warm-up.")
+    private boolean shortRun;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the figures go.")
+    @Option(names = "--json", paramLabel = "FILE", description = "File to write the results to.")
     private Path json;
 
     @Option(
@@ -108,99 +111,102 @@
             description = "The gateway's jar (${DEFAULT-VALUE}).")
     private Path jar;
 
-    @Option(names = "--logs", paramLabel = "DIR", description = "Where logs, disks and events stay; else removed.")
+    @Option(
+            names = "--logs",
+            paramLabel = "DIR",
+            description = "Directory to keep logs, disks and events in; without it they are deleted.")
     private Path logs;
 
     @Override
     public Integer call() throws IOException {
         try {
-            return play();
-        } catch (RefusedException e) {
-            e.reasons().forEach(reason -> System.err.println("refused: " + reason));
-            return REFUSED;
+            return execute();
+        } catch (RunRejectedException e) {
+            e.reasons().forEach(reason -> System.err.println("rejected: " + reason));
+            return EXIT_REJECTED;
         }
     }
 
-    private int play() throws IOException, RefusedException {
-        Fault what = Fault.of(fault);
+    private int execute() throws IOException, RunRejectedException {
+        Fault injectedFault = Fault.of(fault);
         ScalePlan.Size size = new ScalePlan.Size(gateways, engines, limits, zones, regions, controlMachines);
-        refuseWhatIsNoSize();
-        ScaleSite.check(size);
+        rejectInvalidSizes();
+        ScaleFleet.check(size);
         Path folder = (logs == null ? Files.createTempDirectory("sandpaddle-scale") : Files.createDirectories(logs))
                 .toAbsolutePath();
         ScalePlan plan = new ScalePlan(
                 size,
-                what,
+                injectedFault,
                 changes,
-                brief ? SHORT_WARM_UP : WARM_UP,
-                Duration.ofSeconds(brief ? Math.min(SHORT_SECONDS, seconds) : seconds),
+                shortRun ? SHORT_WARM_UP : WARM_UP,
+                Duration.ofSeconds(shortRun ? Math.min(SHORT_SECONDS, seconds) : seconds),
                 seed,
                 jar,
                 folder);
-        ProgramBounds.partial(size).forEach(part -> System.err.println("note: " + part));
-        Map<String, Object> figures = play(plan, version());
-        figures.forEach((k, v) -> System.out.println("  " + k + " " + v));
+        ProgramLimits.partialCoverage(size).forEach(part -> System.err.println("note: " + part));
+        Map<String, Object> results = execute(plan, version());
+        results.forEach((k, v) -> System.out.println("  " + k + " " + v));
         if (json != null) {
-            JsonFile.write(json, figures);
+            JsonFile.write(json, results);
         }
         if (logs == null) {
             FleetCommand.remove(folder);
         }
-        return isGood(figures) ? 0 : Main.BROKEN;
+        return passed(results) ? 0 : Main.BROKEN;
     }
 
-    private void refuseWhatIsNoSize() throws RefusedException {
+    private void rejectInvalidSizes() throws RunRejectedException {
         List<String> faults = new ArrayList<>();
-        least(faults, "--gateways", gateways);
-        least(faults, "--engines", engines);
-        least(faults, "--limits", limits);
-        least(faults, "--zones", zones);
-        least(faults, "--regions", regions);
-        least(faults, "--seconds", seconds);
+        checkPositive(faults, "--gateways", gateways);
+        checkPositive(faults, "--engines", engines);
+        checkPositive(faults, "--limits", limits);
+        checkPositive(faults, "--zones", zones);
+        checkPositive(faults, "--regions", regions);
+        checkPositive(faults, "--seconds", seconds);
         if (!(changes >= 0 && changes <= 1000)) {
-            faults.add("--changes-per-second is " + changes + ", not from 0 to 1000");
+            faults.add("--changes-per-second is " + changes + "; expected 0 to 1000");
         }
         if (!faults.isEmpty()) {
-            throw new RefusedException(faults);
+            throw new RunRejectedException(faults);
         }
     }
 
-    private static void least(List<String> faults, String option, int value) {
+    private static void checkPositive(List<String> faults, String option, int value) {
         if (value < 1) {
-            faults.add(option + " is " + value + ", and must be 1 at least");
+            faults.add(option + " is " + value + "; expected at least 1");
         }
     }
 
-    /** Plays a run and counts it. */
-    static Map<String, Object> play(ScalePlan plan, String version) throws IOException {
+    /** Executes a run and evaluates it. Returns its results by name. */
+    static Map<String, Object> execute(ScalePlan plan, String version) throws IOException {
         Path script = plan.folder().resolve("script.events");
         ScaleRun run;
         ScaleRun.Samples samples;
         try (Events events = new Events(script)) {
-            run = new ScaleRun(plan, new ScaleSite(plan.folder(), plan.size()), events);
+            run = new ScaleRun(plan, new ScaleFleet(plan.folder(), plan.size()), events);
             samples = run.run();
         }
         List<Path> files = new ArrayList<>(run.eventFiles());
         files.add(script);
-        return new ScaleReport(plan, samples, ScaleAudit.of(plan.size(), files)).figures(version);
+        return new ScaleReport(plan, samples, ScaleAudit.of(plan.size(), files)).results(version);
     }
 
-    /** No limit exceeded, nothing agreed on lost, no version older than one before, no engine condemned wrongly. */
-    static boolean isGood(Map<String, Object> figures) {
-        boolean zeros = Stream.of("agreedLost", "olderVersions", "wrongVerdicts")
-                .allMatch(name -> ((Number) figures.get(name)).longValue() == 0);
-        return zeros && (long) figures.get("limitOverMost") <= (long) figures.get("limitOverBound");
+    /** Whether no limit was exceeded, no agreed version lost or rolled back, and no verdict on a healthy engine. */
+    static boolean passed(Map<String, Object> results) {
+        boolean noViolations = Stream.of("agreedLost", "olderVersions", "wrongVerdicts")
+                .allMatch(name -> ((Number) results.get(name)).longValue() == 0);
+        return noViolations && (long) results.get("limitOverMost") <= (long) results.get("limitOverBound");
     }
 
-    /** The commit that the working directory is at, or else the jar's version. */
+    /** The commit of the working directory; the version of the jar if there is none. */
     private static String version() {
         try {
             Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            String said = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-            if (!said.isEmpty()) {
-                return said;
+            String output = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            if (!output.isEmpty()) {
+                return output;
             }
         } catch (IOException e) {
             return jarVersion();
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleSite.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleFleet.java
@@ -17,32 +17,34 @@
 import sandpaddle.lab.GatewayProcess;
 import sandpaddle.lab.Loopback;
 
-/** The members, limits and files of a fleet at scale. All times are the program's defaults. */
-final class ScaleSite {
-    /** The limit whose burst is the version of the configuration: it shows at each gateway what is in force there. */
+/** The members, limits and configuration files of the fleet of a scale run. All timing settings are the defaults. */
+final class ScaleFleet {
+    /** The limit whose burst is the version of the configuration; it shows the applied version at each gateway. */
     static final String VERSION_LIMIT = "version";
-    /** The limit on all attempts of the fleet; the others are by tenant. */
+    /** The limit on all attempts of the fleet; each other limit is on one tenant. */
     static final String ALL_LIMIT = "all";
-    /** Thousandths of a burst in the agreed form. */
+    /** The agreed configuration counts a burst in thousandths. */
     static final long THOUSANDTHS = 1000;
 
-    private static final double LIMITED = 0.8; // part of the demand that the limit on all lets through
+    /** The part of the mean demand that the limit on all attempts admits. */
+    private static final double ADMITTED_DEMAND_FRACTION = 0.8;
+
     private static final String CLUSTER = "scale";
-    private static final int ANY_PORT = 20_000;
+    private static final int PLACEHOLDER_PORT = 20_000;
 
     private final Path folder;
     private final ScalePlan.Size size;
     private final List<Member> control = new ArrayList<>();
-    private final List<Member> hollow = new ArrayList<>();
+    private final List<Member> gateways = new ArrayList<>();
 
-    ScaleSite(Path folder, ScalePlan.Size size) throws IOException {
+    ScaleFleet(Path folder, ScalePlan.Size size) throws IOException {
         this.folder = folder;
         this.size = size;
         for (int i = 0; i < size.controlMachines(); i++) {
             control.add(member(controlName(i), i));
         }
         for (int i = 0; i < size.gateways(); i++) {
-            hollow.add(member(gatewayName(i), i));
+            gateways.add(member(gatewayName(i), i));
         }
     }
 
@@ -50,25 +52,29 @@
         return new Member(name, size.zone(index), Loopback.HOST, GatewayProcess.freePort());
     }
 
-    /** Refuses a size that the program or this machine does not bear, before anything of it is made. */
-    static void check(ScalePlan.Size size) throws RefusedException, IOException {
-        List<String> faults = new ArrayList<>(ProgramBounds.faults(size, agreedOf(size)));
-        int hosts = ScaleRun.hosts(size.gateways());
-        faults.addAll(MachineBounds.faults(
-                size, hosts, (size.gateways() + hosts - 1) / hosts, MachineBounds.Available.here()));
+    /**
+     * Checks a size before the run starts.
+     *
+     * @throws RunRejectedException if the size exceeds a limit of the program or of this machine
+     */
+    static void check(ScalePlan.Size size) throws RunRejectedException, IOException {
+        List<String> faults = new ArrayList<>(ProgramLimits.faults(size, agreedConfig(size)));
+        int hosts = ScaleRun.hostCount(size.gateways());
+        faults.addAll(MachineLimits.faults(
+                size, hosts, (size.gateways() + hosts - 1) / hosts, MachineLimits.Available.onThisMachine()));
         if (!faults.isEmpty()) {
-            throw new RefusedException(faults);
+            throw new RunRejectedException(faults);
         }
     }
 
-    /** The configuration of a size, with a port that stands for any. */
-    private static FleetConfig agreedOf(ScalePlan.Size size) {
+    /** The configuration of a fleet of a size, with a placeholder port. */
+    private static FleetConfig agreedConfig(ScalePlan.Size size) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < size.controlMachines(); i++) {
-            members.add(new Member(controlName(i), size.zone(i), Loopback.HOST, ANY_PORT));
+            members.add(new Member(controlName(i), size.zone(i), Loopback.HOST, PLACEHOLDER_PORT));
         }
         for (int i = 0; i < size.gateways(); i++) {
-            members.add(new Member(gatewayName(i), size.zone(i), Loopback.HOST, ANY_PORT));
+            members.add(new Member(gatewayName(i), size.zone(i), Loopback.HOST, PLACEHOLDER_PORT));
         }
         return new FleetConfig(1, members, limits(size, 1), "", "");
     }
@@ -85,11 +91,11 @@
         return control;
     }
 
-    List<Member> hollow() {
-        return hollow;
+    List<Member> gateways() {
+        return gateways;
     }
 
-    /** The names of zones, by number. */
+    /** The names of the zones, by index. */
     List<String> zones() {
         List<String> zones = new ArrayList<>();
         for (int i = 0; i < size.zones(); i++) {
@@ -98,27 +104,28 @@
         return zones;
     }
 
-    /** The limit of a tenant, by its number from 1 on. */
+    /** The name of the limit of a tenant, by its number from 1 on. */
     static String tenantLimit(int tenant) {
         return "tenant-" + tenant;
     }
 
-    /** What holds for the whole fleet, by version. */
+    /** The fleet-wide configuration with a version. */
     FleetConfig agreed(long version) {
         List<Member> members = new ArrayList<>(control);
-        members.addAll(hollow);
+        members.addAll(gateways);
         return new FleetConfig(version, members, limits(size, version), "", "");
     }
 
     private static List<LimitSpec> limits(ScalePlan.Size size, long version) {
         List<LimitSpec> limits = new ArrayList<>();
         limits.add(versionLimit(version));
-        long ofAll = Math.max(1, Math.round(HollowDemand.MEAN_RUNNING * size.gateways() * LIMITED));
-        limits.add(new LimitSpec(ALL_LIMIT, LimitScope.WHOLE_FLEET, LimitUnit.RUNNING, ofAll, 0));
-        for (int t = 1; t < size.limits(); t++) { // one right for each gateway
+        long totalLimit = Math.max(
+                1, Math.round(SimulatedDemand.MEAN_CONCURRENT_QUERIES * size.gateways() * ADMITTED_DEMAND_FRACTION));
+        limits.add(new LimitSpec(ALL_LIMIT, LimitScope.WHOLE_FLEET, LimitUnit.RUNNING, totalLimit, 0));
+        for (int tenant = 1; tenant < size.limits(); tenant++) { // one concurrent attempt per gateway
             limits.add(new LimitSpec(
-                    tenantLimit(t),
-                    new LimitScope(null, null, tenantLimit(t), null),
+                    tenantLimit(tenant),
+                    new LimitScope(null, null, tenantLimit(tenant), null),
                     LimitUnit.RUNNING,
                     size.gateways(),
                     0));
@@ -137,33 +144,34 @@
     }
 
     /** Writes the operator's file of a control machine. */
-    Path controlFile(Member m) throws IOException {
+    Path controlFile(Member member) throws IOException {
         return write(
-                m.name(),
-                m,
+                member.name(),
+                member,
                 Map.of(),
-                String.format(Locale.ROOT, "\"directory\":\"%s\",", folder.resolve(m.name() + ".disk")));
+                String.format(Locale.ROOT, "\"directory\":\"%s\",", folder.resolve(member.name() + ".disk")));
     }
 
-    /** Writes the operator's file that hollow gateways share, each with its own name and port. */
-    Path hollowFile(String name, Map<String, InetSocketAddress> routes) throws IOException {
-        return write(name, hollow.get(0), routes, "");
+    /** Writes the operator's file that all simulated gateways share; each overrides name and port. */
+    Path gatewayFile(String name, Map<String, InetSocketAddress> routes) throws IOException {
+        return write(name, gateways.get(0), routes, "");
     }
 
-    private Path write(String name, Member m, Map<String, InetSocketAddress> routes, String directory)
+    private Path write(String name, Member member, Map<String, InetSocketAddress> routes, String directory)
             throws IOException {
         FleetConfig agreed = agreed(1);
-        String members = agreed.members().stream()
-                .map(x -> String.format(
+        String membersJson = agreed.members().stream()
+                .map(entry -> String.format(
                         Locale.ROOT,
                         "{\"name\":\"%s\",\"hall\":\"%s\",\"address\":\"%s:%d\"}",
-                        x.name(),
-                        x.zone(),
-                        x.host(),
-                        x.port()))
+                        entry.name(),
+                        entry.zone(),
+                        entry.host(),
+                        entry.port()))
                 .collect(Collectors.joining(",\n"));
-        String founders = control.stream().map(x -> "\"" + x.name() + "\"").collect(Collectors.joining(","));
-        String ways = routes.entrySet().stream()
+        String foundersJson =
+                control.stream().map(entry -> "\"" + entry.name() + "\"").collect(Collectors.joining(","));
+        String routesJson = routes.entrySet().stream()
                 .map(e -> String.format(
                         Locale.ROOT,
                         "\"%s\":\"%s:%d\"",
@@ -171,7 +179,7 @@
                         e.getValue().getHostString(),
                         e.getValue().getPort()))
                 .collect(Collectors.joining(","));
-        String text = String.format(
+        String content = String.format(
                 Locale.ROOT,
                 """
                 {"log":{"level":"info"},"fleet":{"enabled":true,"cluster":"%s","listen":"%s:%d",%s
@@ -179,15 +187,15 @@
                 "agreed":{"version":1,"members":[%s],"limits":[%s]}}}
                 """,
                 CLUSTER,
-                m.host(),
-                m.port(),
+                member.host(),
+                member.port(),
                 directory,
-                founders,
-                ways,
+                foundersJson,
+                routesJson,
                 Math.max(3, size.controlMachines()),
-                members,
-                agreed.limits().stream().map(ScaleSite::json).collect(Collectors.joining(",\n")));
-        return Files.writeString(folder.resolve(name + ".operator.json"), text);
+                membersJson,
+                agreed.limits().stream().map(ScaleFleet::json).collect(Collectors.joining(",\n")));
+        return Files.writeString(folder.resolve(name + ".operator.json"), content);
     }
 
     private static String json(LimitSpec limit) {
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleReport.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 
-/** The figures of a scale run by name, in the order of the file. What was not played or cannot be read is null. */
+/** Builds the results of a scale run, in the order of the JSON file. A value that was not measured is null. */
 final class ScaleReport {
     private static final String MECHANISM = "star";
     private static final double MEDIAN = 0.5;
@@ -24,91 +24,91 @@
         this.audit = audit;
     }
 
-    Map<String, Object> figures(String version) {
-        Map<String, Object> f = new LinkedHashMap<>();
-        f.put("version", version);
-        f.put("mechanism", MECHANISM);
-        asked(f);
-        worst(f);
-        times(f);
-        counts(f);
-        f.put("partial", ProgramBounds.partial(plan.size()));
-        f.put("roles", roles());
-        return f;
+    Map<String, Object> results(String version) {
+        Map<String, Object> results = new LinkedHashMap<>();
+        results.put("version", version);
+        results.put("mechanism", MECHANISM);
+        addParameters(results);
+        addMaxima(results);
+        addDurations(results);
+        addCounts(results);
+        results.put("partial", ProgramLimits.partialCoverage(plan.size()));
+        results.put("roles", roles());
+        return results;
     }
 
-    private void asked(Map<String, Object> f) {
+    private void addParameters(Map<String, Object> results) {
         ScalePlan.Size size = plan.size();
-        f.put("gateways", size.gateways());
-        f.put("engines", size.engines());
-        f.put("controlMachines", size.controlMachines());
-        f.put("limits", size.limits());
-        f.put("changesPerSecond", plan.changesPerSecond());
-        f.put("zones", size.zones());
-        f.put("regions", size.regions());
-        f.put("fault", plan.fault().label());
-        f.put("seed", plan.seed());
-        f.put("seconds", round(samples.seconds()));
-        f.put("warmUpSeconds", plan.warmUp().toMillis() / 1000.0);
-        f.put("cores", Runtime.getRuntime().availableProcessors());
-        f.put("busyCores", round(samples.busyCores()));
-    }
-
-    /** The worst gateway and the worst control machine. */
-    private void worst(Map<String, Object> f) {
+        results.put("gateways", size.gateways());
+        results.put("engines", size.engines());
+        results.put("controlMachines", size.controlMachines());
+        results.put("limits", size.limits());
+        results.put("changesPerSecond", plan.changesPerSecond());
+        results.put("zones", size.zones());
+        results.put("regions", size.regions());
+        results.put("fault", plan.fault().label());
+        results.put("seed", plan.seed());
+        results.put("seconds", round(samples.seconds()));
+        results.put("warmUpSeconds", plan.warmUp().toMillis() / 1000.0);
+        results.put("cores", Runtime.getRuntime().availableProcessors());
+        results.put("busyCores", round(samples.busyCores()));
+    }
+
+    /** The largest values over all gateways and over all control machines. */
+    private void addMaxima(Map<String, Object> results) {
         List<GatewaySamples.Rates> gateways = audit.gateways();
-        f.put("gatewayBytesPerSecond", most(gateways, GatewaySamples.Rates::bytes));
-        f.put("gatewayCpuCores", most(cpuOf(gateways), Double::doubleValue));
-        f.put(
+        results.put("gatewayBytesPerSecond", maximum(gateways, GatewaySamples.Rates::bytes));
+        results.put("gatewayCpuCores", maximum(cpuOf(gateways), Double::doubleValue));
+        results.put(
                 "gatewayMemoryMb",
                 audit.memory().gateways() == 0
                         ? null
                         : round((audit.memory().heapMb() + audit.memory().directMb())
                                 / audit.memory().gateways()));
-        List<ProcessUse.Rates> control = List.copyOf(samples.control().values());
-        f.put("machineBytesPerSecond", most(control, r -> r.bytesInPerSecond() + r.bytesOutPerSecond()));
-        f.put("machineCpuCores", most(control, ProcessUse.Rates::cpuCores));
-        f.put("machineMemoryMb", most(control, ProcessUse.Rates::residentMb));
-    }
-
-    private void times(Map<String, Object> f) {
-        List<String> reached = audit.reached();
-        spread(f, "config", audit.versions().delaysMs(reached));
-        f.put("configNotHeard", audit.versions().unheard(reached));
-        List<Long> leader = audit.leases().newLeaderMs(reached);
-        spread(f, "leader", leader);
-        f.put("leaderNotHeard", plan.fault() == Fault.CONTROL_MACHINE ? reached.size() - leader.size() : null);
-        f.put("successorLastMs", null);
-        spread(f, "return", audit.leases().returnsMs(audit.cut()));
-        spread(f, "restart", audit.leases().restartsMs());
-        spread(f, "verdict", audit.verdicts().delaysMs());
-        f.put("joinLastMs", audit.joinedMs() < 0 ? null : audit.joinedMs());
-    }
-
-    private void counts(Map<String, Object> f) {
-        f.put("attempts", audit.running().began());
-        f.put("withoutRight", audit.running().withoutRight());
-        f.put("limitOverMost", audit.running().overMost());
-        f.put("limitOverBound", 0L);
-        f.put("agreedLost", audit.agreedLost());
-        f.put("olderVersions", audit.versions().older());
-        f.put("wrongVerdicts", audit.verdicts().wrong());
-        f.put("bystandersWithoutLease", audit.bystandersWithoutLease());
-        f.put("notRestarted", audit.leases().notRestarted());
+        List<ProcessSample.Rates> control = List.copyOf(samples.control().values());
+        results.put("machineBytesPerSecond", maximum(control, r -> r.bytesInPerSecond() + r.bytesOutPerSecond()));
+        results.put("machineCpuCores", maximum(control, ProcessSample.Rates::cpuCores));
+        results.put("machineMemoryMb", maximum(control, ProcessSample.Rates::residentMb));
+    }
+
+    private void addDurations(Map<String, Object> results) {
+        List<String> connected = audit.connectedGateways();
+        addQuantiles(results, "config", audit.versions().delaysMs(connected));
+        results.put("configNotHeard", audit.versions().notReceived(connected));
+        List<Long> leader = audit.leases().newLeaderDurationsMs(connected);
+        addQuantiles(results, "leader", leader);
+        results.put("leaderNotHeard", plan.fault() == Fault.CONTROL_MACHINE ? connected.size() - leader.size() : null);
+        results.put("successorLastMs", null);
+        addQuantiles(results, "return", audit.leases().reconnectDurationsMs(audit.disconnectedGateways()));
+        addQuantiles(results, "restart", audit.leases().restartDurationsMs());
+        addQuantiles(results, "verdict", audit.verdicts().delaysMs());
+        results.put("joinLastMs", audit.joinedMs() < 0 ? null : audit.joinedMs());
+    }
+
+    private void addCounts(Map<String, Object> results) {
+        results.put("attempts", audit.running().startedAttempts());
+        results.put("withoutRight", audit.running().quotaWaitTimeouts());
+        results.put("limitOverMost", audit.running().maxExcess());
+        results.put("limitOverBound", 0L);
+        results.put("agreedLost", audit.lostVersions());
+        results.put("olderVersions", audit.versions().regressions());
+        results.put("wrongVerdicts", audit.verdicts().falsePositives());
+        results.put("bystandersWithoutLease", audit.unaffectedGatewaysWithoutLease());
+        results.put("notRestarted", audit.leases().notRestarted());
     }
 
     private List<Map<String, Object>> roles() {
         List<Map<String, Object>> roles = new ArrayList<>();
         roles.add(gatewayRole());
-        List<String> leading = samples.leader()
+        List<String> leader = samples.leader()
                 .filter(samples.control()::containsKey)
                 .map(List::of)
                 .orElse(List.of());
-        List<String> following = samples.control().keySet().stream()
-                .filter(n -> !leading.contains(n))
+        List<String> voters = samples.control().keySet().stream()
+                .filter(n -> !leader.contains(n))
                 .toList();
-        roles.add(controlRole("leader", leading));
-        roles.add(controlRole("voter", following));
+        roles.add(controlRole("leader", leader));
+        roles.add(controlRole("voter", voters));
         Map<String, Object> host = processRole("hollow-host", samples.hosts());
         host.put(
                 "heapMb",
@@ -124,7 +124,7 @@
         return roles;
     }
 
-    /** Processor time of the gateways whose hosts are sampled. */
+    /** CPU use of the gateways whose hosts are sampled. */
     private static List<Double> cpuOf(List<GatewaySamples.Rates> gateways) {
         return gateways.stream()
                 .flatMapToDouble(r -> r.cpuCores().stream())
@@ -132,44 +132,47 @@
                 .toList();
     }
 
-    /** The mean over all gateways that ran through the measured span. */
+    /** The mean over all gateways that did not restart during the measurement. */
     private Map<String, Object> gatewayRole() {
         List<GatewaySamples.Rates> all = audit.gateways();
-        Map<String, Object> r = new LinkedHashMap<>();
-        r.put("role", "gateway");
-        r.put("count", all.size());
-        r.put("bytesInPerSecond", mean(all, GatewaySamples.Rates::bytesIn));
-        r.put("bytesOutPerSecond", mean(all, GatewaySamples.Rates::bytesOut));
-        r.put("messagesInPerSecond", mean(all, GatewaySamples.Rates::messagesIn));
-        r.put("messagesOutPerSecond", mean(all, GatewaySamples.Rates::messagesOut));
-        r.put("cpuCores", mean(cpuOf(all), Double::doubleValue));
-        r.put("cpuCount", cpuOf(all).size());
-        r.put(
+        Map<String, Object> role = new LinkedHashMap<>();
+        role.put("role", "gateway");
+        role.put("count", all.size());
+        role.put("bytesInPerSecond", mean(all, GatewaySamples.Rates::bytesIn));
+        role.put("bytesOutPerSecond", mean(all, GatewaySamples.Rates::bytesOut));
+        role.put("messagesInPerSecond", mean(all, GatewaySamples.Rates::messagesIn));
+        role.put("messagesOutPerSecond", mean(all, GatewaySamples.Rates::messagesOut));
+        role.put("cpuCores", mean(cpuOf(all), Double::doubleValue));
+        role.put("cpuCount", cpuOf(all).size());
+        role.put(
                 "heapMb",
                 audit.memory().gateways() == 0
                         ? null
                         : round(audit.memory().heapMb() / audit.memory().gateways()));
-        r.put(
+        role.put(
                 "directMb",
                 audit.memory().gateways() == 0
                         ? null
                         : round(audit.memory().directMb() / audit.memory().gateways()));
-        return complete(r);
+        return complete(role);
     }
 
-    private Map<String, Object> controlRole(String role, List<String> names) {
-        Map<String, Object> r =
-                processRole(role, names.stream().map(samples.control()::get).toList());
+    private Map<String, Object> controlRole(String name, List<String> names) {
+        Map<String, Object> role =
+                processRole(name, names.stream().map(samples.control()::get).toList());
         OptionalDouble heap = names.stream()
                 .filter(samples.controlHeapMb()::containsKey)
                 .mapToDouble(samples.controlHeapMb()::get)
                 .average();
-        r.put("heapMb", heap.isPresent() ? round(heap.getAsDouble()) : null);
-        r.put("messagesFromGatewaysPerSecond", messagesFromGateways());
-        return complete(r);
+        role.put("heapMb", heap.isPresent() ? round(heap.getAsDouble()) : null);
+        role.put("messagesFromGatewaysPerSecond", messagesFromGateways());
+        return complete(role);
     }
 
-    /** To each control machine on average: gateways have links to no others. Null where one of them was not sampled. */
+    /**
+     * Messages per second from gateways to each control machine on average; gateways have links to control machines
+     * only. Null if a gateway was not sampled.
+     */
     private Double messagesFromGateways() {
         List<GatewaySamples.Rates> all = audit.gateways();
         return all.size() < plan.size().gateways()
@@ -180,28 +183,28 @@
                         / plan.size().controlMachines());
     }
 
-    /** The mean over some processes. */
-    private static Map<String, Object> processRole(String role, List<ProcessUse.Rates> all) {
-        Map<String, Object> r = new LinkedHashMap<>();
-        r.put("role", role);
-        r.put("count", all.size());
-        r.put("bytesInPerSecond", mean(all, ProcessUse.Rates::bytesInPerSecond));
-        r.put("bytesOutPerSecond", mean(all, ProcessUse.Rates::bytesOutPerSecond));
-        r.put("cpuCores", mean(all, ProcessUse.Rates::cpuCores));
+    /** The mean over the processes of a role. */
+    private static Map<String, Object> processRole(String name, List<ProcessSample.Rates> all) {
+        Map<String, Object> role = new LinkedHashMap<>();
+        role.put("role", name);
+        role.put("count", all.size());
+        role.put("bytesInPerSecond", mean(all, ProcessSample.Rates::bytesInPerSecond));
+        role.put("bytesOutPerSecond", mean(all, ProcessSample.Rates::bytesOutPerSecond));
+        role.put("cpuCores", mean(all, ProcessSample.Rates::cpuCores));
         Map<String, Object> threads = new TreeMap<>();
         all.stream()
                 .flatMap(p -> p.cpuByThread().keySet().stream())
                 .distinct()
-                .forEach(name ->
-                        threads.put(name, mean(all, p -> p.cpuByThread().getOrDefault(name, 0.0))));
-        r.put("cpuByThread", threads);
-        r.put("residentMb", mean(all, ProcessUse.Rates::residentMb));
-        r.put("descriptors", mean(all, ProcessUse.Rates::descriptors));
-        r.put("diskBytesPerSecond", mean(all, ProcessUse.Rates::diskBytesPerSecond));
-        return r;
+                .forEach(thread ->
+                        threads.put(thread, mean(all, p -> p.cpuByThread().getOrDefault(thread, 0.0))));
+        role.put("cpuByThread", threads);
+        role.put("residentMb", mean(all, ProcessSample.Rates::residentMb));
+        role.put("descriptors", mean(all, ProcessSample.Rates::descriptors));
+        role.put("diskBytesPerSecond", mean(all, ProcessSample.Rates::diskBytesPerSecond));
+        return role;
     }
 
-    /** Every figure of a role stands in it, null where it was not measured. */
+    /** Adds the missing fields of a role as null, so that every role has all fields. */
     private static Map<String, Object> complete(Map<String, Object> role) {
         for (String name : List.of(
                 "bytesInPerSecond",
@@ -223,31 +226,33 @@
         return role;
     }
 
-    private static void spread(Map<String, Object> f, String name, List<Long> values) {
+    private static void addQuantiles(Map<String, Object> results, String name, List<Long> values) {
         List<Long> sorted = values.stream().sorted().toList();
-        f.put(name + "MedianMs", quantile(sorted, MEDIAN));
-        f.put(name + "P99Ms", quantile(sorted, P99));
-        f.put(name + "LastMs", quantile(sorted, 1));
+        results.put(name + "MedianMs", quantile(sorted, MEDIAN));
+        results.put(name + "P99Ms", quantile(sorted, P99));
+        results.put(name + "LastMs", quantile(sorted, 1));
     }
 
-    private static Long quantile(List<Long> sorted, double part) {
+    private static Long quantile(List<Long> sorted, double fraction) {
         return sorted.isEmpty()
                 ? null
-                : sorted.get((int) Math.min(sorted.size() - 1L, (long) Math.floor(part * sorted.size())));
+                : sorted.get((int) Math.min(sorted.size() - 1L, (long) Math.floor(fraction * sorted.size())));
     }
 
-    private static <T> Double most(List<T> all, ToDoubleFunction<T> what) {
-        return all.isEmpty() ? null : round(all.stream().mapToDouble(what).max().orElseThrow());
+    private static <T> Double maximum(List<T> all, ToDoubleFunction<T> value) {
+        return all.isEmpty()
+                ? null
+                : round(all.stream().mapToDouble(value).max().orElseThrow());
     }
 
-    private static <T> Double mean(List<T> all, ToDoubleFunction<T> what) {
+    private static <T> Double mean(List<T> all, ToDoubleFunction<T> value) {
         return all.isEmpty()
                 ? null
-                : round(all.stream().mapToDouble(what).average().orElseThrow());
+                : round(all.stream().mapToDouble(value).average().orElseThrow());
     }
 
-    /** To four digits behind the point. */
-    private static double round(double x) {
-        return Math.round(x * 1e4) / 1e4;
+    /** Rounds to four decimal places. */
+    private static double round(double value) {
+        return Math.round(value * 1e4) / 1e4;
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
@@ -30,30 +30,42 @@
 import sandpaddle.lab.StandInFeed;
 
 /**
- * A fleet at scale on one machine: control machines that are real gateway processes, and hollow gateways by the
- * hundred in processes of their own, over TCP on loopback and in real time. It plays and samples; {@link ScaleAudit}
- * counts what came of it.
+ * Runs a large fleet on one machine in real time: control machines as real gateway processes, and hundreds of simulated
+ * gateways in a few processes, connected over TCP on loopback. It injects changes and faults and samples resource use;
+ * {@link ScaleAudit} evaluates the recorded events.
  */
 final class ScaleRun {
-    /** The most hollow gateways of one process. */
-    static final int MOST_GATEWAYS_OF_HOST = 100;
-    /** Where there are more hosts than one, the gateways of the one whose processor time counts. */
-    static final int SAMPLED_GATEWAYS = 25;
+    /** Maximum number of simulated gateways in one process. */
+    static final int MAX_GATEWAYS_PER_HOST = 100;
+    /** Number of gateways in the host whose CPU time is measured, if there is more than one host. */
+    static final int SAMPLED_HOST_GATEWAYS = 25;
 
-    private static final Duration TURN = Duration.ofMillis(20);
-    private static final Duration REPLY_MOST = Duration.ofSeconds(20);
-    private static final Duration START_MOST = Duration.ofSeconds(60);
-    private static final Duration LEADER_MOST = Duration.ofSeconds(30);
-    private static final Duration LEADER_LOOK = Duration.ofMillis(100);
-    private static final Duration RULES_AFTER = Duration.ofMillis(500); // a leader has its file agreed on meanwhile
-    private static final Duration START_PAUSE = Duration.ofMillis(20); // between two gateways, in whichever host
-    private static final Duration SETTLE = Duration.ofSeconds(4); // from the last change to the end
+    private static final Duration MAX_LOOP_WAIT = Duration.ofMillis(20);
+    private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration JOIN_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration LEADER_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration LEADER_POLL_INTERVAL = Duration.ofMillis(100);
+    /** Time for a new leader to get its configuration file agreed. */
+    private static final Duration AGREEMENT_DELAY = Duration.ofMillis(500);
+    /** Time between two gateway starts, over all hosts. */
+    private static final Duration START_INTERVAL = Duration.ofMillis(20);
+    /** Time between the end of the measurement and the end of the run. */
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(4);
 
-    /** What was sampled: by role, and of processes what they took in the measured span. */
+    /**
+     * Resource use during the measurement.
+     *
+     * @param control use of each control machine, by name
+     * @param controlHeapMb heap of each control machine after a garbage collection, by name
+     * @param hosts use of each process of simulated gateways
+     * @param leader name of the leader at the end of the measurement
+     * @param seconds actual length of the measurement
+     * @param busyCores mean CPU use of the whole machine, in cores
+     */
     record Samples(
-            Map<String, ProcessUse.Rates> control,
+            Map<String, ProcessSample.Rates> control,
             Map<String, Double> controlHeapMb,
-            List<ProcessUse.Rates> hosts,
+            List<ProcessSample.Rates> hosts,
             Optional<String> leader,
             double seconds,
             double busyCores) {}
@@ -61,76 +73,79 @@
     private final ScalePlan plan;
     private final Events events;
     private final EventLoop loop;
-    private final ScaleSite site;
+    private final ScaleFleet fleet;
     private final SplittableRandom random;
     private final List<ControlMachine> control = new ArrayList<>();
-    private final List<HostProcess> hosts = new ArrayList<>();
+    private final List<SimulationHostProcess> hosts = new ArrayList<>();
     private final List<Relay> relays = new ArrayList<>();
     private long version = 1;
-    private Exception failed;
+    private Exception failure;
 
-    ScaleRun(ScalePlan plan, ScaleSite site, Events events) throws IOException {
+    ScaleRun(ScalePlan plan, ScaleFleet fleet, Events events) throws IOException {
         this.plan = plan;
-        this.site = site;
+        this.fleet = fleet;
         this.events = events;
         loop = new EventLoop(Clock.systemUTC());
         random = new SplittableRandom(plan.seed());
     }
 
-    /** How many processes of hollow gateways a size needs. */
-    static int hosts(int gateways) {
-        return gateways <= MOST_GATEWAYS_OF_HOST
+    /** The number of processes for a number of simulated gateways. */
+    static int hostCount(int gateways) {
+        return gateways <= MAX_GATEWAYS_PER_HOST
                 ? 1
-                : 1 + (gateways - SAMPLED_GATEWAYS + MOST_GATEWAYS_OF_HOST - 1) / MOST_GATEWAYS_OF_HOST;
+                : 1 + (gateways - SAMPLED_HOST_GATEWAYS + MAX_GATEWAYS_PER_HOST - 1) / MAX_GATEWAYS_PER_HOST;
     }
 
-    /** The gateways of each host: of several, the first has few, which are sampled, and the others share the rest. */
-    static List<List<String>> spread(List<String> gateways) {
-        int count = hosts(gateways.size());
+    /**
+     * Assigns gateways to hosts. If there is more than one host, the first is the sampled one and has few gateways, and
+     * the others share the rest.
+     */
+    static List<List<String>> distribute(List<String> gateways) {
+        int count = hostCount(gateways.size());
         if (count == 1) {
             return List.of(gateways);
         }
-        List<List<String>> spread = new ArrayList<>();
-        spread.add(gateways.subList(0, SAMPLED_GATEWAYS));
-        for (int h = 1; h < count; h++) {
+        List<List<String>> gatewaysByHost = new ArrayList<>();
+        gatewaysByHost.add(gateways.subList(0, SAMPLED_HOST_GATEWAYS));
+        for (int host = 1; host < count; host++) {
             List<String> names = new ArrayList<>();
-            for (int i = SAMPLED_GATEWAYS + h - 1; i < gateways.size(); i += count - 1) {
+            for (int i = SAMPLED_HOST_GATEWAYS + host - 1; i < gateways.size(); i += count - 1) {
                 names.add(gateways.get(i));
             }
-            spread.add(names);
+            gatewaysByHost.add(names);
         }
-        return spread;
+        return gatewaysByHost;
     }
 
-    /** Files of events that hosts have written. */
+    /** The event files that the hosts have written. */
     List<Path> eventFiles() {
-        return hosts.stream().map(h -> h.plan().events()).toList();
+        return hosts.stream().map(host -> host.plan().events()).toList();
     }
 
-    private void say(String kind, Object... fields) {
+    private void recordEvent(String kind, Object... fields) {
         events.add(ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()), "script", kind, fields);
     }
 
-    /** Plays it to its end. */
+    /** Executes the run to its end and returns its resource use. */
     Samples run() throws IOException {
-        Thread left = new Thread(this::abandon); // a run that is broken off leaves no process behind
-        Runtime.getRuntime().addShutdownHook(left);
+        Thread abortHook = new Thread(this::abort); // kills the child processes if the run is interrupted
+        Runtime.getRuntime().addShutdownHook(abortHook);
         StandInFeed feed = new StandInFeed(loop, events, new ClientStatistics());
         try {
             startControl(feed);
             awaitLeader();
             startHosts(feed);
             awaitLeases();
-            say("ready");
-            turnFor(plan.warmUp());
+            recordEvent("ready");
+            runLoopFor(plan.warmUp());
             Samples samples = measure();
-            turnFor(SETTLE);
-            say("end");
+            runLoopFor(SETTLING_TIME);
+            recordEvent("end");
             return samples;
         } finally {
-            Runtime.getRuntime().removeShutdownHook(left);
-            hosts.forEach(HostProcess::end);
-            control.forEach(ControlMachine::abandon);
+            Runtime.getRuntime().removeShutdownHook(abortHook);
+            hosts.forEach(SimulationHostProcess::shutDown);
+            control.forEach(ControlMachine::abort);
             relays.forEach(Relay::close);
             feed.close();
             FleetLogs.gather(
@@ -138,36 +153,36 @@
         }
     }
 
-    private void abandon() {
-        hosts.forEach(HostProcess::kill);
-        control.forEach(ControlMachine::abandon);
+    private void abort() {
+        hosts.forEach(SimulationHostProcess::kill);
+        control.forEach(ControlMachine::abort);
     }
 
     private void startControl(StandInFeed feed) throws IOException {
-        site.agreed(version).limits().stream()
-                .filter(l -> !l.id().equals(ScaleSite.VERSION_LIMIT))
-                .forEach(l -> say("limit", "limit", l.id(), "running", l.amount()));
-        for (Member m : site.control()) {
-            control.add(new ControlMachine(m, control.size(), plan, site, feed));
+        fleet.agreed(version).limits().stream()
+                .filter(l -> !l.id().equals(ScaleFleet.VERSION_LIMIT))
+                .forEach(l -> recordEvent("limit", "limit", l.id(), "running", l.amount()));
+        for (Member member : fleet.control()) {
+            control.add(new ControlMachine(member, control.size(), plan, fleet, feed));
         }
-        for (ControlMachine c : control) {
-            c.start(plan);
+        for (ControlMachine machine : control) {
+            machine.start(plan);
         }
-        for (ControlMachine c : control) {
-            c.process().awaitUp();
+        for (ControlMachine machine : control) {
+            machine.process().awaitUp();
         }
     }
 
     private void startHosts(StandInFeed feed) throws IOException {
         Map<String, InetSocketAddress> routes = new LinkedHashMap<>();
-        if (plan.fault().cutsZone()) {
-            for (Member m : site.control()) {
-                Relay relay = new Relay(loop, Loopback.at(m.port()), random.split(), true);
+        if (plan.fault().disconnectsZone()) {
+            for (Member member : fleet.control()) {
+                Relay relay = new Relay(loop, Loopback.at(member.port()), random.split(), true);
                 relays.add(relay);
-                routes.put(m.name(), relay.address());
+                routes.put(member.name(), relay.address());
             }
         }
-        Path operator = site.hollowFile("hollow", routes);
+        Path operator = fleet.gatewayFile("hollow", routes);
         Path config = Files.writeString(
                 plan.folder().resolve("hollow.json"),
                 Site.configOfPeer(
@@ -178,114 +193,126 @@
                         feed.address(),
                         feed.known(),
                         plan.seed(),
-                        site.zones()));
-        List<List<String>> spread =
-                spread(site.hollow().stream().map(Member::name).toList());
-        for (int h = 0; h < spread.size(); h++) {
-            hosts.add(HostProcess.start(
-                    new HollowPlan(
+                        fleet.zones()));
+        List<List<String>> gatewaysByHost =
+                distribute(fleet.gateways().stream().map(Member::name).toList());
+        for (int host = 0; host < gatewaysByHost.size(); host++) {
+            hosts.add(SimulationHostProcess.start(
+                    new SimulationHostPlan(
                             operator,
                             config,
-                            plan.folder().resolve("host-" + h + ".events"),
-                            spread.get(h),
+                            plan.folder().resolve("host-" + host + ".events"),
+                            gatewaysByHost.get(host),
                             plan.size().engines(),
                             plan.size().limits() - 1,
                             random.nextLong(),
-                            plan.fault().cutsZone() ? victimZone() : "",
-                            START_PAUSE.multipliedBy(spread.size()),
-                            h == 0),
-                    plan.folder().resolve("host-" + h + ".plan")));
+                            plan.fault().disconnectsZone() ? faultZone() : "",
+                            START_INTERVAL.multipliedBy(gatewaysByHost.size()),
+                            host == 0),
+                    plan.folder().resolve("host-" + host + ".plan")));
         }
     }
 
-    /** The last zone: where there are more zones than control machines it has none. */
-    private String victimZone() {
+    /**
+     * The zone that faults disconnect: the last one. It has no control machine if there are more zones than control
+     * machines.
+     */
+    private String faultZone() {
         return plan.size().zone(plan.size().zones() - 1);
     }
 
-    /** Gateways that start before the control machines agree on anything would all offer them their files at once. */
+    /**
+     * Waits until a leader has got its configuration agreed. Gateways that started earlier would all propose their
+     * configuration files to the control machines at once.
+     */
     private void awaitLeader() throws IOException {
-        long until = System.nanoTime() + LEADER_MOST.toNanos();
+        long until = System.nanoTime() + LEADER_TIMEOUT.toNanos();
         while (leader().isEmpty()) {
             if (System.nanoTime() > until) {
-                throw new IOException("no control machine leads after " + LEADER_MOST.toSeconds() + " s");
+                throw new IOException(
+                        "no leader elected among the control machines within " + LEADER_TIMEOUT.toSeconds() + " s");
             }
-            turnFor(LEADER_LOOK);
+            runLoopFor(LEADER_POLL_INTERVAL);
         }
-        turnFor(RULES_AFTER);
+        runLoopFor(AGREEMENT_DELAY);
     }
 
     private void awaitLeases() throws IOException {
         long from = System.nanoTime();
-        long all = plan.size().gateways();
-        boolean came = await(() -> hosts.stream().mapToLong(HostProcess::leased).sum() >= all, START_MOST);
-        if (!came) {
-            throw new IOException(
-                    "only " + hosts.stream().mapToLong(HostProcess::leased).sum() + " of " + all
-                            + " gateways held a lease after " + START_MOST.toSeconds() + " s");
+        long gateways = plan.size().gateways();
+        boolean joined = await(
+                () -> hosts.stream().mapToLong(SimulationHostProcess::leased).sum() >= gateways, JOIN_TIMEOUT);
+        if (!joined) {
+            throw new IOException("only "
+                    + hosts.stream().mapToLong(SimulationHostProcess::leased).sum() + " of " + gateways
+                    + " gateways held a lease after " + JOIN_TIMEOUT.toSeconds() + " s");
         }
-        say("joined", "ms", (System.nanoTime() - from) / 1_000_000);
+        recordEvent("joined", "ms", (System.nanoTime() - from) / 1_000_000);
     }
 
     private Samples measure() throws IOException {
-        Map<String, ProcessUse> controlBefore = new LinkedHashMap<>();
-        List<ProcessUse> hostsBefore = new ArrayList<>();
+        Map<String, ProcessSample> controlBefore = new LinkedHashMap<>();
+        List<ProcessSample> hostsBefore = new ArrayList<>();
         sample("begin", controlBefore, hostsBefore);
-        say("begin");
+        recordEvent("begin");
         long from = System.nanoTime();
-        double busyBefore = ProcessUse.machineCpuSeconds();
-        schedule();
-        turnFor(plan.measured());
+        double busyBefore = ProcessSample.machineCpuSeconds();
+        scheduleChangesAndFaults();
+        runLoopFor(plan.measured());
         double seconds = (System.nanoTime() - from) / 1e9;
-        double busyCores = (ProcessUse.machineCpuSeconds() - busyBefore) / seconds;
-        say("measured");
+        double busyCores = (ProcessSample.machineCpuSeconds() - busyBefore) / seconds;
+        recordEvent("measured");
         Optional<String> leader = leader();
-        Map<String, ProcessUse> controlAfter = new LinkedHashMap<>();
-        List<ProcessUse> hostsAfter = new ArrayList<>();
+        Map<String, ProcessSample> controlAfter = new LinkedHashMap<>();
+        List<ProcessSample> hostsAfter = new ArrayList<>();
         sample("end", controlAfter, hostsAfter);
-        Map<String, ProcessUse.Rates> rates = new LinkedHashMap<>();
+        Map<String, ProcessSample.Rates> rates = new LinkedHashMap<>();
         controlAfter.forEach((name, use) -> {
             if (controlBefore.containsKey(name)) {
-                rates.put(name, controlBefore.get(name).until(use));
+                rates.put(name, controlBefore.get(name).ratesUntil(use));
             }
         });
-        List<ProcessUse.Rates> hostRates = new ArrayList<>();
+        List<ProcessSample.Rates> hostRates = new ArrayList<>();
         for (int i = 0; i < Math.min(hostsBefore.size(), hostsAfter.size()); i++) {
-            hostRates.add(hostsBefore.get(i).until(hostsAfter.get(i)));
+            hostRates.add(hostsBefore.get(i).ratesUntil(hostsAfter.get(i)));
         }
-        return new Samples(rates, heaps(), hostRates, leader, seconds, busyCores);
+        return new Samples(rates, controlHeapsMb(), hostRates, leader, seconds, busyCores);
     }
 
-    private void sample(String label, Map<String, ProcessUse> ofControl, List<ProcessUse> ofHosts) throws IOException {
+    private void sample(String label, Map<String, ProcessSample> controlSamples, List<ProcessSample> hostSamples)
+            throws IOException {
         Set<Integer> ports = new HashSet<>();
-        site.control().forEach(m -> ports.add(m.port()));
-        Map<Long, Map<String, ProcessUse.SocketBytes>> sockets = FleetSockets.now(ports);
-        for (ControlMachine c : control) {
-            long pid = c.process().pid();
-            if (c.process().isAlive()) {
-                ProcessUse.of(pid, sockets.getOrDefault(pid, Map.of())).ifPresent(u -> ofControl.put(c.name(), u));
+        fleet.control().forEach(member -> ports.add(member.port()));
+        Map<Long, Map<String, ProcessSample.SocketBytes>> sockets = FleetSockets.read(ports);
+        for (ControlMachine machine : control) {
+            long pid = machine.process().pid();
+            if (machine.process().isAlive()) {
+                ProcessSample.of(pid, sockets.getOrDefault(pid, Map.of()))
+                        .ifPresent(sample -> controlSamples.put(machine.name(), sample));
             }
         }
-        for (HostProcess h : hosts) {
-            ProcessUse.of(h.pid(), sockets.getOrDefault(h.pid(), Map.of())).ifPresent(ofHosts::add);
+        for (SimulationHostProcess host : hosts) {
+            ProcessSample.of(host.pid(), sockets.getOrDefault(host.pid(), Map.of()))
+                    .ifPresent(hostSamples::add);
         }
-        hosts.forEach(h -> h.send(HostCommand.Kind.SAMPLE, label));
-        if (!await(() -> hosts.stream().allMatch(h -> h.hasReplied("sampled " + label)), REPLY_MOST)) {
-            throw new IOException("a process of hollow gateways did not answer; its log tells why");
+        hosts.forEach(host -> host.send(SimulationHostCommand.Kind.SAMPLE, label));
+        if (!await(() -> hosts.stream().allMatch(host -> host.hasReplied("sampled " + label)), REPLY_TIMEOUT)) {
+            throw new IOException("a process of simulated gateways did not reply to a sample command within "
+                    + REPLY_TIMEOUT.toSeconds() + " s; see its log");
         }
     }
 
-    private Map<String, Double> heaps() throws IOException {
-        hosts.forEach(h -> h.send(HostCommand.Kind.MEMORY, ""));
-        await(() -> hosts.stream().allMatch(h -> h.hasReplied("memory")), REPLY_MOST);
-        Map<String, Double> heaps = new HashMap<>();
-        for (ControlMachine c : control) {
-            OptionalDouble mb = c.process().isAlive()
-                    ? HeapReader.afterCollection(c.process().pid())
+    private Map<String, Double> controlHeapsMb() throws IOException {
+        hosts.forEach(host -> host.send(SimulationHostCommand.Kind.MEMORY, ""));
+        await(() -> hosts.stream().allMatch(host -> host.hasReplied("memory")), REPLY_TIMEOUT);
+        Map<String, Double> controlHeapsMb = new HashMap<>();
+        for (ControlMachine machine : control) {
+            OptionalDouble mb = machine.process().isAlive()
+                    ? HeapReader.afterCollection(machine.process().pid())
                     : OptionalDouble.empty();
-            mb.ifPresent(d -> heaps.put(c.name(), d));
+            mb.ifPresent(heapMb -> controlHeapsMb.put(machine.name(), heapMb));
         }
-        return heaps;
+        return controlHeapsMb;
     }
 
     private Optional<String> leader() throws IOException {
@@ -293,104 +320,105 @@
                 plan.folder(), control.stream().map(ControlMachine::name).toList());
     }
 
-    /** Changes of the configuration, an engine that is sick for a while, and the fault: all within the span. */
-    private void schedule() {
+    /** Schedules the configuration changes, a temporary engine failure and the fault, all within the measurement. */
+    private void scheduleChangesAndFaults() {
         Duration span = plan.measured();
         if (plan.changesPerSecond() > 0) {
             Duration every = Duration.ofNanos((long) (1e9 / plan.changesPerSecond()));
             for (Duration at = every.dividedBy(2); at.compareTo(span) < 0; at = at.plus(every)) {
-                loop.scheduleAfter(at, this::change);
+                loop.scheduleAfter(at, this::changeConfiguration);
             }
         }
-        int sick = random.nextInt(plan.size().engines());
-        loop.scheduleAfter(span.dividedBy(4), () -> sick(sick, true));
-        loop.scheduleAfter(span.multipliedBy(3).dividedBy(5), () -> sick(sick, false));
-        loop.scheduleAfter(span.dividedBy(3), () -> guarded(this::fail));
+        int failingEngine = random.nextInt(plan.size().engines());
+        loop.scheduleAfter(span.dividedBy(4), () -> setEngineFailing(failingEngine, true));
+        loop.scheduleAfter(span.multipliedBy(3).dividedBy(5), () -> setEngineFailing(failingEngine, false));
+        loop.scheduleAfter(span.dividedBy(3), () -> recordFailure(this::injectFault));
         if (plan.fault() == Fault.RETURN_ZONE) {
             loop.scheduleAfter(span.multipliedBy(2).dividedBy(3), () -> {
                 relays.forEach(Relay::heal);
-                say("zone-back", "zone", victimZone());
+                recordEvent("zone-back", "zone", faultZone());
             });
         }
     }
 
-    private void change() {
+    private void changeConfiguration() {
         version++;
-        hosts.get(random.nextInt(hosts.size())).send(HostCommand.Kind.VERSION, Long.toString(version));
+        hosts.get(random.nextInt(hosts.size())).send(SimulationHostCommand.Kind.VERSION, Long.toString(version));
     }
 
-    private void sick(int engine, boolean begins) {
-        say(begins ? "sick" : "well", "engine", "engine-" + engine);
-        hosts.forEach(h -> h.send(begins ? HostCommand.Kind.SICK : HostCommand.Kind.WELL, Integer.toString(engine)));
+    private void setEngineFailing(int engine, boolean failing) {
+        recordEvent(failing ? "sick" : "well", "engine", "engine-" + engine);
+        hosts.forEach(host -> host.send(
+                failing ? SimulationHostCommand.Kind.SICK : SimulationHostCommand.Kind.WELL, Integer.toString(engine)));
     }
 
-    private void fail() throws IOException {
+    private void injectFault() throws IOException {
         switch (plan.fault()) {
-            case NONE -> {} // nothing fails
+            case NONE -> {}
             case CONTROL_MACHINE -> killLeader();
             case ZONE, RETURN_ZONE -> {
                 relays.forEach(Relay::cut);
-                say("zone-cut", "zone", victimZone());
+                recordEvent("zone-cut", "zone", faultZone());
             }
             case RESTART_TENTH -> restartTenth();
-            default -> throw new IllegalStateException("fault " + plan.fault().label() + " is not built");
+            default -> throw new IllegalStateException("fault " + plan.fault().label() + " is not implemented");
         }
     }
 
     private void killLeader() throws IOException {
-        String leader = leader().orElseThrow(() -> new IOException("no control machine leads"));
-        control.stream().filter(c -> c.name().equals(leader)).forEach(ControlMachine::kill);
-        say("killed", "gateway", leader);
+        String leader = leader().orElseThrow(() -> new IOException("no leader to kill among the control machines"));
+        control.stream().filter(machine -> machine.name().equals(leader)).forEach(ControlMachine::kill);
+        recordEvent("killed", "gateway", leader);
     }
 
     private void restartTenth() {
-        List<String> all =
-                new ArrayList<>(site.hollow().stream().map(Member::name).toList());
-        Set<String> drawn = new HashSet<>();
-        int count = Math.max(1, all.size() / 10);
-        while (drawn.size() < count) {
-            drawn.add(all.remove(random.nextInt(all.size())));
+        List<String> gateways =
+                new ArrayList<>(fleet.gateways().stream().map(Member::name).toList());
+        Set<String> selected = new HashSet<>();
+        int count = Math.max(1, gateways.size() / 10);
+        while (selected.size() < count) {
+            selected.add(gateways.remove(random.nextInt(gateways.size())));
         }
-        say("restart", "gateways", (long) count);
-        hosts.forEach(h -> h.send(HostCommand.Kind.RESTART, String.join(",", drawn)));
+        recordEvent("restart", "gateways", (long) count);
+        hosts.forEach(host -> host.send(SimulationHostCommand.Kind.RESTART, String.join(",", selected)));
     }
 
-    private void guarded(Step step) {
+    private void recordFailure(IoAction action) {
         try {
-            step.run();
+            action.run();
         } catch (IOException | RuntimeException e) {
-            failed = failed == null ? e : failed;
+            failure = failure == null ? e : failure;
         }
     }
 
-    private interface Step {
+    private interface IoAction {
         void run() throws IOException;
     }
 
-    private void turnFor(Duration span) throws IOException {
+    private void runLoopFor(Duration span) throws IOException {
         long until = System.nanoTime() + span.toNanos();
         await(() -> System.nanoTime() >= until, span.multipliedBy(2));
     }
 
-    /** Serves what is on loopback until something holds; whether it does in time. */
-    private boolean await(BooleanSupplier holds, Duration most) throws IOException {
-        long until = System.nanoTime() + most.toNanos();
-        while (!holds.getAsBoolean()) {
-            if (failed != null) {
-                throw new IOException("the run failed: " + failed.getMessage(), failed);
+    /** Runs the event loop until a condition holds. Returns false on a timeout. */
+    private boolean await(BooleanSupplier condition, Duration timeout) throws IOException {
+        long until = System.nanoTime() + timeout.toNanos();
+        while (!condition.getAsBoolean()) {
+            if (failure != null) {
+                throw new IOException("the run failed: " + failure.getMessage(), failure);
             }
-            if (hosts.stream().anyMatch(h -> !h.isAlive())) {
-                throw new IOException("a process of hollow gateways has ended; its log tells why");
+            if (hosts.stream().anyMatch(host -> !host.isAlive())) {
+                throw new IOException("a process of simulated gateways has ended unexpectedly; see its log");
             }
-            for (ControlMachine c : control) {
-                if (c.hasFailed()) {
-                    throw new IOException(c.name() + " has ended; its log tells why");
+            for (ControlMachine machine : control) {
+                if (machine.hasFailed()) {
+                    throw new IOException(machine.name() + " has ended unexpectedly; see its log");
                 }
             }
             if (System.nanoTime() > until) {
                 return false;
             }
-            loop.runTurn(() -> {}, TURN);
+            loop.runTurn(() -> {}, MAX_LOOP_WAIT);
         }
         return true;
     }
--- a/lab/src/main/java/sandpaddle/lab/scale/HostProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/SimulationHostProcess.java
@@ -12,34 +12,35 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** A process of hollow gateways as the controller of a run sees it. */
-final class HostProcess {
+/** Handle of the controller on a {@link SimulationHost} process: sends commands and collects replies. */
+final class SimulationHostProcess {
     private static final int BASE_HEAP_MB = 64;
-    private static final int HEAP_MB_OF_GATEWAY = 2;
-    private static final long END_SECONDS = 8;
+    private static final int HEAP_MB_PER_GATEWAY = 2;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 8;
 
     private final Process process;
-    private final HollowPlan plan;
+    private final SimulationHostPlan plan;
     private final PrintStream commands;
     private final Set<String> replies = ConcurrentHashMap.newKeySet();
     private volatile long leased;
 
-    private HostProcess(Process process, HollowPlan plan) {
+    private SimulationHostProcess(Process process, SimulationHostPlan plan) {
         this.process = process;
         this.plan = plan;
         commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "replies of a host");
+        Thread reader = new Thread(this::readReplies, "simulation host replies");
         reader.setDaemon(true);
         reader.start();
     }
 
     /**
-     * Starts it from this process's own classes; its log goes beside its plan. One that is sampled has the flags of a
-     * gateway in service, any other the whole compiler, so that more gateways find room on the machine.
+     * Starts the process with the class path of this one; its log is written next to the plan file. A sampled process
+     * runs with the JVM flags of a production gateway; any other uses all compiler tiers, so that more gateways fit on
+     * the machine.
      */
-    static HostProcess start(HollowPlan plan, Path planFile) throws IOException {
+    static SimulationHostProcess start(SimulationHostPlan plan, Path planFile) throws IOException {
         plan.write(planFile);
-        int heapMb = BASE_HEAP_MB + HEAP_MB_OF_GATEWAY * plan.names().size();
+        int heapMb = BASE_HEAP_MB + HEAP_MB_PER_GATEWAY * plan.names().size();
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -49,18 +50,18 @@
         if (plan.sampled()) {
             command.add("-XX:TieredStopAtLevel=1");
         }
-        command.addAll(List.of("-cp", classPath(), HollowHost.class.getName(), planFile.toString()));
+        command.addAll(List.of("-cp", classPath(), SimulationHost.class.getName(), planFile.toString()));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.redirectError(
                 planFile.resolveSibling(planFile.getFileName() + ".log").toFile());
-        return new HostProcess(builder.start(), plan);
+        return new SimulationHostProcess(builder.start(), plan);
     }
 
     private static String classPath() {
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     }
 
-    private void read() {
+    private void readReplies() {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -75,7 +76,7 @@
         }
     }
 
-    HollowPlan plan() {
+    SimulationHostPlan plan() {
         return plan;
     }
 
@@ -83,7 +84,7 @@
         return process.pid();
     }
 
-    /** How many of its gateways hold a lease. */
+    /** The number of its gateways that hold a lease, as last reported. */
     long leased() {
         return leased;
     }
@@ -92,19 +93,19 @@
         return process.isAlive();
     }
 
-    void send(HostCommand.Kind kind, String argument) {
-        commands.println(new HostCommand(kind, argument).line());
+    void send(SimulationHostCommand.Kind kind, String argument) {
+        commands.println(new SimulationHostCommand(kind, argument).line());
     }
 
     boolean hasReplied(String line) {
         return replies.contains(line);
     }
 
-    /** A planned end; what it wrote is complete after it. */
-    void end() {
-        send(HostCommand.Kind.END, "");
+    /** Ends the process in an orderly way, so that its event file is complete; kills it after a timeout. */
+    void shutDown() {
+        send(SimulationHostCommand.Kind.END, "");
         try {
-            if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (InterruptedException e) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /** The run is broken off. */
+    /** Kills the process because the run is aborted. */
     void kill() {
         process.destroyForcibly();
     }
--- a/lab/src/test/java/sandpaddle/lab/scale/ScaleAuditTest.java
+++ b/lab/src/test/java/sandpaddle/lab/scale/ScaleAuditTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Counting from events that are written here: each fault is found, and a sound run has none. */
+/** Tests the evaluation on synthetic events: each violation is found, and a correct run has none. */
 class ScaleAuditTest {
     private static final ScalePlan.Size SIZE = new ScalePlan.Size(4, 8, 2, 2, 1, 3);
 
@@ -39,41 +39,41 @@
     }
 
     @Test
-    void countsWhatRunsAgainstEachLimit() {
+    void countsConcurrentAttemptsAgainstEachLimit() {
         add(0, "script", "limit", "limit", "all", "running", 2);
         add(0, "script", "limit", "limit", "tenant-1", "running", 1);
         begin(10, "a", "tenant-1");
         begin(20, "b", "tenant-2");
         end(30, "a");
-        begin(30, "c", "tenant-1"); // at the end of another: not at one time
-        assertEquals(0, audit().running().overMost());
+        begin(30, "c", "tenant-1"); // starts when another ends: not concurrent
+        assertEquals(0, audit().running().maxExcess());
 
         begin(40, "d", "tenant-1");
-        assertEquals(1, audit().running().overMost());
-        assertEquals(4, audit().running().began());
+        assertEquals(1, audit().running().maxExcess());
+        assertEquals(4, audit().running().startedAttempts());
     }
 
     @Test
-    void findsOlderAndLostVersions() {
+    void countsRegressionsAndLostVersions() {
         add(0, "host", "gateway-started", "gateway", "gateway-0000", "start", 1);
         add(0, "host", "gateway-started", "gateway", "gateway-0001", "start", 1);
         add(100, "host", "proposed", "gateway", "gateway-0000", "version", 2);
         rules(5_100, "gateway-0000", 1, 2);
         rules(9_100, "gateway-0001", 1, 2);
-        assertEquals(0, audit().versions().older());
-        assertEquals(0, audit().agreedLost());
-        assertEquals(List.of(5L, 9L), audit().versions().delaysMs(audit().reached()));
+        assertEquals(0, audit().versions().regressions());
+        assertEquals(0, audit().lostVersions());
+        assertEquals(List.of(5L, 9L), audit().versions().delaysMs(audit().connectedGateways()));
 
         rules(10_000, "gateway-0000", 1, 1);
-        assertEquals(1, audit().versions().older());
-        assertEquals(0, audit().agreedLost(), "the other gateway has it still");
+        assertEquals(1, audit().versions().regressions());
+        assertEquals(0, audit().lostVersions(), "the other gateway still has version 2");
 
         rules(11_000, "gateway-0001", 1, 1);
-        assertEquals(1, audit().agreedLost());
+        assertEquals(1, audit().lostVersions());
     }
 
     @Test
-    void aNewLifeMayBeginWithItsFile() {
+    void acceptsOlderVersionAfterRestart() {
         add(0, "host", "gateway-started", "gateway", "gateway-0000", "start", 1);
         add(100, "host", "proposed", "gateway", "gateway-0000", "version", 2);
         rules(200, "gateway-0000", 1, 2);
@@ -81,23 +81,23 @@
         add(400, "host", "gateway-started", "gateway", "gateway-0000", "start", 2);
         rules(500, "gateway-0000", 2, 1);
         rules(600, "gateway-0000", 2, 2);
-        assertEquals(0, audit().versions().older());
-        assertEquals(0, audit().agreedLost());
+        assertEquals(0, audit().versions().regressions());
+        assertEquals(0, audit().lostVersions());
     }
 
     @Test
-    void tellsWrongVerdictsFromRightOnes() {
+    void countsVerdictsOnHealthyEnginesAsFalsePositives() {
         add(0, "script", "sick", "engine", "engine-3");
         add(7_000, "host", "verdict-begins", "gateway", "gateway-0000", "engine", "engine-3");
-        assertEquals(0, audit().verdicts().wrong());
+        assertEquals(0, audit().verdicts().falsePositives());
         assertEquals(List.of(7L), audit().verdicts().delaysMs());
 
         add(8_000, "host", "verdict-begins", "gateway", "gateway-0000", "engine", "engine-4");
-        assertEquals(1, audit().verdicts().wrong());
+        assertEquals(1, audit().verdicts().falsePositives());
     }
 
     @Test
-    void timesLeasesAfterAKillARestartAndAReturn() {
+    void measuresLeaseDelaysAfterKillRestartAndReconnect() {
         for (int i = 0; i < SIZE.gateways(); i++) {
             add(0, "host", "gateway-started", "gateway", "gateway-000" + i, "start", 1);
         }
@@ -111,14 +111,14 @@
         add(40_000, "script", "zone-back", "zone", SIZE.zone(1));
         add(49_000, "host", "lease-begins", "gateway", "gateway-0001");
         ScaleAudit audit = audit();
-        assertEquals(List.of(4L), audit.leases().newLeaderMs(audit.reached()));
-        assertEquals(List.of(6L), audit.leases().restartsMs());
-        assertEquals(List.of(9L), audit.leases().returnsMs(audit.cut()));
-        assertEquals(1, audit.bystandersWithoutLease());
+        assertEquals(List.of(4L), audit.leases().newLeaderDurationsMs(audit.connectedGateways()));
+        assertEquals(List.of(6L), audit.leases().restartDurationsMs());
+        assertEquals(List.of(9L), audit.leases().reconnectDurationsMs(audit.disconnectedGateways()));
+        assertEquals(1, audit.unaffectedGatewaysWithoutLease());
     }
 
     @Test
-    void ratesAreOfGatewaysThatRanThrough() {
+    void excludesRestartedGatewaysFromRates() {
         sample(0, "begin", "gateway-0000", 1, 0);
         sample(0, "begin", "gateway-0001", 1, 0);
         sample(2_000_000, "end", "gateway-0000", 1, 3_000);
--- a/lab/src/test/java/sandpaddle/lab/scale/ScaleTest.java
+++ b/lab/src/test/java/sandpaddle/lab/scale/ScaleTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A small fleet of real control machines and hollow gateways: what must hold in every run, whatever the load. */
+/** Runs a small fleet of real control machines and simulated gateways; checks invariants that hold under any load. */
 class ScaleTest {
     private static final ScalePlan.Size SIZE = new ScalePlan.Size(20, 32, 4, 6, 2, 3);
 
     @Test
-    void rulesHoldWhileATenthOfTheGatewaysRestart(@TempDir Path folder) throws IOException {
+    void invariantsHoldWhileATenthOfTheGatewaysRestart(@TempDir Path folder) throws IOException {
         String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        Map<String, Object> f = ScaleCommand.play(
+        Map<String, Object> results = ScaleCommand.execute(
                 new ScalePlan(
                         SIZE,
                         Fault.RESTART_TENTH,
@@ -29,12 +29,14 @@
                         folder),
                 "test");
 
-        assertTrue((long) f.get("limitOverMost") <= (long) f.get("limitOverBound"), "over a limit: " + f);
-        assertEquals(0L, f.get("agreedLost"), "what was agreed on was lost: " + f);
-        assertEquals(0L, f.get("olderVersions"), "a gateway went back: " + f);
-        assertEquals(0L, f.get("wrongVerdicts"), "an engine was condemned wrongly: " + f);
-        assertTrue((long) f.get("attempts") > 0, "nothing ran: " + f);
-        assertTrue(f.get("configLastMs") != null, "no change of the configuration arrived: " + f);
-        assertTrue(f.get("restartLastMs") != null, "no gateway came back: " + f);
+        assertTrue(
+                (long) results.get("limitOverMost") <= (long) results.get("limitOverBound"),
+                "limit exceeded: " + results);
+        assertEquals(0L, results.get("agreedLost"), "agreed version lost: " + results);
+        assertEquals(0L, results.get("olderVersions"), "gateway went back to an older version: " + results);
+        assertEquals(0L, results.get("wrongVerdicts"), "verdict on a healthy engine: " + results);
+        assertTrue((long) results.get("attempts") > 0, "no attempt started: " + results);
+        assertTrue(results.get("configLastMs") != null, "no configuration change was received: " + results);
+        assertTrue(results.get("restartLastMs") != null, "no restarted gateway got a lease: " + results);
     }
 }
