--- a/lab/src/main/java/sandpaddle/lab/capacity/Axis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Axis.java
@@ -2,39 +2,39 @@
 
 import java.util.Optional;
 
-/** A size that measurements vary, with its name in their files and its value in the fleet to plan for. */
+/** An independent variable of the measurements, with its name in their files and its value in the planned fleet. */
 enum Axis {
-    GATEWAYS("gateways", "N", (double) OperatorSize.GATEWAYS),
-    ENGINES("engines", "M", (double) OperatorSize.ENGINES),
-    LIMITS("limits", "L", (double) OperatorSize.LIMITS),
-    CHANGES("changesPerSecond", "C", OperatorSize.CHANGES_PER_SECOND),
-    CONNECTIONS("connections", "K", (double) OperatorSize.CONNECTIONS_PER_GATEWAY),
-    STATEMENTS("statementsPerSecond", "S", (double) OperatorSize.STATEMENTS_PER_GATEWAY),
-    /** A condition: runs with different numbers of them are not fitted together. */
+    GATEWAYS("gateways", "N", (double) PlannedFleet.GATEWAYS),
+    ENGINES("engines", "M", (double) PlannedFleet.ENGINES),
+    LIMITS("limits", "L", (double) PlannedFleet.LIMITS),
+    CHANGES("changesPerSecond", "C", PlannedFleet.CHANGES_PER_SECOND),
+    CONNECTIONS("connections", "K", (double) PlannedFleet.CONNECTIONS_PER_GATEWAY),
+    STATEMENTS("statementsPerSecond", "S", (double) PlannedFleet.STATEMENTS_PER_GATEWAY),
+    /** A condition of a run: runs with different values are not fitted together. */
     CONTROL_MACHINES("controlMachines", "voters", null);
 
     private final String field;
     private final String symbol;
-    private final Double planned;
+    private final Double plannedSize;
 
-    Axis(String field, String symbol, Double planned) {
+    Axis(String field, String symbol, Double plannedSize) {
         this.field = field;
         this.symbol = symbol;
-        this.planned = planned;
+        this.plannedSize = plannedSize;
     }
 
-    /** Its name in the files of measurements. */
+    /** The field name in measurement files. */
     String field() {
         return field;
     }
 
-    /** Its name in forms. */
+    /** The symbol in printed model forms. */
     String symbol() {
         return symbol;
     }
 
-    /** Its value in the fleet to plan for; empty where it is a condition of a run. */
-    Optional<Double> planned() {
-        return Optional.ofNullable(planned);
+    /** The value in the planned fleet; empty if the axis is a condition of a run. */
+    Optional<Double> plannedSize() {
+        return Optional.ofNullable(plannedSize);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/capacity/Budget.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Budget.java
@@ -2,16 +2,23 @@
 
 import java.util.OptionalDouble;
 
-/** What a figure may come to, with the part of the page that shows it, and the code that carries it. */
+/**
+ * The budget of a measured value, with its place on the capacity page and the code that the value depends on.
+ *
+ * @param factor factor that converts a measured value to {@code unit}
+ * @param maximum largest allowed value, in {@code unit}; empty if there is none
+ * @param line line of the planned size that the value counts against
+ * @param mechanism short text that names the code responsible for the value
+ */
 record Budget(
         Section section,
         String label,
         String unit,
         double factor,
-        OptionalDouble most,
+        OptionalDouble maximum,
         SizeLine line,
         String mechanism) {
-    /** The parts of the page. */
+    /** A section of the capacity page. */
     enum Section {
         CLIENT("client-side"),
         GATEWAY("gateway"),
@@ -28,13 +35,13 @@
             this.table = table;
         }
 
-        /** The name of its table on the page. */
+        /** The name of the table on the page. */
         String table() {
             return table;
         }
     }
 
-    /** The lines of the size to plan for. */
+    /** A line of the table of planned sizes. */
     enum SizeLine {
         GATEWAYS,
         ENGINES,
--- a/lab/src/main/java/sandpaddle/lab/capacity/CapacityCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CapacityCommand.java
@@ -9,18 +9,19 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code capacity}: the model of the fleet to plan for, from the committed measurements. */
+/** The subcommand {@code capacity}: projects the committed measurements to the planned fleet. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
-        description = "Fits the committed measurements, projects each figure to the planned size beside its budget, "
-                + "and keeps the tables of the capacity page.",
+        description =
+                "Fits models to the committed measurements, projects each value to the planned size, compares it with "
+                        + "its budget, and generates the tables of the capacity page.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done; the page, where one was checked, agrees",
-            "1:failed while running",
-            "2:measurements or a page that cannot be used",
-            "3:the page differs from what the measurements give"
+            "0:success; the page, if checked, is up to date",
+            "1:unexpected failure",
+            "2:invalid measurements or missing page",
+            "3:the tables of the page differ from the measurements"
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -29,23 +30,23 @@
             "  capacity --write docs/CAPACITY.md"
         })
 public final class CapacityCommand implements Callable<Integer> {
-    private static final int UNUSABLE = 2;
-    private static final int DIFFERS = 3;
+    private static final int EXIT_INVALID_INPUT = 2;
+    private static final int EXIT_PAGE_DIFFERS = 3;
 
     @Option(
             names = "--measurements",
             defaultValue = "docs/measurements/capacity",
             paramLabel = "DIR",
-            description = "Where the measurements are (${DEFAULT-VALUE}).")
+            description = "Directory of the measurements (${DEFAULT-VALUE}).")
     private Path measurements;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where rows and predictions go.")
+    @Option(names = "--json", paramLabel = "FILE", description = "File to write rows and predictions to.")
     private Path json;
 
-    @Option(names = "--check", paramLabel = "PAGE", description = "Fails where the page's tables differ.")
+    @Option(names = "--check", paramLabel = "PAGE", description = "Fails if the tables of the page differ.")
     private Path check;
 
-    @Option(names = "--write", paramLabel = "PAGE", description = "Writes the page's tables anew.")
+    @Option(names = "--write", paramLabel = "PAGE", description = "Regenerates the tables of the page.")
     private Path write;
 
     @Override
@@ -53,16 +54,16 @@
         CapacityReport report;
         try {
             report = CapacityReport.of(Measurements.read(measurements));
-        } catch (FaultyMeasurementsException | CodeLimits.MissingLimitException e) {
+        } catch (InvalidMeasurementsException | CodeLimits.MissingLimitException e) {
             System.err.println(e.getMessage());
-            return UNUSABLE;
+            return EXIT_INVALID_INPUT;
         }
         Map<String, List<String>> tables = PageTables.of(report);
         if (json != null) {
             CapacityJson.write(report, json);
         }
         if (write != null) {
-            Files.write(write, Page.rewritten(Files.readAllLines(write), tables));
+            Files.write(write, CapacityPage.withTables(Files.readAllLines(write), tables));
         }
         if (check != null) {
             return check(tables);
@@ -75,11 +76,11 @@
 
     private int check(Map<String, List<String>> tables) throws IOException {
         if (!Files.isReadable(check)) {
-            System.err.println(check + ": there is no such page");
-            return UNUSABLE;
+            System.err.println(check + ": file not found or not readable");
+            return EXIT_INVALID_INPUT;
         }
-        List<String> faults = Page.faults(Files.readAllLines(check), tables);
-        faults.forEach(f -> System.err.println(check + ": " + f));
-        return faults.isEmpty() ? 0 : DIFFERS;
+        List<String> differences = CapacityPage.differences(Files.readAllLines(check), tables);
+        differences.forEach(difference -> System.err.println(check + ": " + difference));
+        return differences.isEmpty() ? 0 : EXIT_PAGE_DIFFERS;
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/capacity/CapacityJson.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CapacityJson.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** Writes a report as JSON. */
+/** Writes a {@link CapacityReport} as JSON. */
 final class CapacityJson {
     private final JsonGenerator json;
 
@@ -37,10 +37,10 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("noGround");
-        for (CapacityReport.NoGround none : report.noGround()) {
+        for (CapacityReport.MissingProjection missing : report.missingProjections()) {
             json.writeStartObject();
-            series(none.series());
-            json.writeStringField("reason", none.reason());
+            series(missing.series());
+            json.writeStringField("reason", missing.reason());
             json.writeEndObject();
         }
         json.writeEndArray();
@@ -66,7 +66,7 @@
         number("budget", row.budget());
         number("ratio", row.ratio());
         json.writeStringField("mechanism", row.mechanism());
-        json.writeStringField("ground", row.ground().text());
+        json.writeStringField("ground", row.basis().text());
         json.writeStringField("note", row.note());
         json.writeEndObject();
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/CapacityReport.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CapacityReport.java
@@ -9,13 +9,16 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** What the measurements and the code give for the planned size. */
+/** Projections of the measurements, and of the limits in the code, to the planned fleet. */
 record CapacityReport(
-        List<ProjectionRow> rows, List<Prediction> predictions, List<NoGround> noGround, List<FaultRun> faults) {
-    /** A figure with no projection, and why. */
-    record NoGround(SeriesName series, Budget.SizeLine line, String reason) {}
+        List<ProjectionRow> rows,
+        List<Prediction> predictions,
+        List<MissingProjection> missingProjections,
+        List<FaultRun> faults) {
+    /** A series without a projection, with the reason. */
+    record MissingProjection(SeriesName series, Budget.SizeLine line, String reason) {}
 
-    /** Series that a projection is expected of; where nothing was measured the report says so. */
+    /** Series that must have a projection; one without any measurement is reported as missing. */
     private static final List<SeriesName> EXPECTED = expected();
 
     private static final String MECHANISM = "star";
@@ -49,7 +52,7 @@
         series.forEach(report::add);
         for (SeriesName name : EXPECTED) {
             if (!series.containsKey(name)) {
-                report.noGround.add(new NoGround(
+                report.missingProjections.add(new MissingProjection(
                         name, Budgets.of(name).map(Budget::line).orElse(Budget.SizeLine.NONE), "no measurement"));
             }
         }
@@ -66,15 +69,15 @@
             Model model = SeriesAnalysis.of(name, samples);
             predictions.addAll(model.predictions());
             rows.add(row(model, budget.get()));
-        } catch (TooFewSizesException e) {
-            noGround.add(new NoGround(name, budget.get().line(), e.getMessage()));
+        } catch (InsufficientDataException e) {
+            missingProjections.add(new MissingProjection(name, budget.get().line(), e.getMessage()));
         }
     }
 
     private static ProjectionRow row(Model model, Budget budget) {
         Fit.Estimate estimate = model.projected().estimate();
         double factor = budget.factor();
-        boolean measured = model.projected().ground() == Model.Ground.MEASURED;
+        boolean measured = model.projected().basis() == Model.Basis.MEASURED;
         return new ProjectionRow(
                 budget.section(),
                 model.series().role(),
@@ -86,15 +89,15 @@
                 factor * estimate.value(),
                 scaled(estimate.low(), factor),
                 scaled(estimate.high(), factor),
-                budget.most(),
+                budget.maximum(),
                 budget.line(),
                 budget.mechanism(),
-                measured ? ProjectionRow.Ground.MEASURED : ProjectionRow.Ground.EXTRAPOLATED,
+                measured ? ProjectionRow.Basis.MEASURED : ProjectionRow.Basis.EXTRAPOLATED,
                 note(model));
     }
 
-    private static OptionalDouble scaled(OptionalDouble x, double factor) {
-        return x.isPresent() ? OptionalDouble.of(factor * x.getAsDouble()) : x;
+    private static OptionalDouble scaled(OptionalDouble value, double factor) {
+        return value.isPresent() ? OptionalDouble.of(factor * value.getAsDouble()) : value;
     }
 
     private static String note(Model model) {
@@ -105,7 +108,7 @@
         return String.join("; ", parts);
     }
 
-    /** The rows over their budget, the worst first; those that may not be planned with are left out. */
+    /** The usable rows that exceed their budget, in descending order of the ratio. */
     List<ProjectionRow> overBudget() {
         return rows.stream()
                 .filter(r -> r.isUsable() && r.ratio().isPresent() && r.ratio().getAsDouble() > 1)
@@ -115,7 +118,7 @@
                 .toList();
     }
 
-    /** The row of a line of the size that is worst against its budget. */
+    /** The usable row with the largest ratio to its budget, of a line of the planned size. */
     Optional<ProjectionRow> worst(Budget.SizeLine line) {
         return rows.stream()
                 .filter(r -> r.line() == line
--- a/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/CodeLimits.java
@@ -16,36 +16,49 @@
 import sandpaddle.lab.capacity.Budget.SizeLine;
 
 /**
- * The limits that the code sets, read from the classes themselves, beside what the planned size needs of each. So the
- * page cannot tell of a limit that the code no longer has.
+ * The limits set in the code, compared with what the planned size requires. The values are read from the classes by
+ * reflection, so that the page cannot show a limit that the code no longer has.
  */
 final class CodeLimits {
-    /** A limit that moved or changed its name; the message tells which. */
+    /** Thrown when a listed limit was moved or renamed in the code; the message names it. */
     static final class MissingLimitException extends Exception {
         private static final long serialVersionUID = 1;
 
         MissingLimitException(String name, Throwable cause) {
-            super("the limit " + name + " is not in the code any more: correct its entry in CodeLimits", cause);
+            super("the limit " + name + " was not found in the code; update its entry in CodeLimits", cause);
         }
     }
 
-    /** What happens to what is over a limit. */
-    private enum Beyond {
-        REFUSED("refused"),
-        LATER("waits for a later turn"),
-        UNKNOWN_TO_IT("goes on unwatched"),
-        SETTING("a setting of the deployment");
+    /** What the program does with anything over a limit. */
+    private enum OverLimitBehavior {
+        REJECTED("refused"),
+        DEFERRED("waits for a later turn"),
+        NOT_TRACKED("goes on unwatched"),
+        CONFIGURABLE("a setting of the deployment");
 
         private final String text;
 
-        Beyond(String text) {
+        OverLimitBehavior(String text) {
             this.text = text;
         }
     }
 
-    /** {@code need}: what the planned size asks of it; empty where the size does not tell. */
+    /**
+     * One limit.
+     *
+     * @param owner class with the limit, without the prefix {@code sandpaddle.}
+     * @param required value that the planned size requires; empty if it cannot be derived from the size
+     * @param overLimit what happens over the limit
+     * @param reason what the limit applies to
+     */
     private record Entry(
-            String owner, String field, String unit, OptionalDouble need, SizeLine line, Beyond beyond, String reason) {
+            String owner,
+            String field,
+            String unit,
+            OptionalDouble required,
+            SizeLine line,
+            OverLimitBehavior overLimit,
+            String reason) {
         String name() {
             return owner.substring(owner.lastIndexOf('.') + 1).replace('$', '.') + "." + field;
         }
@@ -61,17 +74,21 @@
         }
     }
 
-    private static final String VERDICTS = "fleet.verdict.VerdictSettings"; // its defaults are no constants
-    private static final String LINKS = "fleet.link.LinkSettings$Bounds";
-    private static final int LISTED_ENGINE_BYTES = 1024; // with all fields and long names, as LineReader counts
-    private static final int LIMIT_EACH = 50;
+    /** Its defaults are record components, not constants, and are read without reflection. */
+    private static final String VERDICT_SETTINGS = "fleet.verdict.VerdictSettings";
+
+    private static final String LINK_BOUNDS = "fleet.link.LinkSettings$Bounds";
+    /** One engine in the list line, with all fields and long names, as assumed by LineDecoder.MAX_LINE_BYTES. */
+    private static final int ENGINE_LIST_ENTRY_BYTES = 1024;
+
+    private static final int LIMIT_PER_ENGINE = 50;
     private static final int PORT = 7400;
-    private static final OptionalDouble GATEWAYS = OptionalDouble.of(OperatorSize.GATEWAYS);
-    private static final OptionalDouble ENGINES = OptionalDouble.of(OperatorSize.ENGINES);
-    private static final OptionalDouble LIMITS = OptionalDouble.of(OperatorSize.LIMITS);
-    private static final OptionalDouble SLOTS = OptionalDouble.of((double) OperatorSize.GATEWAYS * OperatorSize.LIMITS);
-    private static final OptionalDouble ZONE = OptionalDouble.of(OperatorSize.GATEWAYS_PER_ZONE);
-    private static final OptionalDouble UNKNOWN = OptionalDouble.empty();
+    private static final OptionalDouble GATEWAYS = OptionalDouble.of(PlannedFleet.GATEWAYS);
+    private static final OptionalDouble ENGINES = OptionalDouble.of(PlannedFleet.ENGINES);
+    private static final OptionalDouble LIMITS = OptionalDouble.of(PlannedFleet.LIMITS);
+    private static final OptionalDouble SLOTS = OptionalDouble.of((double) PlannedFleet.GATEWAYS * PlannedFleet.LIMITS);
+    private static final OptionalDouble GATEWAYS_PER_ZONE = OptionalDouble.of(PlannedFleet.GATEWAYS_PER_ZONE);
+    private static final OptionalDouble REQUIREMENT_UNKNOWN = OptionalDouble.empty();
 
     private static final List<Entry> ENTRIES = List.of(
             members("fleet.member.Roster", "a faulty command must not fill the memory of all gateways"),
@@ -88,7 +105,7 @@
                     "slots",
                     SLOTS,
                     SizeLine.GATEWAYS,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "a right of each gateway in each limit"),
             new Entry(
                     "fleet.limit.lease.QuotaHolder",
@@ -96,7 +113,7 @@
                     "slots",
                     LIMITS,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "slots that one gateway holds"),
             new Entry(
                     "fleet.limit.wire.Heartbeat",
@@ -104,7 +121,7 @@
                     "slots a beat",
                     LIMITS,
                     SizeLine.NONE,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "the rest is told with the next beats"),
             new Entry(
                     "fleet.limit.wire.QuotaGrant",
@@ -112,79 +129,79 @@
                     "slots a grant",
                     LIMITS,
                     SizeLine.NONE,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "the rest goes with the next grants"),
             new Entry(
                     "fleet.node.agree.FleetConfig",
                     "MAX_TEXT_BYTES",
                     "bytes",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "one pool policy or one schedule"),
             new Entry(
                     "fleet.state.machine.VersionedDocuments",
                     "MAX_TEXT_BYTES",
                     "bytes",
-                    agreedText(),
+                    agreedConfigBytes(),
                     SizeLine.CONFIGURATION,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "the whole agreed configuration is one text"),
             new Entry(
                     "fleet.state.raft.RaftCodec",
                     "MAX_COMMAND_BYTES",
                     "bytes",
-                    agreedText(),
+                    agreedConfigBytes(),
                     SizeLine.CONFIGURATION,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "one command of the log"),
             new Entry(
                     "config.LocatedJson",
                     "MAX_BYTES",
                     "bytes",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.CONFIGURATION,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "the operator's file with all members and limits"),
             new Entry(
                     "config.FleetSettingsReader",
                     "MAX_FOUNDERS",
                     "voters",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "first voters, of which a majority agrees on everything"),
             new Entry(
                     "fleet.node.wire.StatusMessage",
                     "MAX_VOTERS",
                     "voters",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "voters that a gateway is told of"),
             new Entry(
                     "fleet.state.machine.FleetStateMachine",
                     "MAX_SNAPSHOT_BYTES",
                     "bytes",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "a snapshot, which goes out in chunks"),
             new Entry(
                     "fleet.state.raft.RaftCodec",
                     "MAX_CHUNKS",
                     "chunks",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "of a snapshot, a quarter of a megabyte each"),
             new Entry(
                     "fleet.store.VoterStore",
                     "MAX_ENTRIES",
                     "entries",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "a log that long needs a snapshot first"),
             new Entry(
                     "fleet.node.FleetNode",
@@ -192,31 +209,31 @@
                     "messages",
                     GATEWAYS,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "a queue from the links to the fleet's thread: one beat of each gateway"),
             new Entry(
                     "fleet.link.frame.Frame",
                     "MAX_GREETING_BYTES",
                     "bytes",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "a frame before the other side has said who it is"),
             new Entry(
                     "fleet.link.tcp.TcpLinks",
                     "ACCEPT_BACKLOG",
                     "connections",
-                    ZONE,
+                    GATEWAYS_PER_ZONE,
                     SizeLine.FAILURES,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "links that wait to be accepted: a zone that comes back"),
             new Entry(
                     "fleet.link.tcp.TcpLinks",
                     "MAX_ACCEPTED_AT_ONCE",
                     "connections",
-                    ZONE,
+                    GATEWAYS_PER_ZONE,
                     SizeLine.FAILURES,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "connections taken in one turn of the link thread"),
             new Entry(
                     "fleet.node.pool.PoolEngines",
@@ -224,7 +241,7 @@
                     "engines",
                     ENGINES,
                     SizeLine.ENGINES,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "engines that a pool's budgets know"),
             new Entry(
                     "fleet.node.pool.PoolSlots",
@@ -232,7 +249,7 @@
                     "slots",
                     ENGINES,
                     SizeLine.ENGINES,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "an engine's part for each tenant: one tenant at least"),
             new Entry(
                     "fleet.node.loop.AllowanceCalculator",
@@ -240,171 +257,172 @@
                     "engines",
                     ENGINES,
                     SizeLine.NONE,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "engines told as barred; the rest is found where an attempt would be written"),
             new Entry(
                     "discovery.LineDecoder",
                     "MAX_LINE_BYTES",
                     "bytes",
-                    OptionalDouble.of((double) OperatorSize.ENGINES * LISTED_ENGINE_BYTES),
+                    OptionalDouble.of((double) PlannedFleet.ENGINES * ENGINE_LIST_ENTRY_BYTES),
                     SizeLine.ENGINES,
-                    Beyond.REFUSED,
+                    OverLimitBehavior.REJECTED,
                     "the engine list is one line; a kilobyte for an engine with long names"),
             new Entry(
                     "config.GatewayConfig",
                     "DEFAULT_MAX_SOCKETS",
                     "descriptors",
-                    OptionalDouble.of(3.0 * OperatorSize.CONNECTIONS_PER_GATEWAY),
+                    OptionalDouble.of(3.0 * PlannedFleet.CONNECTIONS_PER_GATEWAY),
                     SizeLine.CONNECTIONS,
-                    Beyond.SETTING,
+                    OverLimitBehavior.CONFIGURABLE,
                     "the default of limits.sockets, of which clients get a third"),
             new Entry(
                     "eventloop.Acceptor",
                     "BACKLOG",
                     "connections",
-                    UNKNOWN,
+                    REQUIREMENT_UNKNOWN,
                     SizeLine.NONE,
-                    Beyond.LATER,
+                    OverLimitBehavior.DEFERRED,
                     "clients that wait to be accepted"));
 
     private CodeLimits() {}
 
     private static Entry members(String owner, String reason) {
-        return new Entry(owner, "MAX_MEMBERS", "gateways", GATEWAYS, SizeLine.GATEWAYS, Beyond.REFUSED, reason);
+        return new Entry(
+                owner, "MAX_MEMBERS", "gateways", GATEWAYS, SizeLine.GATEWAYS, OverLimitBehavior.REJECTED, reason);
     }
 
     private static Entry limits(String owner, String reason) {
-        return new Entry(owner, "MAX_LIMITS", "limits", LIMITS, SizeLine.NONE, Beyond.REFUSED, reason);
+        return new Entry(owner, "MAX_LIMITS", "limits", LIMITS, SizeLine.NONE, OverLimitBehavior.REJECTED, reason);
     }
 
-    /** Bytes of the agreed text with every gateway and one limit for each engine, as the class writes it. */
-    private static OptionalDouble agreedText() {
-        List<Member> members = IntStream.range(0, OperatorSize.GATEWAYS)
+    /** Size in bytes of the encoded {@link FleetConfig} with every gateway and one limit per engine. */
+    private static OptionalDouble agreedConfigBytes() {
+        List<Member> members = IntStream.range(0, PlannedFleet.GATEWAYS)
                 .mapToObj(i -> new Member(
                         "gw-" + i,
-                        "region-" + i % OperatorSize.REGIONS + "-zone-" + i % OperatorSize.ZONES,
+                        "region-" + i % PlannedFleet.REGIONS + "-zone-" + i % PlannedFleet.ZONES,
                         "10.0.100.100",
                         PORT))
                 .toList();
-        List<LimitSpec> limits = IntStream.range(0, OperatorSize.LIMITS)
+        List<LimitSpec> limits = IntStream.range(0, PlannedFleet.LIMITS)
                 .mapToObj(i -> new LimitSpec(
                         "engine-" + i,
                         new LimitScope(null, null, null, "engine-" + i),
                         LimitUnit.RUNNING,
-                        LIMIT_EACH,
+                        LIMIT_PER_ENGINE,
                         0))
                 .toList();
         return OptionalDouble.of(
                 new FleetConfig(1, members, limits, "", "").encode().length());
     }
 
-    /** Every limit as a row: what is needed, beside the limit as its budget. */
+    /** One row per limit, with the required value as the projection and the limit as the budget. */
     static List<ProjectionRow> rows() throws MissingLimitException {
         List<ProjectionRow> rows = new ArrayList<>();
-        for (Entry e : ENTRIES) {
-            rows.add(row(e, e.value()));
+        for (Entry entry : ENTRIES) {
+            rows.add(row(entry, entry.value()));
         }
-        rows.addAll(verdicts());
-        rows.addAll(links());
+        rows.addAll(verdictRows());
+        rows.addAll(linkRows());
         return rows;
     }
 
-    private static List<ProjectionRow> verdicts() {
-        VerdictSettings d = VerdictSettings.DEFAULT;
+    private static List<ProjectionRow> verdictRows() {
+        VerdictSettings defaults = VerdictSettings.DEFAULT;
         return List.of(
                 row(
                         new Entry(
-                                VERDICTS,
+                                VERDICT_SETTINGS,
                                 "maxEngines",
                                 "engines",
                                 ENGINES,
                                 SizeLine.ENGINES,
-                                Beyond.UNKNOWN_TO_IT,
+                                OverLimitBehavior.NOT_TRACKED,
                                 "engines watched, those first in the list"),
-                        d.maxEngines()),
+                        defaults.maxEngines()),
                 row(
                         new Entry(
-                                VERDICTS,
+                                VERDICT_SETTINGS,
                                 "maxMembers",
                                 "gateways",
                                 GATEWAYS,
                                 SizeLine.GATEWAYS,
-                                Beyond.UNKNOWN_TO_IT,
+                                OverLimitBehavior.NOT_TRACKED,
                                 "gateways whose evidence is kept, the first by name"),
-                        d.maxMembers()));
+                        defaults.maxMembers()));
     }
 
-    private static List<ProjectionRow> links() {
-        LinkSettings.Bounds d = LinkSettings.Bounds.DEFAULT;
+    private static List<ProjectionRow> linkRows() {
+        LinkSettings.Bounds defaults = LinkSettings.Bounds.DEFAULT;
         return List.of(
                 row(
                         new Entry(
-                                LINKS,
+                                LINK_BOUNDS,
                                 "accepted",
                                 "links",
                                 GATEWAYS,
                                 SizeLine.GATEWAYS,
-                                Beyond.REFUSED,
+                                OverLimitBehavior.REJECTED,
                                 "links that a voter accepts: one from each gateway"),
-                        d.maxAccepted()),
+                        defaults.maxAccepted()),
                 row(
                         new Entry(
-                                LINKS,
+                                LINK_BOUNDS,
                                 "greeting",
                                 "links",
-                                ZONE,
+                                GATEWAYS_PER_ZONE,
                                 SizeLine.FAILURES,
-                                Beyond.REFUSED,
+                                OverLimitBehavior.REJECTED,
                                 "of them in their handshake: a zone that comes back"),
-                        d.maxHandshaking()),
+                        defaults.maxHandshaking()),
                 row(
                         new Entry(
-                                LINKS,
+                                LINK_BOUNDS,
                                 "frameBytes",
                                 "bytes",
-                                agreedText(),
+                                agreedConfigBytes(),
                                 SizeLine.CONFIGURATION,
-                                Beyond.REFUSED,
+                                OverLimitBehavior.REJECTED,
                                 "one frame, which holds the agreed text"),
-                        d.maxFrameBytes()),
+                        defaults.maxFrameBytes()),
                 row(
                         new Entry(
-                                LINKS,
+                                LINK_BOUNDS,
                                 "queueBytes",
                                 "bytes",
-                                UNKNOWN,
+                                REQUIREMENT_UNKNOWN,
                                 SizeLine.NONE,
-                                Beyond.REFUSED,
+                                OverLimitBehavior.REJECTED,
                                 "what may wait for one peer"),
-                        d.maxQueueBytes()),
+                        defaults.maxQueueBytes()),
                 row(
                         new Entry(
-                                LINKS,
+                                LINK_BOUNDS,
                                 "inboundBytes",
                                 "bytes",
-                                UNKNOWN,
+                                REQUIREMENT_UNKNOWN,
                                 SizeLine.NONE,
-                                Beyond.LATER,
+                                OverLimitBehavior.DEFERRED,
                                 "received and not yet taken, over all peers"),
-                        d.maxInboundBytes()));
+                        defaults.maxInboundBytes()));
     }
 
-    private static ProjectionRow row(Entry e, double limit) {
+    private static ProjectionRow row(Entry entry, double limit) {
         return new ProjectionRow(
                 Section.CODE,
                 "code",
-                e.name(),
-                e.reason,
-                e.unit,
+                entry.name(),
+                entry.reason,
+                entry.unit,
                 "fixed",
                 true,
-                e.need.orElse(Double.NaN),
+                entry.required.orElse(Double.NaN),
                 OptionalDouble.empty(),
                 OptionalDouble.empty(),
                 OptionalDouble.of(limit),
-                e.line,
-                "sandpaddle." + e.owner,
-                ProjectionRow.Ground.ARGUED,
-                e.beyond.text);
+                entry.line,
+                "sandpaddle." + entry.owner,
+                ProjectionRow.Basis.ARGUED,
+                entry.overLimit.text);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/capacity/Fit.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Fit.java
@@ -11,20 +11,20 @@
 import org.apache.commons.math3.linear.SingularMatrixException;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
-/** A form fitted to samples by ordinary least squares. */
+/** A model form fitted to samples by ordinary least squares. */
 final class Fit {
-    /** A fitted value with its 95% range, empty ends where there were too few samples for one. */
+    /** A fitted value with its 95% confidence interval; the bounds are empty if there were too few samples. */
     record Estimate(double value, OptionalDouble low, OptionalDouble high) {}
 
-    private static final double UPPER = 0.975; // of a range of 95%
-    private static final double EXACT = 1e-9; // residuals below this part of the values count as none
+    private static final double UPPER_QUANTILE = 0.975; // of a two-sided 95% interval
+    private static final double RELATIVE_RESIDUAL_FLOOR = 1e-9; // smaller residuals, relative to the values, count as 0
 
     private final Form form;
-    private final double[] scales; // of the terms, so that sizes in the millions keep the matrix well conditioned
+    private final double[] scales; // by term; keep the matrix well conditioned for sizes in the millions
     private final double[] coefficients;
     private final RealMatrix variance;
-    private final double squares;
-    private final double floor;
+    private final double residualSumOfSquares;
+    private final double residualFloor;
     private final int samples;
 
     private Fit(
@@ -32,110 +32,122 @@
             double[] scales,
             double[] coefficients,
             RealMatrix variance,
-            double squares,
-            double floor,
+            double residualSumOfSquares,
+            double residualFloor,
             int samples) {
         this.form = form;
         this.scales = scales;
         this.coefficients = coefficients;
         this.variance = variance;
-        this.squares = squares;
-        this.floor = floor;
+        this.residualSumOfSquares = residualSumOfSquares;
+        this.residualFloor = residualFloor;
         this.samples = samples;
     }
 
     /**
-     * Fits the form.
+     * Fits a form.
      *
-     * @throws TooFewSizesException where the samples' sizes do not determine every slope
+     * @throws InsufficientDataException if the sizes of the samples do not determine every slope
      */
-    static Fit of(Form form, List<Sample> samples) throws TooFewSizesException {
+    static Fit of(Form form, List<Sample> samples) throws InsufficientDataException {
         int terms = form.terms().size();
         if (samples.size() < terms + 1) {
-            throw new TooFewSizesException(form + " needs " + (terms + 1) + " samples, not " + samples.size());
+            throw new InsufficientDataException(form + " needs " + (terms + 1) + " samples, not " + samples.size());
         }
-        double[] y = samples.stream().mapToDouble(Sample::value).toArray();
-        double floor = EXACT * Arrays.stream(y).map(v -> v * v).sum() + Double.MIN_NORMAL;
+        double[] values = samples.stream().mapToDouble(Sample::value).toArray();
+        double residualFloor = RELATIVE_RESIDUAL_FLOOR
+                        * Arrays.stream(values).map(value -> value * value).sum()
+                + Double.MIN_NORMAL;
         if (terms == 0) {
-            return constant(y, floor);
+            return constant(values, residualFloor);
         }
-        double[][] x = samples.stream().map(s -> form.row(s.sizes())).toArray(double[][]::new);
+        double[][] rows = samples.stream().map(s -> form.row(s.sizes())).toArray(double[][]::new);
         double[] scales = new double[terms];
         for (int t = 0; t < terms; t++) {
             int column = t;
             scales[t] = Math.max(
                     Double.MIN_NORMAL,
-                    Arrays.stream(x).mapToDouble(r -> Math.abs(r[column])).max().orElse(1));
-            Arrays.stream(x).forEach(r -> r[column] /= scales[column]);
+                    Arrays.stream(rows)
+                            .mapToDouble(row -> Math.abs(row[column]))
+                            .max()
+                            .orElse(1));
+            Arrays.stream(rows).forEach(row -> row[column] /= scales[column]);
         }
         OLSMultipleLinearRegression regression = new OLSMultipleLinearRegression();
         try {
-            regression.newSampleData(y, x);
-            double squares = regression.calculateResidualSumOfSquares();
+            regression.newSampleData(values, rows);
+            double residualSumOfSquares = regression.calculateResidualSumOfSquares();
             return new Fit(
                     form,
                     scales,
                     regression.estimateRegressionParameters(),
                     MatrixUtils.createRealMatrix(regression.estimateRegressionParametersVariance()),
-                    squares,
-                    floor,
-                    y.length);
+                    residualSumOfSquares,
+                    residualFloor,
+                    values.length);
         } catch (SingularMatrixException e) {
-            throw new TooFewSizesException(form + " is not determined by the sizes that were measured");
+            throw new InsufficientDataException(form + " is not determined by the sizes that were measured");
         }
     }
 
-    private static Fit constant(double[] y, double floor) {
-        double mean = Arrays.stream(y).average().orElse(0);
-        double squares = Arrays.stream(y).map(v -> (v - mean) * (v - mean)).sum();
+    private static Fit constant(double[] values, double residualFloor) {
+        double mean = Arrays.stream(values).average().orElse(0);
+        double residualSumOfSquares = Arrays.stream(values)
+                .map(value -> (value - mean) * (value - mean))
+                .sum();
         return new Fit(
                 Form.CONSTANT,
                 new double[0],
                 new double[] {mean},
-                MatrixUtils.createRealMatrix(new double[][] {{1.0 / y.length}}),
-                squares,
-                floor,
-                y.length);
+                MatrixUtils.createRealMatrix(new double[][] {{1.0 / values.length}}),
+                residualSumOfSquares,
+                residualFloor,
+                values.length);
     }
 
     Form form() {
         return form;
     }
 
-    /** The slope of a term. */
+    /** The slope of a term, by its index. */
     double slope(int term) {
         return coefficients[term + 1] / scales[term];
     }
 
-    /** The standard error of a slope; empty where there is no sample more than coefficients. */
-    OptionalDouble slopeError(int term) {
-        int free = samples - coefficients.length;
-        return free == 0
+    /** The standard error of a slope; empty if there are no more samples than coefficients. */
+    OptionalDouble slopeStandardError(int term) {
+        int degreesOfFreedom = samples - coefficients.length;
+        return degreesOfFreedom == 0
                 ? OptionalDouble.empty()
-                : OptionalDouble.of(Math.sqrt(squares / free * variance.getEntry(term + 1, term + 1)) / scales[term]);
+                : OptionalDouble.of(
+                        Math.sqrt(residualSumOfSquares / degreesOfFreedom * variance.getEntry(term + 1, term + 1))
+                                / scales[term]);
     }
 
-    /** The value at these sizes. */
-    Estimate at(Map<Axis, Double> sizes) {
+    /** The fitted value at these sizes, with its confidence interval. */
+    Estimate estimateAt(Map<Axis, Double> sizes) {
         double[] terms = form.row(sizes);
         double[] row = new double[coefficients.length];
         row[0] = 1;
         for (int t = 0; t < terms.length; t++) {
             row[t + 1] = terms[t] / scales[t];
         }
-        RealVector v = MatrixUtils.createRealVector(row);
-        double value = v.dotProduct(MatrixUtils.createRealVector(coefficients));
-        int free = samples - coefficients.length;
-        if (free == 0) {
+        RealVector vector = MatrixUtils.createRealVector(row);
+        double value = vector.dotProduct(MatrixUtils.createRealVector(coefficients));
+        int degreesOfFreedom = samples - coefficients.length;
+        if (degreesOfFreedom == 0) {
             return new Estimate(value, OptionalDouble.empty(), OptionalDouble.empty());
         }
-        double error = Math.sqrt(Math.max(0, squares / free * v.dotProduct(variance.operate(v))));
-        double reach = new TDistribution(free).inverseCumulativeProbability(UPPER) * error;
-        return new Estimate(value, OptionalDouble.of(value - reach), OptionalDouble.of(value + reach));
+        double standardError = Math.sqrt(
+                Math.max(0, residualSumOfSquares / degreesOfFreedom * vector.dotProduct(variance.operate(vector))));
+        double halfWidth =
+                new TDistribution(degreesOfFreedom).inverseCumulativeProbability(UPPER_QUANTILE) * standardError;
+        return new Estimate(value, OptionalDouble.of(value - halfWidth), OptionalDouble.of(value + halfWidth));
     }
 
-    /** Schwarz's information criterion (1978): the lower, the better the form, its number of terms counted in. */
-    double criterion() {
-        return samples * Math.log(Math.max(squares, floor) / samples) + coefficients.length * Math.log(samples);
+    /** The Bayesian information criterion (Schwarz, 1978): lower is better; the number of terms is penalized. */
+    double bayesianInformationCriterion() {
+        return samples * Math.log(Math.max(residualSumOfSquares, residualFloor) / samples)
+                + coefficients.length * Math.log(samples);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/capacity/Form.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Form.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 
-/** How a figure grows with the sizes: a constant, and a slope for each term. A term is a product of axes. */
+/** The form of a linear model: a constant and one slope per term. A term is a product of axes. */
 record Form(List<List<Axis>> terms) {
     static final Form CONSTANT = new Form(List.of());
 
@@ -15,7 +15,7 @@
         terms = terms.stream().map(List::copyOf).toList();
     }
 
-    /** The forms that sizes which vary can tell apart, the simplest first. */
+    /** The candidate forms over the axes that vary, the simplest first. */
     static List<Form> candidates(Set<Axis> varying) {
         List<Axis> axes = List.copyOf(new TreeSet<>(varying));
         List<Form> forms = new ArrayList<>();
@@ -37,7 +37,7 @@
         return forms;
     }
 
-    /** The values of the terms at these sizes. */
+    /** The values of the terms at these sizes: a row of the design matrix. */
     double[] row(Map<Axis, Double> sizes) {
         return terms.stream()
                 .mapToDouble(term -> term.stream()
@@ -46,12 +46,12 @@
                 .toArray();
     }
 
-    /** The axes that it depends on. */
+    /** The axes that the form depends on. */
     Set<Axis> axes() {
         return terms.stream().flatMap(List::stream).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** Whether a term has an axis more than once, which two sizes cannot tell from a slope. */
+    /** Whether a term contains an axis more than once; two sizes cannot tell such a term from a linear one. */
     boolean isSquare() {
         return terms.stream().anyMatch(t -> t.size() > Set.copyOf(t).size());
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/Measurements.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Measurements.java
@@ -17,14 +17,16 @@
 import sandpaddle.config.InvalidFieldException;
 import sandpaddle.config.JsonObject;
 
-/** The committed measurements: points of the request path, and scale runs with and without a fault. */
+/** The committed measurements: points of the request path, and scale runs with and without an injected fault. */
 record Measurements(List<Sample> samples, List<FaultRun> faults) {
-    /** The mechanism of measurements of one gateway alone. */
+    /** The mechanism name of request path measurements, which use a single gateway. */
     static final String PATH = "request path";
-    /** The role of a scale run's figures that are of the worst gateway or machine, or of the whole fleet. */
+    /** The role of values of a scale run that are the maximum over all gateways. */
     static final String WORST_GATEWAY = "worst gateway";
 
+    /** The role of values of a scale run that are the maximum over all control machines. */
     static final String WORST_MACHINE = "worst control machine";
+    /** The role of values of a scale run that are of the whole fleet. */
     static final String FLEET = "fleet";
 
     private static final String NO_FAULT = "none";
@@ -33,8 +35,8 @@
     private static final List<String> MACHINE_FIGURES =
             List.of("machineBytesPerSecond", "machineCpuCores", "machineMemoryMb");
     private static final List<String> FLEET_FIGURES = List.of("configLastMs", "joinLastMs", "verdictLastMs");
-    /** Times that one fault alone can show. */
-    private static final Map<String, String> TIMES_OF_FAULTS =
+    /** Durations that only one kind of fault can produce, with the name of that fault. */
+    private static final Map<String, String> FAULT_BY_DURATION =
             Map.of("leaderLastMs", "control-machine", "successorLastMs", "successor");
 
     private static final List<String> ROLE_FIGURES = List.of(
@@ -52,7 +54,7 @@
             "snapshotMs",
             "agreementMsMedian",
             "agreementMsP99");
-    private static final List<String> EFFECTS = List.of(
+    private static final List<String> FAULT_EFFECTS = List.of(
             "configLastMs",
             "configNotHeard",
             "leaderLastMs",
@@ -68,27 +70,27 @@
             "notRestarted");
     private static final List<Axis> SCALE_AXES =
             List.of(Axis.GATEWAYS, Axis.ENGINES, Axis.LIMITS, Axis.CHANGES, Axis.CONTROL_MACHINES);
-    private static final String THREADS = "cpuByThread";
-    /** The program's own threads that a fleet needs; the others are the JVM's. */
-    private static final String FLEET_THREADS = "fleet";
-    /** The process that plays gateways in a scale run; no part of a fleet. */
-    private static final String HOST = "hollow-host";
+    private static final String CPU_BY_THREAD = "cpuByThread";
+    /** Name prefix of the threads of the fleet component; other threads are not read. */
+    private static final String FLEET_THREAD_PREFIX = "fleet";
+    /** The role of the processes of simulated gateways, which are not part of a fleet. */
+    private static final String SIMULATION_HOST_ROLE = "hollow-host";
 
-    /** Reads every JSON file of a folder, which may be missing. */
-    static Measurements read(Path folder) throws IOException, FaultyMeasurementsException {
-        Measurements all = new Measurements(new ArrayList<>(), new ArrayList<>());
+    /** Reads every JSON file of a folder; returns no measurements if the folder does not exist. */
+    static Measurements read(Path folder) throws IOException, InvalidMeasurementsException {
+        Measurements measurements = new Measurements(new ArrayList<>(), new ArrayList<>());
         List<String> faults = new ArrayList<>();
         for (Path file : files(folder)) {
             try {
-                all.add(object(file));
+                measurements.add(object(file));
             } catch (InvalidFieldException | com.fasterxml.jackson.core.JsonProcessingException e) {
-                faults.add(file + ": " + e.getMessage().lines().findFirst().orElse("no JSON"));
+                faults.add(file + ": " + e.getMessage().lines().findFirst().orElse("invalid JSON"));
             }
         }
         if (!faults.isEmpty()) {
-            throw new FaultyMeasurementsException(faults);
+            throw new InvalidMeasurementsException(faults);
         }
-        return all;
+        return measurements;
     }
 
     private static List<Path> files(Path folder) throws IOException {
@@ -109,7 +111,7 @@
             }
             Map<String, Object> fields = JsonObject.read(in, "").asMap();
             if (in.nextToken() != null) {
-                throw new InvalidFieldException("expected one JSON object and nothing after it");
+                throw new InvalidFieldException("expected end of file after the JSON object");
             }
             return fields;
         }
@@ -122,21 +124,21 @@
         } else if (row.has("roles")) {
             addScale(row, fields);
         } else {
-            throw new InvalidFieldException("neither 'kind' of a path measurement nor 'roles' of a scale run");
+            throw new InvalidFieldException("expected field 'kind' of a path measurement or 'roles' of a scale run");
         }
     }
 
     private void addPath(JsonObject row) throws InvalidFieldException {
         SeriesName series = new SeriesName(PATH, "gateway", row.string("kind"));
         Map<Axis, Double> sizes = new EnumMap<>(Axis.class);
-        JsonObject given = row.object("sizes");
+        JsonObject sizeFields = row.object("sizes");
         for (Axis axis : Axis.values()) {
-            if (given.has(axis.field())) {
-                sizes.put(axis, given.number(axis.field()));
+            if (sizeFields.has(axis.field())) {
+                sizes.put(axis, sizeFields.number(axis.field()));
             }
         }
         if (sizes.isEmpty()) {
-            throw row.invalidField("sizes", "names no size that is known");
+            throw row.invalidField("sizes", "has no known size");
         }
         List<?> repeats = row.list("repeats");
         if (repeats.isEmpty()) {
@@ -144,7 +146,7 @@
         }
         for (Object repeat : repeats) {
             if (!(repeat instanceof Number n)) {
-                throw row.invalidField("repeats", "holds something that is no number");
+                throw row.invalidField("repeats", "has an element that is not a number");
             }
             samples.add(new Sample(series, row.string("version"), sizes, n.doubleValue(), row.string("unit")));
         }
@@ -160,45 +162,47 @@
             }
             sizes.put(axis, size);
         }
-        ScaleSamples found = new ScaleSamples(row.string("mechanism"), row.string("version"), sizes);
-        for (Map.Entry<String, String> time : TIMES_OF_FAULTS.entrySet()) {
+        ScaleSampleCollector scaleSamples =
+                new ScaleSampleCollector(row.string("mechanism"), row.string("version"), sizes);
+        for (Map.Entry<String, String> time : FAULT_BY_DURATION.entrySet()) {
             if (fault.equals(time.getValue())) {
-                found.add(FLEET, time.getKey(), row);
+                scaleSamples.add(FLEET, time.getKey(), row);
             }
         }
         if (!fault.equals(NO_FAULT)) {
-            faults.add(
-                    new FaultRun(found.mechanism, found.version, fault, (int) row.integer("gateways"), effects(row)));
+            faults.add(new FaultRun(
+                    scaleSamples.mechanism, scaleSamples.version, fault, (int) row.integer("gateways"), effects(row)));
             return;
         }
         for (String name : GATEWAY_FIGURES) {
-            found.add(WORST_GATEWAY, name, row);
+            scaleSamples.add(WORST_GATEWAY, name, row);
         }
         for (String name : MACHINE_FIGURES) {
-            found.add(WORST_MACHINE, name, row);
+            scaleSamples.add(WORST_MACHINE, name, row);
         }
         for (String name : FLEET_FIGURES) {
-            found.add(FLEET, name, row);
+            scaleSamples.add(FLEET, name, row);
         }
-        addRoles(found, row.objects("roles"), (List<?>) fields.get("roles"));
+        addRoles(scaleSamples, row.objects("roles"), (List<?>) fields.get("roles"));
     }
 
-    private static void addRoles(ScaleSamples found, List<JsonObject> roles, List<?> fields)
+    private static void addRoles(ScaleSampleCollector scaleSamples, List<JsonObject> roles, List<?> fields)
             throws InvalidFieldException {
         for (int i = 0; i < roles.size(); i++) {
             JsonObject role = roles.get(i);
             String name = role.string("role");
-            if (name.equals(HOST) || role.number("count") == 0) {
+            if (name.equals(SIMULATION_HOST_ROLE) || role.number("count") == 0) {
                 continue;
             }
             for (String figure : ROLE_FIGURES) {
-                found.add(name, figure, role);
+                scaleSamples.add(name, figure, role);
             }
-            if (role.has(THREADS) && ((Map<?, ?>) fields.get(i)).get(THREADS) instanceof Map<?, ?> threads) {
-                JsonObject byThread = role.object(THREADS);
+            if (role.has(CPU_BY_THREAD)
+                    && ((Map<?, ?>) fields.get(i)).get(CPU_BY_THREAD) instanceof Map<?, ?> threads) {
+                JsonObject byThread = role.object(CPU_BY_THREAD);
                 for (Object thread : threads.keySet()) {
-                    if (thread.toString().startsWith(FLEET_THREADS)) {
-                        found.add(name, thread.toString(), THREADS + "." + thread, byThread);
+                    if (thread.toString().startsWith(FLEET_THREAD_PREFIX)) {
+                        scaleSamples.add(name, thread.toString(), CPU_BY_THREAD + "." + thread, byThread);
                     }
                 }
             }
@@ -207,7 +211,7 @@
 
     private static SortedMap<String, Double> effects(JsonObject row) throws InvalidFieldException {
         SortedMap<String, Double> figures = new TreeMap<>();
-        for (String name : EFFECTS) {
+        for (String name : FAULT_EFFECTS) {
             if (row.has(name)) {
                 figures.put(name, row.number(name));
             }
@@ -215,13 +219,13 @@
         return figures;
     }
 
-    /** Adds the figures of one scale run; one that could not be read is none. */
-    private final class ScaleSamples {
+    /** Collects the values of one scale run; a value that is null is skipped. */
+    private final class ScaleSampleCollector {
         private final String mechanism;
         private final String version;
         private final Map<Axis, Double> sizes;
 
-        ScaleSamples(String mechanism, String version, Map<Axis, Double> sizes) {
+        ScaleSampleCollector(String mechanism, String version, Map<Axis, Double> sizes) {
             this.mechanism = mechanism;
             this.version = version;
             this.sizes = sizes;
@@ -239,9 +243,9 @@
         }
     }
 
-    /** The unit that a figure's name tells. */
+    /** The unit of a measure, derived from its name. */
     static String unit(String measure) {
-        if (measure.startsWith(THREADS) || measure.endsWith("Cores")) {
+        if (measure.startsWith(CPU_BY_THREAD) || measure.endsWith("Cores")) {
             return "cores";
         } else if (measure.endsWith("BytesPerSecond") || measure.startsWith("bytes")) {
             return "bytes/s";
--- a/lab/src/main/java/sandpaddle/lab/capacity/Model.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Model.java
@@ -5,39 +5,44 @@
 import java.util.SortedMap;
 
 /**
- * What the measurements of one series give: a tested form, or values at the planned size itself. {@code held}: the
- * sizes that no run varied; the projection is for them. {@code notes}: which measurements were left out, and why.
+ * The model of one series: a tested form, or the values measured at the planned size itself.
+ *
+ * @param fit the fitted form; null only in the intermediate model of a measured planned size
+ * @param predictions the tests of the form
+ * @param projected the value at the planned size
+ * @param held the axes that were held constant, with the sizes that the projection is for
+ * @param notes which measurements were left out, and why
  */
 record Model(
         SeriesName series,
         String unit,
         Fit fit,
         List<Prediction> predictions,
-        Projected projected,
+        Projection projected,
         SortedMap<Axis, Double> held,
         List<String> notes) {
-    /** How sure a projection is: the size itself was measured, or it lies beyond what was. */
-    enum Ground {
+    /** Whether the planned size itself was measured, or the projection extrapolates beyond the measured sizes. */
+    enum Basis {
         MEASURED,
         EXTRAPOLATED
     }
 
-    /** The value at the planned size with its range. */
-    record Projected(Map<Axis, Double> sizes, Fit.Estimate estimate, Ground ground) {}
+    /** The value at the planned size with its bounds: a confidence interval, or the range of the measured repeats. */
+    record Projection(Map<Axis, Double> sizes, Fit.Estimate estimate, Basis basis) {}
 
-    /** How the figure grows, in words, with the first slope and its standard error. */
+    /** The form as text, with the first slope and its standard error. */
     String form() {
         if (fit.form().terms().isEmpty()) {
             return fit.form().toString();
         }
-        String slope = Figures.of(fit.slope(0));
-        String error = fit.slopeError(0).isPresent()
-                ? " +- " + Figures.of(fit.slopeError(0).getAsDouble())
+        String slope = FigureFormat.format(fit.slope(0));
+        String error = fit.slopeStandardError(0).isPresent()
+                ? " +- " + FigureFormat.format(fit.slopeStandardError(0).getAsDouble())
                 : "";
         return fit.form() + " (" + slope + error + " " + unit + ")";
     }
 
-    /** Whether every prediction was within tolerance, and the projection is one that a figure can have: 0 or more. */
+    /** Whether every prediction was within tolerance and the projection is possible, that is not negative. */
     boolean formHolds() {
         return predictions.stream().allMatch(Prediction::holds)
                 && projected.estimate().value() >= 0;
--- a/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PageTables.java
@@ -14,7 +14,7 @@
 import sandpaddle.lab.capacity.Budget.Section;
 import sandpaddle.lab.capacity.Budget.SizeLine;
 
-/** The tables of the page, by name, as Markdown. */
+/** Renders the tables of the capacity page as Markdown, by name. */
 final class PageTables {
     private final CapacityReport report;
 
@@ -31,7 +31,7 @@
         }
         all.put("failures", tables.failures());
         all.put("predictions", tables.predictions());
-        all.put("no-ground", tables.noGround());
+        all.put("no-ground", tables.missingProjections());
         all.put("order", tables.order());
         return all;
     }
@@ -47,28 +47,30 @@
         return "| " + String.join(" | ", cells) + " |";
     }
 
-    private static String withUnit(OptionalDouble x, String unit) {
-        return x.isEmpty() || !Double.isFinite(x.getAsDouble()) ? "-" : Figures.of(x.getAsDouble()) + " " + unit;
+    private static String withUnit(OptionalDouble value, String unit) {
+        return value.isEmpty() || !Double.isFinite(value.getAsDouble())
+                ? "-"
+                : FigureFormat.format(value.getAsDouble()) + " " + unit;
     }
 
     private static String ratio(ProjectionRow row) {
         return row.ratio().isEmpty() || !Double.isFinite(row.ratio().getAsDouble())
                 ? "-"
-                : Figures.of(row.ratio().getAsDouble());
+                : FigureFormat.format(row.ratio().getAsDouble());
     }
 
     private static String range(ProjectionRow row) {
         return row.low().isEmpty() || row.high().isEmpty()
                 ? "-"
-                : Figures.of(row.low().getAsDouble()) + " to "
-                        + Figures.of(row.high().getAsDouble());
+                : FigureFormat.format(row.low().getAsDouble()) + " to "
+                        + FigureFormat.format(row.high().getAsDouble());
     }
 
     private static String form(ProjectionRow row) {
         return row.formHolds() ? row.form() : row.form() + " - **wrong**";
     }
 
-    /** What is planned for, line by line, with the row that is worst against its budget. */
+    /** The planned size, line by line, with the row that has the largest ratio to its budget. */
     private List<String> size() {
         List<String> lines = table(
                 "line",
@@ -79,55 +81,57 @@
                 "budget",
                 "ratio",
                 "carried by");
-        lines.add(size(SizeLine.GATEWAYS, "gateways", Figures.of(OperatorSize.GATEWAYS), "-"));
+        lines.add(size(SizeLine.GATEWAYS, "gateways", FigureFormat.format(PlannedFleet.GATEWAYS), "-"));
         lines.add(size(
                 SizeLine.ENGINES,
                 "engines",
-                Figures.of(OperatorSize.ENGINES),
-                Figures.of((double) OperatorSize.ENGINES / OperatorSize.GATEWAYS)));
+                FigureFormat.format(PlannedFleet.ENGINES),
+                FigureFormat.format((double) PlannedFleet.ENGINES / PlannedFleet.GATEWAYS)));
         lines.add(size(
                 SizeLine.CONNECTIONS,
                 "client connections",
-                Figures.of((double) OperatorSize.GATEWAYS * OperatorSize.CONNECTIONS_PER_GATEWAY),
-                Figures.of(OperatorSize.CONNECTIONS_PER_GATEWAY)));
+                FigureFormat.format((double) PlannedFleet.GATEWAYS * PlannedFleet.CONNECTIONS_PER_GATEWAY),
+                FigureFormat.format(PlannedFleet.CONNECTIONS_PER_GATEWAY)));
         lines.add(size(
                 SizeLine.STATEMENTS,
                 "statements a second",
-                Figures.of((double) OperatorSize.GATEWAYS * OperatorSize.STATEMENTS_PER_GATEWAY),
-                Figures.of(OperatorSize.STATEMENTS_PER_GATEWAY)));
+                FigureFormat.format((double) PlannedFleet.GATEWAYS * PlannedFleet.STATEMENTS_PER_GATEWAY),
+                FigureFormat.format(PlannedFleet.STATEMENTS_PER_GATEWAY)));
         lines.add(size(
                 SizeLine.PRIMARY,
                 "changes of primary",
-                "over within " + Figures.of(OperatorSize.PRIMARY_MS) + " ms",
+                "over within " + FigureFormat.format(PlannedFleet.PRIMARY_MS) + " ms",
                 "-"));
         lines.add(size(
                 SizeLine.CONFIGURATION,
                 "changes of configuration",
-                Figures.of(OperatorSize.CHANGES_PER_SECOND) + " a second, in force within "
-                        + Figures.of(OperatorSize.CONFIGURATION_MS) + " ms",
+                FigureFormat.format(PlannedFleet.CHANGES_PER_SECOND) + " a second, in force within "
+                        + FigureFormat.format(PlannedFleet.CONFIGURATION_MS) + " ms",
                 "-"));
         lines.add(size(
                 SizeLine.CONTROL,
                 "for control",
-                Figures.of(OperatorSize.CONTROL_MACHINES) + " machines",
-                Figures.of(OperatorSize.CONTROL_CORES) + " cores, " + Figures.of(OperatorSize.CONTROL_MB) + " MB, "
-                        + Figures.of(OperatorSize.CONTROL_BYTES_PER_SECOND) + " bytes/s"));
+                FigureFormat.format(PlannedFleet.CONTROL_MACHINES) + " machines",
+                FigureFormat.format(PlannedFleet.CONTROL_CORES) + " cores, "
+                        + FigureFormat.format(PlannedFleet.CONTROL_MB) + " MB, "
+                        + FigureFormat.format(PlannedFleet.CONTROL_BYTES_PER_SECOND) + " bytes/s"));
         lines.add(size(
                 SizeLine.FAILURES,
                 "failures",
-                Figures.of(OperatorSize.MACHINE_FAILURES_PER_DAY)
-                        + " machines and " + Figures.of(OperatorSize.RESTARTS_PER_DAY) + " restarts a day; "
-                        + Figures.of(OperatorSize.REGIONS) + " regions, " + Figures.of(OperatorSize.ZONES)
+                FigureFormat.format(PlannedFleet.MACHINE_FAILURES_PER_DAY)
+                        + " machines and " + FigureFormat.format(PlannedFleet.RESTARTS_PER_DAY) + " restarts a day; "
+                        + FigureFormat.format(PlannedFleet.REGIONS) + " regions, "
+                        + FigureFormat.format(PlannedFleet.ZONES)
                         + " zones of "
-                        + Figures.of(OperatorSize.GATEWAYS_PER_ZONE) + " gateways and "
-                        + Figures.of(OperatorSize.ENGINES_PER_ZONE) + " engines",
+                        + FigureFormat.format(PlannedFleet.GATEWAYS_PER_ZONE) + " gateways and "
+                        + FigureFormat.format(PlannedFleet.ENGINES_PER_ZONE) + " engines",
                 "-"));
         return lines;
     }
 
     private String size(SizeLine line, String name, String whole, String each) {
         Optional<ProjectionRow> row = report.worst(line);
-        String missing = report.noGround().stream()
+        String missing = report.missingProjections().stream()
                 .filter(n -> n.line() == line)
                 .map(n -> n.series().measure())
                 .distinct()
@@ -166,7 +170,7 @@
                     withUnit(r.budget(), r.unit()),
                     ratio(r),
                     r.mechanism(),
-                    r.ground().text(),
+                    r.basis().text(),
                     r.note().isEmpty() ? "-" : r.note()));
         }
         return lines;
@@ -191,7 +195,7 @@
         return owner.substring(0, owner.lastIndexOf('.') + 1);
     }
 
-    /** For each fault the largest run of it, the worst of its repeats. */
+    /** For each fault and mechanism, the maximum over the runs with the most gateways. */
     private List<String> failures() {
         if (report.faults().isEmpty()) {
             return List.of("No run with a fault was committed.");
@@ -202,18 +206,18 @@
                         f -> f.fault() + " | " + f.mechanism(), TreeMap::new, Collectors.toList()));
         byFault.forEach((name, runs) -> {
             int largest = runs.stream().mapToInt(FaultRun::gateways).max().orElseThrow();
-            List<FaultRun> there =
+            List<FaultRun> largestRuns =
                     runs.stream().filter(r -> r.gateways() == largest).toList();
-            there.stream()
+            largestRuns.stream()
                     .flatMap(r -> r.figures().keySet().stream())
                     .distinct()
                     .sorted()
                     .forEach(figure -> lines.add(line(
                             name,
-                            Figures.of(largest),
-                            Figures.of(there.size()),
+                            FigureFormat.format(largest),
+                            FigureFormat.format(largestRuns.size()),
                             figure,
-                            Figures.of(there.stream()
+                            FigureFormat.format(largestRuns.stream()
                                     .filter(r -> r.figures().containsKey(figure))
                                     .mapToDouble(r -> r.figures().get(figure))
                                     .max()
@@ -232,15 +236,15 @@
                     p.series().toString(),
                     p.form().toString(),
                     SeriesAnalysis.text(p.sizes()),
-                    Figures.of(p.predicted()),
-                    Figures.of(p.measured()),
-                    Figures.of(100 * p.error()) + "%",
+                    FigureFormat.format(p.predicted()),
+                    FigureFormat.format(p.measured()),
+                    FigureFormat.format(100 * p.error()) + "%",
                     p.holds() ? "holds" : "**wrong**"));
         }
         return lines;
     }
 
-    /** For each series and axis the prediction that missed by most. */
+    /** The prediction with the largest error, for each series and axis. */
     private Collection<Prediction> worstPredictions() {
         Map<String, Prediction> worst = new LinkedHashMap<>();
         report.predictions()
@@ -251,15 +255,15 @@
         return worst.values();
     }
 
-    private List<String> noGround() {
-        if (report.noGround().isEmpty()) {
+    private List<String> missingProjections() {
+        if (report.missingProjections().isEmpty()) {
             return List.of("None.");
         }
-        Map<String, List<SeriesName>> byReason = report.noGround().stream()
+        Map<String, List<SeriesName>> byReason = report.missingProjections().stream()
                 .collect(Collectors.groupingBy(
                         n -> n.series().role() + " | " + n.reason(),
                         TreeMap::new,
-                        Collectors.mapping(CapacityReport.NoGround::series, Collectors.toList())));
+                        Collectors.mapping(CapacityReport.MissingProjection::series, Collectors.toList())));
         List<String> lines = table("role", "why there is no projection", "figures");
         byReason.forEach((reason, series) -> lines.add(line(
                 reason,
@@ -279,7 +283,7 @@
                     withUnit(OptionalDouble.of(r.projected()), r.unit()),
                     withUnit(r.budget(), r.unit()),
                     ratio(r),
-                    r.ground().text(),
+                    r.basis().text(),
                     r.section() == Section.CODE ? r.note() : "-",
                     r.mechanism()));
         }
--- a/lab/src/main/java/sandpaddle/lab/capacity/PathCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PathCommand.java
@@ -20,11 +20,12 @@
 import sandpaddle.lab.GatewayHarness.Setup;
 import sandpaddle.lab.ProcessUsage.CpuTimes;
 
-/** {@code path}: what the request path of one gateway costs by its size, one subcommand for each measurement. */
+/** The subcommand {@code path}: measures the request path of one gateway, with one subcommand per measurement. */
 @Command(
         name = "path",
         mixinStandardHelpOptions = true,
-        description = "Measures the request path of one gateway at several sizes; each point is a file for 'capacity'.",
+        description =
+                "Measures the request path of one gateway at several sizes; writes a file per point for 'capacity'.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  path choice --code 6890bf0 --engines 100,1000,8500",
@@ -36,19 +37,19 @@
             PathCommand.Open.class,
             PathCommand.Active.class,
             PathCommand.Start.class,
-            PathCommand.EnginesSeen.class
+            PathCommand.EngineTraffic.class
         })
 public final class PathCommand implements Callable<Integer> {
     private static final String MB = "MB";
     private static final String CORES = "cores";
     private static final String MS = "ms";
     private static final String COUNT = "count";
-    private static final double MS_IN_SECOND = 1000;
-    private static final int SERVERS = 8;
-    private static final int SLOTS = 64; // statements that a stand-in runs at one time
+    private static final double MS_PER_SECOND = 1000;
+    private static final int SIMULATED_ENGINES = 8;
+    private static final int ENGINE_CONCURRENCY = 64; // statements that a simulated engine runs concurrently
     private static final int SOCKETS = 1024;
     private static final int SPARE_SOCKETS = 200;
-    private static final int CLIENTS_PART = 3; // of its descriptors a gateway gives clients a third
+    private static final int SOCKETS_PER_SESSION = 3; // a gateway reserves a third of its descriptors for clients
 
     @Override
     public Integer call() {
@@ -56,28 +57,28 @@
         return 2;
     }
 
-    /** What all measurements share. */
-    static final class Common {
+    /** Options of all measurements. */
+    static final class CommonOptions {
         @Option(
                 names = "--code",
                 required = true,
                 paramLabel = "VERSION",
-                description = "What is measured: a commit or a release.")
+                description = "Version of the measured code: a commit or a release.")
         private String version;
 
         @Option(
                 names = "--repeats",
                 defaultValue = "5",
                 paramLabel = "N",
-                description = "Of each point (${DEFAULT-VALUE}).")
+                description = "Repeats per point (${DEFAULT-VALUE}).")
         private int repeats;
 
         @Option(
                 names = "--out",
                 defaultValue = "docs/measurements/capacity",
                 paramLabel = "DIR",
-                description = "Where the points go (${DEFAULT-VALUE}).")
-        private Path out;
+                description = "Directory to write the points to (${DEFAULT-VALUE}).")
+        private Path outputDirectory;
 
         @Option(
                 names = "--gateway",
@@ -87,70 +88,70 @@
         private Path jar;
     }
 
-    /** The repeats of some kinds of measurement, by kind and size. */
+    /** The repeated values of each point, by kind and size. */
     private static final class Points {
         private record Key(String kind, String axis, double size, String unit) {}
 
         private final Map<Key, List<Double>> values = new LinkedHashMap<>();
 
         void add(String kind, String axis, double size, String unit, double value) {
-            values.computeIfAbsent(new Key(kind, axis, size, unit), k -> new ArrayList<>())
+            values.computeIfAbsent(new Key(kind, axis, size, unit), key -> new ArrayList<>())
                     .add(value);
         }
 
-        void write(Common common) throws IOException {
-            for (Map.Entry<Key, List<Double>> e : values.entrySet()) {
-                Key k = e.getKey();
-                PathMeasurement point =
-                        PathMeasurement.of(common.version, k.kind, Map.of(k.axis, k.size), k.unit, e.getValue());
-                point.write(common.out);
+        void write(CommonOptions common) throws IOException {
+            for (Map.Entry<Key, List<Double>> entry : values.entrySet()) {
+                Key key = entry.getKey();
+                PathMeasurement point = PathMeasurement.of(
+                        common.version, key.kind, Map.of(key.axis, key.size), key.unit, entry.getValue());
+                point.write(common.outputDirectory);
                 System.out.printf(
                         Locale.ROOT,
                         "%-24s %s %6.0f: %10.3f %s %s%n",
-                        k.kind,
-                        k.axis,
-                        k.size,
+                        key.kind,
+                        key.axis,
+                        key.size,
                         point.value(),
-                        k.unit,
-                        e.getValue());
+                        key.unit,
+                        entry.getValue());
             }
         }
     }
 
-    /** CPU of the decision module for one statement, by engines listed. */
+    /** Measures the CPU time of the decision module per statement, by number of engines. */
     @Command(
             name = "choice",
             mixinStandardHelpOptions = true,
-            description = "CPU of the decision module for one statement, by engines listed.")
+            description = "CPU time of the decision module per statement, by number of engines.")
     static final class Choice implements Callable<Integer> {
-        private static final int WARMING = 2;
+        private static final int WARM_UP_REPEATS = 2;
 
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--engines",
                 split = ",",
                 defaultValue = "100,1000,8500",
                 paramLabel = "N",
-                description = "Engines listed (${DEFAULT-VALUE}).")
+                description = "Numbers of engines (${DEFAULT-VALUE}).")
         private List<Integer> engines;
 
         @Option(
                 names = "--requests",
                 defaultValue = "200",
                 paramLabel = "N",
-                description = "Statements of each repeat (${DEFAULT-VALUE}).")
+                description = "Statements per repeat (${DEFAULT-VALUE}).")
         private int requests;
 
         @Override
         public Integer call() throws IOException, InvalidFieldException {
             Points points = new Points();
             for (int count : engines) {
-                for (int i = 0; i < WARMING + common.repeats; i++) {
-                    double us = new DecisionCost(count, 0).microsPerRequest(requests);
-                    if (i >= WARMING) {
-                        points.add("choice-cpu", "engines", count, "us", us);
+                for (int i = 0; i < WARM_UP_REPEATS + common.repeats; i++) {
+                    double micros = new DecisionCost(count, 0).microsPerRequest(requests);
+                    if (i >= WARM_UP_REPEATS) {
+                        points.add("choice-cpu", "engines", count, "us", micros);
                     }
                 }
             }
@@ -159,37 +160,41 @@
         }
     }
 
-    /** Memory, CPU and descriptors of sessions that rest. Each repeat is a gateway of its own. */
+    /** Measures memory, CPU and descriptors with idle client sessions. Each repeat starts a new gateway. */
     @Command(
             name = "resting",
             mixinStandardHelpOptions = true,
-            description = "Memory, CPU and descriptors of client sessions that rest.")
+            description = "Memory, CPU and descriptors with idle client sessions.")
     static final class Resting implements Callable<Integer> {
-        private static final Duration LOOKED_AT = Duration.ofMillis(1500);
+        private static final Duration CPU_SAMPLE_PERIOD = Duration.ofMillis(1500);
 
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--connections",
                 split = ",",
                 defaultValue = "500,2000,8302",
                 paramLabel = "N",
-                description = "Sessions, ascending (${DEFAULT-VALUE}).")
+                description = "Numbers of sessions, ascending (${DEFAULT-VALUE}).")
         private List<Integer> connections;
 
         @Override
         public Integer call() throws IOException {
             Points points = new Points();
-            int most = connections.get(connections.size() - 1);
+            int maxCount = connections.get(connections.size() - 1);
             for (int i = 0; i < common.repeats; i++) {
                 try (GatewayHarness harness = new GatewayHarness(new Setup(
-                        common.jar, SERVERS, SERVERS, CLIENTS_PART * most + SPARE_SOCKETS, ListFrom.CONFIGURATION))) {
+                        common.jar,
+                        SIMULATED_ENGINES,
+                        SIMULATED_ENGINES,
+                        SOCKETS_PER_SESSION * maxCount + SPARE_SOCKETS,
+                        ListFrom.CONFIGURATION))) {
                     harness.awaitListening();
                     for (int count : connections) {
                         harness.connect(count);
                         points.add("resting-heap", "connections", count, MB, harness.liveHeapMb());
-                        points.add("resting-cpu", "connections", count, CORES, harness.cores(LOOKED_AT));
+                        points.add("resting-cpu", "connections", count, CORES, harness.cores(CPU_SAMPLE_PERIOD));
                         points.add(
                                 "resting-resident",
                                 "connections",
@@ -210,39 +215,39 @@
         }
     }
 
-    /** Memory and CPU of sessions that each wait for a statement. Each repeat is a gateway of its own. */
+    /** Measures memory and CPU with sessions that each have a pending statement. Each repeat starts a new gateway. */
     @Command(
             name = "open",
             mixinStandardHelpOptions = true,
-            description = "Memory and CPU of client sessions that each wait for a statement.")
+            description = "Memory and CPU with client sessions that each have a pending statement.")
     static final class Open implements Callable<Integer> {
-        private static final Duration LOOKED_AT = Duration.ofMillis(1500);
+        private static final Duration CPU_SAMPLE_PERIOD = Duration.ofMillis(1500);
 
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--statements",
                 split = ",",
                 defaultValue = "100,300,1000",
                 paramLabel = "N",
-                description = "Open at one time, ascending (${DEFAULT-VALUE}).")
+                description = "Concurrent statements, ascending (${DEFAULT-VALUE}).")
         private List<Integer> statements;
 
         @Override
         public Integer call() throws IOException {
             Points points = new Points();
-            int most = statements.get(statements.size() - 1);
-            int servers = Math.max(SERVERS, 2 * most / SLOTS);
+            int maxCount = statements.get(statements.size() - 1);
+            int simulatedEngines = Math.max(SIMULATED_ENGINES, 2 * maxCount / ENGINE_CONCURRENCY);
             for (int i = 0; i < common.repeats; i++) {
                 try (GatewayHarness harness = new GatewayHarness(new Setup(
                         common.jar,
-                        servers,
-                        servers,
-                        2 * CLIENTS_PART * most + SPARE_SOCKETS,
+                        simulatedEngines,
+                        simulatedEngines,
+                        2 * SOCKETS_PER_SESSION * maxCount + SPARE_SOCKETS,
                         ListFrom.CONFIGURATION))) {
                     harness.awaitListening();
-                    harness.connect(most);
+                    harness.connect(maxCount);
                     for (int count : statements) {
                         measure(harness, count, points);
                     }
@@ -255,10 +260,10 @@
         private static void measure(GatewayHarness harness, int count, Points points) throws IOException {
             harness.open(count);
             double heap = harness.liveHeapMb();
-            double cores = harness.cores(LOOKED_AT);
+            double cores = harness.cores(CPU_SAMPLE_PERIOD);
             if (harness.openStatements() < count) {
-                throw new IOException(
-                        "of " + count + " statements " + harness.openStatements() + " are open; " + harness.faults());
+                throw new IOException("only " + harness.openStatements() + " of " + count + " statements are open; "
+                        + harness.faults());
             }
             points.add("open-heap", "connections", count, MB, heap);
             points.add("open-cpu", "connections", count, CORES, cores);
@@ -267,38 +272,38 @@
         }
     }
 
-    /** CPU of the whole gateway by statements a second. */
+    /** Measures the CPU use of the whole gateway by statements per second. */
     @Command(
             name = "active",
             mixinStandardHelpOptions = true,
-            description = "CPU of the whole gateway by statements a second, before a few engines.")
+            description = "CPU use of the whole gateway by statements per second, with a few engines.")
     static final class Active implements Callable<Integer> {
-        private static final Duration WARMING = Duration.ofSeconds(2);
-        private static final double SERVED_LEAST = 0.95;
+        private static final Duration WARM_UP = Duration.ofSeconds(2);
+        private static final double MIN_SERVED_FRACTION = 0.95;
 
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--rates",
                 split = ",",
                 defaultValue = "373,746,1491",
                 paramLabel = "N",
-                description = "Statements a second, ascending (${DEFAULT-VALUE}).")
+                description = "Statements per second, ascending (${DEFAULT-VALUE}).")
         private List<Integer> rates;
 
         @Option(
                 names = "--seconds",
                 defaultValue = "2",
                 paramLabel = "N",
-                description = "Of each point (${DEFAULT-VALUE}).")
+                description = "Duration per point (${DEFAULT-VALUE}).")
         private int seconds;
 
         @Option(
                 names = "--sessions",
                 defaultValue = "300",
                 paramLabel = "N",
-                description = "That ask in turn (${DEFAULT-VALUE}).")
+                description = "Client sessions that send the statements in turn (${DEFAULT-VALUE}).")
         private int sessions;
 
         @Override
@@ -307,13 +312,13 @@
             for (int i = 0; i < common.repeats; i++) {
                 try (GatewayHarness harness = new GatewayHarness(new Setup(
                         common.jar,
-                        SERVERS,
-                        SERVERS,
-                        2 * CLIENTS_PART * sessions + SPARE_SOCKETS,
+                        SIMULATED_ENGINES,
+                        SIMULATED_ENGINES,
+                        2 * SOCKETS_PER_SESSION * sessions + SPARE_SOCKETS,
                         ListFrom.CONFIGURATION))) {
                     harness.awaitListening();
                     harness.connect(sessions);
-                    harness.ask(rates.get(0), WARMING);
+                    harness.ask(rates.get(0), WARM_UP);
                     for (int rate : rates) {
                         measure(harness, rate, points);
                     }
@@ -328,10 +333,10 @@
             long from = System.nanoTime();
             double served = harness.ask(rate, Duration.ofSeconds(seconds));
             double cores = harness.usage().cpuTimes().secondsSince(before) / ((System.nanoTime() - from) / 1e9);
-            if (served < SERVED_LEAST) {
+            if (served < MIN_SERVED_FRACTION) {
                 System.out.printf(
                         Locale.ROOT,
-                        "not measured at %d a second: %.2f of the statements were served; %s%n",
+                        "not measured at %d statements per second: fraction served %.2f; %s%n",
                         rate,
                         served,
                         harness.faults());
@@ -341,27 +346,28 @@
         }
     }
 
-    /** Time and CPU until a gateway listens, and until it has served with a list from the feed. */
+    /** Measures time and CPU until a gateway listens, and time until it serves with a list from the feed. */
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
-            description = "Time until a gateway listens, and until it has its first list and has served, by engines.")
+            description =
+                    "Time until a gateway listens, and until it has served with a list from the feed, by engines.")
     static final class Start implements Callable<Integer> {
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--engines",
                 split = ",",
                 defaultValue = "100,1000,8500",
                 paramLabel = "N",
-                description = "Engines listed (${DEFAULT-VALUE}).")
+                description = "Numbers of engines (${DEFAULT-VALUE}).")
         private List<Integer> engines;
 
         @Override
         public Integer call() throws IOException {
             Points points = new Points();
-            start(engines.get(0), ListFrom.CONFIGURATION).close(); // brings the jar into the page cache
+            start(engines.get(0), ListFrom.CONFIGURATION).close(); // loads the jar into the page cache
             for (int i = 0; i < common.repeats; i++) {
                 for (int count : engines) {
                     try (GatewayHarness harness = start(count, ListFrom.CONFIGURATION)) {
@@ -371,7 +377,7 @@
                                 "engines",
                                 count,
                                 MS,
-                                MS_IN_SECOND * harness.usage().cpuTimes().secondsSince(CpuTimes.NONE));
+                                MS_PER_SECOND * harness.usage().cpuTimes().secondsSince(CpuTimes.NONE));
                     }
                     try (GatewayHarness harness = start(count, ListFrom.FEED)) {
                         harness.awaitFirstServed();
@@ -384,7 +390,7 @@
         }
 
         private GatewayHarness start(int count, ListFrom from) throws IOException {
-            GatewayHarness harness = new GatewayHarness(new Setup(common.jar, count, SERVERS, SOCKETS, from));
+            GatewayHarness harness = new GatewayHarness(new Setup(common.jar, count, SIMULATED_ENGINES, SOCKETS, from));
             try {
                 harness.awaitListening();
                 return harness;
@@ -395,35 +401,35 @@
         }
     }
 
-    /** Probes and connections that one gateway makes to its engines, by engines listed. */
+    /** Measures probes and connections of one gateway to its engines, by number of engines. */
     @Command(
             name = "engines",
             mixinStandardHelpOptions = true,
-            description = "Probes and connections that one gateway makes to its engines, by engines listed.")
-    static final class EnginesSeen implements Callable<Integer> {
+            description = "Probes and connections of one gateway to its engines, by number of engines.")
+    static final class EngineTraffic implements Callable<Integer> {
         @Mixin
-        private Common common;
+        private CommonOptions common;
 
         @Option(
                 names = "--engines",
                 split = ",",
                 defaultValue = "100,400,1600",
                 paramLabel = "N",
-                description = "Engines listed (${DEFAULT-VALUE}).")
+                description = "Numbers of engines (${DEFAULT-VALUE}).")
         private List<Integer> engines;
 
         @Option(
                 names = "--rate",
                 defaultValue = "50",
                 paramLabel = "N",
-                description = "Statements a second (${DEFAULT-VALUE}).")
+                description = "Statements per second (${DEFAULT-VALUE}).")
         private int rate;
 
         @Option(
                 names = "--seconds",
                 defaultValue = "2",
                 paramLabel = "N",
-                description = "Of each point (${DEFAULT-VALUE}).")
+                description = "Duration per point (${DEFAULT-VALUE}).")
         private int seconds;
 
         @Override
@@ -432,7 +438,7 @@
             for (int i = 0; i < common.repeats; i++) {
                 for (int count : engines) {
                     try (GatewayHarness harness = new GatewayHarness(
-                            new Setup(common.jar, count, SERVERS, SOCKETS, ListFrom.CONFIGURATION))) {
+                            new Setup(common.jar, count, SIMULATED_ENGINES, SOCKETS, ListFrom.CONFIGURATION))) {
                         harness.awaitListening();
                         harness.connect(rate);
                         harness.ask(rate, Duration.ofSeconds(seconds));
--- a/lab/src/main/java/sandpaddle/lab/capacity/PathMeasurement.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/PathMeasurement.java
@@ -15,8 +15,12 @@
 import org.apache.commons.math3.stat.StatUtils;
 
 /**
- * One point of a measurement on the request path: what was measured, at which sizes, and each repeat's value. {@code
- * version}: of the code that was measured.
+ * One point of a request path measurement.
+ *
+ * @param version version of the measured code
+ * @param kind what was measured
+ * @param sizes value of each varied size, by field name
+ * @param repeats measured value of each repeat
  */
 record PathMeasurement(
         String version, String kind, SortedMap<String, Double> sizes, String unit, List<Double> repeats) {
@@ -33,15 +37,15 @@
                 repeats.stream().mapToDouble(Double::doubleValue).toArray(), MEDIAN);
     }
 
-    /** The file's name tells kind and sizes, so that a later run replaces the point. */
+    /** The file name, derived from kind and sizes, so that a later run replaces the point. */
     String fileName() {
-        String at = sizes.entrySet().stream()
+        String sizeSuffix = sizes.entrySet().stream()
                 .map(e -> String.format("-%s-%.0f", e.getKey(), e.getValue()))
                 .collect(Collectors.joining());
-        return "path-" + kind + at + ".json";
+        return "path-" + kind + sizeSuffix + ".json";
     }
 
-    /** Writes its file into the folder. */
+    /** Writes the point as a JSON file into a folder, which is created if missing. */
     Path write(Path folder) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(fileName());
--- a/lab/src/main/java/sandpaddle/lab/capacity/Prediction.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Prediction.java
@@ -2,15 +2,15 @@
 
 import java.util.Map;
 
-/** A test of a form: fitted to the sizes below the largest on one axis, it predicts the value measured there. */
+/** A hold-out test of a form: the fit to all smaller sizes on an axis predicts the value at the largest size. */
 record Prediction(SeriesName series, Form form, Axis axis, Map<Axis, Double> sizes, double predicted, double measured) {
-    /** The part of the measured value by which it was missed. */
+    /** The relative prediction error: a fraction of the measured value. */
     double error() {
-        double miss = Math.abs(predicted - measured);
-        return miss == 0 ? 0 : miss / Math.max(Math.abs(measured), Double.MIN_NORMAL);
+        double difference = Math.abs(predicted - measured);
+        return difference == 0 ? 0 : difference / Math.max(Math.abs(measured), Double.MIN_NORMAL);
     }
 
-    /** Whether the form holds at the size that was left out. */
+    /** Whether the error at the left-out size is within the tolerance of the series. */
     boolean holds() {
         return error() <= series.tolerance();
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/ProjectionRow.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/ProjectionRow.java
@@ -3,8 +3,11 @@
 import java.util.OptionalDouble;
 
 /**
- * One projected figure beside its budget. {@code form} tells how it grows, {@code note} what was held or left out.
- * {@code formHolds}: false where a prediction missed by more than is allowed, so that the projection is not to be used.
+ * One projected value with its budget.
+ *
+ * @param form the model form as text
+ * @param formHolds false if a prediction missed by more than the tolerance, so that the projection must not be used
+ * @param note sizes that were held constant, and measurements that were left out
  */
 record ProjectionRow(
         Budget.Section section,
@@ -20,15 +23,15 @@
         OptionalDouble budget,
         Budget.SizeLine line,
         String mechanism,
-        Ground ground,
+        Basis basis,
         String note) {
-    /** What a projection rests on. */
-    enum Ground {
-        /** The planned size itself was run. */
+    /** The evidence that a projection is based on. */
+    enum Basis {
+        /** Measured at the planned size itself. */
         MEASURED,
-        /** A tested form, beyond the largest size that was run. */
+        /** Extrapolated with a tested form beyond the largest measured size. */
         EXTRAPOLATED,
-        /** Read in the code, with no run. */
+        /** Derived from the code, without a measurement. */
         ARGUED;
 
         String text() {
@@ -36,12 +39,12 @@
         }
     }
 
-    /** Whether it may be planned with: a value that was measured needs no form. */
+    /** Whether the projection is reliable: its form holds, or the value was measured and needs no form. */
     boolean isUsable() {
-        return formHolds || ground == Ground.MEASURED;
+        return formHolds || basis == Basis.MEASURED;
     }
 
-    /** Projected over budget; empty where there is no budget. */
+    /** The projected value divided by the budget; empty if there is no budget. */
     OptionalDouble ratio() {
         return budget.isPresent() ? OptionalDouble.of(projected / budget.getAsDouble()) : OptionalDouble.empty();
     }
--- a/lab/src/main/java/sandpaddle/lab/capacity/Sample.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/Sample.java
@@ -2,7 +2,12 @@
 
 import java.util.Map;
 
-/** One measured value. {@code version}: of the code that ran. */
+/**
+ * One measured value.
+ *
+ * @param version version of the measured code
+ * @param sizes size of the measured system on each axis
+ */
 record Sample(SeriesName series, String version, Map<Axis, Double> sizes, double value, String unit) {
     Sample {
         sizes = Map.copyOf(sizes);
--- a/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
+++ b/lab/src/main/java/sandpaddle/lab/capacity/SeriesAnalysis.java
@@ -15,13 +15,14 @@
 import org.apache.commons.math3.stat.StatUtils;
 
 /**
- * Makes a {@link Model} of the samples of one series. The form is chosen on the smaller sizes alone, by Schwarz's
- * criterion; each axis then has its largest size predicted by a fit to those below it.
+ * Builds the {@link Model} of the samples of one series. The form is selected on the smaller sizes alone, by the
+ * Bayesian information criterion. It is then tested on each axis by predicting the largest size from a fit to the
+ * smaller ones.
  */
 final class SeriesAnalysis {
-    private static final int SIZES_LEAST = 3; // two to fit a slope to, one to test it by
-    private static final int REPEATS = 5; // of a point, for its spread to be known
-    private static final double CLEARLY = 6; // of the criterion: strong evidence for the richer form
+    private static final int MIN_SIZES = 3; // two to fit a slope, and one to test it
+    private static final int MIN_REPEATS = 5; // of a point, to estimate its spread
+    private static final double MIN_CRITERION_DIFFERENCE = 6; // strong evidence for the form with more terms
     private static final double MEDIAN = 50;
 
     private final SeriesName series;
@@ -31,11 +32,11 @@
 
     private SeriesAnalysis(SeriesName series, List<Sample> samples) {
         this.series = series;
-        this.samples = inOrder(samples);
+        this.samples = sorted(samples);
     }
 
-    /** One order whatever the files' order, so that sums, and figures on the edge of rounding, are always the same. */
-    private static List<Sample> inOrder(List<Sample> samples) {
+    /** Sorts samples independently of the order of files, so that floating-point sums and rounding are reproducible. */
+    private static List<Sample> sorted(List<Sample> samples) {
         return samples.stream()
                 .sorted(Comparator.comparing((Sample s) -> new TreeMap<>(s.sizes()).toString())
                         .thenComparingDouble(Sample::value))
@@ -43,59 +44,59 @@
     }
 
     /**
-     * The model of samples that are all of one series.
+     * Builds the model of samples of one series.
      *
-     * @throws TooFewSizesException where they give no ground for a projection
+     * @throws InsufficientDataException if the samples do not support a projection
      */
-    static Model of(SeriesName series, List<Sample> samples) throws TooFewSizesException {
+    static Model of(SeriesName series, List<Sample> samples) throws InsufficientDataException {
         return new SeriesAnalysis(series, samples).model();
     }
 
-    private Model model() throws TooFewSizesException {
+    private Model model() throws InsufficientDataException {
         String unit = oneUnit();
-        keepOneVersion();
-        leaveOutScattered();
+        keepLargestVersion();
+        removeScatteredPoints();
         Set<Axis> varying = holdAxes();
-        tellFewRepeats();
+        noteFewRepeats();
         Optional<Model> measured = atPlannedSize(unit);
         if (varying.isEmpty() && measured.isEmpty()) {
-            throw new TooFewSizesException("too few sizes: " + sizesSeen());
+            throw new InsufficientDataException("too few sizes: " + measuredSizes());
         }
         List<Sample> smaller = samples;
         for (Axis axis : varying) {
             smaller = below(smaller, axis);
         }
-        Form form = varying.isEmpty() ? Form.CONSTANT : chosen(varying, smaller);
+        Form form = varying.isEmpty() ? Form.CONSTANT : chooseForm(varying, smaller);
         Fit fit = Fit.of(form, samples);
         List<Prediction> predictions = new ArrayList<>();
         for (Axis axis : varying) {
             predictions.addAll(predictions(form, axis));
         }
-        Model.Projected projected = measured.isPresent()
+        Model.Projection projected = measured.isPresent()
                 ? measured.get().projected()
-                : new Model.Projected(planned(), fit.at(planned()), Model.Ground.EXTRAPOLATED);
+                : new Model.Projection(plannedSizes(), fit.estimateAt(plannedSizes()), Model.Basis.EXTRAPOLATED);
         return new Model(series, unit, fit, predictions, projected, held, notes);
     }
 
-    private String oneUnit() throws TooFewSizesException {
+    private String oneUnit() throws InsufficientDataException {
         Set<String> units = samples.stream().map(Sample::unit).collect(Collectors.toCollection(TreeSet::new));
         if (units.size() > 1) {
-            throw new TooFewSizesException("measured in different units: " + String.join(", ", units));
+            throw new InsufficientDataException("measured in different units: " + String.join(", ", units));
         }
         return units.iterator().next();
     }
 
-    /** Code of different versions is not fitted together: the version with the most sizes stays. */
-    private void keepOneVersion() {
+    /** Keeps the version with the most points, because different versions of the code are not fitted together. */
+    private void keepLargestVersion() {
         Map<String, List<Sample>> versions =
                 samples.stream().collect(Collectors.groupingBy(Sample::version, TreeMap::new, Collectors.toList()));
         String kept = versions.entrySet().stream()
                 .max(Comparator.comparingLong(e -> points(e.getValue()).size()))
                 .orElseThrow()
                 .getKey();
-        versions.forEach((version, some) -> {
+        versions.forEach((version, versionSamples) -> {
             if (!version.equals(kept)) {
-                notes.add(some.size() + " of version " + version + " left out beside version " + kept);
+                notes.add(versionSamples.size() + " of version " + version + " left out beside version " + kept);
             }
         });
         samples = versions.get(kept);
@@ -105,57 +106,61 @@
         return samples.stream().collect(Collectors.groupingBy(Sample::sizes));
     }
 
-    /** A point whose repeats scatter more than a prediction may miss is not measured. */
-    private void leaveOutScattered() throws TooFewSizesException {
+    /** Removes points whose repeats scatter by more than the tolerance of a prediction. */
+    private void removeScatteredPoints() throws InsufficientDataException {
         List<Sample> kept = new ArrayList<>();
         points(samples).forEach((sizes, repeats) -> {
             double[] values = repeats.stream().mapToDouble(Sample::value).toArray();
-            double reach = (StatUtils.max(values) - StatUtils.min(values)) / 2;
+            double halfRange = (StatUtils.max(values) - StatUtils.min(values)) / 2;
             double median = StatUtils.percentile(values, MEDIAN);
-            if (reach <= series.tolerance() * Math.abs(median)) {
+            if (halfRange <= series.tolerance() * Math.abs(median)) {
                 kept.addAll(repeats);
             } else {
                 notes.add("not measured at " + text(sizes) + ": repeats scatter from "
-                        + Figures.of(StatUtils.min(values)) + " to " + Figures.of(StatUtils.max(values)));
+                        + FigureFormat.format(StatUtils.min(values)) + " to "
+                        + FigureFormat.format(StatUtils.max(values)));
             }
         });
         notes.sort(Comparator.naturalOrder());
-        samples = inOrder(kept);
+        samples = sorted(kept);
         if (samples.isEmpty()) {
-            throw new TooFewSizesException(String.join("; ", notes));
+            throw new InsufficientDataException(String.join("; ", notes));
         }
     }
 
-    /** Axes with too few sizes to test a slope, and conditions, are held at their most frequent size. */
+    /**
+     * Holds axes with too few sizes to test a slope, and conditions, at their most frequent size. Returns the axes that
+     * vary.
+     */
     private Set<Axis> holdAxes() {
         Set<Axis> axes = samples.stream()
                 .flatMap(s -> s.sizes().keySet().stream())
                 .collect(Collectors.toCollection(TreeSet::new));
-        Optional<Axis> next = nextToHold(axes);
-        while (next.isPresent()) { // what is left out for one axis may leave too few sizes of another
-            hold(next.get());
-            next = nextToHold(axes);
+        Optional<Axis> axisToHold = nextToHold(axes);
+        while (axisToHold.isPresent()) { // removing samples for one axis may leave too few sizes on another
+            hold(axisToHold.get());
+            axisToHold = nextToHold(axes);
         }
         axes.removeIf(axis -> {
-            if (!mayVary(axis)) {
+            if (!canVary(axis)) {
                 held.put(axis, samples.get(0).size(axis));
             }
-            return !mayVary(axis);
+            return !canVary(axis);
         });
         return axes;
     }
 
-    private void tellFewRepeats() {
+    private void noteFewRepeats() {
         int fewest =
                 points(samples).values().stream().mapToInt(List::size).min().orElse(0);
-        if (fewest < REPEATS) {
+        if (fewest < MIN_REPEATS) {
             notes.add("fewest repeats of a point: " + fewest);
         }
     }
 
-    private boolean mayVary(Axis axis) {
-        return axis.planned().isPresent()
-                && samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() >= SIZES_LEAST;
+    private boolean canVary(Axis axis) {
+        return axis.plannedSize().isPresent()
+                && samples.stream().mapToDouble(s -> s.size(axis)).distinct().count() >= MIN_SIZES;
     }
 
     private Map<Double, Long> counts(Axis axis) {
@@ -166,46 +171,46 @@
         return counts(axis).values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    /** Of the axes that have two sizes or are conditions, the one that costs the fewest samples to hold. */
+    /** The axis that loses the fewest samples when held, of those that have two sizes or are conditions. */
     private Optional<Axis> nextToHold(Set<Axis> axes) {
         return axes.stream()
-                .filter(a -> !mayVary(a) && counts(a).size() > 1)
+                .filter(a -> !canVary(a) && counts(a).size() > 1)
                 .max(Comparator.comparingLong(this::mostFrequent));
     }
 
-    /** Leaves out the samples that are not at the axis's most frequent size. */
+    /** Removes the samples that are not at the most frequent size on the axis. */
     private void hold(Axis axis) {
         Map<Double, Long> counts = counts(axis);
         double kept = counts.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .orElseThrow()
                 .getKey();
-        notes.add(counts.size() + " sizes of " + axis.symbol() + " are too few: held at " + Figures.of(kept));
+        notes.add(counts.size() + " sizes of " + axis.symbol() + " are too few: held at " + FigureFormat.format(kept));
         samples = samples.stream().filter(s -> s.size(axis) == kept).toList();
     }
 
-    /** The planned sizes on the axes that were varied, and the held ones. */
-    private Map<Axis, Double> planned() {
+    /** The planned sizes on the axes that vary, and the sizes of the held axes. */
+    private Map<Axis, Double> plannedSizes() {
         Map<Axis, Double> sizes = new EnumMap<>(Axis.class);
         samples.get(0)
                 .sizes()
                 .keySet()
                 .forEach(a -> sizes.put(
-                        a, held.containsKey(a) ? held.get(a) : a.planned().orElseThrow()));
+                        a, held.containsKey(a) ? held.get(a) : a.plannedSize().orElseThrow()));
         return sizes;
     }
 
-    /** Where the planned size itself was measured, its median and range need no form. */
+    /** The model if the planned size itself was measured: median and range of the repeats, without a form. */
     private Optional<Model> atPlannedSize(String unit) {
-        Map<Axis, Double> planned = planned();
+        Map<Axis, Double> plannedSizes = plannedSizes();
         double[] values = samples.stream()
-                .filter(s -> s.sizes().equals(planned))
+                .filter(s -> s.sizes().equals(plannedSizes))
                 .mapToDouble(Sample::value)
                 .toArray();
-        boolean heldElsewhere = held.entrySet().stream()
-                .anyMatch(e -> e.getKey().planned().isPresent()
-                        && !e.getKey().planned().get().equals(e.getValue()));
-        if (values.length == 0 || heldElsewhere) {
+        boolean heldOffPlannedSize = held.entrySet().stream()
+                .anyMatch(e -> e.getKey().plannedSize().isPresent()
+                        && !e.getKey().plannedSize().get().equals(e.getValue()));
+        if (values.length == 0 || heldOffPlannedSize) {
             return Optional.empty();
         }
         Fit.Estimate estimate = new Fit.Estimate(
@@ -217,78 +222,78 @@
                 unit,
                 null,
                 List.of(),
-                new Model.Projected(planned, estimate, Model.Ground.MEASURED),
+                new Model.Projection(plannedSizes, estimate, Model.Basis.MEASURED),
                 held,
                 notes));
     }
 
-    private static double largest(List<Sample> of, Axis axis) {
-        return of.stream().mapToDouble(s -> s.size(axis)).max().orElseThrow();
+    private static double largest(List<Sample> source, Axis axis) {
+        return source.stream().mapToDouble(s -> s.size(axis)).max().orElseThrow();
     }
 
-    private List<Sample> below(List<Sample> of, Axis axis) {
+    private List<Sample> below(List<Sample> source, Axis axis) {
         double largest = largest(samples, axis);
-        return of.stream().filter(s -> s.size(axis) < largest).toList();
+        return source.stream().filter(s -> s.size(axis) < largest).toList();
     }
 
-    private Form chosen(Set<Axis> varying, List<Sample> smaller) throws TooFewSizesException {
+    private Form chooseForm(Set<Axis> varying, List<Sample> smaller) throws InsufficientDataException {
         Form best = Form.CONSTANT;
-        double criterion = Fit.of(best, smaller).criterion();
+        double criterion = Fit.of(best, smaller).bayesianInformationCriterion();
         for (Form form : Form.candidates(varying)) {
-            boolean told = form.axes().stream()
+            boolean distinguishable = form.axes().stream()
                     .allMatch(a -> smaller.stream()
                                     .mapToDouble(s -> s.size(a))
                                     .distinct()
                                     .count()
-                            >= (form.isSquare() ? SIZES_LEAST : SIZES_LEAST - 1));
-            if (!told || form.equals(best)) {
+                            >= (form.isSquare() ? MIN_SIZES : MIN_SIZES - 1));
+            if (!distinguishable || form.equals(best)) {
                 continue;
             }
             try {
-                double next = Fit.of(form, smaller).criterion();
-                if (next < criterion - CLEARLY) {
+                double candidate = Fit.of(form, smaller).bayesianInformationCriterion();
+                if (candidate < criterion - MIN_CRITERION_DIFFERENCE) {
                     best = form;
-                    criterion = next;
+                    criterion = candidate;
                 }
-            } catch (TooFewSizesException e) {
-                continue; // the smaller sizes do not tell this form from a simpler one
+            } catch (InsufficientDataException e) {
+                continue; // the smaller sizes do not determine this form
             }
         }
         return best;
     }
 
-    private List<Prediction> predictions(Form form, Axis axis) throws TooFewSizesException {
+    private List<Prediction> predictions(Form form, Axis axis) throws InsufficientDataException {
         Fit fit = Fit.of(form, below(samples, axis));
         double largest = largest(samples, axis);
-        List<Sample> left =
+        List<Sample> leftOut =
                 samples.stream().filter(s -> s.size(axis) == largest).toList();
         List<Prediction> predictions = new ArrayList<>();
-        points(left)
+        points(leftOut)
                 .forEach((sizes, repeats) -> predictions.add(new Prediction(
                         series,
                         form,
                         axis,
                         sizes,
-                        fit.at(sizes).value(),
+                        fit.estimateAt(sizes).value(),
                         StatUtils.percentile(
                                 repeats.stream().mapToDouble(Sample::value).toArray(), MEDIAN))));
         predictions.sort(Comparator.comparing(p -> text(p.sizes())));
         return predictions;
     }
 
-    private String sizesSeen() {
-        String seen = points(samples).keySet().stream()
+    private String measuredSizes() {
+        String sizesText = points(samples).keySet().stream()
                 .map(SeriesAnalysis::text)
                 .sorted()
                 .collect(Collectors.joining("; "));
-        return seen + (notes.isEmpty() ? "" : " (" + String.join("; ", notes) + ")");
+        return sizesText + (notes.isEmpty() ? "" : " (" + String.join("; ", notes) + ")");
     }
 
-    /** Sizes as text, by axis. */
+    /** Formats sizes as text, in the order of the axes. */
     static String text(Map<Axis, Double> sizes) {
         return new TreeMap<>(sizes)
                 .entrySet().stream()
-                        .map(e -> e.getKey().symbol() + " " + Figures.of(e.getValue()))
+                        .map(e -> e.getKey().symbol() + " " + FigureFormat.format(e.getValue()))
                         .collect(Collectors.joining(", "));
     }
 }
--- a/lab/src/test/java/sandpaddle/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/CapacityPageTest.java
@@ -15,12 +15,12 @@
 import sandpaddle.config.InvalidFieldException;
 import sandpaddle.config.JsonObject;
 
-/** The page agrees with the committed measurements and the code's limits; and the check sees where a page does not. */
+/** Compares the committed page with the measurements and the limits in the code, and tests the comparison itself. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
     private static final Path MEASUREMENTS = Path.of("docs", "measurements", "capacity");
-    private static final int DIFFERS = 3;
-    private static final int UNUSABLE = 2;
+    private static final int EXIT_PAGE_DIFFERS = 3;
+    private static final int EXIT_INVALID_INPUT = 2;
 
     @TempDir
     private Path folder;
@@ -36,15 +36,15 @@
     }
 
     @Test
-    void theCommittedPageAgrees() throws Exception {
+    void committedPageMatchesMeasurements() throws Exception {
         assertEquals(
                 List.of(),
-                Page.faults(Files.readAllLines(PAGE), tables()),
+                CapacityPage.differences(Files.readAllLines(PAGE), tables()),
                 "after new measurements or limits: java -jar lab/target/lab.jar capacity --write docs/CAPACITY.md");
     }
 
     @Test
-    void aChangedFigureFails() throws IOException {
+    void checkFailsOnChangedFigure() throws IOException {
         List<String> lines = new ArrayList<>(Files.readAllLines(PAGE));
         int row = 0;
         while (!lines.get(row).contains("fleet.member.Roster.MAX_MEMBERS` |")) {
@@ -52,36 +52,43 @@
         }
         lines.set(row, lines.get(row).replaceFirst("1,024", "1,025"));
         Path changed = Files.write(folder.resolve("page.md"), lines);
-        assertEquals(DIFFERS, run("--check", changed));
+        assertEquals(EXIT_PAGE_DIFFERS, run("--check", changed));
         assertEquals(0, run("--check", PAGE));
         assertEquals(0, run("--write", changed));
         assertEquals(Files.readAllLines(PAGE), Files.readAllLines(changed));
     }
 
     @Test
-    void eachDifferenceIsToldWithItsLine() {
+    void reportsEachDifferenceWithItsLine() {
         Map<String, List<String>> tables = Map.of("a", List.of("| 1 |", "| 2 |"));
         String begin = "<!-- table: a -->";
         String end = "<!-- end: a -->";
-        assertEquals(List.of(), Page.faults(List.of("# Page", begin, "| 1 |", "| 2 |", end, "`7` [x](8.md)"), tables));
+        assertEquals(
+                List.of(),
+                CapacityPage.differences(List.of("# Page", begin, "| 1 |", "| 2 |", end, "`7` [x](8.md)"), tables));
         assertEquals(
                 List.of("line 4: is '| 3 |', measured: '| 2 |'"),
-                Page.faults(List.of("# Page", begin, "| 1 |", "| 3 |", end), tables));
-        assertEquals(List.of("line 3: is '', measured: '| 2 |'"), Page.faults(List.of(begin, "| 1 |", end), tables));
+                CapacityPage.differences(List.of("# Page", begin, "| 1 |", "| 3 |", end), tables));
+        assertEquals(
+                List.of("line 3: is '', measured: '| 2 |'"),
+                CapacityPage.differences(List.of(begin, "| 1 |", end), tables));
         assertEquals(
                 List.of("line 4: is '| 9 |', measured: ''"),
-                Page.faults(List.of(begin, "| 1 |", "| 2 |", "| 9 |", end), tables));
-        assertEquals(List.of("table 'a' is missing"), Page.faults(List.of("# Page"), tables));
-        assertEquals(List.of("line 1: table 'a' has no end"), Page.faults(List.of(begin, "| 1 |"), tables));
-        assertTrue(Page.faults(List.of("it is 12 MB"), tables).get(0).startsWith("line 1: a figure outside a table"));
-        assertTrue(Page.faults(List.of("<!-- table: b -->", "<!-- end: b -->"), tables)
+                CapacityPage.differences(List.of(begin, "| 1 |", "| 2 |", "| 9 |", end), tables));
+        assertEquals(List.of("table 'a' is missing"), CapacityPage.differences(List.of("# Page"), tables));
+        assertEquals(
+                List.of("line 1: table 'a' has no end"), CapacityPage.differences(List.of(begin, "| 1 |"), tables));
+        assertTrue(CapacityPage.differences(List.of("it is 12 MB"), tables)
+                .get(0)
+                .startsWith("line 1: a figure outside a table"));
+        assertTrue(CapacityPage.differences(List.of("<!-- table: b -->", "<!-- end: b -->"), tables)
                 .contains("line 1: table 'b' is not known"));
-        assertTrue(Page.faults(List.of(begin, "| 1 |", "| 2 |", end, begin, "| 1 |", "| 2 |", end), tables)
+        assertTrue(CapacityPage.differences(List.of(begin, "| 1 |", "| 2 |", end, begin, "| 1 |", "| 2 |", end), tables)
                 .contains("line 5: table 'a' comes twice"));
     }
 
     @Test
-    void whatWasNotMeasuredHasNoProjection() throws IOException, InvalidFieldException {
+    void reportsNoProjectionWithoutMeasurements() throws IOException, InvalidFieldException {
         Path json = folder.resolve("capacity.json");
         assertEquals(0, run("--measurements", folder.resolve("none"), "--json", json));
         JsonObject read = JsonObject.parse(Files.readAllBytes(json), "");
@@ -89,23 +96,23 @@
         for (JsonObject row : read.objects("rows")) {
             assertEquals("argued", row.string("ground"));
         }
-        List<String> without = new ArrayList<>();
-        for (JsonObject none : read.objects("noGround")) {
-            assertEquals("no measurement", none.string("reason"));
-            without.add(none.string("measure"));
+        List<String> unmeasured = new ArrayList<>();
+        for (JsonObject missing : read.objects("noGround")) {
+            assertEquals("no measurement", missing.string("reason"));
+            unmeasured.add(missing.string("measure"));
         }
-        assertTrue(without.containsAll(List.of("choice-cpu", "gatewayCpuCores", "snapshotBytes", "configLastMs")));
+        assertTrue(unmeasured.containsAll(List.of("choice-cpu", "gatewayCpuCores", "snapshotBytes", "configLastMs")));
     }
 
     @Test
-    void badInputIsRefused() throws IOException {
+    void rejectsInvalidMeasurementsAndMissingPage() throws IOException {
         Files.writeString(folder.resolve("bad.json"), "{\"version\":1}");
-        assertEquals(UNUSABLE, run("--measurements", folder));
-        assertEquals(UNUSABLE, run("--check", folder.resolve("no-page.md")));
+        assertEquals(EXIT_INVALID_INPUT, run("--measurements", folder));
+        assertEquals(EXIT_INVALID_INPUT, run("--check", folder.resolve("no-page.md")));
     }
 
     @Test
-    void limitsAreThoseOfTheCode() throws CodeLimits.MissingLimitException {
+    void readsLimitsFromTheCode() throws CodeLimits.MissingLimitException {
         Map<String, Double> values = new java.util.HashMap<>();
         for (ProjectionRow row : CodeLimits.rows()) {
             values.put(row.mechanism() + " " + row.measure(), row.budget().orElseThrow());
--- a/lab/src/test/java/sandpaddle/lab/capacity/MeasurementsTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/MeasurementsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is read of files of measurements, and what of them is refused. */
+/** Tests reading of valid measurement files and rejection of invalid ones. */
 class MeasurementsTest {
     private static final String RUN = """
             {"version":"v1","mechanism":"star","gateways":100,"engines":8,"controlMachines":3,"limits":4,
@@ -29,7 +29,7 @@
     @TempDir
     private Path folder;
 
-    private Measurements read(String... files) throws IOException, FaultyMeasurementsException {
+    private Measurements read(String... files) throws IOException, InvalidMeasurementsException {
         for (int i = 0; i < files.length; i++) {
             Files.writeString(folder.resolve("m" + i + ".json"), files[i]);
         }
@@ -37,44 +37,46 @@
     }
 
     @Test
-    void aRunGivesEachFigureThatCouldBeRead() throws IOException, FaultyMeasurementsException {
-        Measurements m = read(RUN);
+    void readsEachNonNullFigureOfAScaleRun() throws IOException, InvalidMeasurementsException {
+        Measurements measurements = read(RUN);
         assertEquals(
                 Set.of("worst gateway, gatewayBytesPerSecond", "leader, bytesInPerSecond", "leader, cpuByThread.fleet"),
-                m.samples().stream()
+                measurements.samples().stream()
                         .map(s -> s.series().role() + ", " + s.series().measure())
                         .collect(Collectors.toSet()));
-        assertEquals(100.0, m.samples().get(0).sizes().get(Axis.GATEWAYS));
-        assertEquals(List.of(), m.faults());
+        assertEquals(100.0, measurements.samples().get(0).sizes().get(Axis.GATEWAYS));
+        assertEquals(List.of(), measurements.faults());
     }
 
     @Test
-    void aRunWithAFaultTellsItsEffectsOnly() throws IOException, FaultyMeasurementsException {
-        Measurements m = read(RUN.replace("\"none\"", "\"control-machine\""));
-        assertEquals(Map.of("leaderLastMs", 7.0), m.faults().get(0).figures());
+    void readsOnlyFaultEffectsOfARunWithAFault() throws IOException, InvalidMeasurementsException {
+        Measurements measurements = read(RUN.replace("\"none\"", "\"control-machine\""));
+        assertEquals(Map.of("leaderLastMs", 7.0), measurements.faults().get(0).figures());
         assertEquals(
                 List.of("leaderLastMs"),
-                m.samples().stream().map(s -> s.series().measure()).toList());
+                measurements.samples().stream().map(s -> s.series().measure()).toList());
     }
 
     @Test
-    void aPointGivesEachRepeat() throws IOException, FaultyMeasurementsException {
-        Measurements m = read("{\"version\":\"v1\",\"kind\":\"choice-cpu\",\"sizes\":{\"engines\":100},\"value\":2,"
-                + "\"unit\":\"us\",\"repeats\":[1,2,3]}");
+    void readsEachRepeatOfAPathMeasurement() throws IOException, InvalidMeasurementsException {
+        Measurements measurements =
+                read("{\"version\":\"v1\",\"kind\":\"choice-cpu\",\"sizes\":{\"engines\":100},\"value\":2,"
+                        + "\"unit\":\"us\",\"repeats\":[1,2,3]}");
         assertEquals(
-                List.of(1.0, 2.0, 3.0), m.samples().stream().map(Sample::value).toList());
-        assertEquals("us", m.samples().get(0).unit());
+                List.of(1.0, 2.0, 3.0),
+                measurements.samples().stream().map(Sample::value).toList());
+        assertEquals("us", measurements.samples().get(0).unit());
     }
 
     @Test
-    void noFolderIsNoMeasurement() throws IOException, FaultyMeasurementsException {
+    void readsNothingFromAMissingFolder() throws IOException, InvalidMeasurementsException {
         assertEquals(List.of(), Measurements.read(folder.resolve("none")).samples());
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithTheirFiles() {
-        FaultyMeasurementsException e = assertThrows(
-                FaultyMeasurementsException.class,
+    void reportsAllInvalidFilesAtOnce() {
+        InvalidMeasurementsException e = assertThrows(
+                InvalidMeasurementsException.class,
                 () -> read(
                         "no JSON",
                         "[]",
--- a/lab/src/test/java/sandpaddle/lab/capacity/PathMeasurementTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/PathMeasurementTest.java
@@ -16,10 +16,10 @@
 import sandpaddle.lab.ProcessUsage;
 import sandpaddle.lab.ProcessUsage.CpuTimes;
 
-/** Points of measurements on the request path, and what they are taken with. */
+/** Tests points of request path measurements and the probes that they use. */
 class PathMeasurementTest {
     @Test
-    void pointHoldsItsSizesAndEachRepeat(@TempDir Path folder) throws IOException, InvalidFieldException {
+    void writesSizesMedianAndEachRepeat(@TempDir Path folder) throws IOException, InvalidFieldException {
         PathMeasurement point =
                 PathMeasurement.of("v1", "choice-cpu", Map.of("engines", 100.0), "us", List.of(9.0, 3.0, 5.0));
         Path file = point.write(folder);
@@ -32,14 +32,14 @@
     }
 
     @Test
-    void moreEnginesCostMore() throws IOException, InvalidFieldException {
+    void decisionCostGrowsWithEngines() throws IOException, InvalidFieldException {
         double few = new DecisionCost(10, 0).microsPerRequest(200);
         double many = new DecisionCost(3000, 0).microsPerRequest(200);
         assertTrue(few > 0 && many > few, few + " us and " + many + " us");
     }
 
     @Test
-    void usageOfThisProcessIsRead() throws IOException {
+    void readsUsageOfThisProcess() throws IOException {
         ProcessUsage usage = new ProcessUsage(ProcessHandle.current().pid());
         CpuTimes before = usage.cpuTimes();
         long until = System.nanoTime() + 50_000_000;
--- a/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
+++ b/lab/src/test/java/sandpaddle/lab/capacity/SeriesAnalysisTest.java
@@ -15,14 +15,14 @@
 import java.util.function.ToDoubleBiFunction;
 import org.junit.jupiter.api.Test;
 
-/** Forms, slopes and ranges found in data that were drawn with known ones. */
+/** Tests that known forms, slopes and ranges are recovered from synthetic data with noise. */
 class SeriesAnalysisTest {
     private static final SeriesName BYTES = new SeriesName("star", "leader", "bytesInPerSecond");
     private static final int REPEATS = 5;
     private static final double NOISE = 0.02;
 
-    /** A sweep of gateways and one of limits around (100, 64), five repeats a point, each off by a few percent. */
-    private static List<Sample> drawn(ToDoubleBiFunction<Double, Double> truth, String version) {
+    /** Draws a sweep over gateways and one over limits around (100, 64), five repeats per point with 2% noise. */
+    private static List<Sample> drawSamples(ToDoubleBiFunction<Double, Double> truth, String version) {
         SplittableRandom random = new SplittableRandom(7);
         List<Sample> samples = new ArrayList<>();
         double[][] points = {
@@ -30,9 +30,9 @@
         };
         for (double[] point : points) {
             for (int i = 0; i < REPEATS; i++) {
-                double off = 1 + NOISE * random.nextGaussian();
-                samples.add(
-                        sample(point[0], point[1], off * truth.applyAsDouble(point[0], point[1]), version, "bytes/s"));
+                double noiseFactor = 1 + NOISE * random.nextGaussian();
+                samples.add(sample(
+                        point[0], point[1], noiseFactor * truth.applyAsDouble(point[0], point[1]), version, "bytes/s"));
             }
         }
         return samples;
@@ -43,31 +43,31 @@
                 BYTES, version, Map.of(Axis.GATEWAYS, gateways, Axis.LIMITS, limits, Axis.ENGINES, 200.0), value, unit);
     }
 
-    private static Model model(ToDoubleBiFunction<Double, Double> truth) throws TooFewSizesException {
-        return SeriesAnalysis.of(BYTES, drawn(truth, "v1"));
+    private static Model model(ToDoubleBiFunction<Double, Double> truth) throws InsufficientDataException {
+        return SeriesAnalysis.of(BYTES, drawSamples(truth, "v1"));
     }
 
     @Test
-    void findsAProductOfSizes() throws TooFewSizesException {
+    void selectsProductOfTwoSizes() throws InsufficientDataException {
         Model m = model((n, l) -> 500 + 40 * n * l);
         assertEquals(
                 new Form(List.of(List.of(Axis.GATEWAYS, Axis.LIMITS))), m.fit().form());
-        assertEquals(40, m.fit().slope(0), 4 * m.fit().slopeError(0).orElseThrow());
+        assertEquals(40, m.fit().slope(0), 4 * m.fit().slopeStandardError(0).orElseThrow());
         assertEquals(40, m.fit().slope(0), 1);
         assertTrue(m.formHolds(), m.predictions().toString());
         assertEquals(
                 Set.of(Axis.GATEWAYS, Axis.LIMITS),
                 Set.copyOf(m.predictions().stream().map(Prediction::axis).toList()));
-        double planned = 40.0 * OperatorSize.GATEWAYS * OperatorSize.LIMITS;
-        assertEquals(planned, m.projected().estimate().value(), 0.05 * planned);
+        double plannedValue = 40.0 * PlannedFleet.GATEWAYS * PlannedFleet.LIMITS;
+        assertEquals(plannedValue, m.projected().estimate().value(), 0.05 * plannedValue);
         assertTrue(m.projected().estimate().low().orElseThrow()
                 < m.projected().estimate().value());
-        assertEquals(Model.Ground.EXTRAPOLATED, m.projected().ground());
+        assertEquals(Model.Basis.EXTRAPOLATED, m.projected().basis());
         assertEquals(Map.of(Axis.ENGINES, 200.0), m.held());
     }
 
     @Test
-    void findsWhatDoesNotGrow() throws TooFewSizesException {
+    void selectsConstantForNoGrowth() throws InsufficientDataException {
         Model m = model((n, l) -> 700.0);
         assertEquals(Form.CONSTANT, m.fit().form());
         assertEquals(700, m.projected().estimate().value(), 20);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void findsTheOneSizeThatMatters() throws TooFewSizesException {
+    void selectsTheOnlyRelevantAxis() throws InsufficientDataException {
         Model m = model((n, l) -> 90 + 3 * n);
         assertEquals(new Form(List.of(List.of(Axis.GATEWAYS))), m.fit().form());
         assertEquals(3, m.fit().slope(0), 0.1);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void findsASquare() throws TooFewSizesException {
+    void selectsSquareTerm() throws InsufficientDataException {
         Model m = model((n, l) -> 10 + 2 * n * n);
         assertEquals(
                 new Form(List.of(List.of(Axis.GATEWAYS, Axis.GATEWAYS))),
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aFormThatMissesTheLargestSizeIsWrong() throws TooFewSizesException {
+    void rejectsFormThatMissesTheLargestSize() throws InsufficientDataException {
         Model m = model((n, l) -> n < 400 ? 90 + 3 * n : 20_000);
         assertFalse(m.formHolds());
         Prediction missed =
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aFigureBelowZeroIsNoProjection() throws TooFewSizesException {
+    void rejectsNegativeProjection() throws InsufficientDataException {
         Model m = model((n, l) -> 1000 - n);
         assertTrue(m.projected().estimate().value() < 0);
         assertTrue(
@@ -113,19 +113,19 @@
     }
 
     @Test
-    void theOrderOfSamplesChangesNoBit() throws TooFewSizesException {
-        List<Sample> samples = drawn((n, l) -> 500 + 40 * n * l, "v1");
-        Model inOrder = SeriesAnalysis.of(BYTES, samples);
+    void resultIsIdenticalForShuffledSamples() throws InsufficientDataException {
+        List<Sample> samples = drawSamples((n, l) -> 500 + 40 * n * l, "v1");
+        Model sortedModel = SeriesAnalysis.of(BYTES, samples);
         List<Sample> shuffled = new ArrayList<>(samples);
         Collections.shuffle(shuffled, new Random(3));
-        Model other = SeriesAnalysis.of(BYTES, shuffled);
-        assertEquals(inOrder.projected(), other.projected());
-        assertEquals(inOrder.predictions(), other.predictions());
-        assertEquals(inOrder.fit().slope(0), other.fit().slope(0));
+        Model shuffledModel = SeriesAnalysis.of(BYTES, shuffled);
+        assertEquals(sortedModel.projected(), shuffledModel.projected());
+        assertEquals(sortedModel.predictions(), shuffledModel.predictions());
+        assertEquals(sortedModel.fit().slope(0), shuffledModel.fit().slope(0));
     }
 
     @Test
-    void cpuMayMissByMore() {
+    void cpuSeriesHaveALargerTolerance() {
         SeriesName cpu = new SeriesName("star", "leader", "cpuByThread.fleet");
         Prediction p = new Prediction(cpu, Form.CONSTANT, Axis.GATEWAYS, Map.of(), 1.4, 1);
         assertTrue(p.holds());
@@ -133,15 +133,16 @@
     }
 
     @Test
-    void twoSizesAreTooFew() {
+    void rejectsTwoSizes() {
         List<Sample> samples = List.of(sample(25, 64, 1, "v1", "bytes/s"), sample(50, 64, 2, "v1", "bytes/s"));
-        TooFewSizesException e = assertThrows(TooFewSizesException.class, () -> SeriesAnalysis.of(BYTES, samples));
+        InsufficientDataException e =
+                assertThrows(InsufficientDataException.class, () -> SeriesAnalysis.of(BYTES, samples));
         assertTrue(e.getMessage().startsWith("too few sizes"), e.getMessage());
     }
 
     @Test
-    void anAxisWithTwoSizesIsHeld() throws TooFewSizesException {
-        List<Sample> samples = new ArrayList<>(drawn((n, l) -> 90 + 3 * n, "v1"));
+    void holdsAxisWithTwoSizes() throws InsufficientDataException {
+        List<Sample> samples = new ArrayList<>(drawSamples((n, l) -> 90 + 3 * n, "v1"));
         samples.removeIf(s -> s.size(Axis.LIMITS) == 16 || s.size(Axis.LIMITS) == 32 || s.size(Axis.LIMITS) == 128);
         Model m = SeriesAnalysis.of(BYTES, samples);
         assertEquals(64, m.held().get(Axis.LIMITS));
@@ -151,20 +152,21 @@
     }
 
     @Test
-    void whatIsLeftOutForOneAxisMayHoldAnother() {
+    void holdsSecondAxisAfterSamplesOfTheFirstAreRemoved() {
         List<Sample> samples = List.of(
                 sample(25, 64, 1, "v1", "bytes/s"),
                 sample(25, 64, 1, "v1", "bytes/s"),
                 sample(50, 64, 2, "v1", "bytes/s"),
                 sample(100, 16, 3, "v1", "bytes/s"));
-        TooFewSizesException e = assertThrows(TooFewSizesException.class, () -> SeriesAnalysis.of(BYTES, samples));
+        InsufficientDataException e =
+                assertThrows(InsufficientDataException.class, () -> SeriesAnalysis.of(BYTES, samples));
         assertTrue(e.getMessage().contains("2 sizes of L are too few: held at 64"), e.getMessage());
         assertTrue(e.getMessage().contains("2 sizes of N are too few: held at 25"), e.getMessage());
     }
 
     @Test
-    void versionsAreNotMixed() throws TooFewSizesException {
-        List<Sample> samples = new ArrayList<>(drawn((n, l) -> 90 + 3 * n, "v1"));
+    void fitsOnlyOneVersion() throws InsufficientDataException {
+        List<Sample> samples = new ArrayList<>(drawSamples((n, l) -> 90 + 3 * n, "v1"));
         samples.add(sample(800, 64, 9e9, "v2", "bytes/s"));
         Model m = SeriesAnalysis.of(BYTES, samples);
         assertEquals(3, m.fit().slope(0), 0.1);
@@ -172,26 +174,28 @@
     }
 
     @Test
-    void versionsThatAreTooFewEachGiveNoGround() {
+    void rejectsVersionsWithTooFewSizesEach() {
         List<Sample> samples = List.of(
                 sample(25, 64, 1, "v1", "bytes/s"),
                 sample(50, 64, 2, "v1", "bytes/s"),
                 sample(100, 64, 4, "v2", "bytes/s"));
-        TooFewSizesException e = assertThrows(TooFewSizesException.class, () -> SeriesAnalysis.of(BYTES, samples));
+        InsufficientDataException e =
+                assertThrows(InsufficientDataException.class, () -> SeriesAnalysis.of(BYTES, samples));
         assertTrue(e.getMessage().contains("version v2"), e.getMessage());
     }
 
     @Test
-    void unitsAreNotMixed() {
+    void rejectsMixedUnits() {
         List<Sample> samples =
                 List.of(sample(25, 64, 1, "v1", "ms"), sample(50, 64, 2, "v1", "us"), sample(100, 64, 4, "v1", "us"));
-        TooFewSizesException e = assertThrows(TooFewSizesException.class, () -> SeriesAnalysis.of(BYTES, samples));
+        InsufficientDataException e =
+                assertThrows(InsufficientDataException.class, () -> SeriesAnalysis.of(BYTES, samples));
         assertEquals("measured in different units: ms, us", e.getMessage());
     }
 
     @Test
-    void aPointWhoseRepeatsScatterIsNotMeasured() throws TooFewSizesException {
-        List<Sample> samples = new ArrayList<>(drawn((n, l) -> 90 + 3 * n, "v1"));
+    void removesPointWithScatteredRepeats() throws InsufficientDataException {
+        List<Sample> samples = new ArrayList<>(drawSamples((n, l) -> 90 + 3 * n, "v1"));
         samples.add(sample(400, 64, 100_000, "v1", "bytes/s"));
         Model m = SeriesAnalysis.of(BYTES, samples);
         assertTrue(
@@ -200,25 +204,25 @@
     }
 
     @Test
-    void thePlannedSizeItselfNeedsNoForm() throws TooFewSizesException {
+    void usesMeasurementAtPlannedSizeWithoutForm() throws InsufficientDataException {
         SeriesName cost = new SeriesName(Measurements.PATH, "gateway", "choice-cpu");
         List<Sample> samples = new ArrayList<>();
         for (double repeat : new double[] {5000, 5100, 5300}) {
-            samples.add(new Sample(cost, "v1", Map.of(Axis.ENGINES, (double) OperatorSize.ENGINES), repeat, "us"));
+            samples.add(new Sample(cost, "v1", Map.of(Axis.ENGINES, (double) PlannedFleet.ENGINES), repeat, "us"));
         }
         Model m = SeriesAnalysis.of(cost, samples);
-        assertEquals(Model.Ground.MEASURED, m.projected().ground());
+        assertEquals(Model.Basis.MEASURED, m.projected().basis());
         assertEquals(5100, m.projected().estimate().value());
         assertEquals(5000, m.projected().estimate().low().orElseThrow());
         assertEquals(List.of("fewest repeats of a point: 3"), m.notes());
     }
 
     @Test
-    void slopesNeedAsManySamplesAsTheyAre() {
+    void rejectsTooFewSamplesForTheSlopes() {
         Form line = new Form(List.of(List.of(Axis.GATEWAYS)));
-        assertThrows(TooFewSizesException.class, () -> Fit.of(line, List.of(sample(1, 1, 1, "v1", "ms"))));
+        assertThrows(InsufficientDataException.class, () -> Fit.of(line, List.of(sample(1, 1, 1, "v1", "ms"))));
         List<Sample> oneSize =
                 List.of(sample(5, 1, 1, "v1", "ms"), sample(5, 1, 2, "v1", "ms"), sample(5, 1, 3, "v1", "ms"));
-        assertThrows(TooFewSizesException.class, () -> Fit.of(line, oneSize));
+        assertThrows(InsufficientDataException.class, () -> Fit.of(line, oneSize));
     }
 }
