--- a/Makefile
+++ b/Makefile
@@ -7,28 +7,28 @@
 	mvn -B verify
 	$(MAKE) --no-print-directory races
 
-# what threads share without a lock, under jcstress: half a minute
+# tests of lock-free data structures with jcstress, about 30 s
 races:
 	mvn -B -q -DskipTests package
 	cd bench/target && java -cp bench.jar org.openjdk.jcstress.Main -m sanity -r races > races.log 2>&1 \
 		|| sh ../known-red.sh races.log ../../KNOWN-RED.txt
 	@grep 'Results: .*planned' bench/target/races.log | tail -1
 
-# what the fleet costs on the path of a request: nanoseconds and bytes
+# benchmarks of the fleet on the request path with JMH: nanoseconds and allocated bytes
 costs:
 	mvn -B -q -DskipTests package
 	java -jar bench/target/bench.jar -prof gc
 
-# a small fleet of control machines and hollow gateways: about a minute
+# scale run of a small fleet of control machines and simulated gateways, about a minute
 scale:
 	mvn -B -q -DskipTests package
 	java -jar lab/target/lab.jar scale --gateways 60 --fault control-machine --short --json lab/target/scale.json
 
-# puts all sources into the one format
+# formats all sources
 format:
 	mvn -B -q spotless:apply
 
-# the format, Checkstyle, and Error Prone as the compiler's linter; fails on the first difference or warning
+# checks the format, Checkstyle rules and Error Prone findings; fails on the first difference or warning
 lint:
 	mvn -B -q spotless:check
 	mvn -B -q -Plint -pl gateway,lab -am test-compile checkstyle:check
--- a/bench/src/main/java/sandpaddle/bench/cost/RequestPath.java
+++ b/bench/src/main/java/sandpaddle/bench/cost/RequestPath.java
@@ -21,7 +21,10 @@
 import sandpaddle.fleet.view.Publication;
 import sandpaddle.fleet.view.SlotUsage;
 
-/** What the fleet costs a request: to read the view, and to count a start and an end. Run with -prof gc for bytes. */
+/**
+ * Measures the cost of the fleet on the path of a request: reading the view, and counting the start and end of an
+ * attempt. Run with {@code -prof gc} for allocated bytes.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -29,19 +32,20 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class RequestPath {
-    private static final int CLASSES = 3;
+    private static final int REQUEST_CLASSES = 3;
 
     @Param({"8", "300"})
     private int engines;
 
     private Publication<FleetView> views;
-    private AttemptCounters cells;
+    private AttemptCounters counters;
     private String[] names;
     private String[] tenants;
-    private int turn;
+    private int iteration;
 
+    /** Builds a view with one limit per engine and a few others. */
     @Setup
-    public void set() {
+    public void setUp() {
         List<LimitSlot> slots = new ArrayList<>();
         slots.add(new LimitSlot("all", "", -1, null, null, LimitSlot.Counts.RUNNING));
         slots.add(new LimitSlot("reports", "", 1, null, null, LimitSlot.Counts.RUNNING));
@@ -52,27 +56,28 @@
         }
         tenants = new String[] {"acme", "borea", "unknown"};
         slots.add(new LimitSlot("tenant|acme", "", -1, "acme", null, LimitSlot.Counts.RUNNING));
-        List<FleetView.SlotQuota> shares =
+        List<FleetView.SlotQuota> quotas =
                 slots.stream().map(s -> new FleetView.SlotQuota(8, 1, 0)).toList();
         views = new Publication<>(new FleetView(
-                1, slots, shares, List.of(), 0, Long.MAX_VALUE, List.of(), Map.of(), FleetView.Isolation.NONE));
-        cells = new AttemptCounters(views, new Publication<>(new SlotUsage(0, 0)), CLASSES);
-        cells.adoptView();
+                1, slots, quotas, List.of(), 0, Long.MAX_VALUE, List.of(), Map.of(), FleetView.Isolation.NONE));
+        counters = new AttemptCounters(views, new Publication<>(new SlotUsage(0, 0)), REQUEST_CLASSES);
+        counters.adoptView();
     }
 
+    /** Reads the current view and checks its lease. */
     @Benchmark
     public boolean readView() {
         return views.current().isLeased(System.nanoTime());
     }
 
-    /** A start with its check against the view, and its end. */
+    /** Starts an attempt, with the check against the view, and ends it. */
     @Benchmark
     public boolean countStartAndEnd() {
-        int t = turn++ & 0x7fffffff;
-        String engine = names[t % engines];
-        String tenant = tenants[t % 3];
-        boolean may = cells.tryStart(t % CLASSES, tenant, engine, System.nanoTime() / 1000);
-        cells.ended(t % CLASSES, tenant, engine);
-        return may;
+        int step = iteration++ & 0x7fffffff;
+        String engine = names[step % engines];
+        String tenant = tenants[step % 3];
+        boolean admitted = counters.tryStart(step % REQUEST_CLASSES, tenant, engine, System.nanoTime() / 1000);
+        counters.ended(step % REQUEST_CLASSES, tenant, engine);
+        return admitted;
     }
 }
--- a/bench/src/main/java/sandpaddle/bench/race/ViewPublication.java
+++ b/bench/src/main/java/sandpaddle/bench/race/ViewPublication.java
@@ -8,32 +8,34 @@
 import org.openjdk.jcstress.infra.results.II_Result;
 import sandpaddle.fleet.view.Publication;
 
-/** Who sees a new view sees all that was written before it was published, also in plain fields. */
+/** Safe publication: a reader of a new view sees all writes made before it was published, also to plain fields. */
 @JCStressTest
 @Outcome(id = "0, 0", expect = Expect.ACCEPTABLE, desc = "the first view")
-@Outcome(id = "1, 1", expect = Expect.ACCEPTABLE, desc = "the new view, whole")
-@Outcome(expect = Expect.FORBIDDEN, desc = "a new view that is not whole")
+@Outcome(id = "1, 1", expect = Expect.ACCEPTABLE, desc = "the complete new view")
+@Outcome(expect = Expect.FORBIDDEN, desc = "a partially initialized view")
 @State
 public class ViewPublication {
-    static final class Plain {
+    static final class PlainView {
         int ceiling;
-        int lapse;
+        int expiry;
     }
 
-    private final Publication<Plain> views = new Publication<>(new Plain());
+    private final Publication<PlainView> views = new Publication<>(new PlainView());
 
+    /** Publishes a view with plain fields. */
     @Actor
     public void publish() {
-        Plain next = new Plain();
+        PlainView next = new PlainView();
         next.ceiling = 1;
-        next.lapse = 1;
+        next.expiry = 1;
         views.publish(next);
     }
 
+    /** Reads the fields of the current view. */
     @Actor
-    public void read(II_Result r) {
-        Plain seen = views.current();
-        r.r1 = seen.ceiling;
-        r.r2 = seen.lapse;
+    public void read(II_Result result) {
+        PlainView seen = views.current();
+        result.r1 = seen.ceiling;
+        result.r2 = seen.expiry;
     }
 }
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,8 @@
 #!/bin/sh
-# Makes gateway/target/sandpaddle.jsa, the class-data archive that a gateway starts from: a start under load has half a core.
-# One gateway is started for it on a free loopback port and asked to end. Without the archive it starts as well, later.
+# Creates gateway/target/sandpaddle.jsa, the class-data sharing (CDS) archive that shortens the start of a gateway; under
+# load a starting gateway gets only half a core. To record the classes, one gateway is started on a free loopback port
+# and stopped with SIGTERM; its JVM writes the archive at exit. The archive is optional: without it a gateway only starts
+# more slowly.
 set -u
 cd "$(dirname "$0")/.." || exit 0
 work=$(mktemp -d) || exit 0
@@ -17,5 +19,5 @@
 kill -TERM $gateway
 wait $gateway
 rm -rf "$work"
-test -f gateway/target/sandpaddle.jsa || echo "no class-data archive: a gateway starts without it" >&2
+test -f gateway/target/sandpaddle.jsa || echo "CDS archive was not created; gateways will start without it" >&2
 exit 0
--- a/deploy/start-cost.sh
+++ b/deploy/start-cost.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# CPU that one gateway spends until it listens, in ms: least, median, most over N starts (10) of the line `run`, with
-# further arguments for `serve` after N. Build first: mvn -q -DskipTests -pl gateway -am package && sh deploy/archive.sh
+# Measures the CPU time in ms from the start of a gateway until it listens: minimum, median and maximum over N starts
+# (default 10) with the `run` command of deploy/balancer.toml. Arguments after N are passed to `serve`.
+# Build first: mvn -q -DskipTests -pl gateway -am package && sh deploy/archive.sh
 set -eu
 cd "$(dirname "$0")/.."
 n=${1:-10}
@@ -23,4 +24,4 @@
     kill -KILL $pid
     wait $pid 2> /dev/null || true
 done
-sort -n "$work/cost" | awk '{ a[NR] = $1 } END { print "ms of CPU until it listens: least " a[1] ", median " a[int((NR + 1) / 2)] ", most " a[NR] }'
+sort -n "$work/cost" | awk '{ a[NR] = $1 } END { print "CPU ms until listening: minimum " a[1] ", median " a[int((NR + 1) / 2)] ", maximum " a[NR] }'
