--- a/gateway/src/test/java/sandpaddle/app/OperatorWordsTest.java
+++ b/gateway/src/test/java/sandpaddle/app/OperatorWordsTest.java
@@ -24,6 +24,9 @@
     private static final Path PAGES = Path.of("docs/operators");
     private static final Path SOURCES = Path.of("gateway/src/main/java");
     private static final Path SCHEMA = Path.of("deploy/sandpaddle.schema.json");
+    private static final Path POLICY_GRAMMAR =
+            Path.of("gateway/src/main/antlr4/sandpaddle/fleet/pool/lang/PoolPolicy.g4");
+    private static final Pattern KEYWORD = Pattern.compile("'([a-z]+)'");
     private static final Pattern QUOTED = Pattern.compile("`([a-z][a-z0-9_.]*)`");
     private static final RecordedFile RECORDED = new RecordedFile("operator-words.txt");
 
@@ -49,6 +52,7 @@
             }
         }
         words.addAll(List.of(Files.readString(SCHEMA).split("[^A-Za-z0-9_.]+")));
+        KEYWORD.matcher(Files.readString(POLICY_GRAMMAR)).results().forEach(match -> words.add(match.group(1)));
         return words;
     }
 
