--- a/gateway/src/main/java/sandpaddle/app/CheckCommand.java
+++ b/gateway/src/main/java/sandpaddle/app/CheckCommand.java
@@ -17,21 +17,25 @@
 import sandpaddle.config.InvalidFieldException;
 import sandpaddle.config.SchemaValidator;
 
-/** {@code check}: reports every error in operator's files, and the first error in a platform's configuration. */
+/** {@code check}: prints every error of an operator's file, but only the first error of a platform's configuration. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Validates files without serving. Prints a line for each error: FILE:LINE:COLUMN: key: the value "
-                + "found; the allowed values.",
+        description = "Validates files without serving. Prints every error of an operator's file, as "
+                + "FILE:LINE:COLUMN: KEY: found VALUE; allowed: VALUES, and the first error of a platform's "
+                + "configuration, as FILE: MESSAGE. The last line for each file is FILE: valid or FILE: errors: COUNT.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:every file is valid", "2:a file is invalid or cannot be read"},
         footerHeading = "%nExamples:%n",
         footer = {"  check deploy/sandpaddle.json", "  check --config /run/balancer/config.json"})
 final class CheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", arity = "0..*", description = "Operator's files to check.")
+    @Parameters(paramLabel = "FILE", arity = "0..*", description = "An operator's file to check.")
     private List<Path> files = new ArrayList<>();
 
-    @Option(names = "--config", paramLabel = "FILE", description = "A platform's configuration to check.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description = "A platform's configuration to check; prints its first error only.")
     private List<Path> configs = new ArrayList<>();
 
     @Spec
@@ -45,10 +49,10 @@
         boolean allValid = true;
         SchemaValidator schema = files.isEmpty() ? null : new SchemaValidator();
         for (Path file : files) {
-            allValid &= report(file, errors(schema, file));
+            allValid &= report(file, operatorFileErrors(schema, file));
         }
         for (Path config : configs) {
-            allValid &= report(config, errors(config));
+            allValid &= report(config, configErrors(config));
         }
         return allValid ? 0 : Main.EXIT_INVALID;
     }
@@ -59,7 +63,7 @@
         return errors.isEmpty();
     }
 
-    private static List<String> errors(SchemaValidator schema, Path file) {
+    private static List<String> operatorFileErrors(SchemaValidator schema, Path file) {
         try {
             return schema.validate(file.toString(), Files.readAllBytes(file)).messages();
         } catch (IOException e) {
@@ -67,7 +71,7 @@
         }
     }
 
-    private static List<String> errors(Path config) {
+    private static List<String> configErrors(Path config) {
         try {
             GatewayConfig.load(Map.of("BALANCER_CONFIG", config.toString(), "BALANCER_LISTEN", "127.0.0.1:1"));
             return List.of();
--- a/gateway/src/main/java/sandpaddle/codec/HttpWriter.java
+++ b/gateway/src/main/java/sandpaddle/codec/HttpWriter.java
@@ -4,7 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Encodes HTTP/1.1 messages: heads, chunks and complete messages. */
+/**
+ * Encodes HTTP/1.1. An instance builds one request or response, as a head alone or with its body; static methods encode
+ * the chunks of a chunked body.
+ */
 public final class HttpWriter {
     private static final byte[] LAST_CHUNK = ascii("0\r\n\r\n");
     private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
@@ -78,9 +81,9 @@
     /**
      * Encodes one chunk.
      *
-     * @param part starts with the data of the chunk
-     * @param length of the data
-     * @return the chunk; empty for no data, since an empty chunk ends the body
+     * @param part array that begins with the data of the chunk; the bytes from {@code length} on are ignored
+     * @param length length of the data (bytes)
+     * @return the encoded chunk; an empty array if {@code length} is 0, since a chunk without data would end the body
      */
     public static byte[] chunk(byte[] part, int length) {
         if (length == 0) {
--- a/gateway/src/main/java/sandpaddle/decision/DefaultDecisionModule.java
+++ b/gateway/src/main/java/sandpaddle/decision/DefaultDecisionModule.java
@@ -26,14 +26,17 @@
  *
  * <ul>
  *   <li>{@code model}: state of engines and requests, and the event being handled
- *   <li>{@code loadview}: load of engines, estimates by class, arrival rate and traffic share
+ *   <li>{@code loadview}: load of engines, estimates of latency and work for each class, arrival rate and traffic share
  *   <li>{@code verdict}: the fleet's verdicts on engines
  *   <li>{@code slowstart}: rate limit of engines that are warming up
  *   <li>{@code concurrency}: concurrency limits and detection of overload
  *   <li>{@code retry}: retries, their budget, and ordering by key
- *   <li>{@code outlier}, {@code healthcheck}, {@code enginelist}: ejection, health checks, endpoint lists
+ *   <li>{@code outlier}: ejection of engines
+ *   <li>{@code healthcheck}: health checks
+ *   <li>{@code enginelist}: engine lists
  *   <li>{@code quota}: quotas of fleet-wide limits
- *   <li>{@code candidates}, {@code balancing}: the engines eligible for a request, and the choice among them
+ *   <li>{@code candidates}: the engines eligible for a request
+ *   <li>{@code balancing}: the choice among them
  *   <li>{@code completion}: completion of attempts and requests
  *   <li>{@code admission}: the request queue, and sending attempts
  * </ul>
@@ -41,12 +44,15 @@
 public final class DefaultDecisionModule implements DecisionModule {
     /** Token of the timer that triggers the next sweep. */
     private static final String SWEEP_TOKEN = "sweep";
-    /** Time without events (us) after which this gateway counts as stalled: its sweep is several intervals late. */
+    /**
+     * Time between two events (us) above which this gateway counts as stalled. Once sweeps have started, a timer event
+     * is due in every sweep interval, so a longer time means that a sweep is several intervals late.
+     */
     private static final long MIN_STALL_US = 4 * Sweep.INTERVAL_US;
 
     final DecisionParts parts;
     private final EventContext context;
-    private boolean sweeping;
+    private boolean sweepsStarted; // a sweep is scheduled at all times from the first request or engine list on
 
     /** Creates a module that knows no engines yet; {@code seed} seeds its random generator. */
     public DefaultDecisionModule(DecisionSettings settings, long seed) {
@@ -56,22 +62,22 @@
 
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> actions) {
-        boolean stalled = sweeping && nowUs - context.nowUs() > MIN_STALL_US;
+        boolean stalled = sweepsStarted && nowUs - context.nowUs() > MIN_STALL_US;
         context.begin(nowUs, actions);
         if (stalled) {
             context.recordStall();
         }
         dispatch(event);
-        // health checks and progress reports start no admission pass of their own; the next sweep runs one
+        // no admission pass after a health check or a progress report: the timer event of the next sweep runs one
         if (!(event instanceof HealthCheckEnded || event instanceof ProgressReported)) {
             parts.admissionQueue.admit();
-            parts.completion.giveUpLate();
+            parts.completion.giveUpExpectedLate();
         }
     }
 
     private void dispatch(Event event) {
         if (event instanceof RequestReceived received) {
-            startSweeping();
+            startSweeps();
             parts.intake.receive(received);
         } else if (event instanceof AttemptEnded ended) {
             parts.attemptCompletion.end(ended);
@@ -81,7 +87,7 @@
             parts.quotaCheck.replace(quotas);
         } else if (event instanceof EngineVerdictsChanged changed) {
             parts.verdicts.replace(changed);
-            parts.slowStart.beginByVerdicts();
+            parts.slowStart.beginAfterWarmingUpVerdicts();
         } else if (event instanceof ClientDisconnected disconnected) {
             abandon(disconnected);
         } else if (event instanceof HealthCheckEnded ended) {
@@ -96,7 +102,7 @@
     private void receiveList(EngineListReceived list) {
         if (list.kind() != EngineListKind.FAILED) {
             parts.engineLists.receive(list);
-            startSweeping();
+            startSweeps();
         }
     }
 
@@ -114,9 +120,9 @@
         }
     }
 
-    private void startSweeping() {
-        if (!sweeping) {
-            sweeping = true;
+    private void startSweeps() {
+        if (!sweepsStarted) {
+            sweepsStarted = true;
             parts.arrivals.start();
             scheduleSweep();
         }
--- a/gateway/src/main/java/sandpaddle/decision/action/SubscribeToEngineList.java
+++ b/gateway/src/main/java/sandpaddle/decision/action/SubscribeToEngineList.java
@@ -1,4 +1,4 @@
 package sandpaddle.decision.action;
 
-/** Subscribes to changes of the endpoint list. */
+/** Subscribes to changes of the engine list. */
 public record SubscribeToEngineList() implements Action {}
--- a/gateway/src/main/java/sandpaddle/decision/balancing/LeastLoadBalancer.java
+++ b/gateway/src/main/java/sandpaddle/decision/balancing/LeastLoadBalancer.java
@@ -15,7 +15,8 @@
 
 /**
  * Chooses the engine for a request by the dynamic allocation step of LBQP (load-balanced query processing), with the
- * load counted per class as in BNQRD (balance the number of queries by resource demands). Engines whose load of the
+ * load counted per class as in BNQRD (balance the number of queries by resource demands). Both are of M. J. Carey and
+ * H. Lu, "Load Balancing in a Locally Distributed Database System", SIGMOD 1986. Engines whose load of the
  * request's class exceeds the average expected after the allocation are eliminated, and the least loaded of the others
  * is chosen. Ties are broken in a way that keeps gateways from all choosing the same engine.
  */
--- a/gateway/src/main/java/sandpaddle/decision/candidates/CandidateFilter.java
+++ b/gateway/src/main/java/sandpaddle/decision/candidates/CandidateFilter.java
@@ -16,7 +16,8 @@
 
 /**
  * Determines the engines that a request may be sent to: by placement, deduplication, draining, slow start, health and
- * quotas. In LBQP this is the set of sites that hold a copy of the data; concurrency limits are applied afterwards.
+ * quotas. In LBQP (see {@link sandpaddle.decision.balancing.LeastLoadBalancer}) this is the set of sites that hold a
+ * copy of the data. Concurrency limits are applied afterwards.
  */
 public final class CandidateFilter {
     /** Share of healthy cores below which health is ignored, since a common cause may make all engines look faulty. */
--- a/gateway/src/main/java/sandpaddle/decision/completion/RequestCompletion.java
+++ b/gateway/src/main/java/sandpaddle/decision/completion/RequestCompletion.java
@@ -54,7 +54,7 @@
     /**
      * Gives up the queued requests that are unlikely to be answered when due, or that the next sweep would find late.
      */
-    public void giveUpLate() {
+    public void giveUpExpectedLate() {
         for (PendingRequest request : requests.queued()) {
             long neededUs = (long) (MIN_LATENCIES_LEFT * estimators.expectedLatencyUs(request));
             if (context.nowUs() + Math.max(neededUs, Sweep.INTERVAL_US) > request.dueAtUs()) {
--- a/gateway/src/main/java/sandpaddle/decision/concurrency/IdleCapacity.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/IdleCapacity.java
@@ -12,14 +12,17 @@
 
 /**
  * Token bucket for work sent to lightly loaded engines while the fleet is overloaded. All gateways see the same engines
- * as lightly loaded, so each sends them work at a limited rate, starting from a pseudo-random negative balance.
+ * as lightly loaded, so each sends them work at a limited rate. The bucket starts with a pseudo-random debt that
+ * differs between gateways, so that they do not all send at once when the overload begins (see {@link
+ * Estimators#initialDebtUs}).
  */
 public final class IdleCapacity {
     /**
-     * Multiple of its traffic share of the spare capacity that a gateway may use: few gateways have queued requests.
+     * A gateway may use this multiple of its traffic share of the spare capacity. It is above 1 because few gateways
+     * have queued requests, and the others leave their shares unused.
      */
     private static final double TRAFFIC_SHARE_MULTIPLE = 3;
-    /** Hash key of the initial debt, in place of an engine's id. */
+    /** Key of this bucket for {@link Estimators#initialDebtUs}, which otherwise takes an engine's id. */
     private static final String IDLE_CAPACITY_KEY = "";
 
     private final EventContext context;
@@ -39,14 +42,18 @@
         loadView = load.loadView();
     }
 
-    /** Sets the rate from the spare capacity that fresh reports show, given the number of fresh reports. */
+    /**
+     * Sets the refill rate from the spare capacity that load reports show.
+     *
+     * @param freshReports number of engines with a fresh report, at least 1
+     */
     void update(long freshReports) {
-        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
-        double spareFractions = engines.up().stream()
+        // DoubleStream.sum compensates rounding errors; a loop can differ in the last digits, and so change a decision
+        double spareFractionSum = engines.up().stream()
                 .filter(loadView::isLightlyLoaded)
                 .mapToDouble(IdleCapacity::spareFraction)
                 .sum();
-        rate = TRAFFIC_SHARE_MULTIPLE * traffic.share() * engines.totalCores() * spareFractions / freshReports;
+        rate = TRAFFIC_SHARE_MULTIPLE * traffic.share() * engines.totalCores() * spareFractionSum / freshReports;
     }
 
     private static double spareFraction(EngineState engine) {
--- a/gateway/src/main/java/sandpaddle/decision/enginelist/EngineListTracker.java
+++ b/gateway/src/main/java/sandpaddle/decision/enginelist/EngineListTracker.java
@@ -9,7 +9,7 @@
 import sandpaddle.decision.model.EventContext;
 import sandpaddle.decision.outlier.OutlierDetection;
 
-/** Applies endpoint lists; the state of an engine that is new or has restarted is reset, and it warms up. */
+/** Applies engine lists; the state of an engine that is new or has restarted is reset, and it warms up. */
 public final class EngineListTracker {
     private final EventContext context;
     private final EngineRegistry engines;
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineEntry.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineEntry.java
@@ -1,7 +1,7 @@
 package sandpaddle.decision.event;
 
 /**
- * One engine of the endpoint list.
+ * One engine of the engine list.
  *
  * @param id opaque identifier
  * @param zone position of its zone in the settings, or -1
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineListKind.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineListKind.java
@@ -1,6 +1,6 @@
 package sandpaddle.decision.event;
 
-/** How the entries of an endpoint list relate to the engines already known. */
+/** How the entries of an engine list relate to the engines already known. */
 public enum EngineListKind {
     /** Entries that changed; the others stay. */
     CHANGES,
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineListReceived.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineListReceived.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A poll of the endpoint list ended, or a watch event arrived.
+ * A poll of the engine list (the platform's endpoint list) ended, or a watch event arrived.
  *
  * @param kind how {@code entries} relate to the engines already known
  * @param entries the engines; empty where the poll failed
--- a/gateway/src/main/java/sandpaddle/decision/event/EngineStatus.java
+++ b/gateway/src/main/java/sandpaddle/decision/event/EngineStatus.java
@@ -1,6 +1,6 @@
 package sandpaddle.decision.event;
 
-/** Status of an engine in the endpoint list. */
+/** Status of an engine in the engine list. */
 public enum EngineStatus {
     /** The engine may be sent new attempts. */
     UP,
--- a/gateway/src/main/java/sandpaddle/decision/loadview/Estimators.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/Estimators.java
@@ -142,7 +142,7 @@
     public double initialDebtUs(String engineId) {
         long key = context.nowUs();
         int gateway = settings.gatewayIndex();
-        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
+        // DoubleStream.sum compensates rounding errors; a loop can differ in the last digits, and so change a decision
         double totalWorkUs =
                 Arrays.stream(byClass).mapToDouble(ClassEstimates::totalWorkUs).sum();
         double position = RendezvousHash.hash(key + gateway, engineId) * totalWorkUs;
--- a/gateway/src/main/java/sandpaddle/decision/loadview/LoadView.java
+++ b/gateway/src/main/java/sandpaddle/decision/loadview/LoadView.java
@@ -13,7 +13,8 @@
 
 /**
  * Load of the engines as this gateway estimates it: its own queries, and the queries of all gateways from load reports,
- * scaled by its share of the traffic. These scaled reports replace the load vector that LBQP assumes all sites share.
+ * scaled by its share of the traffic. These scaled reports replace the load vector that LBQP (see {@link
+ * sandpaddle.decision.balancing.LeastLoadBalancer}) assumes all sites share.
  */
 public final class LoadView {
     /** Threads per core from which an engine is busy: near the usual knee of its latency curve. */
--- a/gateway/src/main/java/sandpaddle/decision/model/EngineRegistry.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/EngineRegistry.java
@@ -14,7 +14,7 @@
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.EngineKind;
 
-/** Registry of the engines of the endpoint list and of the health scopes of their zones. */
+/** Registry of the engines of the engine list and of the health scopes of their zones. */
 public final class EngineRegistry {
     private final DecisionSettings settings;
     private final Map<String, EngineState> engines = new LinkedHashMap<>();
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Applies an endpoint list.
+     * Applies an engine list.
      *
      * @return the engines that are new, or whose process has restarted
      */
--- a/gateway/src/main/java/sandpaddle/decision/model/EngineState.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/EngineState.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import sandpaddle.decision.event.EngineEntry;
 
-/** State of one engine. {@link EngineRegistry} sets the fields that come from the endpoint list. */
+/** State of one engine. {@link EngineRegistry} sets the fields that come from the engine list. */
 public final class EngineState {
     private final String id;
     private final ThreadUsage threads;
@@ -31,13 +31,13 @@
         }
     }
 
-    /** Sets the entry of the endpoint list and the health scope of the engine's zone. */
+    /** Sets the entry of the engine list and the health scope of the engine's zone. */
     void update(EngineEntry newEntry, HealthScope zone) {
         entry = newEntry;
         zoneHealth = zone;
     }
 
-    /** Sets whether the endpoint list states the engine as up. */
+    /** Sets whether the engine list states the engine as up. */
     void setUp(boolean value) {
         up = value;
     }
@@ -64,12 +64,12 @@
         return id;
     }
 
-    /** Returns the engine's entry in the endpoint list. */
+    /** Returns the engine's entry in the engine list. */
     public EngineEntry entry() {
         return entry;
     }
 
-    /** Whether the endpoint list states the engine as up. */
+    /** Whether the engine list states the engine as up. */
     public boolean isUp() {
         return up;
     }
--- a/gateway/src/main/java/sandpaddle/decision/model/WarmUpState.java
+++ b/gateway/src/main/java/sandpaddle/decision/model/WarmUpState.java
@@ -18,7 +18,7 @@
         unreachableAtUs = nowUs;
     }
 
-    /** Clears the record that the engine was unreachable, since the endpoint list now states its start. */
+    /** Clears the record that the engine was unreachable, since the engine list now states its start. */
     public void clearUnreachable() {
         unreachableAtUs = EventContext.NEVER;
     }
--- a/gateway/src/main/java/sandpaddle/decision/outlier/OutlierDetection.java
+++ b/gateway/src/main/java/sandpaddle/decision/outlier/OutlierDetection.java
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Records a failed connection. An engine that was unreachable may have restarted, which the endpoint list states
+     * Records a failed connection. An engine that was unreachable may have restarted, which the engine list states
      * seconds late, so its slow start begins. A single failed connection is not sufficient for that: it takes two in a
      * row, or half of the engines of the zone.
      */
--- a/gateway/src/main/java/sandpaddle/decision/settings/DecisionSettings.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/DecisionSettings.java
@@ -8,7 +8,7 @@
  * @param gateways gateways in the deployment
  * @param gatewayIndex this gateway's index among them
  * @param zone index of this gateway's zone, -1 where it is in none
- * @param subscribe whether changes of the endpoint list must be subscribed to
+ * @param subscribe whether changes of the engine list must be subscribed to
  * @param classes request classes, by class index
  * @param kinds machine kinds, by kind index
  * @param reportFields fields of a load report in their order, null for an unknown field; empty where reports are not
--- a/gateway/src/main/java/sandpaddle/decision/settings/PlatformRules.java
+++ b/gateway/src/main/java/sandpaddle/decision/settings/PlatformRules.java
@@ -5,7 +5,7 @@
  *
  * @param answerSlackUs time after the deadline by which the final answer must have been sent
  * @param drainGraceUs time after a drain notice within which an attempt may still start there
- * @param pollWithinUs greatest interval between polls of the endpoint list
+ * @param pollWithinUs greatest interval between polls of the engine list
  * @param slowStartFrom share of its capacity that an engine has right after its start, from 0 to 1
  * @param slowStartUs duration of the slow start, over which the capacity grows linearly to 1
  * @param overloadMultiple multiple of its present capacity at which an engine that is warming up collapses
--- a/gateway/src/main/java/sandpaddle/decision/slowstart/SlowStart.java
+++ b/gateway/src/main/java/sandpaddle/decision/slowstart/SlowStart.java
@@ -68,7 +68,7 @@
     }
 
     /** Begins the slow start of engines whose restart is known only from a fleet verdict so far. */
-    public void beginByVerdicts() {
+    public void beginAfterWarmingUpVerdicts() {
         for (EngineState engine : engines.up()) {
             WarmUpState warmUp = engine.warmUp();
             long sinceUs = verdicts.sinceUs(engine.id(), EngineCondition.WARMING_UP);
@@ -130,7 +130,7 @@
     }
 
     private double warmCores() {
-        // DoubleStream.sum compensates rounding errors; a loop would give a sum with different last digits
+        // DoubleStream.sum compensates rounding errors; a loop can differ in the last digits, and so change a decision
         return engines.up().stream()
                 .filter(this::isWarm)
                 .mapToDouble(EngineState::cores)
--- a/gateway/src/main/java/sandpaddle/engineclient/ResponseClassification.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ResponseClassification.java
@@ -1,12 +1,13 @@
 package sandpaddle.engineclient;
 
 /**
- * What an engine's response to a call proves about the query. The only class that interprets responses;
- * docs/design/ends-of-attempts.md has the table and its reasons.
+ * What an engine's response to a call proves about the query, for example that it has run or never ran. Only this class
+ * derives that from a response; docs/design/ends-of-attempts.md has the table and its reasons.
  *
- * <p>Only the response to the POST may prove that a query never ran. Later calls are mostly sent because a response was
- * lost, and an engine without a free connection declines new connections without reading the call: to treat that as the
- * end of the query would run non-idempotent work twice.
+ * <p>Only a response to the POST can prove that a query never ran. By the time of a later call, a GET, the query may
+ * have run even if no response arrived. An engine without a free connection declines a new connection without reading
+ * the call. If that were taken as proof that the query never ran, it would be sent again, and work that is not
+ * idempotent could run twice.
  */
 enum ResponseClassification {
     /** A page of the result; the query has run. */
@@ -15,15 +16,15 @@
     IN_PROGRESS,
     /** The engine has no capacity for the query; it never ran. */
     DECLINED,
-    /** The query's time was over before it began; it never ran. */
+    /** The query's timeout passed before the engine began to run it; it never ran. */
     EXPIRED,
     /** The engine declined the connection without reading the call; proves nothing about the query. */
     CONNECTION_DECLINED,
-    /** An error, or a query that the engine no longer knows; the query may have run and is not running. */
+    /** The engine reported an error, or does not know the query any more; it may have run and is not running now. */
     FAILED,
     /** The query may have run and may still be running. */
     UNCERTAIN,
-    /** Not a response of the protocol, or not to this call; the query may be running. */
+    /** The response does not follow the protocol or does not fit this call; the query may be running. */
     UNREADABLE;
 
     private static final int STATUS_OK = 200;
@@ -35,11 +36,12 @@
     /**
      * The call that a response belongs to.
      *
-     * @param post whether it was the POST, else a GET
-     * @param page the page polled; 0 for the end of the query
+     * @param post whether the call is the POST, which sends the query; otherwise it is a GET, which polls for its
+     *     result
+     * @param page number of the result page that the call asks for; page 0 is available when the query has ended
      * @param newConnection whether the connection was established for this call
-     * @param knownToEngine whether an earlier response showed that the engine accepted the query
-     * @param responseLost whether an earlier response was lost, so that the engine may still read the POST
+     * @param knownToEngine whether an earlier response showed that the engine has read the POST
+     * @param responseLost whether an earlier call got no readable response: the engine may not have read the POST yet
      */
     record Call(boolean post, int page, boolean newConnection, boolean knownToEngine, boolean responseLost) {}
 
@@ -62,10 +64,10 @@
         };
     }
 
-    private static ResponseClassification ofDecline(boolean unavailable, Call call) {
+    private static ResponseClassification ofDecline(boolean isUnavailable, Call call) {
         if (call.post) {
-            return unavailable ? DECLINED : EXPIRED;
+            return isUnavailable ? DECLINED : EXPIRED;
         }
-        return unavailable && call.newConnection ? CONNECTION_DECLINED : UNCERTAIN;
+        return isUnavailable && call.newConnection ? CONNECTION_DECLINED : UNCERTAIN;
     }
 }
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GatewayState.java
@@ -7,8 +7,8 @@
 import sandpaddle.fleet.limit.wire.Heartbeat;
 
 /**
- * The leader's state of one gateway: when its last heartbeat was received, and which heartbeats may be confirmed. Owned
- * by {@link QuotaAllocator}.
+ * The leader's state of one gateway: when its last heartbeat was received, and which heartbeats may be confirmed. Used
+ * only by {@link QuotaAllocator} and its parts, on its thread.
  */
 final class GatewayState {
     private static final int MAX_PENDING = 64;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GrantBuilder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/GrantBuilder.java
@@ -16,8 +16,11 @@
 import sandpaddle.fleet.limit.wire.SlotGrant;
 
 /**
- * Builds the grants that are due: unacknowledged quotas, limits that a gateway does not know yet, and confirmations of
- * heartbeats. Owned by {@link QuotaAllocator}.
+ * Builds the {@link QuotaGrant} messages to send now, at most one for each gateway. A message has a {@link SlotGrant}
+ * for each quota to send, confirms the gateway's latest heartbeat that may be confirmed, and has all limits if the
+ * gateway does not know the current ones. It is sent if it has a slot grant or a new confirmation. It is also sent if
+ * the gateway's session or epoch is out of date and the last message was sent at least a resend interval ago. Used only
+ * by {@link QuotaAllocator}, on its thread.
  */
 final class GrantBuilder {
     private final LimitSettings settings;
@@ -28,14 +31,14 @@
         this.table = table;
     }
 
-    List<QuotaGrant> build(long nowUs, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
+    List<QuotaGrant> buildAll(long nowUs, Map<String, GatewayState> gateways, Map<String, LimitAllocator> allocators) {
         Map<String, List<SlotGrant>> slotGrants = new TreeMap<>();
         allocators.forEach((limit, allocator) -> addSlotGrants(nowUs, limit, allocator, gateways, slotGrants));
         List<QuotaGrant> grants = new ArrayList<>();
         gateways.forEach((name, gateway) -> {
-            GatewayRow row = table.members().get(name);
-            if (row != null && gateway.incarnation != 0 && gateway.incarnation == row.incarnation()) {
-                build(nowUs, row, gateway, slotGrants.getOrDefault(name, List.of()))
+            GatewayRow gatewayRow = table.members().get(name);
+            if (gatewayRow != null && gateway.incarnation != 0 && gateway.incarnation == gatewayRow.incarnation()) {
+                buildFor(nowUs, gatewayRow, gateway, slotGrants.getOrDefault(name, List.of()))
                         .ifPresent(grants::add);
             }
         });
@@ -48,15 +51,15 @@
             LimitAllocator allocator,
             Map<String, GatewayState> gateways,
             Map<String, List<SlotGrant>> slotGrants) {
-        LimitRow row = table.limits().get(limit);
-        if (row == null || allocator.settled) {
+        LimitRow limitRow = table.limits().get(limit);
+        if (limitRow == null || allocator.allAcknowledged) {
             return;
         }
-        allocator.settled = true;
+        allocator.allAcknowledged = true;
         allocator.slotStates.forEach((name, state) -> {
-            SlotAllocation slot = row.slot(name);
+            SlotAllocation slot = limitRow.slot(name);
             if (state.isUnacknowledged(slot)) {
-                allocator.settled = false;
+                allocator.allAcknowledged = false;
                 GatewayState gateway = gateways.get(name.member());
                 if (gateway != null && gateway.incarnation != 0) {
                     addSlotGrant(nowUs, limit, name, state, slot, slotGrants);
@@ -73,20 +76,21 @@
             SlotAllocation slot,
             Map<String, List<SlotGrant>> slotGrants) {
         SlotGrant grant = state.dueGrant(nowUs, limit, name.tenant(), slot, settings);
-        List<SlotGrant> ofGateway = slotGrants.computeIfAbsent(name.member(), missing -> new ArrayList<>());
-        if (grant != null && ofGateway.size() < QuotaGrant.MAX_SLOTS) {
-            ofGateway.add(grant);
+        List<SlotGrant> slotGrantsOfGateway = slotGrants.computeIfAbsent(name.member(), missing -> new ArrayList<>());
+        if (grant != null && slotGrantsOfGateway.size() < QuotaGrant.MAX_SLOTS) {
+            slotGrantsOfGateway.add(grant);
             state.recordSent(nowUs, grant);
         }
     }
 
-    /** The grant for one gateway; empty if none is due. */
-    private Optional<QuotaGrant> build(long nowUs, GatewayRow row, GatewayState gateway, List<SlotGrant> slotGrants) {
-        long confirmed = gateway.confirmedSequence(row);
-        boolean stale = gateway.session != row.session() || gateway.epoch != table.epoch();
+    /** The message for one gateway; empty if none is to be sent now. */
+    private Optional<QuotaGrant> buildFor(
+            long nowUs, GatewayRow gatewayRow, GatewayState gateway, List<SlotGrant> slotGrants) {
+        long confirmed = gateway.confirmedSequence(gatewayRow);
+        boolean isOutOfDate = gateway.session != gatewayRow.session() || gateway.epoch != table.epoch();
         boolean due = !slotGrants.isEmpty()
                 || confirmed > gateway.sentConfirmedSequence
-                || stale && nowUs - gateway.lastGrantAtUs >= settings.resendIntervalUs();
+                || isOutOfDate && nowUs - gateway.lastGrantAtUs >= settings.resendIntervalUs();
         if (!due) {
             return Optional.empty();
         }
@@ -95,9 +99,9 @@
         boolean includesLimits = gateway.epoch != table.epoch();
         List<LimitSpec> limits = includesLimits ? List.copyOf(table.specs().values()) : List.of();
         return Optional.of(new QuotaGrant(
-                row.name(),
-                row.incarnation(),
-                row.session(),
+                gatewayRow.name(),
+                gatewayRow.incarnation(),
+                gatewayRow.session(),
                 confirmed,
                 table.epoch(),
                 includesLimits,
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitAllocator.java
@@ -14,7 +14,8 @@
 /**
  * Moves the quotas of one limit towards their targets, reducing first. Unallocated quota goes to the slots that are
  * short. Others are requested to give up quota only if a slot is short by more than the rebalance band, so that noise
- * moves no quota; and they give up only what exceeds their own target. Owned by {@link QuotaAllocator}.
+ * moves no quota; and they give up only what exceeds their own target. Used only by {@link
+ * QuotaAllocator} and its parts, on its thread.
  */
 final class LimitAllocator {
     /** Max number of slots of one limit that a leader plans. */
@@ -38,7 +39,7 @@
     private final LimitSettings settings;
     final TreeMap<SlotName, SlotState> slotStates = new TreeMap<>();
     boolean dirty = true; // whether something changed since the last plan
-    boolean settled; // whether all gateways have acknowledged their quotas
+    boolean allAcknowledged; // whether grants were built since the last plan and all quotas were acknowledged then
     private long seenRevision = -1;
     private long plannedAtUs = Long.MIN_VALUE / 2; // long ago
 
@@ -67,10 +68,11 @@
      * Whether the limit must be planned now: something changed, or the last plan is old, as shares change with time.
      */
     boolean isDue(long nowUs, LimitRow row) {
-        long wait = settled ? Math.max(IDLE_INTERVAL_US, settings.resendIntervalUs()) : settings.resendIntervalUs();
+        long wait =
+                allAcknowledged ? Math.max(IDLE_INTERVAL_US, settings.resendIntervalUs()) : settings.resendIntervalUs();
         boolean due = dirty || seenRevision != row.revision() || nowUs - plannedAtUs >= wait;
         if (due) {
-            settled = false;
+            allAcknowledged = false;
             dirty = false;
             seenRevision = row.revision();
             plannedAtUs = nowUs;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/LimitPlanner.java
@@ -19,7 +19,7 @@
 
 /**
  * Collects the demand for one limit, computes the targets of its slots, and lets the limit's allocator move quotas
- * towards them. Owned by {@link QuotaAllocator}.
+ * towards them. Used only by {@link QuotaAllocator}, on its thread.
  */
 final class LimitPlanner {
     private final LimitSettings settings;
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/QuotaAllocator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/QuotaAllocator.java
@@ -142,7 +142,7 @@
         table.members().values().forEach(row -> proposeMemberChange(nowUs, row, proposals));
         proposeInstances(nowUs, proposals);
         proposeMoves(nowUs, proposals);
-        List<QuotaGrant> grants = new GrantBuilder(settings, table).build(nowUs, gateways, allocators);
+        List<QuotaGrant> grants = new GrantBuilder(settings, table).buildAll(nowUs, gateways, allocators);
         return new AllocatorOutput(proposals, grants);
     }
 
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SlotState.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/SlotState.java
@@ -6,7 +6,10 @@
 import sandpaddle.fleet.limit.wire.SlotGrant;
 import sandpaddle.fleet.limit.wire.SlotReport;
 
-/** The leader's state of one slot: the last report, grant and proposal. Owned by {@link QuotaAllocator}. */
+/**
+ * The leader's state of one slot: the last report, grant and proposal. Used only by {@link QuotaAllocator} and
+ * its parts, on its thread.
+ */
 final class SlotState {
     private static final double MIN_DEMAND_CHANGE = 0.01; // fraction by which demand must change to trigger a new plan
     final SmoothedDemand demand = new SmoothedDemand();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/table/LimitEpochs.java
@@ -5,7 +5,10 @@
 import java.util.Set;
 import sandpaddle.fleet.limit.LimitSpec;
 
-/** Applies commands that replace the limits of a table or create instances of limits with wildcards. */
+/**
+ * Applies the commands that replace the limits of a table, and those that create an instance of a limit. An instance of
+ * a limit with wildcards is a limit of its own, with the names of a query in place of the wildcards.
+ */
 final class LimitEpochs {
     private LimitEpochs() {}
 
@@ -20,7 +23,7 @@
                 return LimitCommandOutcome.refused(fault.orElse("limit " + spec.id() + " stands twice"));
             }
         }
-        LimitCommandOutcome tooLow = amountBelowFloors(table, command);
+        LimitCommandOutcome tooLow = refusalBelowFloors(table, command);
         if (tooLow != null) {
             return tooLow;
         }
@@ -38,6 +41,8 @@
                 .filter(row -> row.dropped && row.allocated == 0)
                 .toList()
                 .forEach(table::discard);
+        // the outcome is "done" even if a limit gets no new row here: if there are MAX_LIMITS rows already, or if a
+        // dropped row with its id still has quotas; only a later SetLimits or Instantiate command can create the row
         for (LimitSpec spec : command.limits()) {
             if (!spec.scope().hasWildcard() && table.limits.size() < QuotaTable.MAX_LIMITS) {
                 table.limits.putIfAbsent(spec.id(), new LimitRow(spec, spec.id()));
@@ -47,7 +52,12 @@
         return LimitCommandOutcome.done();
     }
 
-    /** Whether a row is still a limit, or an instance of the limit, that the new file defines. */
+    /**
+     * Whether the new file still defines the limit of a row.
+     *
+     * @param row row of a limit or of an instance
+     * @param spec limit of the new file with the row's parent id, or null if there is none
+     */
     private static boolean isDefinedBy(LimitRow row, LimitSpec spec) {
         return spec != null
                 && spec.unit() == row.spec.unit()
@@ -59,8 +69,11 @@
                         : spec.scope().equals(row.spec.scope()));
     }
 
-    /** Refuses an amount below the floors: gateways use their floors without a lease, so it could not be enforced. */
-    private static LimitCommandOutcome amountBelowFloors(QuotaTable table, LimitCommand.SetLimits command) {
+    /**
+     * Returns the refusal of the first limit whose amount is below the sum of the gateways' floors, or null if there is
+     * none. Gateways use their floors without a lease, so such an amount could not be enforced.
+     */
+    private static LimitCommandOutcome refusalBelowFloors(QuotaTable table, LimitCommand.SetLimits command) {
         for (LimitSpec spec : command.limits()) {
             for (LimitRow row : table.limits.values()) {
                 if (row.parentId.equals(spec.id()) && row.floorSum > spec.amount()) {
--- a/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameDecoder.java
+++ b/gateway/src/main/java/sandpaddle/fleet/link/frame/FrameDecoder.java
@@ -6,12 +6,12 @@
 import java.util.function.Predicate;
 
 /**
- * Splits a byte stream into frames: a big-endian length of four bytes, then the body. The bytes may be
- * split in any way. The buffer grows with the bytes received, not with the length in the header, so a peer cannot make
- * this process allocate memory without sending data; at most one frame is buffered. Not thread-safe.
+ * Splits a byte stream into frames: a big-endian length of four bytes, then the body. A frame may arrive in any number
+ * of pieces. The buffer grows with the bytes received, not with the length in the header, so a peer cannot make this
+ * process allocate memory without sending data; at most one frame is buffered. Not thread-safe.
  */
 public final class FrameDecoder {
-    /** Bytes of the length before each body. */
+    /** Size of the header, which gives the length of the body after it (bytes). */
     public static final int HEADER_BYTES = 4;
 
     private static final int INITIAL_CAPACITY = 16 << 10;
@@ -23,22 +23,22 @@
     private int bodyRead;
     private String fault = "";
 
-    /** Creates a decoder that rejects bodies of more than {@code maxBodyBytes}. */
+    /** Creates a decoder that rejects bodies of more than {@code maxBodyBytes} bytes. */
     public FrameDecoder(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Changes the bound, from the next header on. */
+    /** Changes the greatest length of a body (bytes); applies to headers that are not complete yet. */
     public void setMaxBodyBytes(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Decodes bytes until none is left, the sink returns false, or a header exceeds the bound.
+     * Decodes bytes until none is left, the sink returns false, or a header gives a length above the bound.
      *
      * @param bytes received bytes
-     * @param sink receives each complete body; false leaves the rest unread
-     * @return the error, after which nothing more is decoded
+     * @param sink receives each complete body; if it returns false, the bytes after that body stay in {@code bytes}
+     * @return empty if all is well; otherwise the error, which later calls return too without decoding anything
      */
     public Optional<String> decode(ByteBuffer bytes, Predicate<byte[]> sink) {
         while (bytes.hasRemaining() && fault.isEmpty()) {
--- a/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/agree/VoterThread.java
@@ -17,16 +17,18 @@
 import sandpaddle.fleet.store.VoterStore;
 
 /**
- * Runs the {@link Voter} on its own thread ({@code fleet-raft}), so that a slow disk sync delays neither queries nor
- * heartbeats. Calls are queued, and their outcomes are reported on the fleet's thread. While another process has the
- * directory locked, opening it is retried every 2 s and this gateway does not vote.
+ * Runs the {@link Voter} on its own thread, so that a slow disk sync delays neither queries nor heartbeats. The thread
+ * is named {@code fleet-raft}; comments call it the consensus thread. Calls are accepted on any thread and queued for
+ * it. Their outcomes are passed to the fleet executor, whose thread ({@code fleet}, "the fleet's thread") runs this
+ * gateway's other fleet code. If the voter's directory cannot be opened, for example because another process has locked
+ * it, opening it is retried every 2 s, and until then this gateway does not vote.
  */
 public final class VoterThread implements AutoCloseable {
     /**
      * State of this gateway in the consensus group after the last step.
      *
      * @param phase name of the {@link Voter.VoterPhase}, or {@code NO_STORE} before the directory was opened
-     * @param isLeader whether this gateway believes to be the leader
+     * @param isLeader whether this gateway is the leader as far as it knows; another may have been elected since
      * @param term highest known term
      * @param leader name of the leader, if one is known
      * @param voters names of the gateways that vote
@@ -69,14 +71,14 @@
     private volatile boolean closed;
 
     /**
-     * Starts the thread.
+     * Starts the consensus thread.
      *
      * @param settings settings of the voter
-     * @param storeOpener opens the store, on the new thread
+     * @param storeOpener opens the store, on the consensus thread
      * @param machine the replicated state machine
-     * @param callbacks sends messages and writes log lines, on the new thread
+     * @param callbacks sends messages and writes log lines, on the consensus thread
      * @param clock the monotonic clock
-     * @param fleetExecutor runs the outcomes of calls on the fleet's thread
+     * @param fleetExecutor runs the outcomes of calls, on the fleet's thread
      * @param seed seed of the random decisions of Raft
      */
     public VoterThread(
@@ -161,7 +163,11 @@
         return !closed && queue.offer(task);
     }
 
-    /** As {@link Consensus#propose}; {@code outcome} is called on the fleet's thread. */
+    /**
+     * Queues a proposal, see {@link Consensus#propose}; from any thread. {@code outcome} is called on the fleet's
+     * thread: with {@code NotLeader} also if the store is not open, with {@code Unknown} also if the queue is full or
+     * this object is closed. A proposal that is still queued when this object is closed gets no outcome.
+     */
     public void propose(byte[] command, Consumer<Consensus.ProposalOutcome> outcome) {
         Consumer<Consensus.ProposalOutcome> onFleetThread =
                 result -> fleetExecutor.execute(() -> outcome.accept(result));
@@ -176,7 +182,11 @@
         }
     }
 
-    /** As {@link Consensus#confirmLeadership}; {@code outcome} is called on the fleet's thread. */
+    /**
+     * Queues a check of the leadership, see {@link Consensus#confirmLeadership}; from any thread. {@code outcome} is
+     * called on the fleet's thread: with false also if the store is not open, the queue is full or this object is
+     * closed. A check that is still queued when this object is closed gets no outcome.
+     */
     public void confirmLeadership(Consumer<Boolean> outcome) {
         Consumer<Boolean> onFleetThread = isLeader -> fleetExecutor.execute(() -> outcome.accept(isLeader));
         if (!enqueue(() -> {
@@ -191,8 +201,9 @@
     }
 
     /**
-     * As {@link Consensus#changeVoters}; {@code outcome} is called on the fleet's thread, and not at all if the queue
-     * is full or the store is not open.
+     * Queues a change of the voters, see {@link Consensus#changeVoters}; from any thread. If the queue is full, the
+     * store is not open or this object is closed, the change is dropped and {@code outcome} is never called. Otherwise
+     * {@code outcome} is called on the fleet's thread.
      */
     public void changeVoters(List<String> names, Consumer<Consensus.ProposalOutcome> outcome) {
         Consumer<Consensus.ProposalOutcome> onFleetThread =
@@ -204,7 +215,10 @@
         });
     }
 
-    /** Receives a consensus message of a peer. It is dropped if the queue is full; Raft tolerates lost messages. */
+    /**
+     * Queues a consensus message of a peer; from any thread. It is dropped if the queue is full or the store is not
+     * open, as Raft tolerates lost messages.
+     */
     public void receive(String from, byte[] message) {
         enqueue(() -> {
             if (voter != null) {
@@ -213,12 +227,18 @@
         });
     }
 
-    /** Runs a task that may wait for the disk on this thread; it is dropped if the queue is full. */
+    /**
+     * Queues a task for the consensus thread, where it may wait for the disk; from any thread. It is dropped if the
+     * queue is full.
+     */
     public void execute(Runnable task) {
         enqueue(task);
     }
 
-    /** Reads the replicated state while no command is applied; from any thread. */
+    /**
+     * Reads the replicated state, see {@link FleetStateMachine#read}; from any thread. Commands are not applied until
+     * {@code reader} returns, so it must be short and must not block.
+     */
     public <T> T read(Supplier<T> reader) {
         return machine.read(reader);
     }
--- a/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * A replicated log of commands, on which the voters agree. All calls and callbacks are made on the
- * consensus thread.
+ * A replicated log of commands, on which the voters agree. All calls and callbacks are made on the consensus thread
+ * ({@code fleet-raft}).
  */
 public interface Consensus {
     /** The outcome of a proposal. */
@@ -43,7 +43,7 @@
      */
     void confirmLeadership(Consumer<Boolean> leads);
 
-    /** Whether this gateway believes to be the leader. */
+    /** Whether this gateway is the leader as far as it knows; another may have been elected since. */
     boolean isLeader();
 
     /** The highest term that this gateway knows of. */
--- a/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetStateMachine.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/machine/FleetStateMachine.java
@@ -76,7 +76,8 @@
     }
 
     /**
-     * Reads the state while no command is applied; from any thread. {@code reader} must be short and must not block.
+     * Reads the state under the lock; from any thread. Commands are not applied until {@code reader} returns, so it
+     * must be short and must not block.
      */
     public <T> T read(Supplier<T> reader) {
         lock.lock();
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/SnapshotRepair.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/SnapshotRepair.java
@@ -7,11 +7,16 @@
 import java.util.NavigableMap;
 
 /**
- * Works around a fault of MicroRaft 0.7. If a follower no longer has the entry that an append request builds on,
- * because a snapshot covers it, it responds that its log does not match; and the leader, which knows that the entry
- * matched before, neither decrements nor increments the follower's next index. After one lost response such a follower
- * never gets another entry. But the entries that a snapshot covers are committed, so every leader has the same ones:
- * the request may be shortened to the entries after the snapshot, or be answered with success.
+ * Works around a fault of MicroRaft 0.7.
+ *
+ * <p>Cause: an append request names the entry before its own entries (prevLogIndex). If a snapshot of the follower
+ * covers that entry, the follower no longer has it, and responds that its log does not match. But for the leader the
+ * entry is not above the follower's match index, so it leaves the follower's next index as it is.
+ *
+ * <p>Effect: after one lost response, the leader repeats the same request, and the follower never gets another entry.
+ *
+ * <p>Workaround: the entries that a snapshot covers are committed, so every leader has the same ones. The request may
+ * therefore be shortened to the entries after the snapshot. If it has none, it may be answered with success.
  */
 final class SnapshotRepair {
     /** What to do with an append request. */
@@ -29,12 +34,13 @@
         /**
          * Deliver it, and replace a failure response by a success.
          *
-         * @param lastIndex index of the last entry, up to which the log matches
+         * @param lastIndex index of the request's last entry; up to it the follower's log matches the leader's
          */
         record AlreadyStored(long lastIndex) implements Action {}
 
         /**
-         * Truncate entries of another leader that were not committed, and restart.
+         * Do not deliver it: remove uncommitted entries of another leader from the store, then create a new {@link
+         * RaftIncarnation} from the store.
          *
          * @param index index of the first entry to remove
          */
@@ -53,31 +59,32 @@
      */
     static Action decide(
             AppendEntriesRequest request, NavigableMap<Long, Integer> termsByIndex, RaftLogStats logStats, int term) {
-        long before = request.getPreviousLogIndex();
-        long last = logStats.getLastLogOrSnapshotIndex();
-        long snapshot = logStats.getLastSnapshotIndex();
+        long previousIndex = request.getPreviousLogIndex();
+        long lastIndex = logStats.getLastLogOrSnapshotIndex();
+        long snapshotIndex = logStats.getLastSnapshotIndex();
         if (request.getTerm() != term
-                || before == 0
-                || before >= last
-                || termsByIndex.containsKey(before)
-                || before > snapshot) {
+                || previousIndex == 0
+                || previousIndex >= lastIndex
+                || termsByIndex.containsKey(previousIndex)
+                || previousIndex > snapshotIndex) {
             return new Action.Unchanged();
         }
-        long end = before + request.getLogEntries().size();
-        if (end <= snapshot) {
-            return new Action.AlreadyStored(end);
+        long requestEndIndex = previousIndex + request.getLogEntries().size();
+        if (requestEndIndex <= snapshotIndex) {
+            return new Action.AlreadyStored(requestEndIndex);
         }
-        if (last == snapshot) {
-            return shorten(request, snapshot, logStats.getLastSnapshotTerm());
+        if (lastIndex == snapshotIndex) {
+            return shorten(request, snapshotIndex, logStats.getLastSnapshotTerm());
         }
-        if (termsByIndex.containsKey(snapshot)) {
-            return shorten(request, snapshot, termsByIndex.get(snapshot));
+        if (termsByIndex.containsKey(snapshotIndex)) {
+            return shorten(request, snapshotIndex, termsByIndex.get(snapshotIndex));
         }
-        long first = snapshot + 1;
-        LogEntry received = request.getLogEntries().get((int) (first - before - 1));
-        return termsByIndex.get(first) != null && termsByIndex.get(first) == received.getTerm()
-                ? shorten(request, first, received.getTerm())
-                : new Action.Conflict(first);
+        long firstAfterSnapshot = snapshotIndex + 1;
+        LogEntry received = request.getLogEntries().get((int) (firstAfterSnapshot - previousIndex - 1));
+        return termsByIndex.get(firstAfterSnapshot) != null
+                        && termsByIndex.get(firstAfterSnapshot) == received.getTerm()
+                ? shorten(request, firstAfterSnapshot, received.getTerm())
+                : new Action.Conflict(firstAfterSnapshot);
     }
 
     private static Action shorten(AppendEntriesRequest request, long previousIndex, int previousTerm) {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictEvaluator.java
@@ -19,13 +19,24 @@
 import sandpaddle.fleet.verdict.judge.EngineVotes.Accusation;
 
 /**
- * Derives verdicts from evidence. Each gateway evaluates its own {@link EvidenceStore}, so no verdict depends on a
- * leader or a request. Stores with the same content give the same verdicts, except for flap damping, which depends on
- * earlier verdicts. Evidence on engines by gateways that suspect themselves is ignored. No verdict outlives the lease
- * of its evidence.
+ * Derives verdicts from evidence. Each gateway evaluates its own {@link EvidenceStore}, without a leader and without
+ * asking another gateway.
  *
- * <p>Cost of an evaluation: one pass over the evidence. Memory: a few numbers for each listed engine. Not
- * thread-safe: owned by the fleet's thread.
+ * <p>Gateways whose stores, members, engine list and tenant quotas are the same give the same verdicts, except where a
+ * verdict depends on:
+ *
+ * <ul>
+ *   <li>the gateway itself: engines that its own zone cannot reach, whether it is a prober, and the tenant usage that
+ *       it measured, which counts in full
+ *   <li>earlier evaluations: flap damping, engines that are still at fault or ejected, tenants still over their quota,
+ *       zones that are or were isolated, and when a drain was first reported
+ * </ul>
+ *
+ * <p>If a gateway suspects a fault of its own, its evidence on the health of engines is ignored. A verdict on an engine
+ * ends when the lease of its latest evidence ends, or earlier; flap damping does not prolong it beyond that.
+ *
+ * <p>Cost of an evaluation: one pass over the evidence. Memory: a few numbers for each listed engine. Not thread-safe:
+ * owned by the fleet's thread.
  */
 public final class VerdictEvaluator {
     private final VerdictSettings settings;
@@ -36,9 +47,9 @@
     private final ZoneLinkRule zoneRule;
     private final TenantQuotaRule tenantRule = new TenantQuotaRule();
     private ZoneRoster roster;
-    private Map<String, Long> listedStartUs = Map.of();
+    private Map<String, Long> listedStartUs = Map.of(); // the start that this gateway read from the engine list
     private Map<String, Double> tenantQuotas = Map.of();
-    private final Map<String, Long> engineStartUs = new TreeMap<>();
+    private final Map<String, Long> confirmedStartUs = new TreeMap<>(); // the listed start, or a confirmed later one
 
     /**
      * Creates an evaluator.
@@ -61,19 +72,27 @@
         zoneRule = new ZoneLinkRule(settings);
     }
 
-    /** Sets the agreed members and their zones, including this gateway. */
+    /**
+     * Sets the members of the fleet, including this gateway.
+     *
+     * @param zoneOf zone of each member, by its name
+     */
     public void updateRoster(Map<String, String> zoneOf) {
         roster = new ZoneRoster(roster.self(), zoneOf);
     }
 
-    /** Sets the engines of the list with their start times (us, platform time). */
+    /**
+     * Sets the engines in the engine list.
+     *
+     * @param startOf start time of each engine, by its name (us, platform time: the time that the list uses)
+     */
     public void updateEngines(Map<String, Long> startOf) {
         listedStartUs = new TreeMap<>(startOf);
-        engineStartUs.keySet().retainAll(listedStartUs.keySet());
+        confirmedStartUs.keySet().retainAll(listedStartUs.keySet());
         ejectedEngines.retain(listedStartUs.keySet());
     }
 
-    /** Sets the quota of each tenant in the whole fleet. */
+    /** Sets the quota of each tenant, which applies to the sum of its usage at all gateways. */
     public void updateTenantQuotas(Map<String, Double> quotaOf) {
         tenantQuotas = Map.copyOf(quotaOf);
     }
@@ -93,8 +112,8 @@
         }
         List<FleetEngineVerdict> verdicts = new ArrayList<>();
         List<String> ejected = new ArrayList<>();
-        List<String> exempted = new ArrayList<>();
-        ejectedEngines.selectEjected(listedStartUs.size(), ejected, exempted);
+        List<String> exemptedEngines = new ArrayList<>();
+        ejectedEngines.selectEjected(listedStartUs.size(), ejected, exemptedEngines);
         for (String engine : ejected) {
             Accusation accusation = ejectedEngines.accusation(engine);
             boolean isProber = ProbeAssignment.probersOf(engine, healthyGateways, roster, settings.maxProbers())
@@ -102,20 +121,20 @@
             verdicts.add(new FleetEngineVerdict(
                     engine,
                     accusation.kind(),
-                    engineStartUs.get(engine),
+                    confirmedStartUs.get(engine),
                     accusation.sinceUs(),
                     ejectedEngines.untilUs(engine),
                     isProber));
         }
         Map<String, Set<String>> unreachableEnginesByZone = unreachableEnginesByZone(linkFaults);
-        addOwnLinkVerdicts(linkFaults, zoneLinks, healthyGateways, verdicts, exempted);
+        addOwnZoneLinkVerdicts(linkFaults, zoneLinks, healthyGateways, verdicts, exemptedEngines);
         engineListRule.evaluate(nowUs, listedStartUs, evidence, verdicts);
         List<EvidenceRecord> usages = new ArrayList<>();
         evidence.forEach(Topic.TENANT_USAGE, nowUs, usages::add);
         Set<String> tenantsOverQuota = tenantRule.evaluate(tenantQuotas, usages, roster.self(), guards);
         return new VerdictSnapshot(
                 List.copyOf(verdicts),
-                List.copyOf(exempted),
+                List.copyOf(exemptedEngines),
                 unreachableEnginesByZone,
                 tenantsOverQuota,
                 zoneLinks,
@@ -123,12 +142,13 @@
     }
 
     /**
-     * Updates the ejection of one engine, or adds its accusation to {@code linkFaults} if only links to it are down.
+     * Updates the ejection of one engine. If the evidence shows that only links to the engine are down, the engine
+     * counts as not at fault here, and the accusation is added to {@code linkFaults}.
      */
     private void evaluateEngine(
             long nowUs, String engine, Set<String> selfSuspecting, Map<String, Accusation> linkFaults) {
         long startUs = engineListRule.confirmedStartUs(engine, listedStartUs.get(engine), evidence, nowUs);
-        Long previousStartUs = engineStartUs.put(engine, startUs);
+        Long previousStartUs = confirmedStartUs.put(engine, startUs);
         boolean isRestarted = previousStartUs != null && previousStartUs != startUs;
         if (isRestarted && guards.contains(VerdictGuard.SAME_ENGINE_START)) {
             ejectedEngines.forget(engine);
@@ -163,19 +183,20 @@
     }
 
     /**
-     * Adds verdicts on engines that this zone's links do not reach, as far as the maximum fraction allows. An
-     * isolated zone ejects no engine because of its links, since it could send the queries nowhere else.
+     * Adds a verdict on each engine that this gateway's zone cannot reach, until the maximum fraction of the engines is
+     * ejected. The rest are added to {@code exemptedEngines}; so are all of them if the zone is isolated, since it
+     * could send the queries nowhere else.
      */
-    private void addOwnLinkVerdicts(
+    private void addOwnZoneLinkVerdicts(
             Map<String, Accusation> linkFaults,
             Map<String, ZoneLink> zoneLinks,
             Set<String> healthyGateways,
             List<FleetEngineVerdict> verdicts,
-            List<String> exempted) {
+            List<String> exemptedEngines) {
         String zone = roster.ownZone();
         ZoneLink ownLink = zoneLinks.get(zone);
         int maxByFraction = (int) Math.floor(listedStartUs.size() * settings.maxEjectedFraction());
-        int remaining = Math.max(maxByFraction, listedStartUs.size() >= 2 ? 1 : 0) - verdicts.size();
+        int remainingEjections = Math.max(maxByFraction, listedStartUs.size() >= 2 ? 1 : 0) - verdicts.size();
         boolean isIsolated = ownLink != null && ownLink.state() == ZoneLink.State.ISOLATED;
         Set<String> healthyInZone = new TreeSet<>(healthyGateways);
         healthyInZone.removeIf(gateway -> !roster.zoneOfGateway(gateway).equals(zone));
@@ -183,24 +204,24 @@
             if (!entry.getValue().zonesWithoutLink().contains(zone)) {
                 continue;
             }
-            if (isIsolated || remaining <= 0 && guards.contains(VerdictGuard.MAX_EJECTED_FRACTION)) {
-                exempted.add(entry.getKey());
+            if (isIsolated || remainingEjections <= 0 && guards.contains(VerdictGuard.MAX_EJECTED_FRACTION)) {
+                exemptedEngines.add(entry.getKey());
                 continue;
             }
-            remaining--;
+            remainingEjections--;
             boolean isProber = ProbeAssignment.probersOf(entry.getKey(), healthyInZone, roster, settings.maxProbers())
                     .contains(roster.self());
             verdicts.add(new FleetEngineVerdict(
                     entry.getKey(),
                     FleetEngineVerdict.Kind.LINK_DOWN,
-                    engineStartUs.get(entry.getKey()),
+                    confirmedStartUs.get(entry.getKey()),
                     entry.getValue().sinceUs(),
                     entry.getValue().observedAtUs() + settings.evidenceLeaseUs(),
                     isProber));
         }
     }
 
-    /** Returns the records of a topic that members made on themselves, by member. */
+    /** Returns the records of a topic in which members report on themselves, by member. */
     private Map<String, EvidenceRecord> selfReports(Topic topic, long nowUs) {
         Map<String, EvidenceRecord> records = new TreeMap<>();
         evidence.forEach(topic, nowUs, record -> {
@@ -212,7 +233,10 @@
         return records;
     }
 
-    /** Returns the engines with evidence of a fault, for which gateways report counter-evidence. */
+    /**
+     * Returns the engines that any gateway reports a fault of. This gateway then reports its own evidence on them too,
+     * also where it shows no fault (counter-evidence).
+     */
     public Set<String> accusedEngines(long nowUs) {
         Set<String> names = new TreeSet<>();
         evidence.forEach(Topic.HEALTH, nowUs, record -> {
--- a/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/judge/VerdictGuard.java
@@ -12,7 +12,7 @@
     MAX_EJECTED_FRACTION,
     /** Evidence on an earlier or later process of the engine is ignored. */
     SAME_ENGINE_START,
-    /** Verdicts on a flapping engine outlive their evidence. */
+    /** A verdict on a flapping engine outlives the withdrawal of its evidence, but not the evidence's lease. */
     FLAP_DAMPING,
     /** Starts and drains reported by a single gateway have limited effect. */
     LIMIT_SINGLE_REPORT
