--- a/lab/mixed-versions.sh
+++ b/lab/mixed-versions.sh
@@ -93,7 +93,7 @@
   kill -TERM $gateway; wait $gateway
   # the feed and the peers are gone by now, so connections are refused
   grep -q 'listens on' "$log" &&
-    ! grep -v 'EndpointWatcher\|link' "$log" | grep -Eiq 'not used|ignored: |cannot|corrupt|retired|aside|exception'
+    ! grep -v 'EndpointWatcher\|link' "$log" | grep -Eiq 'not used|ignored: |cannot|corrupt|retired|aside|quarantined|exception'
   verdict "stored: $name opens the old build's directory" $?
 done
 [ -z "$(find "$dir/old-stored" -name '*.aside*' -o -name '*.bad*')" ]; verdict "stored: nothing was set aside" $?
