--- a/lab/src/main/java/sandpaddle/lab/AskCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/AskCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import sandpaddle.eventloop.EventLoop;
 
-/** {@code ask}: one query to a gateway, for machines without a MySQL client. */
+/** The {@code ask} command: sends one query to a gateway, for machines without a MySQL client. */
 @Command(
         name = "ask",
         mixinStandardHelpOptions = true,
@@ -41,33 +41,34 @@
         String trace =
                 String.format(Locale.ROOT, "%016x", ThreadLocalRandom.current().nextLong());
         ClientSession session = new ClientSession(loop, new InetSocketAddress("127.0.0.1", port));
-        int[] code = {-1};
-        session.ask(
+        int[] exitCode = {-1};
+        session.send(
                 "/* route=" + route + ",trace=" + trace + ",patience=" + patience + (fields == null ? "" : "," + fields)
                         + " */ " + statement,
-                new ClientSession.Asker() {
+                new ClientSession.ResponseListener() {
                     @Override
-                    public void served(int rows) {
+                    public void onRows(int rows) {
                         System.out.println(rows + " rows");
-                        code[0] = 0;
+                        exitCode[0] = 0;
                     }
 
                     @Override
-                    public void error(int error, String text) {
-                        System.out.println("error " + error + ": " + text);
-                        code[0] = 1;
+                    public void onError(int errorCode, String text) {
+                        System.out.println("error " + errorCode + ": " + text);
+                        exitCode[0] = 1;
                     }
 
                     @Override
-                    public void cut(boolean up) {
-                        System.out.println(up ? "the gateway closed the connection" : "no gateway at port " + port);
-                        code[0] = 1;
+                    public void onConnectionLost(boolean established) {
+                        System.out.println(
+                                established ? "the gateway closed the connection" : "no gateway at port " + port);
+                        exitCode[0] = 1;
                     }
                 });
-        while (code[0] < 0) {
+        while (exitCode[0] < 0) {
             loop.runTurn(() -> {}, Duration.ofMillis(100));
         }
         session.close();
-        return code[0];
+        return exitCode[0];
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/AuditCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/AuditCommand.java
@@ -13,18 +13,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code audit}: recounts an experiment from its events. */
+/** The {@code audit} command: recomputes an experiment's figures from its events. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
-        description = "Recounts an experiment from its events file, and holds the result against the figures that the "
+        description = "Recounts an experiment from its events file, and compares the result with the figures that the "
                 + "experiment wrote.",
         footerHeading = "%nExamples:%n",
         footer = {"  audit storm.jsonl", "  audit storm.jsonl --against storm.json"})
 final class AuditCommand implements Callable<Integer> {
-    private static final List<String> RULES =
+    private static final List<String> ZERO_FIGURES =
             List.of("secondAnswers", "lost", "unanswered", "strangers", "loadsRunTwice", "coldFalls", "drainBreaks");
-    private static final List<String> COMPARED = List.of(
+    private static final List<String> COMPARED_FIGURES = List.of(
             "requests",
             "tries",
             "secondAnswers",
@@ -33,7 +33,7 @@
             "coldFalls",
             "drainBreaks",
             "recoverySeconds");
-    private static final double SECOND = 1; // the experiment's own end is no event
+    private static final double RECOVERY_TOLERANCE_S = 1; // the end of the experiment is not recorded as an event
 
     @Parameters(paramLabel = "FILE", description = "The events of a run.")
     private Path file;
@@ -45,44 +45,47 @@
     public Integer call() throws IOException {
         List<Map<String, String>> events = FleetAudit.read(file);
         if (FleetAudit.isFleet(events)) {
-            return fleet(FleetAudit.recount(events));
+            return auditFleet(FleetAudit.recount(events));
         }
-        Map<String, Object> counted = Audit.recount(file);
+        Map<String, Object> counted = RetryStormAudit.recount(file);
         counted.forEach((k, v) -> System.out.println(k + " " + v));
-        boolean good = RULES.stream().allMatch(r -> ((Number) counted.get(r)).longValue() == 0);
+        boolean passed = ZERO_FIGURES.stream().allMatch(r -> ((Number) counted.get(r)).longValue() == 0);
         if (against != null) {
-            Map<String, Double> told = numbers(against);
-            for (String name : COMPARED) {
-                double mine = ((Number) counted.get(name)).doubleValue();
-                double max = name.equals("recoverySeconds") ? SECOND : 0;
-                if (Math.abs(mine - told.getOrDefault(name, Double.NaN)) > max || !told.containsKey(name)) {
-                    System.out.println("differs: " + name + " counted " + mine + ", told " + told.get(name));
-                    good = false;
+            Map<String, Double> reported = readNumbers(against);
+            for (String name : COMPARED_FIGURES) {
+                double recounted = ((Number) counted.get(name)).doubleValue();
+                double max = name.equals("recoverySeconds") ? RECOVERY_TOLERANCE_S : 0;
+                if (Math.abs(recounted - reported.getOrDefault(name, Double.NaN)) > max
+                        || !reported.containsKey(name)) {
+                    System.out.println(
+                            "differs: " + name + " recounted " + recounted + ", reported " + reported.get(name));
+                    passed = false;
                 }
             }
         }
-        return good ? 0 : Main.BROKEN;
+        return passed ? 0 : Main.RULE_VIOLATED;
     }
 
-    /** A fleet's figures: each that is a number is held against the one that the run wrote. */
-    private int fleet(Map<String, Object> counted) throws IOException {
+    /** Compares every numeric figure of a fleet run with the one that the run wrote. */
+    private int auditFleet(Map<String, Object> counted) throws IOException {
         counted.forEach((k, v) -> System.out.println(k + " " + v));
-        boolean good = FleetCommand.isGood(counted);
+        boolean passed = FleetCommand.rulesHold(counted);
         if (against != null) {
-            Map<String, Double> told = numbers(against);
+            Map<String, Double> reported = readNumbers(against);
             for (Map.Entry<String, Object> e : counted.entrySet()) {
                 if (e.getValue() instanceof Number n
-                        && !Double.valueOf(n.doubleValue()).equals(told.get(e.getKey()))) {
-                    System.out.println("differs: " + e.getKey() + " counted " + n + ", told " + told.get(e.getKey()));
-                    good = false;
+                        && !Double.valueOf(n.doubleValue()).equals(reported.get(e.getKey()))) {
+                    System.out.println(
+                            "differs: " + e.getKey() + " recounted " + n + ", reported " + reported.get(e.getKey()));
+                    passed = false;
                 }
             }
         }
-        return good ? 0 : Main.BROKEN;
+        return passed ? 0 : Main.RULE_VIOLATED;
     }
 
-    /** The numbers of a JSON object's own level. */
-    private static Map<String, Double> numbers(Path json) throws IOException {
+    /** Returns the numeric fields at the top level of a JSON object. */
+    private static Map<String, Double> readNumbers(Path json) throws IOException {
         Map<String, Double> numbers = new HashMap<>();
         try (JsonParser in = new JsonFactory().createParser(json.toFile())) {
             in.nextToken();
--- a/lab/src/main/java/sandpaddle/lab/Charts.java
+++ b/lab/src/main/java/sandpaddle/lab/Charts.java
@@ -16,11 +16,11 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Line charts as PNG files. */
+/** Writes line charts as PNG files. */
 final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
-    private static final List<Color> COLOURS = List.of(
+    private static final List<Color> COLORS = List.of(
             new Color(0x1b6ca8),
             new Color(0xc8553d),
             new Color(0x4f772d),
@@ -28,12 +28,12 @@
             new Color(0x8a817c),
             new Color(0xe09f3e));
 
-    /** A line: x and y in turn. */
+    /** A data series; each point is a pair of x and y. */
     record Line(String name, double[][] points) {}
 
     private Charts() {}
 
-    static void lines(Path file, String title, String x, String y, List<Line> lines) throws IOException {
+    static void lines(Path file, String title, String xLabel, String yLabel, List<Line> lines) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection data = new XYSeriesCollection();
         for (Line line : lines) {
@@ -43,15 +43,15 @@
             }
             data.addSeries(series);
         }
-        JFreeChart chart =
-                ChartFactory.createXYLineChart(title, x, y, data, PlotOrientation.VERTICAL, true, false, false);
+        JFreeChart chart = ChartFactory.createXYLineChart(
+                title, xLabel, yLabel, data, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = chart.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         for (int i = 0; i < lines.size(); i++) {
-            renderer.setSeriesPaint(i, COLOURS.get(i % COLOURS.size()));
+            renderer.setSeriesPaint(i, COLORS.get(i % COLORS.size()));
             renderer.setSeriesStroke(i, new BasicStroke(2f));
         }
         plot.setRenderer(renderer);
--- a/lab/src/main/java/sandpaddle/lab/ClientSession.java
+++ b/lab/src/main/java/sandpaddle/lab/ClientSession.java
@@ -9,32 +9,51 @@
 import sandpaddle.eventloop.Connection;
 import sandpaddle.eventloop.EventLoop;
 
-/** One session of the MySQL client protocol 4.1, one command at a time. Written apart from the gateway's side of it. */
+/**
+ * One session of the MySQL client protocol 4.1, with one command at a time. Implemented independently of the gateway's
+ * protocol code, so that it does not share its faults.
+ */
 final class ClientSession implements Connection.Listener {
-    /** Who asked. One of the three is called, once; {@link #extra} may follow at any time. */
-    interface Asker {
-        /** All rows are in; {@code rows} is how many. */
-        void served(int rows);
+    /**
+     * Receives the outcome of a command. Exactly one of {@link #onRows}, {@link #onError} and {@link #onConnectionLost}
+     * is called, once; {@link #onUnexpectedResponse} may follow at any time.
+     */
+    interface ResponseListener {
+        /**
+         * The result set is complete.
+         *
+         * @param rows number of rows
+         */
+        void onRows(int rows);
 
-        /** Just before {@link #served}: how many warnings the end of the rows told of, and the first row's values. */
-        default void noted(int warnings, String firstRow) {}
+        /**
+         * Called just before {@link #onRows}.
+         *
+         * @param warnings warning count of the final EOF packet
+         * @param firstRow values of the first row, separated by spaces
+         */
+        default void onMetadata(int warnings, String firstRow) {}
 
-        /** An error before any row. */
-        void error(int code, String text);
+        /** The server answered with an error before any row. */
+        void onError(int code, String text);
 
-        /** The session ended without a whole answer; {@code up}: it had come up, so the command may have been read. */
-        void cut(boolean up);
+        /**
+         * The connection was closed before a complete response.
+         *
+         * @param established whether the server's handshake packet had arrived, so that the command may have been read
+         */
+        void onConnectionLost(boolean established);
 
-        /** Something came that nobody asked for. */
-        default void extra() {}
+        /** A response arrived that belongs to no command. */
+        default void onUnexpectedResponse() {}
     }
 
     private static final int ERR = 0xFF;
     private static final int EOF = 0xFE;
-    private static final int EOF_LENGTH = 5;
-    private static final int SHORT = 251; // values below have their length in one byte
+    private static final int EOF_PACKET_LENGTH = 5;
+    private static final int MAX_ONE_BYTE_LENGTH = 251; // lengths below this are encoded in one byte
 
-    private enum At {
+    private enum State {
         GREETING,
         LOGIN,
         IDLE,
@@ -45,9 +64,9 @@
 
     private final Connection connection;
     private byte[] buffer = new byte[0];
-    private At at = At.GREETING;
-    private Asker asker;
-    private byte[] waiting; // the command that goes out once logged in
+    private State state = State.GREETING;
+    private ResponseListener listener;
+    private byte[] pendingCommand; // sent once the login is complete
     private int id, columns, rows;
     private String firstRow = "";
     private boolean closed;
@@ -56,7 +75,7 @@
         connection = Connection.open(loop, EventLoop.HandlerPriority.CLIENT, gateway, this);
     }
 
-    /** The greeting's connection id, for KILL; 0 before it came. */
+    /** Connection ID from the handshake, for {@code KILL}; 0 before the handshake. */
     int id() {
         return id;
     }
@@ -65,16 +84,16 @@
         return closed;
     }
 
-    void ask(String text, Asker who) {
-        asker = who;
+    void send(String text, ResponseListener responseListener) {
+        listener = responseListener;
         rows = 0;
         firstRow = "";
         byte[] command = packet(0, ("\3" + text).getBytes(StandardCharsets.ISO_8859_1));
-        if (at == At.IDLE) {
-            at = At.ANSWER;
+        if (state == State.IDLE) {
+            state = State.ANSWER;
             connection.write(command);
         } else {
-            waiting = command;
+            pendingCommand = command;
         }
     }
 
@@ -95,8 +114,10 @@
 
     private static byte[] login() {
         ByteArrayOutputStream o = new ByteArrayOutputStream();
-        int caps = 0x200 | 0x8 | 0x8000 | 0x80000;
-        o.writeBytes(new byte[] {(byte) caps, (byte) (caps >> 8), (byte) (caps >> 16), 0, 0, 0, 0, 1, 45});
+        int capabilities = 0x200 | 0x8 | 0x8000 | 0x80000;
+        o.writeBytes(new byte[] {
+            (byte) capabilities, (byte) (capabilities >> 8), (byte) (capabilities >> 16), 0, 0, 0, 0, 1, 45
+        });
         o.writeBytes(new byte[23]);
         o.writeBytes("app\0\0core\0mysql_native_password\0".getBytes(StandardCharsets.US_ASCII));
         return packet(1, o.toByteArray());
@@ -104,9 +125,9 @@
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        int held = buffer.length;
-        buffer = Arrays.copyOf(buffer, held + bytes.remaining());
-        bytes.get(buffer, held, buffer.length - held);
+        int buffered = buffer.length;
+        buffer = Arrays.copyOf(buffer, buffered + bytes.remaining());
+        bytes.get(buffer, buffered, buffer.length - buffered);
         int from = 0;
         while (!closed && buffer.length - from >= 4) {
             int length = buffer[from] & 0xFF | (buffer[from + 1] & 0xFF) << 8 | (buffer[from + 2] & 0xFF) << 16;
@@ -120,32 +141,32 @@
         buffer = Arrays.copyOfRange(buffer, from, buffer.length);
     }
 
-    private void packet(byte[] p) {
-        int first = p.length == 0 ? 0 : p[0] & 0xFF;
-        if (first == ERR && at != At.IDLE) {
-            boolean over = at == At.GREETING || at == At.LOGIN;
-            at = At.IDLE;
-            Asker to = take();
-            if (over) {
+    private void packet(byte[] payload) {
+        int first = payload.length == 0 ? 0 : payload[0] & 0xFF;
+        if (first == ERR && state != State.IDLE) {
+            boolean refused = state == State.GREETING || state == State.LOGIN;
+            state = State.IDLE;
+            ResponseListener to = takeListener();
+            if (refused) {
                 close();
             }
-            int textAt = p.length > 3 && p[3] == '#' ? 9 : 3;
+            int textAt = payload.length > 3 && payload[3] == '#' ? 9 : 3;
             if (to != null) {
-                to.error(
-                        p[1] & 0xFF | (p[2] & 0xFF) << 8,
-                        new String(p, textAt, p.length - textAt, StandardCharsets.UTF_8));
+                to.onError(
+                        payload[1] & 0xFF | (payload[2] & 0xFF) << 8,
+                        new String(payload, textAt, payload.length - textAt, StandardCharsets.UTF_8));
             }
             return;
         }
-        boolean eof = first == EOF && p.length == EOF_LENGTH;
-        switch (at) {
-            case GREETING -> greeted(p);
+        boolean eof = first == EOF && payload.length == EOF_PACKET_LENGTH;
+        switch (state) {
+            case GREETING -> handshakeReceived(payload);
             case LOGIN -> {
-                at = At.IDLE;
-                if (waiting != null) {
-                    byte[] command = waiting;
-                    waiting = null;
-                    at = At.ANSWER;
+                state = State.IDLE;
+                if (pendingCommand != null) {
+                    byte[] command = pendingCommand;
+                    pendingCommand = null;
+                    state = State.ANSWER;
                     connection.write(command);
                 }
             }
@@ -154,93 +175,96 @@
                     served(0);
                 } else {
                     columns = first;
-                    at = At.COLUMNS;
+                    state = State.COLUMNS;
                 }
             }
-            case COLUMNS -> at = eof ? At.ROWS : At.COLUMNS;
+            case COLUMNS -> state = eof ? State.ROWS : State.COLUMNS;
             case ROWS -> {
                 if (eof) {
-                    served(p[1] & 0xFF | (p[2] & 0xFF) << 8);
+                    served(payload[1] & 0xFF | (payload[2] & 0xFF) << 8);
                 } else {
-                    firstRow = rows == 0 ? values(p) : firstRow;
+                    firstRow = rows == 0 ? rowText(payload) : firstRow;
                     rows++;
                 }
             }
             default -> {
-                if (asker != null) {
-                    asker.extra();
+                if (listener != null) {
+                    listener.onUnexpectedResponse();
                 }
             }
         }
     }
 
-    private void greeted(byte[] p) {
+    private void handshakeReceived(byte[] payload) {
         int i = 1;
-        while (p[i] != 0) {
+        while (payload[i] != 0) {
             i++;
         }
-        id = p[i + 1] & 0xFF | (p[i + 2] & 0xFF) << 8 | (p[i + 3] & 0xFF) << 16 | (p[i + 4] & 0xFF) << 24;
-        at = At.LOGIN;
+        id = payload[i + 1] & 0xFF
+                | (payload[i + 2] & 0xFF) << 8
+                | (payload[i + 3] & 0xFF) << 16
+                | (payload[i + 4] & 0xFF) << 24;
+        state = State.LOGIN;
         connection.write(login());
     }
 
     private void served(int warnings) {
-        at = At.IDLE;
-        asker.noted(warnings, firstRow);
-        take().served(rows);
+        state = State.IDLE;
+        listener.onMetadata(warnings, firstRow);
+        takeListener().onRows(rows);
     }
 
-    /** A row's values with spaces between; those of 251 bytes and more are not looked at. */
-    private static String values(byte[] p) {
+    /** Returns a row's values separated by spaces; stops at a value of 251 bytes or more. */
+    private static String rowText(byte[] payload) {
         StringBuilder s = new StringBuilder();
-        for (int i = 0; i < p.length; ) {
-            int length = p[i++] & 0xFF;
-            if (length >= SHORT || i + length > p.length) {
+        for (int i = 0; i < payload.length; ) {
+            int length = payload[i++] & 0xFF;
+            if (length >= MAX_ONE_BYTE_LENGTH || i + length > payload.length) {
                 break;
             }
-            s.append(s.length() == 0 ? "" : " ").append(new String(p, i, length, StandardCharsets.UTF_8));
+            s.append(s.length() == 0 ? "" : " ").append(new String(payload, i, length, StandardCharsets.UTF_8));
             i += length;
         }
         return s.toString();
     }
 
-    /** The last asker stays known, for what comes without being asked for. */
-    private Asker take() {
-        Asker a = asker;
-        asker = a == null ? null : new Late(a);
+    /** Returns the current listener and keeps it for unexpected responses. */
+    private ResponseListener takeListener() {
+        ResponseListener a = listener;
+        listener = a == null ? null : new AnsweredListener(a);
         return a;
     }
 
-    /** Hears nothing but what should not come. */
-    private record Late(Asker of) implements Asker {
+    /** Passes on only unexpected responses, after the command has been answered. */
+    private record AnsweredListener(ResponseListener answered) implements ResponseListener {
         @Override
-        public void served(int rows) {
-            of.extra();
+        public void onRows(int rows) {
+            answered.onUnexpectedResponse();
         }
 
         @Override
-        public void error(int code, String text) {
-            of.extra();
+        public void onError(int code, String text) {
+            answered.onUnexpectedResponse();
         }
 
         @Override
-        public void cut(boolean up) {
-            // it had its answer
+        public void onConnectionLost(boolean established) {
+            // the command was already answered
         }
 
         @Override
-        public void extra() {
-            of.extra();
+        public void onUnexpectedResponse() {
+            answered.onUnexpectedResponse();
         }
     }
 
     @Override
     public void onClosed(Exception cause) {
         closed = true;
-        Asker a = asker;
-        asker = null;
+        ResponseListener a = listener;
+        listener = null;
         if (a != null) {
-            a.cut(at != At.GREETING);
+            a.onConnectionLost(state != State.GREETING);
         }
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/ClientStatistics.java
+++ b/lab/src/main/java/sandpaddle/lab/ClientStatistics.java
@@ -5,64 +5,77 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Statistics that the clients keep of themselves. {@link Audit} counts the same from the events, on its own. */
+/**
+ * Statistics kept by the load generator and the stand-ins. {@link RetryStormAudit} computes the same figures
+ * independently from the events.
+ */
 public final class ClientStatistics {
-    private static final long DRAIN_US = 300_000; // the rule's grace, and what counts for sockets
+    private static final long DRAIN_GRACE_US = 300_000; // the drain grace period plus an allowance for socket delays
 
-    private record Asked(Site.Kind kind, long at, boolean counts) {}
+    private record TrackedRequest(LabDeployment.RequestClass requestClass, long firstSentUs, boolean measured) {}
 
-    /** Worth asked for and earned by requests first asked in one second. */
-    static final class Second {
-        double asked, earned;
+    /** Priority weight demanded and earned by the requests first sent in one second. */
+    static final class SecondTotals {
+        double demanded, earned;
     }
 
-    private final Map<String, Asked> requests = new HashMap<>();
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
     final Map<String, Long> answers = new TreeMap<>();
     final TreeMap<Long, Map<String, Long>> answersBySecond = new TreeMap<>();
-    final TreeMap<Long, Second> seconds = new TreeMap<>();
-    final Histogram latency = new Histogram(60_000_000L, 3); // us, of first answers that served
-    final Map<String, Long> drained = new HashMap<>(); // engine, and when the feed first said that it drains or is gone
+    final TreeMap<Long, SecondTotals> seconds = new TreeMap<>();
+    final Histogram latency = new Histogram(60_000_000L, 3); // microseconds, of first answers with a result
+    // by engine: when the feed first reported it as draining or gone
+    final Map<String, Long> drainAnnouncedUs = new HashMap<>();
     private final Map<String, Integer> loadRuns = new HashMap<>();
-    long tries, second, served, inTime, coldFalls, drainBreaks;
-    long probes, engineConnections; // those that reached engines, and those that are open at them
+    long attempts, duplicateAnswers, served, inTime, coldCrashes, drainViolations;
+    long probes, engineConnections; // health checks received by engines, and connections open at them
 
-    /** An engine has begun a query. */
-    void began(String request, Site.Kind kind, String engine, long us) {
-        if (!kind.safe()) {
+    /** Records that an engine started a query. */
+    void attemptStarted(String request, LabDeployment.RequestClass requestClass, String engine, long timestampUs) {
+        if (!requestClass.repeatable()) {
             loadRuns.merge(request, 1, Integer::sum);
         }
-        Long told = drained.get(engine);
-        drainBreaks += told != null && us > told + DRAIN_US ? 1 : 0;
+        Long announcedUs = drainAnnouncedUs.get(engine);
+        drainViolations += announcedUs != null && timestampUs > announcedUs + DRAIN_GRACE_US ? 1 : 0;
     }
 
     long loadsRunTwice() {
         return loadRuns.values().stream().filter(n -> n > 1).count();
     }
 
-    void asked(String id, Site.Kind kind, long us, boolean counts) {
-        requests.put(id, new Asked(kind, us, counts));
-        if (counts) {
-            seconds.computeIfAbsent(us / 1_000_000, s -> new Second()).asked += kind.worth();
+    void requestSent(String id, LabDeployment.RequestClass requestClass, long timestampUs, boolean measured) {
+        requests.put(id, new TrackedRequest(requestClass, timestampUs, measured));
+        if (measured) {
+            seconds.computeIfAbsent(timestampUs / 1_000_000, s -> new SecondTotals()).demanded +=
+                    requestClass.priorityWeight();
         }
     }
 
-    void answer(String outcome) {
+    void countAnswer(String outcome) {
         answers.merge(outcome, 1L, Long::sum);
     }
 
-    /** The same by the second of the answer. */
-    void answerAt(long us, String outcome) {
-        answersBySecond.computeIfAbsent(us / 1_000_000, s -> new TreeMap<>()).merge(outcome, 1L, Long::sum);
+    /** Counts an answer by the second in which it arrived. */
+    void countAnswerAt(long timestampUs, String outcome) {
+        answersBySecond
+                .computeIfAbsent(timestampUs / 1_000_000, s -> new TreeMap<>())
+                .merge(outcome, 1L, Long::sum);
     }
 
-    /** A request was served so long after it was first asked. */
-    void served(String id, long us, long aim, Site.Kind kind) {
-        Asked a = requests.get(id);
+    /**
+     * Records that a request was served.
+     *
+     * @param durationUs time since its first attempt
+     */
+    void requestServed(String id, long durationUs, long latencyObjectiveUs, LabDeployment.RequestClass requestClass) {
+        TrackedRequest a = requests.get(id);
         served++;
-        inTime += us <= aim ? 1 : 0;
-        latency.recordValue(Math.min(us, latency.getHighestTrackableValue()));
-        if (a.counts) {
-            seconds.get(a.at / 1_000_000).earned += us <= aim ? kind.worth() : kind.worth() * kind.lateWorth();
+        inTime += durationUs <= latencyObjectiveUs ? 1 : 0;
+        latency.recordValue(Math.min(durationUs, latency.getHighestTrackableValue()));
+        if (a.measured) {
+            seconds.get(a.firstSentUs / 1_000_000).earned += durationUs <= latencyObjectiveUs
+                    ? requestClass.priorityWeight()
+                    : requestClass.priorityWeight() * requestClass.lateWeightFactor();
         }
     }
 
--- a/lab/src/main/java/sandpaddle/lab/CostAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/CostAudit.java
@@ -4,49 +4,50 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Time that served tries took, and what gateways took: CPU, and bytes on the links between them. */
+/** Latency of served attempts, and resources used by gateways: CPU time, and bytes on the links between gateways. */
 final class CostAudit {
-    private static final double US = 1e6;
+    private static final double US_PER_SECOND = 1e6;
 
-    private final Map<String, Long> asked = new HashMap<>(); // us, by attempt
+    private final Map<String, Long> sentUs = new HashMap<>(); // by attempt
     private final Histogram latency = new Histogram(120_000_000L, 3);
-    private final Map<String, long[]> cpu = new HashMap<>(); // by gateway: ms at its first and its last look
+    private final Map<String, long[]> cpuByGateway = new HashMap<>(); // by gateway: first and last sample in ms
     private long firstBytes = -1;
-    private long firstAt;
+    private long firstUs;
     private double bytesPerSecond;
-    private long tries;
+    private long attempts;
 
-    void ask(String attempt, long us) {
-        asked.put(attempt, us);
-        tries++;
+    void attemptSent(String attempt, long timestampUs) {
+        sentUs.put(attempt, timestampUs);
+        attempts++;
     }
 
-    void served(String attempt, long us) {
-        latency.recordValue(
-                Math.max(0, Math.min(us - asked.getOrDefault(attempt, us), latency.getHighestTrackableValue())));
+    void attemptServed(String attempt, long timestampUs) {
+        latency.recordValue(Math.max(
+                0,
+                Math.min(timestampUs - sentUs.getOrDefault(attempt, timestampUs), latency.getHighestTrackableValue())));
     }
 
-    void cpu(String gateway, long ms) {
-        cpu.computeIfAbsent(gateway, k -> new long[] {ms, ms})[1] = ms;
+    void gatewayCpu(String gateway, long ms) {
+        cpuByGateway.computeIfAbsent(gateway, k -> new long[] {ms, ms})[1] = ms;
     }
 
-    void traffic(long bytes, long us) {
+    void linkTraffic(long bytes, long timestampUs) {
         if (firstBytes < 0) {
             firstBytes = bytes;
-            firstAt = us;
-        } else if (us > firstAt) {
-            bytesPerSecond = (bytes - firstBytes) * US / (us - firstAt);
+            firstUs = timestampUs;
+        } else if (timestampUs > firstUs) {
+            bytesPerSecond = (bytes - firstBytes) * US_PER_SECOND / (timestampUs - firstUs);
         }
     }
 
-    void figures(Map<String, Object> f) {
-        f.put("latencyP50Ms", latency.getValueAtPercentile(50) / 1000.0);
-        f.put("latencyP99Ms", latency.getValueAtPercentile(99) / 1000.0);
-        double ms = cpu.values().stream()
+    void figures(Map<String, Object> figures) {
+        figures.put("latencyP50Ms", latency.getValueAtPercentile(50) / 1000.0);
+        figures.put("latencyP99Ms", latency.getValueAtPercentile(99) / 1000.0);
+        double ms = cpuByGateway.values().stream()
                 .filter(c -> c[1] >= c[0])
                 .mapToDouble(c -> c[1] - c[0])
                 .sum();
-        f.put("gatewayCpuMsPerTry", tries == 0 ? 0.0 : ms / tries);
-        f.put("linkBytesPerSecond", bytesPerSecond);
+        figures.put("gatewayCpuMsPerTry", attempts == 0 ? 0.0 : ms / attempts);
+        figures.put("linkBytesPerSecond", bytesPerSecond);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/CostCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/CostCommand.java
@@ -9,19 +9,21 @@
 import sandpaddle.config.InvalidFieldException;
 
 /**
- * {@code cost}: what one request costs the decision module, by engines listed and requests held. The clock of the
- * module is the command's own; processor time is the median of some rounds in one process, to be read as a ratio.
+ * The {@code cost} command: measures the CPU time of a request in the decision module, by engines listed and requests
+ * held. Drives the module with a simulated clock; the figure is the median of several rounds in one process, and only
+ * ratios between figures are meaningful.
  */
 @Command(
         name = "cost",
         mixinStandardHelpOptions = true,
-        description = "Measures what a request costs the decision module, by engines listed and requests held: the "
-                + "event that takes it, its answer, and its part of the sweeps.",
+        description =
+                "Measures the CPU time of a request in the decision module, by engines listed and requests held: the "
+                        + "event that submits it, its answer, and its share of the periodic sweeps.",
         footerHeading = "%nExamples:%n",
         footer = {"  cost", "  cost --engines 30,60,1000 --held 0,1000"})
 final class CostCommand implements Callable<Integer> {
-    private static final int ROUNDS = 7; // the first two warm up
-    private static final int WARMING = 2;
+    private static final int ROUNDS = 7; // including the warm-up rounds
+    private static final int WARM_UP_ROUNDS = 2;
 
     @Option(
             names = "--engines",
@@ -56,7 +58,7 @@
                 for (int i = 0; i < ROUNDS; i++) {
                     rounds[i] = new DecisionCost(e, h).microsPerRequest(requests);
                 }
-                double[] warm = Arrays.copyOfRange(rounds, WARMING, ROUNDS);
+                double[] warm = Arrays.copyOfRange(rounds, WARM_UP_ROUNDS, ROUNDS);
                 Arrays.sort(warm);
                 double median = warm[warm.length / 2];
                 first = Double.isNaN(first) ? median : first;
--- a/lab/src/main/java/sandpaddle/lab/DecisionCost.java
+++ b/lab/src/main/java/sandpaddle/lab/DecisionCost.java
@@ -31,25 +31,31 @@
 import sandpaddle.decision.event.TimerFired;
 
 /**
- * What one request costs the decision module: the event that takes it, its answer, and its part of the sweeps. The
- * module's clock is this class's own. Engines that hold requests stay full, since each has just said that it is.
+ * Measures the CPU time of one request in the decision module: the event that submits it, its answer, and its share of
+ * the periodic sweeps. Drives the module with a simulated clock. Engines stay full while requests are queued, since
+ * each has just rejected an attempt.
  */
 public final class DecisionCost {
-    private static final long STEP_US = 2_000; // of the module's clock between two requests: 500 a second
+    private static final long REQUEST_INTERVAL_US = 2_000; // simulated time between two requests: 500 per second
     private static final int GATEWAYS = 14;
-    private static final int OPEN_MOST = 20; // requests at the engines at one time
+    private static final int MAX_IN_FLIGHT = 20; // attempts in flight at one time
 
     private final DefaultDecisionModule module;
-    private final ArrayDeque<SendAttempt> out = new ArrayDeque<>();
-    private final Consumer<Action> actions = this::carryOut;
-    private final boolean jam;
-    private long now = Micros.of(Instant.parse("2026-01-01T00:00:00Z"));
-    private long timer = Long.MAX_VALUE;
-    private int ids;
+    private final ArrayDeque<SendAttempt> sent = new ArrayDeque<>();
+    private final Consumer<Action> actions = this::execute;
+    private final boolean enginesFull;
+    private long nowUs = Micros.of(Instant.parse("2026-01-01T00:00:00Z"));
+    private long nextTimerUs = Long.MAX_VALUE;
+    private int requestCount;
 
-    /** A module with so many engines listed, all full where requests are held. */
+    /**
+     * Creates a decision module.
+     *
+     * @param engines number of listed engines
+     * @param held number of queued requests; if positive, all engines are full
+     */
     public DecisionCost(int engines, int held) throws IOException, InvalidFieldException {
-        String text = Site.config(
+        String text = LabDeployment.config(
                 "n0",
                 0,
                 GATEWAYS,
@@ -57,73 +63,79 @@
                 new InetSocketAddress(Loopback.HOST, 1),
                 "{\"n\":0,\"events\":[]}",
                 1,
-                EngineModel.Spec.usual());
+                EngineModel.Spec.standard());
         GatewayConfig c = GatewayConfig.parse(JsonObject.parse(text.getBytes(StandardCharsets.UTF_8), ""));
         module = new DefaultDecisionModule(c.decisionSettings(), c.seed());
         List<EngineEntry> list = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
             list.add(new EngineEntry("e" + i, i % 3, 0, 0, EngineStatus.UP, 1, 0));
         }
-        on(new EngineListReceived(EngineListKind.FULL, list));
-        jam = held > 0;
-        if (jam) {
-            fill(engines);
+        handle(new EngineListReceived(EngineListKind.FULL, list));
+        enginesFull = held > 0;
+        if (enginesFull) {
+            fillEngines(engines);
             for (int i = 0; i < held; i++) {
-                take(Duration.ofHours(1));
+                submit(Duration.ofHours(1));
             }
         }
     }
 
-    /** Every engine gets a query and says that it is full. */
-    private void fill(int engines) {
+    /** Sends a query to every engine, each of which rejects it because its queue is full. */
+    private void fillEngines(int engines) {
         for (int i = 0; i < engines; i++) {
-            take(Duration.ofSeconds(5));
+            submit(Duration.ofSeconds(5));
         }
-        while (!out.isEmpty()) {
-            SendAttempt s = out.poll();
-            on(outcome(s, AttemptResult.QUEUE_FULL));
-            on(new ClientDisconnected(s.id()));
+        while (!sent.isEmpty()) {
+            SendAttempt attempt = sent.poll();
+            handle(outcome(attempt, AttemptResult.QUEUE_FULL));
+            handle(new ClientDisconnected(attempt.id()));
         }
     }
 
-    private static AttemptEnded outcome(SendAttempt s, AttemptResult result) {
+    private static AttemptEnded outcome(SendAttempt attempt, AttemptResult result) {
         return new AttemptEnded(
-                s.id(), 0, s.engine(), result, result == AttemptResult.OK, 300_000, 0, 0, new double[] {0.6, 0, 0.4});
+                attempt.id(), 0, attempt.engine(), result, result == AttemptResult.OK, 300_000, 0, 0, new double[] {
+                    0.6, 0, 0.4
+                });
     }
 
-    private String take(Duration patience) {
-        String id = "r" + ids++;
-        on(new RequestReceived(id, ids % 6 == 0 ? 1 : 0, null, Micros.of(patience), 300_000, 64, ids % 16, false));
+    private String submit(Duration timeout) {
+        String id = "r" + requestCount++;
+        handle(new RequestReceived(
+                id, requestCount % 6 == 0 ? 1 : 0, null, Micros.of(timeout), 300_000, 64, requestCount % 16, false));
         return id;
     }
 
-    private void on(Event e) {
-        module.handle(now, e, actions);
+    private void handle(Event event) {
+        module.handle(nowUs, event, actions);
     }
 
-    private void carryOut(Action a) {
-        if (a instanceof SendAttempt s) {
-            out.add(s);
-        } else if (a instanceof ScheduleTimer t) {
-            timer = t.atUs();
+    private void execute(Action action) {
+        if (action instanceof SendAttempt attempt) {
+            sent.add(attempt);
+        } else if (action instanceof ScheduleTimer t) {
+            nextTimerUs = t.atUs();
         }
     }
 
-    /** Processor time of this thread for one request (us). In a jam time stands still, so that it lasts. */
+    /**
+     * Returns the CPU time of this thread for one request, in microseconds. With queued requests the simulated clock
+     * does not advance, so that they stay queued.
+     */
     public double microsPerRequest(int requests) {
         ThreadMXBean cpu = ManagementFactory.getThreadMXBean();
         long from = cpu.getCurrentThreadCpuTime();
         for (int i = 0; i < requests; i++) {
-            String id = take(Duration.ofSeconds(5));
-            if (jam) {
-                on(new ClientDisconnected(id));
+            String id = submit(Duration.ofSeconds(5));
+            if (enginesFull) {
+                handle(new ClientDisconnected(id));
             } else {
-                now += STEP_US;
-                if (out.size() > OPEN_MOST) {
-                    on(outcome(out.poll(), AttemptResult.OK));
+                nowUs += REQUEST_INTERVAL_US;
+                if (sent.size() > MAX_IN_FLIGHT) {
+                    handle(outcome(sent.poll(), AttemptResult.OK));
                 }
-                if (now >= timer) {
-                    on(new TimerFired("sweep"));
+                if (nowUs >= nextTimerUs) {
+                    handle(new TimerFired("sweep"));
                 }
             }
         }
--- a/lab/src/main/java/sandpaddle/lab/Events.java
+++ b/lab/src/main/java/sandpaddle/lab/Events.java
@@ -11,26 +11,35 @@
 import java.nio.file.Path;
 
 /**
- * What every party saw, one JSON object a line: {@code us} (Unix microseconds), {@code party}, {@code kind}, and where
- * they apply {@code request} (one for all tries of a client), {@code attempt} (the trace of a try), {@code engine},
- * {@code class}, {@code outcome}. From any thread. {@link Audit} recounts an experiment from it.
+ * Writes the event file of an experiment, one JSON object per line: {@code us} (Unix time in microseconds), {@code
+ * party}, {@code kind}, and where they apply {@code request} (shared by all attempts of a client's request), {@code
+ * attempt} (the trace ID of an attempt), {@code engine}, {@code class}, {@code outcome}. Thread-safe. {@link
+ * RetryStormAudit} and {@link FleetAudit} recompute an experiment's figures from it.
  */
 public final class Events implements Closeable {
     private final OutputStream out;
     private final JsonGenerator json;
 
-    /** Into a file, or to nowhere where it is null. */
+    /**
+     * Opens an event file.
+     *
+     * @param file null to discard all events
+     */
     public Events(Path file) throws IOException {
         out = file == null ? OutputStream.nullOutputStream() : new BufferedOutputStream(Files.newOutputStream(file));
         json = new JsonFactory().createGenerator(out);
         json.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
     }
 
-    /** Keys and values in turn; values that are null are left out. */
-    public synchronized void add(long us, String party, String kind, Object... fields) {
+    /**
+     * Writes an event.
+     *
+     * @param fields alternating keys and values; null values are left out
+     */
+    public synchronized void add(long timestampUs, String party, String kind, Object... fields) {
         try {
             json.writeStartObject();
-            json.writeNumberField("us", us);
+            json.writeNumberField("us", timestampUs);
             json.writeStringField("party", party);
             json.writeStringField("kind", kind);
             for (int i = 0; i < fields.length; i += 2) {
@@ -46,7 +55,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("the events file cannot be written", e);
+            throw new UncheckedIOException("cannot write the event file", e);
         }
     }
 
--- a/lab/src/main/java/sandpaddle/lab/FleetAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetAudit.java
@@ -16,52 +16,62 @@
 import java.util.TreeMap;
 
 /**
- * Recounts a fleet's run from the events of engines, clients, relays and the script. It shares no code with the
- * gateways: what runs is counted at the engines. Events come in any order and are sorted by their time.
+ * Recomputes the figures of a fleet run from the events of engines, clients, proxies, gateway logs and the fault
+ * schedule. It shares no code with the gateways: running queries are counted at the engines. Events are sorted by time
+ * first.
  */
 public final class FleetAudit {
-    private static final long AFTER_STOP_US = 2_500_000; // to find out that it stood still, and answer what is late
+    // a resumed gateway needs this long to detect the suspension and answer overdue requests
+    private static final long RESUME_GRACE_US = 2_500_000;
 
-    private final Map<String, Integer> answersOf = new HashMap<>();
+    private final Map<String, Integer> answerCounts = new HashMap<>();
     private final Map<String, Long> answers = new TreeMap<>();
     private final Map<String, String> gatewayOf = new HashMap<>(); // by attempt
     private final Map<String, String> requestOf = new HashMap<>();
-    private final Map<String, Set<String>> loadRuns = new HashMap<>();
-    private final Map<String, String> running = new HashMap<>(); // attempt at engine to class
+    private final Map<String, Set<String>> loadAttempts = new HashMap<>();
+    private final Map<String, String> running = new HashMap<>(); // request class by attempt and engine
     private final FleetLimits limits = new FleetLimits();
     final OutageAudit outage = new OutageAudit();
     private final VerdictAudit verdicts = new VerdictAudit();
     private final CostAudit costs = new CostAudit();
     private final PoolAudit pools = new PoolAudit();
-    private final ShareReplay shares = new ShareReplay();
-    private final Map<String, Long> isolated = new HashMap<>();
-    private final Map<String, Long> downSince = new HashMap<>(); // killed or stopped gateways
-    private final Map<String, Long> stoodStillUntil = new HashMap<>(); // gateways: until then it owes no answers
-    private final Set<String> askedInStop = new HashSet<>();
-    private long lostInStop, second, coldFalls, killed, cuts, disksFilled, highestVersion, acknowledgedLost;
-    private long isolations, floorsKept;
-    private final Set<String> servedAlone = new HashSet<>();
-
-    /** The figures of events that {@link #read} gave, by name. */
+    private final QuotaBaselineModel quotaBaselines = new QuotaBaselineModel();
+    private final Map<String, Long> isolatedSince = new HashMap<>();
+    private final Map<String, Long> downSince = new HashMap<>(); // killed or suspended gateways
+    private final Map<String, Long> suspendedUntil = new HashMap<>(); // by gateway: no answers are owed until then
+    private final Set<String> sentWhileSuspended = new HashSet<>();
+    private long lostWhileSuspended,
+            duplicateAnswers,
+            coldCrashes,
+            killCount,
+            linkCuts,
+            disksFilled,
+            highestVersion,
+            lostVersions;
+    private long isolations, floorsHonoured;
+    private final Set<String> servedWhileIsolated = new HashSet<>();
+
+    /** Returns the figures of the events of {@link #read}, by name. */
     static Map<String, Object> recount(List<Map<String, String>> events) {
-        return taken(events).figures();
+        return auditOf(events).figures();
     }
 
-    /** All that was counted. */
-    static FleetAudit taken(List<Map<String, String>> events) {
+    /** Returns an audit that has processed all events. */
+    static FleetAudit auditOf(List<Map<String, String>> events) {
         FleetAudit audit = new FleetAudit();
-        events.forEach(audit::take);
+        events.forEach(audit::process);
         return audit;
     }
 
-    /** Whether these are events of a fleet: its script tells of limits. */
-    static boolean isFleet(List<Map<String, String>> all) {
-        return all.stream().anyMatch(e -> "script".equals(e.get("party")) && "limit".equals(e.get("kind")));
+    /** Whether the events come from a fleet run: only its schedule records limits. */
+    static boolean isFleet(List<Map<String, String>> events) {
+        return events.stream()
+                .anyMatch(event -> "script".equals(event.get("party")) && "limit".equals(event.get("kind")));
     }
 
-    /** All events of a file by their time. */
+    /** Reads all events of a file and sorts them by time. */
     public static List<Map<String, String>> read(Path file) throws IOException {
-        List<Map<String, String>> all = new ArrayList<>();
+        List<Map<String, String>> events = new ArrayList<>();
         try (JsonParser in = new JsonFactory().createParser(file.toFile())) {
             while (in.nextToken() == JsonToken.START_OBJECT) {
                 Map<String, String> event = new HashMap<>();
@@ -70,182 +80,189 @@
                     in.nextToken();
                     event.put(key, in.getText());
                 }
-                all.add(event);
+                events.add(event);
             }
         }
-        all.sort(Comparator.comparingLong(e -> Long.parseLong(e.get("us")))); // stable: a party's own order stays
-        return all;
+        // stable sort: keeps the order of each party's events
+        events.sort(Comparator.comparingLong(event -> Long.parseLong(event.get("us"))));
+        return events;
     }
 
-    private void take(Map<String, String> e) {
-        long us = Long.parseLong(e.get("us"));
-        outage.script(e, us);
-        String gateway = e.get("gateway");
-        switch (e.get("party") + " " + e.get("kind")) {
+    private void process(Map<String, String> event) {
+        long timestampUs = Long.parseLong(event.get("us"));
+        outage.scriptEvent(event, timestampUs);
+        String gateway = event.get("gateway");
+        switch (event.get("party") + " " + event.get("kind")) {
             case "client ask" -> {
-                requestOf.put(e.get("attempt"), e.get("request"));
-                gatewayOf.put(e.get("attempt"), gateway);
-                asked(e, us);
+                requestOf.put(event.get("attempt"), event.get("request"));
+                gatewayOf.put(event.get("attempt"), gateway);
+                attemptSent(event, timestampUs);
             }
-            case "client answer" -> answered(e, us);
-            case "engine begin" -> began(e, us);
-            case "engine end" -> ended(e, us);
-            case "engine connections" -> pools.connections(e.get("engine"), Long.parseLong(e.get("open")), us);
-            case "script pool" -> pools.budget(Long.parseLong(e.get("each")), us, Long.parseLong(e.get("holds")));
-            case "script cpu" -> costs.cpu(gateway, Long.parseLong(e.get("ms")));
-            case "script traffic" -> costs.traffic(Long.parseLong(e.get("bytes")), us);
-            case "script end" -> pools.end(us);
-            case "engine cold-fall" -> coldFalls++;
-            case "engine sick" -> verdicts.sick(e.get("engine"), us);
-            case "engine well" -> verdicts.well(e.get("engine"), us);
+            case "client answer" -> attemptAnswered(event, timestampUs);
+            case "engine begin" -> attemptStarted(event, timestampUs);
+            case "engine end" -> attemptEnded(event, timestampUs);
+            case "engine connections" ->
+                pools.connections(event.get("engine"), Long.parseLong(event.get("open")), timestampUs);
+            case "script pool" ->
+                pools.budget(Long.parseLong(event.get("each")), timestampUs, Long.parseLong(event.get("holds")));
+            case "script cpu" -> costs.gatewayCpu(gateway, Long.parseLong(event.get("ms")));
+            case "script traffic" -> costs.linkTraffic(Long.parseLong(event.get("bytes")), timestampUs);
+            case "script end" -> pools.end(timestampUs);
+            case "engine cold-fall" -> coldCrashes++;
+            case "engine sick" -> verdicts.engineFailed(event.get("engine"), timestampUs);
+            case "engine well" -> verdicts.engineRecovered(event.get("engine"), timestampUs);
             case "script limit" -> {
-                limits.said(e, us);
-                shares.limit(e);
+                limits.limitChanged(event, timestampUs);
+                quotaBaselines.limitChanged(event);
             }
             case "script uneven" -> {
-                limits.uneven(us);
-                shares.uneven(us);
+                limits.unevenDemandStarted(timestampUs);
+                quotaBaselines.unevenDemandStarted(timestampUs);
             }
             case "script even" -> {
-                limits.even(us);
-                shares.even(us);
+                limits.unevenDemandEnded(timestampUs);
+                quotaBaselines.unevenDemandEnded(timestampUs);
             }
             case "script engines-cut", "script hall-cut" -> verdicts.linksCut();
-            case "script engines-back", "script hall-back" -> verdicts.linksBack(us);
+            case "script engines-back", "script hall-back" -> verdicts.linksBack(timestampUs);
             case "script killed" -> {
-                killed++;
-                downSince.put(gateway, us);
+                killCount++;
+                downSince.put(gateway, timestampUs);
             }
             case "script stopped" -> {
-                downSince.put(gateway, us);
-                stoodStillUntil.put(gateway, Long.MAX_VALUE);
+                downSince.put(gateway, timestampUs);
+                suspendedUntil.put(gateway, Long.MAX_VALUE);
             }
             case "script continued" -> {
                 downSince.remove(gateway);
-                stoodStillUntil.put(gateway, us + AFTER_STOP_US);
+                suspendedUntil.put(gateway, timestampUs + RESUME_GRACE_US);
             }
             case "script gateway-started" -> downSince.remove(gateway);
             case "script disk-full" -> disksFilled++;
-            case "script isolated" -> isolated.put(gateway, us);
-            case "script joined" -> joined(gateway);
-            case "relay cut" -> cuts++;
+            case "script isolated" -> isolatedSince.put(gateway, timestampUs);
+            case "script joined" -> rejoined(gateway);
+            case "relay cut" -> linkCuts++;
             case "gateway verdict-begins" ->
-                verdicts.heard(e, us, downSince.containsKey(gateway) || isolated.containsKey(gateway));
-            case "gateway rules" -> rules(Long.parseLong(e.get("version")));
-            default -> {} // of no account
+                verdicts.verdictReceived(
+                        event, timestampUs, downSince.containsKey(gateway) || isolatedSince.containsKey(gateway));
+            case "gateway rules" -> rulesApplied(Long.parseLong(event.get("version")));
+            default -> {} // other events do not affect the figures
         }
     }
 
-    private void asked(Map<String, String> e, long us) {
-        if (stoodStillUntil.getOrDefault(e.get("gateway"), 0L) == Long.MAX_VALUE) {
-            askedInStop.add(e.get("attempt")); // read once it goes on: its patience counts from then
+    private void attemptSent(Map<String, String> event, long timestampUs) {
+        if (suspendedUntil.getOrDefault(event.get("gateway"), 0L) == Long.MAX_VALUE) {
+            // read only after the gateway resumes: the client timeout counts from then
+            sentWhileSuspended.add(event.get("attempt"));
         }
-        outage.ask(e, us);
-        shares.ask(e, us);
-        costs.ask(e.get("attempt"), us);
+        outage.attemptSent(event, timestampUs);
+        quotaBaselines.attemptSent(event, timestampUs);
+        costs.attemptSent(event.get("attempt"), timestampUs);
     }
 
-    private void answered(Map<String, String> e, long us) {
-        if (e.get("outcome").equals("lost")
-                && (askedInStop.contains(e.get("attempt"))
-                        || us < stoodStillUntil.getOrDefault(gatewayOf.get(e.get("attempt")), 0L))) {
-            answersOf.merge(e.get("attempt"), 1, Integer::sum);
-            lostInStop++;
+    private void attemptAnswered(Map<String, String> event, long timestampUs) {
+        if (event.get("outcome").equals("lost")
+                && (sentWhileSuspended.contains(event.get("attempt"))
+                        || timestampUs < suspendedUntil.getOrDefault(gatewayOf.get(event.get("attempt")), 0L))) {
+            answerCounts.merge(event.get("attempt"), 1, Integer::sum);
+            lostWhileSuspended++;
             return;
         }
-        int before = answersOf.merge(e.get("attempt"), 1, Integer::sum) - 1;
-        if (e.get("outcome").equals("second") || before > 0) {
-            second++;
+        int before = answerCounts.merge(event.get("attempt"), 1, Integer::sum) - 1;
+        if (event.get("outcome").equals("second") || before > 0) {
+            duplicateAnswers++;
         } else {
-            answers.merge(e.get("outcome"), 1L, Long::sum);
-            if (e.get("outcome").equals("served")) {
-                outage.served(e, us);
-                costs.served(e.get("attempt"), us);
+            answers.merge(event.get("outcome"), 1L, Long::sum);
+            if (event.get("outcome").equals("served")) {
+                outage.attemptServed(event, timestampUs);
+                costs.attemptServed(event.get("attempt"), timestampUs);
             }
         }
     }
 
-    private void began(Map<String, String> e, long us) {
-        String attempt = e.get("attempt");
-        String engine = e.get("engine");
-        if (e.get("class").equals("load")) {
-            loadRuns.computeIfAbsent(requestOf.getOrDefault(attempt, attempt), k -> new HashSet<>())
+    private void attemptStarted(Map<String, String> event, long timestampUs) {
+        String attempt = event.get("attempt");
+        String engine = event.get("engine");
+        if (event.get("class").equals("load")) {
+            loadAttempts
+                    .computeIfAbsent(requestOf.getOrDefault(attempt, attempt), k -> new HashSet<>())
                     .add(attempt);
         }
-        running.put(attempt + " " + engine, e.get("class"));
-        limits.began(us, e.get("class"), engine);
-        outage.began(e, us);
-        shares.began(attempt, us);
-        usesFloor(attempt, us);
+        running.put(attempt + " " + engine, event.get("class"));
+        limits.attemptStarted(timestampUs, event.get("class"), engine);
+        outage.attemptStarted(event, timestampUs);
+        quotaBaselines.attemptStarted(attempt, timestampUs);
+        recordFloorUse(attempt, timestampUs);
     }
 
-    /** An attempt of a gateway that is cut off, after its lease: it stands on the floor. */
-    private void usesFloor(String attempt, long us) {
-        Long alone = isolated.get(gatewayOf.get(attempt));
-        if (alone != null && us > alone + (FleetSite.LEASE_MS + 1000) * 1000) {
-            servedAlone.add(gatewayOf.get(attempt));
+    /** Records an attempt that an isolated gateway runs after its lease has expired, so within its floor. */
+    private void recordFloorUse(String attempt, long timestampUs) {
+        Long isolatedUs = isolatedSince.get(gatewayOf.get(attempt));
+        if (isolatedUs != null && timestampUs > isolatedUs + (FleetFiles.LEASE_MS + 1000) * 1000) {
+            servedWhileIsolated.add(gatewayOf.get(attempt));
         }
     }
 
-    private void ended(Map<String, String> e, long us) {
-        String cls = running.remove(e.get("attempt") + " " + e.get("engine"));
-        if (cls != null) {
-            usesFloor(e.get("attempt"), us);
-            limits.ended(us, cls, e.get("engine"));
-            shares.ended(e.get("attempt"), cls, us);
-            if (cls.equals("load") && "ok".equals(e.get("outcome"))) {
-                outage.loaded(e.get("request"), us);
+    private void attemptEnded(Map<String, String> event, long timestampUs) {
+        String requestClass = running.remove(event.get("attempt") + " " + event.get("engine"));
+        if (requestClass != null) {
+            recordFloorUse(event.get("attempt"), timestampUs);
+            limits.attemptEnded(timestampUs, requestClass, event.get("engine"));
+            quotaBaselines.attemptEnded(event.get("attempt"), requestClass, timestampUs);
+            if (requestClass.equals("load") && "ok".equals(event.get("outcome"))) {
+                outage.loadCompleted(event.get("request"), timestampUs);
             }
         }
     }
 
     /**
-     * A floor was kept where something began after the lease, or ran on until it was joined: a floor of one is used up
-     * by a load that may not be withdrawn.
+     * Counts a rejoined gateway as having used its floor if an attempt began after the lease, or still ran when it
+     * rejoined: a single load that may not be withdrawn uses up a floor of one.
      */
-    private void joined(String gateway) {
-        if (isolated.remove(gateway) != null) {
+    private void rejoined(String gateway) {
+        if (isolatedSince.remove(gateway) != null) {
             isolations++;
             boolean runsOn = running.keySet().stream()
                     .anyMatch(a -> gateway.equals(gatewayOf.get(a.substring(0, a.indexOf(' ')))));
-            floorsKept += servedAlone.remove(gateway) || runsOn ? 1 : 0;
+            floorsHonoured += servedWhileIsolated.remove(gateway) || runsOn ? 1 : 0;
         }
     }
 
-    private void rules(long version) {
-        acknowledgedLost += version < highestVersion - 1 ? 1 : 0; // a gateway may hear the last two out of step
+    private void rulesApplied(long version) {
+        // a gateway may receive the last two versions out of order
+        lostVersions += version < highestVersion - 1 ? 1 : 0;
         highestVersion = Math.max(highestVersion, version);
     }
 
     private Map<String, Object> figures() {
-        Map<String, Object> f = new LinkedHashMap<>();
-        f.put("requests", (long) new HashSet<>(requestOf.values()).size());
-        f.put("tries", (long) requestOf.size());
-        f.put("answers", answers);
-        f.put("secondAnswers", second);
-        f.put("lost", answers.getOrDefault("lost", 0L));
-        f.put("lostInStop", lostInStop);
-        f.put(
+        Map<String, Object> figures = new LinkedHashMap<>();
+        figures.put("requests", (long) new HashSet<>(requestOf.values()).size());
+        figures.put("tries", (long) requestOf.size());
+        figures.put("answers", answers);
+        figures.put("secondAnswers", duplicateAnswers);
+        figures.put("lost", answers.getOrDefault("lost", 0L));
+        figures.put("lostInStop", lostWhileSuspended);
+        figures.put(
                 "unanswered",
                 requestOf.keySet().stream()
-                        .filter(a -> !answersOf.containsKey(a))
+                        .filter(a -> !answerCounts.containsKey(a))
                         .count());
-        f.put(
+        figures.put(
                 "loadsRunTwice",
-                loadRuns.values().stream().filter(r -> r.size() > 1).count());
-        f.put("coldFalls", coldFalls);
-        limits.figures(f);
-        shares.figures(f);
-        f.put("floorsKept", isolations == 0 ? 1.0 : (double) floorsKept / isolations);
-        f.put("isolations", isolations);
-        verdicts.figures(f);
-        f.put("acknowledgedLost", acknowledgedLost);
-        f.put("disksFilled", disksFilled);
-        f.put("killed", killed);
-        f.put("cuts", cuts);
-        pools.figures(f);
-        costs.figures(f);
-        outage.figures(f);
-        return f;
+                loadAttempts.values().stream().filter(r -> r.size() > 1).count());
+        figures.put("coldFalls", coldCrashes);
+        limits.figures(figures);
+        quotaBaselines.figures(figures);
+        figures.put("floorsKept", isolations == 0 ? 1.0 : (double) floorsHonoured / isolations);
+        figures.put("isolations", isolations);
+        verdicts.figures(figures);
+        figures.put("acknowledgedLost", lostVersions);
+        figures.put("disksFilled", disksFilled);
+        figures.put("killed", killCount);
+        figures.put("cuts", linkCuts);
+        pools.figures(figures);
+        costs.figures(figures);
+        outage.figures(figures);
+        return figures;
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/FleetCharts.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetCharts.java
@@ -8,40 +8,44 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A fleet's run as charts, drawn from its events: what runs against the limit, verdicts by gateway, an outage. */
+/**
+ * Draws charts of a fleet run from its events: running queries against the limit, verdict delays by gateway, and an
+ * outage.
+ */
 final class FleetCharts {
-    private static final double US = 1e6;
-    private static final long GRID_US = 250_000;
+    private static final double US_PER_SECOND = 1e6;
+    private static final long SAMPLE_INTERVAL_US = 250_000;
 
     private final List<Map<String, String>> events;
-    private final long zero;
+    private final long startUs;
     private final String title;
 
     FleetCharts(List<Map<String, String>> events, String title) {
         this.events = events;
         this.title = title;
-        zero = events.stream()
-                .filter(e -> e.get("kind").equals("begin") && e.get("party").equals("script"))
-                .mapToLong(FleetCharts::us)
+        startUs = events.stream()
+                .filter(event ->
+                        event.get("kind").equals("begin") && event.get("party").equals("script"))
+                .mapToLong(FleetCharts::timestampUs)
                 .findFirst()
-                .orElse(events.isEmpty() ? 0 : us(events.get(0)));
+                .orElse(events.isEmpty() ? 0 : timestampUs(events.get(0)));
     }
 
-    private static long us(Map<String, String> e) {
-        return Long.parseLong(e.get("us"));
+    private static long timestampUs(Map<String, String> event) {
+        return Long.parseLong(event.get("us"));
     }
 
     void draw(Path folder, OutageAudit outage) throws IOException {
-        running(folder.resolve("running.png"));
-        verdicts(folder.resolve("verdicts.png"));
-        List<double[]> worth = outage.bySecond();
-        if (!worth.isEmpty()) {
+        chartRunning(folder.resolve("running.png"));
+        chartVerdictDelays(folder.resolve("verdicts.png"));
+        List<double[]> weightBySecond = outage.bySecond();
+        if (!weightBySecond.isEmpty()) {
             Charts.lines(
                     folder.resolve("outage.png"),
                     title,
-                    "seconds from the loss",
-                    "worth a second",
-                    List.of(line("asked", worth, 1), line("kept", worth, 2)));
+                    "seconds since the outage began",
+                    "priority weight per second",
+                    List.of(line("demanded", weightBySecond, 1), line("served", weightBySecond, 2)));
         }
     }
 
@@ -50,71 +54,74 @@
                 name, rows.stream().map(r -> new double[] {r[0], r[column]}).toArray(double[][]::new));
     }
 
-    /** At the engines, by the gateway that sent it. */
-    private void running(Path file) throws IOException {
+    /** Running queries at the engines, by the gateway that sent them. */
+    private void chartRunning(Path file) throws IOException {
         Map<String, String> gatewayOf = new HashMap<>();
-        Map<String, Integer> now = new TreeMap<>();
+        Map<String, Integer> running = new TreeMap<>();
         Map<String, List<double[]>> lines = new TreeMap<>();
         Map<String, String> open = new HashMap<>();
         double limit = 0;
-        long next = zero;
-        for (Map<String, String> e : events) {
-            for (; next < us(e); next += GRID_US) {
-                double x = (next - zero) / US;
-                now.forEach((g, n) ->
+        long next = startUs;
+        for (Map<String, String> event : events) {
+            for (; next < timestampUs(event); next += SAMPLE_INTERVAL_US) {
+                double x = (next - startUs) / US_PER_SECOND;
+                running.forEach((g, n) ->
                         lines.computeIfAbsent(g, k -> new ArrayList<>()).add(new double[] {x, n}));
                 lines.computeIfAbsent("~ limit", k -> new ArrayList<>()).add(new double[] {x, limit});
                 lines.computeIfAbsent("~ sum", k -> new ArrayList<>()).add(new double[] {x, open.size()});
             }
-            String run = e.get("attempt") + " " + e.get("engine");
-            switch (e.get("party") + " " + e.get("kind")) {
-                case "client ask" -> gatewayOf.put(e.get("attempt"), e.get("gateway"));
+            String run = event.get("attempt") + " " + event.get("engine");
+            switch (event.get("party") + " " + event.get("kind")) {
+                case "client ask" -> gatewayOf.put(event.get("attempt"), event.get("gateway"));
                 case "engine begin" -> {
-                    String by = gatewayOf.getOrDefault(e.get("attempt"), "ahead");
-                    open.put(run, by);
-                    now.merge(by, 1, Integer::sum);
+                    String gateway = gatewayOf.getOrDefault(event.get("attempt"), "ahead");
+                    open.put(run, gateway);
+                    running.merge(gateway, 1, Integer::sum);
                 }
                 case "engine end" -> {
-                    String by = open.remove(run);
-                    if (by != null) {
-                        now.merge(by, -1, Integer::sum);
+                    String gateway = open.remove(run);
+                    if (gateway != null) {
+                        running.merge(gateway, -1, Integer::sum);
                     }
                 }
                 case "script limit" -> {
-                    if (e.get("limit").equals("all")) {
-                        limit = Double.parseDouble(e.get("running"));
+                    if (event.get("limit").equals("all")) {
+                        limit = Double.parseDouble(event.get("running"));
                     }
                 }
-                default -> {} // not drawn
+                default -> {} // not part of the chart
             }
         }
         Charts.lines(file, title, "seconds", "queries running at engines", lines(lines));
     }
 
-    /** How long after the first gateway each other heard of a verdict. */
-    private void verdicts(Path file) throws IOException {
+    /** Delay of each gateway in receiving a verdict, after the first gateway. */
+    private void chartVerdictDelays(Path file) throws IOException {
         Map<String, Long> first = new HashMap<>();
         Map<String, List<double[]>> lines = new TreeMap<>();
-        for (Map<String, String> e : events) {
-            if (e.get("kind").equals("verdict-begins")) {
-                String what = e.get("engine") + " " + e.get("outcome");
-                Long had = first.get(what);
-                if (had == null || us(e) - had > 5_000_000) {
-                    first.put(what, us(e));
-                    had = us(e);
+        for (Map<String, String> event : events) {
+            if (event.get("kind").equals("verdict-begins")) {
+                String verdict = event.get("engine") + " " + event.get("outcome");
+                Long firstReceivedUs = first.get(verdict);
+                if (firstReceivedUs == null || timestampUs(event) - firstReceivedUs > 5_000_000) {
+                    first.put(verdict, timestampUs(event));
+                    firstReceivedUs = timestampUs(event);
                 }
-                lines.computeIfAbsent(e.get("gateway"), k -> new ArrayList<>())
-                        .add(new double[] {(us(e) - zero) / US, (us(e) - had) / 1000.0});
+                lines.computeIfAbsent(event.get("gateway"), k -> new ArrayList<>())
+                        .add(new double[] {
+                            (timestampUs(event) - startUs) / US_PER_SECOND,
+                            (timestampUs(event) - firstReceivedUs) / 1000.0
+                        });
             }
         }
         if (!lines.isEmpty()) {
-            Charts.lines(file, title, "seconds", "ms after the first gateway that heard of it", lines(lines));
+            Charts.lines(file, title, "seconds", "ms after the first gateway that received it", lines(lines));
         }
     }
 
-    private static List<Charts.Line> lines(Map<String, List<double[]>> by) {
-        return by.entrySet().stream()
-                .map(e -> new Charts.Line(e.getKey(), e.getValue().toArray(double[][]::new)))
+    private static List<Charts.Line> lines(Map<String, List<double[]>> pointsByName) {
+        return pointsByName.entrySet().stream()
+                .map(entry -> new Charts.Line(entry.getKey(), entry.getValue().toArray(double[][]::new)))
                 .toList();
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/FleetCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetCommand.java
@@ -14,19 +14,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fleet}: one run of {@link FleetExperiment}, counted by {@link FleetAudit}. */
+/** The {@code fleet} command: runs {@link FleetExperiment} and recomputes its figures with {@link FleetAudit}. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Real gateways that share state, a relay on every link, and faults: kills, stops, cuts, full, "
-                + "lost and old disks, members that come and go, limits that change. Counted from the events alone.",
+        description =
+                "Runs gateways that share state, with a proxy on every link, and faults: kills, stops, cuts, full, "
+                        + "lost and stale disks, changes of members and limits. Figures come from the events alone.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  fleet --scenario cut --short --json out.json --events out.jsonl",
             "  fleet --scenario drawn --gateways 9 --seed 3"
         })
 public final class FleetCommand implements Callable<Integer> {
-    private static final long CLIENT_SLACK_MS = 500; // an answer's way, on a loaded machine
+    private static final long CLIENT_DELAY_TOLERANCE_MS = 500; // delivery time of an answer on a loaded machine
 
     @Option(
             names = "--scenario",
@@ -83,49 +84,65 @@
                 : List.of(FleetPlan.Scenario.valueOf(
                         scenario.toUpperCase(Locale.ROOT).replace('-', '_')));
         int code = 0;
-        for (FleetPlan.Scenario one : all) {
-            code = Math.max(code, play(one, all.size() > 1));
+        for (FleetPlan.Scenario plannedScenario : all) {
+            code = Math.max(code, runScenario(plannedScenario, all.size() > 1));
         }
         return code;
     }
 
-    private int play(FleetPlan.Scenario one, boolean several) throws IOException {
+    private int runScenario(FleetPlan.Scenario plannedScenario, boolean several) throws IOException {
         Path folder = logs == null
                 ? Files.createTempDirectory("sandpaddle-fleet")
-                : Files.createDirectories(several ? logs.resolve(one.name()) : logs);
-        Path file = eventsFile == null ? folder.resolve("events.jsonl") : named(eventsFile, one, several);
+                : Files.createDirectories(several ? logs.resolve(plannedScenario.name()) : logs);
+        Path file =
+                eventsFile == null ? folder.resolve("events.jsonl") : outputFile(eventsFile, plannedScenario, several);
         try (Events events = new Events(file)) {
             new FleetExperiment(
-                            new FleetPlan(seed, one, gateways, engines, load, brief, sharing.equals("on"), jar, folder),
+                            new FleetPlan(
+                                    seed,
+                                    plannedScenario,
+                                    gateways,
+                                    engines,
+                                    load,
+                                    brief,
+                                    sharing.equals("on"),
+                                    jar,
+                                    folder),
                             events)
                     .run();
         }
-        List<Map<String, String>> seen = FleetAudit.read(file);
-        Map<String, Object> figures = FleetAudit.recount(seen);
-        System.out.println(one.name().toLowerCase(Locale.ROOT) + " seed " + seed + " gateways " + gateways);
+        List<Map<String, String>> recorded = FleetAudit.read(file);
+        Map<String, Object> figures = FleetAudit.recount(recorded);
+        System.out.println(plannedScenario.name().toLowerCase(Locale.ROOT) + " seed " + seed + " gateways " + gateways);
         figures.forEach((k, v) -> System.out.println("  " + k + " " + v));
         if (json != null) {
-            write(named(json, one, several), one, figures);
+            write(outputFile(json, plannedScenario, several), plannedScenario, figures);
         }
         if (charts != null) {
-            String title = one.name().toLowerCase(Locale.ROOT) + ", seed " + seed + ", " + gateways + " gateways";
-            new FleetCharts(seen, title)
+            String title =
+                    plannedScenario.name().toLowerCase(Locale.ROOT) + ", seed " + seed + ", " + gateways + " gateways";
+            new FleetCharts(recorded, title)
                     .draw(
-                            several ? charts.resolve(one.name().toLowerCase(Locale.ROOT)) : charts,
-                            FleetAudit.taken(seen).outage);
+                            several ? charts.resolve(plannedScenario.name().toLowerCase(Locale.ROOT)) : charts,
+                            FleetAudit.auditOf(recorded).outage);
         }
         if (logs == null) {
             remove(folder);
         }
-        return isGood(figures) ? 0 : Main.BROKEN;
+        return rulesHold(figures) ? 0 : Main.RULE_VIOLATED;
     }
 
-    private static Path named(Path file, FleetPlan.Scenario one, boolean several) {
-        return !several ? file : file.resolveSibling(one.name().toLowerCase(Locale.ROOT) + "-" + file.getFileName());
+    private static Path outputFile(Path file, FleetPlan.Scenario plannedScenario, boolean several) {
+        return !several
+                ? file
+                : file.resolveSibling(plannedScenario.name().toLowerCase(Locale.ROOT) + "-" + file.getFileName());
     }
 
-    /** The rules: one answer each, no load twice, no limit exceeded, floors kept, nothing agreed on lost. */
-    static boolean isGood(Map<String, Object> f) {
+    /**
+     * Whether the figures keep the invariants: one answer per attempt, no load run twice, no limit exceeded, floors
+     * usable, no acknowledged version lost.
+     */
+    static boolean rulesHold(Map<String, Object> figures) {
         boolean zeros = Stream.of(
                         "secondAnswers",
                         "lost",
@@ -137,19 +154,20 @@
                         "loadsFromStore",
                         "storedOfNoRun",
                         "poolOverMost")
-                .allMatch(k -> ((Number) f.get(k)).longValue() == 0);
+                .allMatch(k -> ((Number) figures.get(k)).longValue() == 0);
         return zeros
-                && (double) f.get("rateOverMost") <= (double) f.get("rateOverBound") + 1
-                && (double) f.get("floorsKept") == 1.0
-                && (long) f.get("staleServedMostMs") <= (long) f.get("staleServedBoundMs") + CLIENT_SLACK_MS;
+                && (double) figures.get("rateOverMost") <= (double) figures.get("rateOverBound") + 1
+                && (double) figures.get("floorsKept") == 1.0
+                && (long) figures.get("staleServedMostMs")
+                        <= (long) figures.get("staleServedBoundMs") + CLIENT_DELAY_TOLERANCE_MS;
     }
 
-    private void write(Path file, FleetPlan.Scenario one, Map<String, Object> figures) throws IOException {
+    private void write(Path file, FleetPlan.Scenario plannedScenario, Map<String, Object> figures) throws IOException {
         try (JsonGenerator j =
                 new JsonFactory().createGenerator(file.toFile(), com.fasterxml.jackson.core.JsonEncoding.UTF8)) {
             j.setPrettyPrinter(new DefaultPrettyPrinter());
             j.writeStartObject();
-            j.writeStringField("scenario", one.name().toLowerCase(Locale.ROOT));
+            j.writeStringField("scenario", plannedScenario.name().toLowerCase(Locale.ROOT));
             j.writeNumberField("seed", seed);
             j.writeNumberField("gateways", gateways);
             j.writeStringField("sharing", sharing);
@@ -172,11 +190,12 @@
         }
     }
 
-    /** The folder of a run with its disks. */
+    /** Deletes the folder of a run with the gateways' directories. */
     public static void remove(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path f : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(f);
+            for (Path figures :
+                    files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(figures);
             }
         }
     }
--- a/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetExperiment.java
@@ -15,266 +15,287 @@
 import sandpaddle.eventloop.EventLoop;
 
 /**
- * A fleet of real gateways with a relay on every link, between stand-in engines and clients, on loopback and in real
- * time, and faults between them. It only plays: what came of it is counted from the events, by {@link FleetAudit}.
+ * Runs a fleet of real gateways with a fault-injecting proxy on every link, between stand-in engines and a load
+ * generator, on loopback and in real time. It only runs the schedule: the figures are computed from the events by
+ * {@link FleetAudit}.
  */
 final class FleetExperiment {
-    private static final Duration LAST = Duration.ofSeconds(28);
-    private static final double CAPACITY_BUSY = 0.85;
+    private static final Duration FINAL_REQUEST_TIMEOUT = Duration.ofSeconds(28);
+    private static final double MAX_UTILIZATION = 0.85;
     private static final int FOUNDERS = 3;
-    private static final Duration SETTLE = Duration.ofMillis(1500); // once all have served: rights and leaders settle
-    private static final double DASHBOARDS = 12; // asks a second
-    private static final double OUTSIDE = 0.5; // load of the halls outside, against that of other scenarios
+    // after all gateways have served a query, for leases and leaders to settle
+    private static final Duration SETTLING_TIME = Duration.ofMillis(1500);
+    private static final double DASHBOARD_QUERIES_PER_S = 12;
+    private static final double OTHER_ZONES_LOAD_SHARE = 0.5; // load of the other zones, relative to other scenarios
 
     final FleetPlan plan;
     final Events events;
     final EventLoop loop;
     final SplittableRandom random;
-    final Wiring wiring;
-    final FleetSite site;
-    final Map<String, FleetMember> nodes = new LinkedHashMap<>();
+    final ProxyNetwork proxies;
+    final FleetFiles files;
+    final Map<String, GatewayInstance> gateways = new LinkedHashMap<>();
     final List<StandInEngine> engines = new ArrayList<>();
-    final Clients clients;
-    OutagePlan outage; // null: none is played
-    private final Traffic traffic;
+    final LoadGenerator loadGenerator;
+    OutagePlan outage; // null if the scenario has no outage
+    private final FleetWorkload workload;
     private final ClientStatistics statistics = new ClientStatistics();
-    private final EngineModel.Spec spec = EngineModel.Spec.usual();
-    private final Map<String, String> hallOfEngine = new LinkedHashMap<>();
-    private boolean arriving = true;
-    private int serial;
-    private Exception failed;
-    private long endAt;
+    private final EngineModel.Spec spec = EngineModel.Spec.standard();
+    private final Map<String, String> zoneOfEngine = new LinkedHashMap<>();
+    private boolean generating = true;
+    private int gatewayCount;
+    private Exception failure;
+    private long endUs;
 
     FleetExperiment(FleetPlan plan, Events events) throws IOException {
         this.plan = plan;
         this.events = events;
         loop = new EventLoop(Clock.systemUTC());
         random = new SplittableRandom(plan.seed());
-        wiring = new Wiring(loop, events, random.split());
-        site = new FleetSite(
+        proxies = new ProxyNetwork(loop, events, random.split());
+        files = new FleetFiles(
                 plan.folder(),
-                plan.on(),
+                plan.sharing(),
                 plan.scenario() == FleetPlan.Scenario.UNEVEN
                         ? FleetLimit.tight(plan.engines())
-                        : FleetLimit.usual(plan.engines()));
-        clients = new Clients(loop, events, statistics, random.split(), Clients.Habits.draw(random));
-        traffic = new Traffic(loop, clients, random.split());
+                        : FleetLimit.standard(plan.engines()));
+        loadGenerator =
+                new LoadGenerator(loop, events, statistics, random.split(), LoadGenerator.ClientBehavior.draw(random));
+        workload = new FleetWorkload(loop, loadGenerator, random.split());
     }
 
-    long us() {
+    long nowUs() {
         return ChronoUnit.MICROS.between(Instant.EPOCH, loop.now());
     }
 
-    void say(String kind, Object... fields) {
-        events.add(us(), "script", kind, fields);
+    void recordEvent(String kind, Object... fields) {
+        events.add(nowUs(), "script", kind, fields);
     }
 
     /** Runs the scenario to its end. */
     void run() throws IOException {
-        Thread left = new Thread(() -> nodes.values().forEach(FleetMember::abandon));
-        Runtime.getRuntime().addShutdownHook(left); // so that a run that is broken off leaves no gateway behind
+        Thread shutdownHook = new Thread(() -> gateways.values().forEach(GatewayInstance::killIfRunning));
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // an interrupted run leaves no gateway process behind
         try {
             for (int i = 0; i < plan.engines(); i++) {
                 StandInEngine e = new StandInEngine(loop, events, statistics, "s-" + i, 0, spec, 0, () -> {});
                 engines.add(e);
-                hallOfEngine.put(e.id(), Site.HALLS.get(i % (Site.HALLS.size() - (isOutage() ? 1 : 0))));
+                zoneOfEngine.put(
+                        e.id(), LabDeployment.ZONES.get(i % (LabDeployment.ZONES.size() - (isOutage() ? 1 : 0))));
             }
             for (int i = 0; i < plan.gateways(); i++) {
-                enrol();
+                addGateway();
             }
             if (plan.scenario() == FleetPlan.Scenario.POOL) {
-                site.pool(FleetScript.POOL, 1);
+                files.pool(FaultSchedule.POOL_CONNECTIONS, 1);
             }
-            found();
-            for (FleetMember n : nodes.values()) {
-                start(n);
+            formatDirectories();
+            for (GatewayInstance gateway : gateways.values()) {
+                start(gateway);
             }
-            for (FleetMember n : nodes.values()) {
-                n.process.awaitUp();
-                reach(n);
+            for (GatewayInstance gateway : gateways.values()) {
+                gateway.process.awaitUp();
+                registerWithLoadBalancer(gateway);
             }
-            limitsHold(0);
+            recordLimits(0);
             if (plan.scenario() == FleetPlan.Scenario.POOL) {
-                say("pool", "each", FleetScript.POOL, "holds", us());
+                recordEvent("pool", "each", FaultSchedule.POOL_CONNECTIONS, "holds", nowUs());
             }
-            Readiness ready =
-                    new Readiness(loop, random.split(), () -> loop.scheduleAfter(SETTLE, () -> guarded(this::begin)));
-            nodes.values().forEach(n -> ready.gateway(n.name(), n.process.address()));
-            endAt = Long.MAX_VALUE;
-            while (arriving || clients.open() > 0 && us() < endAt + LAST.toMillis() * 1000) {
+            ReadinessProbe ready = new ReadinessProbe(
+                    loop, random.split(), () -> loop.scheduleAfter(SETTLING_TIME, () -> runStep(this::startScenario)));
+            gateways.values().forEach(gateway -> ready.addGateway(gateway.name(), gateway.process.address()));
+            endUs = Long.MAX_VALUE;
+            while (generating
+                    || loadGenerator.open() > 0 && nowUs() < endUs + FINAL_REQUEST_TIMEOUT.toMillis() * 1000) {
                 ready.check();
-                if (failed != null) {
-                    throw new IOException("the script failed: " + failed.getMessage(), failed);
+                if (failure != null) {
+                    throw new IOException("a step of the fault schedule failed: " + failure.getMessage(), failure);
                 }
                 loop.runTurn(() -> {}, Duration.ofMillis(20));
             }
-            for (FleetMember n : nodes.values()) {
-                if (n.process != null && !n.process.isAlive()) {
-                    throw new IOException("gateway " + n.name() + " has ended; its log tells why");
+            for (GatewayInstance gateway : gateways.values()) {
+                if (gateway.process != null && !gateway.process.isAlive()) {
+                    throw new IOException("gateway " + gateway.name() + " exited during the run; see its log");
                 }
             }
         } finally {
-            Runtime.getRuntime().removeShutdownHook(left);
-            nodes.values().stream().filter(n -> n.process != null).forEach(n -> n.process.end());
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            gateways.values().stream()
+                    .filter(gateway -> gateway.process != null)
+                    .forEach(gateway -> gateway.process.end());
             engines.forEach(e -> e.kill("stopped"));
-            nodes.values().forEach(n -> n.feed.close());
-            wiring.close();
+            gateways.values().forEach(gateway -> gateway.feed.close());
+            proxies.close();
         }
-        FleetLogs.gather(plan.folder(), nodes.keySet(), events);
+        FleetLogs.gather(plan.folder(), gateways.keySet(), events);
     }
 
     private boolean isOutage() {
         return plan.scenario() == FleetPlan.Scenario.OUTAGE;
     }
 
-    private void found() throws IOException {
+    private void formatDirectories() throws IOException {
         long from = System.nanoTime();
-        for (FleetMember n : List.copyOf(nodes.values())) {
-            Path operator = operator(n);
-            if (plan.on() && n.index < FOUNDERS) {
-                FleetProcess.format(plan.jar(), operator, n.name());
+        for (GatewayInstance gateway : List.copyOf(gateways.values())) {
+            Path operator = writeOperatorFile(gateway);
+            if (plan.sharing() && gateway.index < FOUNDERS) {
+                FleetProcess.format(plan.jar(), operator, gateway.name());
             }
         }
         if (isOutage()) {
-            outage = OutagePlan.after(Instant.now(), Duration.ofNanos(System.nanoTime() - from), plan.brief());
-            site.foresee(outage);
-            clients.front().island(OutagePlan.HALL_NUMBER);
+            outage = OutagePlan.schedule(Instant.now(), Duration.ofNanos(System.nanoTime() - from), plan.brief());
+            files.scheduleOutage(outage);
+            loadGenerator.loadBalancer().isolateZone(OutagePlan.ZONE_INDEX);
         }
     }
 
-    /** What the script does may fail on a file or a process, which ends the run. */
-    void guarded(FleetScript.Step step) {
+    /** Runs a step of the schedule; a failure ends the run. */
+    void runStep(FaultSchedule.Step step) {
         try {
             step.run();
         } catch (IOException | RuntimeException e) {
-            failed = failed == null ? e : failed;
+            failure = failure == null ? e : failure;
         }
     }
 
-    /** Another gateway, known to the files from now on. */
-    FleetMember enrol() throws IOException {
-        int i = serial++;
-        FleetSite.Member m =
-                new FleetSite.Member("n" + i, Site.HALLS.get(i % Site.HALLS.size()), GatewayProcess.freePort());
+    /** Adds a gateway to the fleet's files. */
+    GatewayInstance addGateway() throws IOException {
+        int i = gatewayCount++;
+        FleetFiles.Member member = new FleetFiles.Member(
+                "n" + i, LabDeployment.ZONES.get(i % LabDeployment.ZONES.size()), GatewayProcess.freePort());
         StandInFeed feed = new StandInFeed(loop, events, statistics);
-        FleetMember n = new FleetMember(m, i, GatewayProcess.freePort(), feed);
-        nodes.put(n.name(), n);
-        site.join(m);
+        GatewayInstance gateway = new GatewayInstance(member, i, GatewayProcess.freePort(), feed);
+        gateways.put(gateway.name(), gateway);
+        files.addMember(member);
         for (StandInEngine e : engines) {
-            feed.tell(
-                    us(),
+            feed.publish(
+                    nowUs(),
                     e.id(),
-                    wiring.link(n.name(), e.id(), e.address(), false),
-                    hallOfEngine.get(e.id()),
+                    proxies.link(gateway.name(), e.id(), e.address(), false),
+                    zoneOfEngine.get(e.id()),
                     "Ready",
                     0);
         }
-        return n;
+        return gateway;
     }
 
-    /** Clients know it from now on. */
-    void reach(FleetMember n) {
-        clients.front().gateway(n.name(), n.process.address(), n.index % Site.HALLS.size());
+    /** Makes a gateway reachable for clients. */
+    void registerWithLoadBalancer(GatewayInstance gateway) {
+        loadGenerator
+                .loadBalancer()
+                .addGateway(gateway.name(), gateway.process.address(), gateway.index % LabDeployment.ZONES.size());
     }
 
-    Path operator(FleetMember n) throws IOException {
+    Path writeOperatorFile(GatewayInstance gateway) throws IOException {
         Map<String, InetSocketAddress> routes = new LinkedHashMap<>();
-        for (FleetMember peer : nodes.values()) {
-            if (peer != n) {
-                routes.put(peer.name(), wiring.link(n.name(), peer.name(), Loopback.at(peer.member.port()), true));
+        for (GatewayInstance peer : gateways.values()) {
+            if (peer != gateway) {
+                routes.put(
+                        peer.name(), proxies.link(gateway.name(), peer.name(), Loopback.at(peer.member.port()), true));
             }
         }
-        return site.operator(n.member, FOUNDERS, routes);
+        return files.writeOperatorFile(gateway.member, FOUNDERS, routes);
     }
 
-    void start(FleetMember n) throws IOException {
-        InetSocketAddress feed = wiring.link(n.name(), "feed", n.feed.address(), false);
-        Path config = site.config(
-                n.member,
-                n.index,
+    void start(GatewayInstance gateway) throws IOException {
+        InetSocketAddress feed = proxies.link(gateway.name(), "feed", gateway.feed.address(), false);
+        Path config = files.writeConfiguration(
+                gateway.member,
+                gateway.index,
                 plan.gateways(),
-                n.port,
+                gateway.port,
                 feed,
-                n.feed.known(),
-                plan.seed() * 31 + n.index + 1000L * n.starts++,
+                gateway.feed.snapshotJson(),
+                plan.seed() * 31 + gateway.index + 1000L * gateway.startCount++,
                 spec);
-        n.process = FleetProcess.start(plan.jar(), plan.folder(), n.name(), n.port, config, operator(n));
-        say("gateway-started", "gateway", n.name());
+        gateway.process = FleetProcess.start(
+                plan.jar(), plan.folder(), gateway.name(), gateway.port, config, writeOperatorFile(gateway));
+        recordEvent("gateway-started", "gateway", gateway.name());
     }
 
-    void kill(FleetMember n) {
-        n.process.kill();
-        n.process = null;
-        say("killed", "gateway", n.name());
+    void kill(GatewayInstance gateway) {
+        gateway.process.kill();
+        gateway.process = null;
+        recordEvent("killed", "gateway", gateway.name());
     }
 
-    /** All gateways read the files of now. */
-    void rewrite() throws IOException {
-        for (FleetMember n : nodes.values()) {
-            operator(n);
+    /** Rewrites the operator's files and makes all gateways reload them. */
+    void rewriteFiles() throws IOException {
+        for (GatewayInstance gateway : gateways.values()) {
+            writeOperatorFile(gateway);
         }
-        for (FleetMember n : nodes.values()) {
-            if (n.process != null) {
-                n.process.hangUp();
+        for (GatewayInstance gateway : gateways.values()) {
+            if (gateway.process != null) {
+                gateway.process.reloadConfiguration();
             }
         }
     }
 
-    /** Says which limits count from when on. */
-    void limitsHold(long afterUs) {
-        for (FleetLimit l : site.limits()) {
+    /**
+     * Records the current limits in the events.
+     *
+     * @param afterUs delay until the limits are in effect at every gateway
+     */
+    void recordLimits(long afterUs) {
+        for (FleetLimit limit : files.limits()) {
             events.add(
-                    us(),
+                    nowUs(),
                     "script",
                     "limit",
                     "limit",
-                    l.name(),
+                    limit.name(),
                     "class",
-                    l.cls(),
+                    limit.requestClass(),
                     "engine",
-                    l.engine(),
+                    limit.engine(),
                     "running",
-                    (long) l.running(),
+                    (long) limit.running(),
                     "per_s",
-                    l.perSecond(),
+                    limit.perSecond(),
                     "burst",
-                    (long) l.burst(),
+                    (long) limit.burst(),
                     "holds",
-                    us() + afterUs,
+                    nowUs() + afterUs,
                     "gateways",
-                    (long) nodes.size());
+                    (long) gateways.size());
         }
     }
 
-    /** What the gateways have taken until now. */
-    private void spent() {
-        say("traffic", "bytes", wiring.bytes());
-        nodes.values().stream()
-                .filter(n -> n.process != null)
-                .forEach(n -> say("cpu", "gateway", n.name(), "ms", n.process.cpuMs()));
+    /** Records CPU time and link traffic of the gateways so far. */
+    private void recordResourceUsage() {
+        recordEvent("traffic", "bytes", proxies.frameBytes());
+        gateways.values().stream()
+                .filter(gateway -> gateway.process != null)
+                .forEach(gateway -> recordEvent("cpu", "gateway", gateway.name(), "ms", gateway.process.cpuMs()));
     }
 
-    private void begin() throws IOException {
-        say("begin");
-        double perSecond = plan.load() * plan.engines() * spec.cores() * CAPACITY_BUSY * 1e6 / Site.meanCpu();
-        Duration all = new FleetScript(this).play();
+    private void startScenario() throws IOException {
+        recordEvent("begin");
+        double perSecond =
+                plan.load() * plan.engines() * spec.cores() * MAX_UTILIZATION * 1e6 / LabDeployment.meanCpu();
+        Duration scenarioDuration = new FaultSchedule(this).schedule();
         if (outage == null) {
-            traffic.fresh(perSecond, Site.HALLS.size());
+            workload.startNewStatements(perSecond, LabDeployment.ZONES.size());
         } else {
-            for (Site.Kind k : Site.KINDS) {
-                say("ages", "class", k.name(), "age", k.safe() ? outage.maxAgeMs(k.name()) : 0);
+            for (LabDeployment.RequestClass k : LabDeployment.REQUEST_CLASSES) {
+                recordEvent("ages", "class", k.name(), "age", k.repeatable() ? outage.maxAgeMs(k.name()) : 0);
             }
-            say("store", "bytes", OutagePlan.MEMORY_BYTES, "fill", outage.fill().toMillis() * OutagePlan.FILL_WORK_MS);
-            traffic.fresh(perSecond * OUTSIDE, OutagePlan.HALL_NUMBER);
-            traffic.repeated(DASHBOARDS, OutagePlan.HALL_NUMBER);
+            recordEvent(
+                    "store",
+                    "bytes",
+                    OutagePlan.MEMORY_BYTES,
+                    "fill",
+                    outage.fill().toMillis() * OutagePlan.FILL_WORK_MS_PER_S);
+            workload.startNewStatements(perSecond * OTHER_ZONES_LOAD_SHARE, OutagePlan.ZONE_INDEX);
+            workload.startDashboards(DASHBOARD_QUERIES_PER_S, OutagePlan.ZONE_INDEX);
         }
-        spent();
-        loop.scheduleAfter(all, () -> {
-            spent();
-            arriving = false;
-            traffic.end();
-            endAt = us();
-            say("end");
+        recordResourceUsage();
+        loop.scheduleAfter(scenarioDuration, () -> {
+            recordResourceUsage();
+            generating = false;
+            workload.stop();
+            endUs = nowUs();
+            recordEvent("end");
         });
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/FleetSite.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetFiles.java
@@ -10,30 +10,34 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The files of a fleet: each gateway's configuration and its operator's file. */
-final class FleetSite {
-    /** How rights are leased in the lab: short, so that a lapse is seen within a run. */
-    static final long BEAT_MS = 100;
+/** Writes the files of a fleet: each gateway's configuration and operator's file. */
+final class FleetFiles {
+    /** Lease timing in the lab: short, so that an expiry is observed within a run. */
+    static final long HEARTBEAT_INTERVAL_MS = 100;
 
     static final long LEASE_MS = 3000;
-    static final long FORGET_MS = 2300;
-    static final long SLACK_MS = 300;
+    static final long ENGINE_EXPIRY_MS = 2300;
+    static final long CLOCK_SLACK_MS = 300;
     static final double DRIFT = 0.005;
 
-    /** A gateway of the fleet: its name, its hall, and where its peers reach it. */
-    record Member(String name, String hall, int port) {}
+    /**
+     * A gateway of the fleet.
+     *
+     * @param port at which its peers reach it
+     */
+    record Member(String name, String zone, int port) {}
 
     private final Path folder;
-    private final boolean on;
+    private final boolean sharing;
     private final List<Member> members = new ArrayList<>();
     private List<FleetLimit> limits;
     private long version = 1;
     private String outages = "";
     private String pool = "";
 
-    FleetSite(Path folder, boolean on, List<FleetLimit> limits) {
+    FleetFiles(Path folder, boolean sharing, List<FleetLimit> limits) {
         this.folder = folder;
-        this.on = on;
+        this.sharing = sharing;
         this.limits = List.copyOf(limits);
     }
 
@@ -41,20 +45,25 @@
         return members;
     }
 
-    void join(Member m) {
-        members.add(m);
+    void addMember(Member member) {
+        members.add(member);
     }
 
-    void leave(String name) {
-        members.removeIf(m -> m.name.equals(name));
+    void removeMember(String name) {
+        members.removeIf(member -> member.name.equals(name));
     }
 
-    /** What the files foresee from now on. */
-    void foresee(OutagePlan plan) {
-        outages = plan.json();
+    /** Adds a scheduled outage to the files. */
+    void scheduleOutage(OutagePlan plan) {
+        outages = plan.operatorSections();
     }
 
-    /** A pool policy, which each file names from now on: so many connections for each engine. */
+    /**
+     * Adds a pool policy to the files.
+     *
+     * @param each connections for each engine
+     * @param weight of one tenant
+     */
     void pool(int each, int weight) throws IOException {
         Path file = folder.resolve("pool-" + version + ".policy");
         Files.writeString(file, String.format(Locale.ROOT, """
@@ -72,10 +81,10 @@
         return limits;
     }
 
-    /** New limits, or new members: a version that goes before the last. */
-    void next(List<FleetLimit> changed) {
+    /** Publishes limits and members as a new version, which supersedes the last. */
+    void publishVersion(List<FleetLimit> newLimits) {
         version++;
-        limits = List.copyOf(changed);
+        limits = List.copyOf(newLimits);
     }
 
     long version() {
@@ -86,20 +95,26 @@
         return folder.resolve(name + ".disk");
     }
 
-    /** Writes a gateway's operator's file; {@code routes}: the addresses of its peers as it reaches them. */
-    Path operator(Member m, int founders, Map<String, InetSocketAddress> routes) throws IOException {
-        String who = members.stream()
-                .map(x -> String.format(
+    /**
+     * Writes a gateway's operator's file.
+     *
+     * @param routes addresses of its peers as it reaches them
+     */
+    Path writeOperatorFile(Member member, int founders, Map<String, InetSocketAddress> routes) throws IOException {
+        String memberList = members.stream()
+                .map(peer -> String.format(
                         Locale.ROOT,
                         "{\"name\":\"%s\",\"hall\":\"%s\",\"address\":\"%s:%d\"}",
-                        x.name,
-                        x.hall,
+                        peer.name,
+                        peer.zone,
                         Loopback.HOST,
-                        x.port))
+                        peer.port))
                 .collect(Collectors.joining(","));
-        String first =
-                members.stream().limit(founders).map(x -> "\"" + x.name + "\"").collect(Collectors.joining(","));
-        String ways = routes.entrySet().stream()
+        String founderList = members.stream()
+                .limit(founders)
+                .map(peer -> "\"" + peer.name + "\"")
+                .collect(Collectors.joining(","));
+        String routeList = routes.entrySet().stream()
                 .map(e -> String.format(
                         Locale.ROOT,
                         "\"%s\":\"%s:%d\"",
@@ -117,44 +132,46 @@
                 "store":{"most_bytes":1048576,"room_bytes":2097152,"probe_ms":300},
                 %s"agreed":{"version":%d,%s"members":[%s],"limits":[%s]}}}
                 """,
-                on,
+                sharing,
                 Loopback.HOST,
-                m.port,
-                directory(m.name),
-                first,
-                ways,
-                BEAT_MS,
+                member.port,
+                directory(member.name),
+                founderList,
+                routeList,
+                HEARTBEAT_INTERVAL_MS,
                 LEASE_MS,
-                FORGET_MS,
-                SLACK_MS,
+                ENGINE_EXPIRY_MS,
+                CLOCK_SLACK_MS,
                 DRIFT,
-                outliveMs(),
+                maxLoadRunMs(),
                 outages,
                 version,
                 pool,
-                who,
+                memberList,
                 limits.stream().map(FleetLimit::json).collect(Collectors.joining(",")));
-        return Files.writeString(folder.resolve(m.name + ".operator.json"), text);
+        return Files.writeString(folder.resolve(member.name + ".operator.json"), text);
     }
 
-    /** What may not be repeated may run until its client gives up. */
-    static long outliveMs() {
-        return Site.KINDS.stream()
-                        .filter(k -> !k.safe())
-                        .mapToLong(Site.Kind::limitUs)
+    /** Longest run time of a load: until its client times out. */
+    static long maxLoadRunMs() {
+        return LabDeployment.REQUEST_CLASSES.stream()
+                        .filter(k -> !k.repeatable())
+                        .mapToLong(LabDeployment.RequestClass::timeoutUs)
                         .max()
                         .orElse(0)
                 / 1000;
     }
 
-    /** From when a lowered limit holds for certain, whoever was cut off (us), after it was agreed on. */
-    static long loweredUs() {
-        return (long) ((LEASE_MS + FORGET_MS + SLACK_MS + outliveMs()) * 1000 / (1 - DRIFT));
+    /**
+     * Returns the time after its commit from which a lowered limit is in effect at every gateway, isolated or not (us).
+     */
+    static long loweredLimitEffectiveAfterUs() {
+        return (long) ((LEASE_MS + ENGINE_EXPIRY_MS + CLOCK_SLACK_MS + maxLoadRunMs()) * 1000 / (1 - DRIFT));
     }
 
-    /** The platform's configuration, with leave to talk. */
-    Path config(
-            Member m,
+    /** Writes the platform configuration of a gateway that may talk to its peers. */
+    Path writeConfiguration(
+            Member member,
             int index,
             int gateways,
             int port,
@@ -163,8 +180,8 @@
             long seed,
             EngineModel.Spec spec)
             throws IOException {
-        String text = Site.config(m.name, index, gateways, port, feed, known, seed, spec)
+        String text = LabDeployment.config(member.name, index, gateways, port, feed, known, seed, spec)
                 .replace("\"peers\":false", "\"peers\":true");
-        return Files.writeString(folder.resolve(m.name + ".json"), text);
+        return Files.writeString(folder.resolve(member.name + ".json"), text);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/FleetLimit.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetLimit.java
@@ -3,11 +3,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A limit of the played fleet; class and engine are null for any, {@code perSecond} 0 where it bounds what runs. */
-record FleetLimit(String name, String cls, String engine, int running, double perSecond, int burst) {
+/**
+ * A limit of the fleet under test.
+ *
+ * @param requestClass null for any class
+ * @param engine null for all engines together
+ * @param running limit of concurrent queries
+ * @param perSecond rate limit; 0 if the limit bounds concurrency
+ * @param burst burst size of a rate limit
+ */
+record FleetLimit(String name, String requestClass, String engine, int running, double perSecond, int burst) {
 
-    /** Those of an experiment, as tight as that they bind. */
-    static List<FleetLimit> usual(int scale) {
+    /** Limits low enough to be reached in an experiment. */
+    static List<FleetLimit> standard(int scale) {
         return List.of(
                 new FleetLimit("all", null, null, 6 * scale, 0, 0),
                 new FleetLimit("reports", "report", null, 3 * scale, 0, 0),
@@ -15,20 +23,20 @@
                 new FleetLimit("loads", "load", null, 0, 4, 2));
     }
 
-    /** So tight that demand is more than the limit, wherever it comes from, and engines could do more. */
+    /** Limits below the demand, wherever it comes from, and below the capacity of the engines. */
     static List<FleetLimit> tight(int scale) {
         return List.of(
                 new FleetLimit("all", null, null, 2 * scale, 0, 0), new FleetLimit("loads", "load", null, 0, 4, 2));
     }
 
-    /** The same with another amount. */
-    FleetLimit amount(int next) {
-        return new FleetLimit(name, cls, engine, next, perSecond, burst);
+    /** Returns this limit with another concurrency. */
+    FleetLimit withRunning(int newRunning) {
+        return new FleetLimit(name, requestClass, engine, newRunning, perSecond, burst);
     }
 
     String json() {
         StringBuilder s = new StringBuilder("{\"name\":\"" + name + "\"");
-        s.append(cls == null ? "" : ",\"class\":\"" + cls + "\"");
+        s.append(requestClass == null ? "" : ",\"class\":\"" + requestClass + "\"");
         s.append(engine == null ? "" : ",\"engine\":\"" + engine + "\"");
         s.append(
                 perSecond > 0
--- a/lab/src/main/java/sandpaddle/lab/FleetLimits.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetLimits.java
@@ -6,137 +6,146 @@
 import java.util.Map;
 
 /**
- * How far engines were over the fleet's limits, counted at the engines alone: what runs at one time against the largest
- * amount that may hold then, what begins against its rate.
+ * Excess over the fleet's limits, counted at the engines alone: concurrent queries against the largest amount that may
+ * be in effect, starts against their rate limit.
  */
 final class FleetLimits {
-    private static final double US = 1e6;
-    private static final long RAMP_US = 2_000_000; // after a change of demand
+    private static final double US_PER_SECOND = 1e6;
+    private static final long SETTLING_US = 2_000_000; // after a change of demand
 
-    private record Said(
-            String cls,
+    private record LimitRecord(
+            String requestClass,
             String engine,
             long amount,
             double perSecond,
             long burst,
             long gateways,
-            long from,
-            long holds) {}
+            long setUs,
+            long effectiveUs) {}
 
-    private final Map<String, List<Said>> limits = new HashMap<>();
-    private final Map<String, Long> count = new HashMap<>(); // by limit, and by engine where it is by engine
-    private final Map<String, double[]> level = new HashMap<>(); // of rates: what is over, and when it was looked at
-    private long overMost = Long.MIN_VALUE;
-    private String overWhere = "";
-    private double rateOverMost;
-    private double rateOverBound;
-    private long useFrom = -1;
-    private long useUntil;
-    private long lookedAt;
-    private double used;
-    private double couldUse;
+    private final Map<String, List<LimitRecord>> limits = new HashMap<>();
+    // by limit, or by limit and engine for limits per engine
+    private final Map<String, Long> runningCounts = new HashMap<>();
+    // by rate limit: bucket level and the time of its last update
+    private final Map<String, double[]> rateLevels = new HashMap<>();
+    private long maxExcess = Long.MIN_VALUE;
+    private String maxExcessLocation = "";
+    private double maxRateExcess;
+    private double rateExcessBound;
+    private long unevenFromUs = -1;
+    private long unevenUntilUs;
+    private long integratedUntilUs;
+    private double usedTime;
+    private double availableTime;
 
-    void said(Map<String, String> e, long us) {
-        limits.computeIfAbsent(e.get("limit"), k -> new ArrayList<>())
-                .add(new Said(
-                        e.get("class"),
-                        e.get("engine"),
-                        Long.parseLong(e.get("running")),
-                        Double.parseDouble(e.get("per_s")),
-                        Long.parseLong(e.get("burst")),
-                        Long.parseLong(e.get("gateways")),
-                        us,
-                        Long.parseLong(e.get("holds"))));
+    void limitChanged(Map<String, String> event, long timestampUs) {
+        limits.computeIfAbsent(event.get("limit"), k -> new ArrayList<>())
+                .add(new LimitRecord(
+                        event.get("class"),
+                        event.get("engine"),
+                        Long.parseLong(event.get("running")),
+                        Double.parseDouble(event.get("per_s")),
+                        Long.parseLong(event.get("burst")),
+                        Long.parseLong(event.get("gateways")),
+                        timestampUs,
+                        Long.parseLong(event.get("holds"))));
     }
 
-    /** Demand is far from even from now on, and more than the limit. */
-    void uneven(long us) {
-        useFrom = us + RAMP_US;
-        useUntil = Long.MAX_VALUE;
-        lookedAt = useFrom;
+    /** From now on demand is uneven and exceeds the limit. */
+    void unevenDemandStarted(long timestampUs) {
+        unevenFromUs = timestampUs + SETTLING_US;
+        unevenUntilUs = Long.MAX_VALUE;
+        integratedUntilUs = unevenFromUs;
     }
 
-    void even(long us) {
-        integrate(us);
-        useUntil = us;
+    void unevenDemandEnded(long timestampUs) {
+        integrate(timestampUs);
+        unevenUntilUs = timestampUs;
     }
 
-    /** The largest amount that may hold: the one said last, and those before it until it holds for certain. */
-    private static long allowed(List<Said> said, long us) {
+    /**
+     * The largest amount that may be in effect: that of the newest record, and of earlier ones until a record is in
+     * effect for certain.
+     */
+    private static long allowed(List<LimitRecord> history, long timestampUs) {
         long max = 0;
-        for (int i = said.size() - 1; i >= 0; i--) {
-            max = Math.max(max, said.get(i).amount);
-            if (said.get(i).holds <= us) {
+        for (int i = history.size() - 1; i >= 0; i--) {
+            max = Math.max(max, history.get(i).amount);
+            if (history.get(i).effectiveUs <= timestampUs) {
                 break;
             }
         }
         return max;
     }
 
-    private static boolean covers(Said s, String cls) {
-        return s.cls == null || s.cls.equals(cls);
+    private static boolean appliesTo(LimitRecord current, String requestClass) {
+        return current.requestClass == null || current.requestClass.equals(requestClass);
     }
 
-    private static String key(String limit, Said s, String engine) {
-        return s.engine == null ? limit : limit + " " + engine;
+    private static String key(String limit, LimitRecord current, String engine) {
+        return current.engine == null ? limit : limit + " " + engine;
     }
 
-    void began(long us, String cls, String engine) {
-        integrate(us);
-        limits.forEach((name, said) -> {
-            Said now = said.get(said.size() - 1);
-            if (!covers(now, cls)) {
+    void attemptStarted(long timestampUs, String requestClass, String engine) {
+        integrate(timestampUs);
+        limits.forEach((name, history) -> {
+            LimitRecord current = history.get(history.size() - 1);
+            if (!appliesTo(current, requestClass)) {
                 return;
             }
-            if (now.perSecond > 0) {
-                rate(name, now, us);
+            if (current.perSecond > 0) {
+                recordRate(name, current, timestampUs);
                 return;
             }
-            long n = count.merge(key(name, now, engine), 1L, Long::sum);
-            long over = n - allowed(said, us);
-            if (over > overMost) {
-                overMost = over;
-                overWhere = key(name, now, engine) + " at " + us;
+            long n = runningCounts.merge(key(name, current, engine), 1L, Long::sum);
+            long over = n - allowed(history, timestampUs);
+            if (over > maxExcess) {
+                maxExcess = over;
+                maxExcessLocation = key(name, current, engine) + " at " + timestampUs;
             }
         });
     }
 
-    /** A level that rises by one with each start and sinks at the rate: its top is the most over, in any span. */
-    private void rate(String name, Said s, long us) {
-        double[] l = level.computeIfAbsent(name, k -> new double[] {0, us});
-        l[0] = Math.max(0, l[0] - s.perSecond * (us - l[1]) / US) + 1;
-        l[1] = us;
-        rateOverMost = Math.max(rateOverMost, l[0]);
-        rateOverBound = Math.max(rateOverBound, s.gateways * Math.max(1, s.burst));
+    /**
+     * Leaky bucket: rises by one with each start and drains at the rate. Its maximum is the largest excess over the
+     * rate in any period.
+     */
+    private void recordRate(String name, LimitRecord current, long timestampUs) {
+        double[] levelAndTime = rateLevels.computeIfAbsent(name, k -> new double[] {0, timestampUs});
+        levelAndTime[0] =
+                Math.max(0, levelAndTime[0] - current.perSecond * (timestampUs - levelAndTime[1]) / US_PER_SECOND) + 1;
+        levelAndTime[1] = timestampUs;
+        maxRateExcess = Math.max(maxRateExcess, levelAndTime[0]);
+        rateExcessBound = Math.max(rateExcessBound, current.gateways * Math.max(1, current.burst));
     }
 
-    void ended(long us, String cls, String engine) {
-        integrate(us);
-        limits.forEach((name, said) -> {
-            Said now = said.get(said.size() - 1);
-            if (covers(now, cls) && now.perSecond == 0) {
-                count.merge(key(name, now, engine), -1L, Long::sum);
+    void attemptEnded(long timestampUs, String requestClass, String engine) {
+        integrate(timestampUs);
+        limits.forEach((name, history) -> {
+            LimitRecord current = history.get(history.size() - 1);
+            if (appliesTo(current, requestClass) && current.perSecond == 0) {
+                runningCounts.merge(key(name, current, engine), -1L, Long::sum);
             }
         });
     }
 
-    private void integrate(long us) {
-        List<Said> all = limits.get("all");
-        if (useFrom < 0 || all == null || us <= lookedAt || lookedAt >= useUntil) {
+    private void integrate(long timestampUs) {
+        List<LimitRecord> all = limits.get("all");
+        if (unevenFromUs < 0 || all == null || timestampUs <= integratedUntilUs || integratedUntilUs >= unevenUntilUs) {
             return;
         }
-        long span = us - lookedAt;
-        used += span * (double) Math.min(count.getOrDefault("all", 0L), allowed(all, us));
-        couldUse += span * (double) allowed(all, us);
-        lookedAt = us;
+        long span = timestampUs - integratedUntilUs;
+        usedTime += span * (double) Math.min(runningCounts.getOrDefault("all", 0L), allowed(all, timestampUs));
+        availableTime += span * (double) allowed(all, timestampUs);
+        integratedUntilUs = timestampUs;
     }
 
-    void figures(Map<String, Object> f) {
-        f.put("limitOverMost", overMost == Long.MIN_VALUE ? 0L : Math.max(0, overMost));
-        f.put("limitOverBound", 0L);
-        f.put("limitOverWhere", overMost > 0 ? overWhere : "");
-        f.put("rateOverMost", rateOverMost);
-        f.put("rateOverBound", rateOverBound);
-        f.put("limitUse", couldUse == 0 ? -1.0 : used / couldUse);
+    void figures(Map<String, Object> figures) {
+        figures.put("limitOverMost", maxExcess == Long.MIN_VALUE ? 0L : Math.max(0, maxExcess));
+        figures.put("limitOverBound", 0L);
+        figures.put("limitOverWhere", maxExcess > 0 ? maxExcessLocation : "");
+        figures.put("rateOverMost", maxRateExcess);
+        figures.put("rateOverBound", rateExcessBound);
+        figures.put("limitUse", availableTime == 0 ? -1.0 : usedTime / availableTime);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/FleetPlan.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetPlan.java
@@ -3,7 +3,12 @@
 import java.nio.file.Path;
 import java.time.Duration;
 
-/** All that is asked of one run of a fleet. {@code on}: gateways share state; off: each goes by itself. */
+/**
+ * Parameters of one fleet run.
+ *
+ * @param brief whether to use the short timing
+ * @param sharing whether gateways share state; if false, each runs by itself
+ */
 record FleetPlan(
         long seed,
         Scenario scenario,
@@ -11,54 +16,54 @@
         int engines,
         double load,
         boolean brief,
-        boolean on,
+        boolean sharing,
         Path jar,
         Path folder) {
-    /** What happens to the fleet, beside the traffic. */
+    /** Faults during the run, in addition to the load. */
     enum Scenario {
-        /** Nothing. */
+        /** No fault. */
         CALM,
-        /** One gateway gets four fifths of the tries. */
+        /** One gateway gets four fifths of the attempts. */
         UNEVEN,
-        /** A gateway is killed and comes back with its disk; then the leader. */
+        /** A gateway is killed and restarted with its directory. */
         KILL,
-        /** A gateway stands still past its lease, and goes on. */
+        /** A gateway is suspended past its lease, and resumed. */
         STOP,
-        /** A gateway is cut off from all others, and comes back. */
+        /** A gateway is isolated from all others, and rejoins. */
         CUT,
-        /** What one gateway sends does not arrive; what is sent to it does. */
+        /** Outbound traffic of one gateway to its peers is lost; inbound traffic arrives. */
         ONE_WAY,
-        /** Others' ends of a gateway's links go again and again, and its own ends do not know. */
+        /** The peers' ends of a gateway's connections are closed repeatedly without its own ends noticing. */
         HALF_OPEN,
-        /** Links of a gateway are narrow and two seconds late. */
+        /** Links of a gateway have low bandwidth and a delay of two seconds. */
         THROTTLE,
-        /** A gateway hears nothing of the feed. */
+        /** A gateway is cut off from the control feed. */
         FEED,
-        /** A gateway reaches no engine, which says nothing of the engines. */
+        /** A gateway reaches no engine, although the engines are healthy. */
         ENGINE_LINK,
-        /** Frames between gateways are late, lost and doubled. */
+        /** Frames between gateways are delayed, lost and duplicated. */
         NOISE,
-        /** A voter's disk takes no more for a while. */
+        /** A voter's disk is full for a while. */
         DISK_FULL,
-        /** A voter dies and comes back with an empty disk; another with an old copy of it. */
+        /** A voter is killed and restarted with an empty directory; another with an outdated copy of its directory. */
         DISK_LOST,
         /** A gateway joins, another leaves. */
         MEMBERS,
-        /** A limit is lowered while a gateway is cut off, and raised again. */
+        /** A limit is lowered while a gateway is isolated, and raised again. */
         LOWER,
-        /** A pool policy is replaced by one with less while a gateway is cut off, and put back. */
+        /** A pool policy is replaced by a smaller one while a gateway is isolated, and restored. */
         POOL,
-        /** An engine fails all that it is sent, then another. */
+        /** An engine fails all requests. */
         SICK,
-        /** Late frames all the while, one gateway cut off, and meanwhile a voter killed. */
+        /** Frames are delayed throughout, one gateway is isolated, and meanwhile a voter is killed. */
         SEVERAL,
-        /** Several of these at once, drawn. */
+        /** Several of these at once, drawn from the seed. */
         DRAWN,
-        /** A hall loses its line as foreseen, and answers from what is stored. */
+        /** A zone loses its uplink in a scheduled outage, and answers from stored results. */
         OUTAGE
     }
 
-    /** How long a fault lasts, and from the last one to the end. */
+    /** Duration of a fault, and time from the last fault to the end. */
     record Times(Duration fault, Duration after) {}
 
     Times times() {
--- a/lab/src/main/java/sandpaddle/lab/FleetProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetProcess.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A gateway of a fleet in a process of its own, with the faults that a machine has: killed, stopped, continued, a disk
- * that takes no more. Its log comes through a pipe, so that a limit on files does not stop it.
+ * A gateway of a fleet in its own process, with the faults of a machine: killed, suspended, resumed, full disk. Its log
+ * is read through a pipe, so that the file size limit of a simulated full disk does not stop it.
  */
 public final class FleetProcess {
     private static final List<String> FLAGS = List.of(
@@ -24,9 +24,9 @@
             "-Xss512k",
             "-XX:MaxDirectMemorySize=16m",
             "-XX:+ExitOnOutOfMemoryError");
-    private static final int USUAL_HEAP_MB = 128;
-    private static final String MAIN = "sandpaddle.app.Main"; // where a path of classes is given in the jar's place
-    private static final long START_MS = 30_000;
+    private static final int DEFAULT_HEAP_MB = 128;
+    private static final String MAIN = "sandpaddle.app.Main"; // used if a class path is given instead of the jar
+    private static final long START_TIMEOUT_MS = 30_000;
 
     private final Process process;
     private final InetSocketAddress address;
@@ -36,7 +36,7 @@
         this.address = address;
     }
 
-    private static List<String> java(Path jar, int heapMb) {
+    private static List<String> javaCommand(Path jar, int heapMb) {
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(FLAGS);
@@ -48,15 +48,19 @@
         return command;
     }
 
-    /** Founds its directory; fails where the program says so. */
+    /**
+     * Formats the gateway's directory.
+     *
+     * @throws IOException if the command fails
+     */
     public static void format(Path jar, Path operator, String name) throws IOException {
-        List<String> command = java(jar, USUAL_HEAP_MB);
+        List<String> command = javaCommand(jar, DEFAULT_HEAP_MB);
         command.addAll(List.of("fleet", "format", "--operator", operator.toString(), "--name", name));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(p.getInputStream().readAllBytes());
+        String output = new String(p.getInputStream().readAllBytes());
         try {
             if (p.waitFor() != 0) {
-                throw new IOException("fleet format failed: " + said);
+                throw new IOException("fleet format failed: " + output);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -65,29 +69,33 @@
 
     static FleetProcess start(Path jar, Path folder, String name, int port, Path config, Path operator)
             throws IOException {
-        return start(jar, folder, name, port, config, operator, USUAL_HEAP_MB);
+        return start(jar, folder, name, port, config, operator, DEFAULT_HEAP_MB);
     }
 
-    /** Starts it with so much heap at most; its log goes to {@code NAME.log} in the folder. */
+    /**
+     * Starts the gateway; its log goes to {@code NAME.log} in the folder.
+     *
+     * @param heapMb maximum heap
+     */
     public static FleetProcess start(
             Path jar, Path folder, String name, int port, Path config, Path operator, int heapMb) throws IOException {
-        List<String> command = java(jar, heapMb);
+        List<String> command = javaCommand(jar, heapMb);
         command.addAll(List.of("serve", "--operator", operator.toString()));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         Process process = builder.start();
-        pump(process.getInputStream(), folder.resolve(name + ".log"));
+        copyLog(process.getInputStream(), folder.resolve(name + ".log"));
         return new FleetProcess(process, Loopback.at(port));
     }
 
-    private static void pump(InputStream from, Path log) {
+    private static void copyLog(InputStream from, Path log) {
         Thread t = new Thread(
                 () -> {
                     try (OutputStream to =
                             Files.newOutputStream(log, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
                         from.transferTo(to);
                     } catch (IOException e) {
-                        // the process has ended, and its pipe with it
+                        // the process has exited and closed its pipe
                     }
                 },
                 "log " + log.getFileName());
@@ -95,27 +103,28 @@
         t.start();
     }
 
+    /** Returns the address at which the gateway accepts clients. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Waits until it takes connections. */
+    /** Waits until the gateway accepts connections. */
     public void awaitUp() throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MS);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
         while (true) {
             try (Socket s = new Socket()) {
                 s.connect(address, 500);
                 return;
             } catch (IOException e) {
                 if (!process.isAlive() || System.nanoTime() > until) {
-                    throw new IOException("a gateway did not start; its log tells why", e);
+                    throw new IOException("the gateway at " + address + " does not accept connections; see its log", e);
                 }
-                pause();
+                sleep();
             }
         }
     }
 
-    private static void pause() {
+    private static void sleep() {
         try {
             TimeUnit.MILLISECONDS.sleep(20);
         } catch (InterruptedException e) {
@@ -127,7 +136,7 @@
         return process.isAlive();
     }
 
-    /** Its number at the operating system. */
+    /** Process ID. */
     public long pid() {
         return process.pid();
     }
@@ -139,7 +148,7 @@
                 .orElse(0L);
     }
 
-    /** As if its machine lost power. */
+    /** Kills the process, as if its machine lost power. */
     public void kill() {
         process.destroyForcibly();
         try {
@@ -149,17 +158,17 @@
         }
     }
 
-    /** It stands still: nothing of it runs, its sockets stay. */
-    void stop() throws IOException {
+    /** Suspends the process ({@code SIGSTOP}); its sockets stay open. */
+    void suspend() throws IOException {
         signal("STOP");
     }
 
-    void goOn() throws IOException {
+    void resume() throws IOException {
         signal("CONT");
     }
 
-    /** Reads its files again. */
-    void hangUp() throws IOException {
+    /** Makes the gateway reload its files ({@code SIGHUP}). */
+    void reloadConfiguration() throws IOException {
         signal("HUP");
     }
 
@@ -167,24 +176,28 @@
         run("kill", "-" + name, Long.toString(process.pid()));
     }
 
-    /** Files that it writes may have so many bytes from now on; -1: as many as they like. */
-    void fileLimit(long bytes) throws IOException {
+    /**
+     * Limits the size of the files that the process writes, to simulate a full disk.
+     *
+     * @param bytes -1 for no limit
+     */
+    void limitFileSize(long bytes) throws IOException {
         run("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + (bytes < 0 ? "unlimited" : bytes) + ":");
     }
 
     private static void run(String... command) throws IOException {
         try {
             Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-            String said = new String(p.getInputStream().readAllBytes());
+            String output = new String(p.getInputStream().readAllBytes());
             if (p.waitFor() != 0) {
-                throw new IOException(String.join(" ", command) + ": " + said);
+                throw new IOException(String.join(" ", command) + ": " + output);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A planned end. */
+    /** Shuts the gateway down in an orderly way. */
     public void end() {
         process.destroy();
         try {
--- a/lab/src/main/java/sandpaddle/lab/GatewayHarness.java
+++ b/lab/src/main/java/sandpaddle/lab/GatewayHarness.java
@@ -19,45 +19,52 @@
 import sandpaddle.eventloop.EventLoop;
 
 /**
- * One real gateway process with stand-in engines, a feed and client sessions around it, for measurements of the request
- * path. A few engines answer for all that are listed. One thread drives all but the gateway.
+ * One real gateway process with stand-in engines, a control feed and client sessions around it, for measurements of the
+ * request path. A few stand-in servers answer for all listed engines. One thread drives everything except the gateway.
  */
 public final class GatewayHarness implements Closeable {
-    /** How the gateway is told its engines: with its configuration, or by the feed once it runs. */
+    /** How the gateway gets its endpoint list: in its configuration, or from the feed after the start. */
     public enum ListFrom {
         CONFIGURATION,
         FEED
     }
 
-    /** What is asked: its class, and how long its client waits. */
+    /** A statement with its request class and client timeout. */
     public enum Statement {
         SHORT("lookup", Duration.ofSeconds(7), 1_000),
         LONG("report", Duration.ofSeconds(25), 600_000_000);
 
         private final String route;
-        private final Duration patience;
+        private final Duration timeout;
         private final long workUs;
 
-        Statement(String route, Duration patience, long workUs) {
+        Statement(String route, Duration timeout, long workUs) {
             this.route = route;
-            this.patience = patience;
+            this.timeout = timeout;
             this.workUs = workUs;
         }
     }
 
-    /** {@code servers}: stand-ins that answer for all {@code engines}; {@code sockets}: the gateway's descriptors. */
+    /**
+     * Parameters of a measurement.
+     *
+     * @param engines listed engines
+     * @param servers stand-ins that answer for all engines
+     * @param sockets descriptor limit of the gateway
+     */
     public record Setup(Path jar, int engines, int servers, int sockets, ListFrom listFrom) {}
 
-    private static final Duration TURN = Duration.ofMillis(5);
-    private static final Duration STEP_MOST = Duration.ofSeconds(30); // of any one step, on a loaded machine
-    private static final int OPENING_MOST = 128; // sessions that come up at one time: fewer than the accept queue
+    private static final Duration TURN_WAIT = Duration.ofMillis(5);
+    private static final Duration STEP_TIMEOUT = Duration.ofSeconds(30); // of one step, allowing for a loaded machine
+    // sessions being opened at one time: fewer than the accept queue holds
+    private static final int MAX_OPENING_SESSIONS = 128;
     private static final int MB_BITS = 20;
     private static final String FIRST_COMMAND = "SELECT 1";
-    private static final Pattern LIVE = Pattern.compile("Total\\s+\\d+\\s+(\\d+)");
+    private static final Pattern LIVE_HEAP_TOTAL = Pattern.compile("Total\\s+\\d+\\s+(\\d+)");
 
-    private static final double NS_IN_SECOND = 1e9;
-    private static final double NS_IN_MS = 1e6;
-    private static final double MICROS_IN_MS = 1000.0;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final double NS_PER_MS = 1e6;
+    private static final double US_PER_MS = 1000.0;
 
     private final EventLoop loop = new EventLoop(Clock.systemUTC());
     private final ClientStatistics statistics = new ClientStatistics();
@@ -74,62 +81,65 @@
     private int open;
     private int served;
     private int failed;
-    private String lastFault = "none";
+    private String lastError = "none";
 
     /** Starts the stand-ins and the gateway; {@link #awaitListening} waits for it. */
     public GatewayHarness(Setup setup) throws IOException {
         feed = new StandInFeed(loop, events, statistics);
         for (int i = 0; i < setup.servers; i++) {
             servers.add(new StandInEngine(
-                    loop, events, statistics, "server-" + i, 0, EngineModel.Spec.usual(), 0, () -> {}));
+                    loop, events, statistics, "server-" + i, 0, EngineModel.Spec.standard(), 0, () -> {}));
         }
         List<InetSocketAddress> addresses =
                 servers.stream().map(StandInEngine::address).toList();
-        String known = feed.known();
-        feed.tellAll(setup.engines, i -> addresses.get(i % addresses.size()));
-        known = setup.listFrom == ListFrom.FEED ? known : feed.known();
+        String snapshotJson = feed.snapshotJson();
+        feed.publishAll(setup.engines, i -> addresses.get(i % addresses.size()));
+        snapshotJson = setup.listFrom == ListFrom.FEED ? snapshotJson : feed.snapshotJson();
         int port = GatewayProcess.freePort();
-        String config = Site.config("n0", 0, 1, port, feed.address(), known, 1, EngineModel.Spec.usual())
-                .replace("\"sockets\":" + Site.SOCKETS, "\"sockets\":" + setup.sockets);
+        String config = LabDeployment.config(
+                        "n0", 0, 1, port, feed.address(), snapshotJson, 1, EngineModel.Spec.standard())
+                .replace("\"sockets\":" + LabDeployment.SOCKETS, "\"sockets\":" + setup.sockets);
         startedNs = System.nanoTime();
         gateway = GatewayProcess.start(setup.jar, folder, "n0", port, config, null, false);
     }
 
-    /** Milliseconds since the gateway's process was started. */
+    /** Milliseconds since the gateway process was started. */
     public double sinceStartMs() {
-        return (System.nanoTime() - startedNs) / NS_IN_MS;
+        return (System.nanoTime() - startedNs) / NS_PER_MS;
     }
 
-    /** Waits until the gateway takes connections. */
+    /** Waits until the gateway accepts connections. */
     public void awaitListening() throws IOException {
         gateway.awaitUp();
     }
 
-    /** Waits until a statement was served, asking again where it was not. */
+    /** Waits until a statement is served, retrying until then. */
     public void awaitFirstServed() throws IOException {
-        long until = System.nanoTime() + STEP_MOST.toNanos();
+        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
         int before = served;
         while (served == before) {
             if (open == 0) {
                 ask(idle.isEmpty() ? newSession() : idle.poll(), Statement.SHORT);
             }
-            loop.runTurn(() -> {}, TURN);
+            loop.runTurn(() -> {}, TURN_WAIT);
             if (System.nanoTime() > until || !gateway.isAlive()) {
-                throw new IOException("no statement was served in " + STEP_MOST.toSeconds() + " s; " + faults());
+                throw new IOException("no statement served within " + STEP_TIMEOUT.toSeconds() + " s; " + faults());
             }
         }
     }
 
-    /** Opens sessions until there are so many; each asks a first command, so that it may rest for good. */
-    public void connect(int most) throws IOException {
-        await("sessions come up", () -> {
-            while (sessions.size() < most && opening < OPENING_MOST) {
+    /**
+     * Opens sessions up to a count; each executes a command first, so that it may then stay idle.
+     */
+    public void connect(int count) throws IOException {
+        await("opening of sessions", () -> {
+            while (sessions.size() < count && opening < MAX_OPENING_SESSIONS) {
                 firstCommand();
             }
-            return opening == 0 && sessions.size() >= most;
+            return opening == 0 && sessions.size() >= count;
         });
-        if (idle.size() + open < most) {
-            throw new IOException("of " + most + " sessions " + (most - idle.size() - open) + " did not come up");
+        if (idle.size() + open < count) {
+            throw new IOException("of " + count + " sessions, " + (count - idle.size() - open) + " failed to open");
         }
     }
 
@@ -137,16 +147,16 @@
         try {
             ClientSession session = newSession();
             opening++;
-            session.ask(
+            session.send(
                     FIRST_COMMAND,
-                    new Ended(
+                    new CompletionListener(
                             () -> {
                                 opening--;
                                 idle.add(session);
                             },
                             () -> opening--));
         } catch (IOException e) {
-            throw new UncheckedIOException("a session cannot be opened", e);
+            throw new UncheckedIOException("cannot open a session", e);
         }
     }
 
@@ -156,27 +166,27 @@
         return session;
     }
 
-    /** Has so many long statements open at one time from now on; those open already count. */
-    public void open(int most) throws IOException {
-        while (open < most) {
+    /** Keeps a number of long statements open from now on, including those already open. */
+    public void open(int count) throws IOException {
+        while (open < count) {
             ask(idle.remove(), Statement.LONG);
         }
         run(Duration.ofSeconds(1));
     }
 
-    /** Asks so many short statements a second, evenly; the part of them that was served by the end. */
+    /** Sends short statements at a constant rate; returns the share that was served by the end. */
     public double ask(double perSecond, Duration lasting) throws IOException {
         long from = System.nanoTime();
         int before = served;
         long asked = 0;
         for (long at = 0; at < lasting.toNanos(); at = System.nanoTime() - from) {
-            for (; asked < at * perSecond / NS_IN_SECOND && !idle.isEmpty(); asked++) {
+            for (; asked < at * perSecond / NS_PER_SECOND && !idle.isEmpty(); asked++) {
                 ask(idle.poll(), Statement.SHORT);
             }
             loop.runTurn(() -> {}, Duration.ofMillis(1));
         }
-        double wanted = lasting.toNanos() * perSecond / NS_IN_SECOND;
-        return (served - before) / wanted;
+        double expected = lasting.toNanos() * perSecond / NS_PER_SECOND;
+        return (served - before) / expected;
     }
 
     private void ask(ClientSession session, Statement statement) {
@@ -188,13 +198,13 @@
                         + "SELECT day, count(*) FROM sales_1.orders WHERE tag = 'request=r%d work=%d'",
                 statement.route,
                 trace,
-                statement.patience.toMillis(),
-                statement.workUs / MICROS_IN_MS,
+                statement.timeout.toMillis(),
+                statement.workUs / US_PER_MS,
                 statements,
                 statement.workUs);
-        session.ask(
+        session.send(
                 text,
-                new Ended(
+                new CompletionListener(
                         () -> {
                             open--;
                             idle.add(session);
@@ -202,70 +212,70 @@
                         () -> open--));
     }
 
-    /** Counts how a command ended, and gives its session back where it lives. */
-    private final class Ended implements ClientSession.Asker {
+    /** Counts the outcome of a command, and returns its session if still open. */
+    private final class CompletionListener implements ClientSession.ResponseListener {
         private final Runnable answered;
         private final Runnable cut;
 
-        Ended(Runnable answered, Runnable cut) {
+        CompletionListener(Runnable answered, Runnable cut) {
             this.answered = answered;
             this.cut = cut;
         }
 
         @Override
-        public void served(int rows) {
+        public void onRows(int rows) {
             served++;
             answered.run();
         }
 
         @Override
-        public void error(int code, String text) {
+        public void onError(int code, String text) {
             failed++;
-            lastFault = code + " " + text;
+            lastError = code + " " + text;
             answered.run();
         }
 
         @Override
-        public void cut(boolean up) {
+        public void onConnectionLost(boolean established) {
             failed++;
             cut.run();
         }
     }
 
-    /** Lets time pass. */
+    /** Drives the stand-ins for a period. */
     public void run(Duration lasting) throws IOException {
         long until = System.nanoTime() + lasting.toNanos();
         while (System.nanoTime() < until) {
-            loop.runTurn(() -> {}, TURN);
+            loop.runTurn(() -> {}, TURN_WAIT);
         }
     }
 
     private void await(String what, BooleanSupplier done) throws IOException {
-        long until = System.nanoTime() + STEP_MOST.toNanos();
+        long until = System.nanoTime() + STEP_TIMEOUT.toNanos();
         while (!done.getAsBoolean()) {
             if (System.nanoTime() > until || !gateway.isAlive()) {
-                throw new IOException(
-                        "not in time: " + what + "; the gateway " + (gateway.isAlive() ? "runs" : "has ended"));
+                throw new IOException("timed out or gateway exited: " + what + "; the gateway is "
+                        + (gateway.isAlive() ? "running" : "down"));
             }
-            loop.runTurn(() -> {}, TURN);
+            loop.runTurn(() -> {}, TURN_WAIT);
         }
     }
 
-    /** CPU that the gateway takes meanwhile, in cores. */
+    /** Drives the stand-ins for a period and returns the CPU use of the gateway in cores. */
     public double cores(Duration lasting) throws IOException {
         ProcessUsage usage = usage();
         ProcessUsage.CpuTimes from = usage.cpuTimes();
         long fromNs = System.nanoTime();
         run(lasting);
-        return usage.cpuTimes().secondsSince(from) / ((System.nanoTime() - fromNs) / NS_IN_SECOND);
+        return usage.cpuTimes().secondsSince(from) / ((System.nanoTime() - fromNs) / NS_PER_SECOND);
     }
 
-    /** The gateway's process. */
+    /** Resource usage of the gateway process. */
     public ProcessUsage usage() {
         return new ProcessUsage(gateway.pid());
     }
 
-    /** What the gateway's heap holds after a full collection, in megabytes. */
+    /** Live heap of the gateway after a full collection, in megabytes. */
     public double liveHeapMb() throws IOException {
         Path out = folder.resolve("histogram");
         Process jcmd = new ProcessBuilder(
@@ -275,30 +285,30 @@
                 .redirectErrorStream(true)
                 .redirectOutput(out.toFile())
                 .start();
-        await("the histogram of the heap", () -> !jcmd.isAlive());
-        Matcher m = LIVE.matcher(Files.readString(out, StandardCharsets.UTF_8));
+        await("heap histogram", () -> !jcmd.isAlive());
+        Matcher m = LIVE_HEAP_TOTAL.matcher(Files.readString(out, StandardCharsets.UTF_8));
         if (!m.find()) {
-            throw new IOException("no histogram of the gateway's heap: exit code " + jcmd.exitValue());
+            throw new IOException("no total in the heap histogram of the gateway: jcmd exit code " + jcmd.exitValue());
         }
         return Long.parseLong(m.group(1)) / (double) (1 << MB_BITS);
     }
 
-    /** Statements open now. */
+    /** Number of open statements. */
     public int openStatements() {
         return open;
     }
 
-    /** How many commands were refused, failed or cut so far, and the last refusal. */
+    /** Describes the number of failed commands and the last error. */
     public String faults() {
-        return failed + " commands failed, the last with: " + lastFault;
+        return failed + " commands failed, the last with: " + lastError;
     }
 
-    /** Probes that have reached engines so far. */
+    /** Health checks received by the engines so far. */
     public long probes() {
         return statistics.probes;
     }
 
-    /** Connections open at the engines now. */
+    /** Connections open at the engines. */
     public long engineConnections() {
         return statistics.engineConnections;
     }
@@ -309,7 +319,7 @@
         sessions.forEach(ClientSession::close);
         servers.forEach(s -> s.kill("stopped"));
         feed.close();
-        run(TURN);
+        run(TURN_WAIT);
         FleetCommand.remove(folder);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
+++ b/lab/src/main/java/sandpaddle/lab/GatewayProcess.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A real gateway in a process of its own, from the built jar, with the flags that service uses. */
+/** A real gateway in its own process, from the built jar, with the JVM flags of the deployment. */
 public final class GatewayProcess {
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
@@ -23,10 +23,11 @@
             "-Xss512k",
             "-XX:MaxDirectMemorySize=8m",
             "-XX:+ExitOnOutOfMemoryError");
-    private static final int FIRST_PORT = 20_000; // below those that systems give away: a relay took one once
+    // below the ephemeral port range: a proxy was once assigned a gateway's port
+    private static final int FIRST_PORT = 20_000;
     private static final int PORTS = 8_000;
-    private static final AtomicInteger NEXT = new AtomicInteger();
-    private static final long START_MS = 15_000;
+    private static final AtomicInteger NEXT_PORT_OFFSET = new AtomicInteger();
+    private static final long START_TIMEOUT_MS = 15_000;
 
     private final Process process;
     private final InetSocketAddress address;
@@ -36,20 +37,25 @@
         this.address = address;
     }
 
-    /** A port that was free a moment ago. */
+    /** Returns a port that was free a moment ago. */
     public static int freePort() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + NEXT.getAndIncrement() % PORTS;
+        for (int attempts = 0; attempts < PORTS; attempts++) {
+            int port = FIRST_PORT + NEXT_PORT_OFFSET.getAndIncrement() % PORTS;
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getByName(Loopback.HOST))) {
                 return s.getLocalPort();
             } catch (java.net.BindException e) {
-                continue; // in use by another
+                continue; // in use by another process
             }
         }
         throw new IOException("no port is free from " + FIRST_PORT + " on");
     }
 
-    /** Starts a gateway; its log goes to {@code NAME.log} in the folder. {@code operator} may be null. */
+    /**
+     * Starts a gateway; its log goes to {@code NAME.log} in the folder.
+     *
+     * @param operator operator's file; may be null
+     * @param inherit whether the log goes to this process's output instead
+     */
     static GatewayProcess start(
             Path jar, Path folder, String name, int port, String config, Path operator, boolean inherit)
             throws IOException {
@@ -73,22 +79,23 @@
         return address;
     }
 
-    /** Waits until it takes connections. */
+    /** Waits until the gateway accepts connections. */
     void awaitUp() throws IOException {
         awaitUp(Loopback.HOST);
     }
 
-    /** The same where it listens on another loopback address. */
+    /** Waits until the gateway accepts connections at another loopback address. */
     void awaitUp(String host) throws IOException {
-        InetSocketAddress there = new InetSocketAddress(host, address.getPort());
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MS);
+        InetSocketAddress listening = new InetSocketAddress(host, address.getPort());
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
         while (true) {
             try (Socket s = new Socket()) {
-                s.connect(there, 500);
+                s.connect(listening, 500);
                 return;
             } catch (IOException e) {
                 if (!process.isAlive() || System.nanoTime() > until) {
-                    throw new IOException("the gateway did not start; its log tells why", e);
+                    throw new IOException(
+                            "the gateway at " + listening + " does not accept connections; see its log", e);
                 }
                 sleep();
             }
@@ -111,7 +118,7 @@
         return process.pid();
     }
 
-    /** CPU that it has used so far (ms). */
+    /** CPU time used so far (ms). */
     long cpuMs() {
         return process.info()
                 .totalCpuDuration()
@@ -119,12 +126,12 @@
                 .orElse(0L);
     }
 
-    /** As if its machine lost power. */
+    /** Kills the process, as if its machine lost power. */
     void kill() {
         process.destroyForcibly();
     }
 
-    /** A planned end. */
+    /** Shuts the gateway down in an orderly way. */
     void end() {
         process.destroy();
         try {
--- a/lab/src/main/java/sandpaddle/lab/LinkFaults.java
+++ b/lab/src/main/java/sandpaddle/lab/LinkFaults.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Faults of links, each told to the events: who is concerned, and whether it is cut off from its peers. */
+/** Injects link faults, and records each with its target in the events. */
 final class LinkFaults {
-    private static final Duration SLOW = Duration.ofSeconds(2);
-    private static final long NARROW = 20_000; // bytes a second
+    private static final Duration THROTTLED_DELAY = Duration.ofSeconds(2);
+    private static final long THROTTLED_BYTES_PER_S = 20_000;
 
     private final FleetExperiment fleet;
 
@@ -15,96 +15,96 @@
         this.fleet = fleet;
     }
 
-    private void peers(String victim, Consumer<String> harm) {
-        fleet.nodes.keySet().stream().filter(p -> !p.equals(victim)).forEach(harm);
+    private void forEachPeer(String target, Consumer<String> fault) {
+        fleet.gateways.keySet().stream().filter(peer -> !peer.equals(target)).forEach(fault);
     }
 
-    private void sever(String a, String b) {
-        fleet.wiring.cut(fleet.us(), a, b);
-        fleet.wiring.cut(fleet.us(), b, a);
+    private void cutBothDirections(String from, String to) {
+        fleet.proxies.cut(fleet.nowUs(), from, to);
+        fleet.proxies.cut(fleet.nowUs(), to, from);
     }
 
-    /** Cut off from all other gateways. */
-    void isolate(String victim) {
-        fleet.say("isolated", "gateway", victim);
-        peers(victim, p -> sever(victim, p));
+    /** Cuts a gateway off from all other gateways. */
+    void isolate(String target) {
+        fleet.recordEvent("isolated", "gateway", target);
+        forEachPeer(target, peer -> cutBothDirections(target, peer));
     }
 
-    /** What it sends to others does not arrive. */
-    void mute(String victim) {
-        fleet.say("mute", "gateway", victim);
-        peers(victim, p -> fleet.wiring.cut(fleet.us(), victim, p));
+    /** Drops everything that a gateway sends to its peers. */
+    void blockOutbound(String target) {
+        fleet.recordEvent("mute", "gateway", target);
+        forEachPeer(target, peer -> fleet.proxies.cut(fleet.nowUs(), target, peer));
     }
 
-    void join(String victim) {
-        fleet.say("joined", "gateway", victim);
-        peers(victim, p -> fleet.wiring.heal(fleet.us(), victim, p));
+    void rejoin(String target) {
+        fleet.recordEvent("joined", "gateway", target);
+        forEachPeer(target, peer -> fleet.proxies.heal(fleet.nowUs(), target, peer));
     }
 
-    /** The others' ends of its links are gone, and its own ends do not know. */
-    void halve(String victim) {
-        fleet.say("half-open", "gateway", victim);
-        peers(victim, p -> fleet.wiring.halve(fleet.us(), victim, p));
+    /** Closes the peers' ends of a gateway's connections without its own ends noticing. */
+    void makeHalfOpen(String target) {
+        fleet.recordEvent("half-open", "gateway", target);
+        forEachPeer(target, peer -> fleet.proxies.makeHalfOpen(fleet.nowUs(), target, peer));
     }
 
-    /** Frames between all gateways are late, lost and doubled, or no more. */
-    void noise(boolean on) {
-        fleet.say(on ? "noise" : "quiet");
-        List<String> names = List.copyOf(fleet.nodes.keySet());
-        for (String a : names) {
-            for (String b : names) {
-                fleet.wiring.way(a, b, w -> {
-                    w.delay = on ? Duration.ofMillis(20 + fleet.random.nextInt(400)) : Duration.ZERO;
-                    w.drop = on ? 0.05 : 0;
-                    w.twice = on ? 0.1 : 0;
+    /** Delays, drops and duplicates frames between all gateways. */
+    void injectFrameFaults(boolean enabled) {
+        fleet.recordEvent(enabled ? "noise" : "quiet");
+        List<String> names = List.copyOf(fleet.gateways.keySet());
+        for (String from : names) {
+            for (String to : names) {
+                fleet.proxies.configureDirection(from, to, direction -> {
+                    direction.delay = enabled ? Duration.ofMillis(20 + fleet.random.nextInt(400)) : Duration.ZERO;
+                    direction.dropProbability = enabled ? 0.05 : 0;
+                    direction.duplicateProbability = enabled ? 0.1 : 0;
                 });
             }
         }
     }
 
-    /** Links of one gateway are narrow and two seconds late, or no more. */
-    void narrow(String victim, boolean on) {
-        fleet.say(on ? "narrow" : "wide", "gateway", victim);
-        peers(victim, p -> {
-            for (String[] ends : new String[][] {{victim, p}, {p, victim}}) {
-                fleet.wiring.way(ends[0], ends[1], w -> {
-                    w.delay = on ? SLOW : Duration.ZERO;
-                    w.bytesPerSecond = on ? NARROW : 0;
+    /** Reduces the bandwidth of a gateway's links and delays them by two seconds. */
+    void throttle(String target, boolean enabled) {
+        fleet.recordEvent(enabled ? "narrow" : "wide", "gateway", target);
+        forEachPeer(target, peer -> {
+            for (String[] ends : new String[][] {{target, peer}, {peer, target}}) {
+                fleet.proxies.configureDirection(ends[0], ends[1], direction -> {
+                    direction.delay = enabled ? THROTTLED_DELAY : Duration.ZERO;
+                    direction.bytesPerSecond = enabled ? THROTTLED_BYTES_PER_S : 0;
                 });
             }
         });
     }
 
-    /** It hears nothing of the feed, or hears it again. */
-    void feed(String victim, boolean cut) {
-        fleet.say(cut ? "feed-cut" : "feed-back", "gateway", victim);
-        link(victim, "feed", cut);
+    /** Cuts or restores the link of a gateway to the control feed. */
+    void setFeedCut(String target, boolean cut) {
+        fleet.recordEvent(cut ? "feed-cut" : "feed-back", "gateway", target);
+        setCut(target, "feed", cut);
     }
 
-    /** It reaches no engine, or all again. */
-    void engines(String victim, boolean cut) {
-        fleet.say(cut ? "engines-cut" : "engines-back", "gateway", victim);
-        fleet.engines.forEach(e -> link(victim, e.id(), cut));
+    /** Cuts or restores the links of a gateway to all engines. */
+    void setEnginesCut(String target, boolean cut) {
+        fleet.recordEvent(cut ? "engines-cut" : "engines-back", "gateway", target);
+        fleet.engines.forEach(engine -> setCut(target, engine.id(), cut));
     }
 
-    private void link(String a, String b, boolean cut) {
+    private void setCut(String from, String to, boolean cut) {
         if (cut) {
-            sever(a, b);
+            cutBothDirections(from, to);
         } else {
-            fleet.wiring.heal(fleet.us(), a, b);
+            fleet.proxies.heal(fleet.nowUs(), from, to);
         }
     }
 
-    /** A hall's line: its gateways reach each other and nothing else. */
-    void line(String hall, boolean cut) {
-        fleet.say(cut ? "hall-cut" : "hall-back", "hall", hall);
-        for (FleetMember n : fleet.nodes.values()) {
-            if (n.member.hall().equals(hall)) {
-                fleet.nodes.values().stream()
-                        .filter(o -> !o.member.hall().equals(hall))
-                        .forEach(o -> link(n.name(), o.name(), cut));
-                link(n.name(), "feed", cut);
-                fleet.engines.forEach(e -> link(n.name(), e.id(), cut));
+    /** Cuts or restores the uplink of a zone: while cut, its gateways reach only each other. */
+    void setZoneCut(String zone, boolean cut) {
+        fleet.recordEvent(cut ? "hall-cut" : "hall-back", "hall", zone);
+        for (GatewayInstance gateway : fleet.gateways.values()) {
+            if (gateway.member.zone().equals(zone)) {
+                fleet.gateways.values().stream()
+                        .filter(other -> !other.member.zone().equals(zone))
+                        .forEach(other -> setCut(gateway.name(), other.name(), cut));
+                setCut(gateway.name(), "feed", cut);
+                fleet.engines.forEach(engine -> setCut(gateway.name(), engine.id(), cut));
             }
         }
     }
--- a/lab/src/main/java/sandpaddle/lab/Main.java
+++ b/lab/src/main/java/sandpaddle/lab/Main.java
@@ -7,7 +7,7 @@
 import sandpaddle.lab.capacity.PathCommand;
 import sandpaddle.lab.scale.ScaleCommand;
 
-/** The lab's command line. */
+/** Command line of the lab. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
             "  java -jar lab/target/lab.jar try"
         },
         subcommands = {
-            StormCommand.class,
+            RetryStormCommand.class,
             AuditCommand.class,
             ReportCommand.class,
             TryCommand.class,
@@ -40,9 +40,10 @@
             CommandLine.HelpCommand.class
         })
 public final class Main implements Callable<Integer> {
-    /** A run in which a rule was broken. */
-    public static final int BROKEN = 3;
+    /** Exit code of a run that violated a rule. */
+    public static final int RULE_VIOLATED = 3;
 
+    /** Runs a command and exits with its code. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new Main())
                 .setCaseInsensitiveEnumValuesAllowed(true)
--- a/lab/src/main/java/sandpaddle/lab/OutageAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/OutageAudit.java
@@ -7,222 +7,243 @@
 import java.util.TreeMap;
 
 /**
- * What a hall's clients had of an outage, from the events. An answer that was marked as stored names the run at an
- * engine that it comes from: whose run that was, and how long ago it began, is looked up at the engines.
+ * What the clients of a zone got during its outage, from the events. An answer marked as stored names the engine run
+ * that it comes from: its owner and its start are looked up in the engines' events.
  */
 final class OutageAudit {
-    private static final long KNOWN_US = 2_000_000; // a load that ended so long before the cut is known in the hall
-    private static final int GROUPS = 40;
-
-    /** A try; {@code first}: when its request was first asked. */
-    record Ask(
+    // a load that ended this long before the cut is known in the zone
+    private static final long LOAD_NOTICE_US = 2_000_000;
+    private static final int DATA_GROUPS = 40;
+
+    /**
+     * A client attempt.
+     *
+     * @param sentUs time at which it was sent
+     */
+    record SentRequest(
             String request,
-            String cls,
-            String hall,
+            String requestClass,
+            String zone,
             String tenant,
             String statement,
-            double worth,
-            double late,
-            long aim,
+            double priorityWeight,
+            double lateWeightFactor,
+            long latencyObjectiveUs,
             long work,
-            long us) {
+            long sentUs) {
         String key() {
-            return tenant + " " + cls + " " + statement;
+            return tenant + " " + requestClass + " " + statement;
         }
 
-        double worthAt(long took) {
-            return took <= aim ? worth : worth * late;
+        double weightAt(long durationUs) {
+            return durationUs <= latencyObjectiveUs ? priorityWeight : priorityWeight * lateWeightFactor;
         }
     }
 
-    private record Run(long began, String tenant, String statement) {}
-
-    private final Map<String, Ask> asks = new HashMap<>(); // by attempt
-    private final Map<String, Ask> firsts = new HashMap<>(); // by request
-    private final Map<String, Run> runs = new HashMap<>(); // by attempt: the earliest at any engine
-    private final Map<String, Long> ages = new HashMap<>(); // bounds (ms) by class
-    private final Map<Integer, Long> loaded = new HashMap<>(); // by data group: a load's last end before the cut
-    private final Map<String, Boolean> kept = new HashMap<>(); // by request first asked in the outage: whether stored
-    private final Map<String, Double> keptWorth = new HashMap<>();
-    private final TreeMap<Long, Ask> asked = new TreeMap<>(); // in the outage, first asks of classes that repeat
-    private final Map<String, Long> lastTry = new HashMap<>(); // by request
-    private final OutageReplay replay = new OutageReplay();
-    private String hall;
-    private long cutAt = -1;
-    private long backAt = -1;
-    private long alone = Long.MAX_VALUE; // when the hall knew that it is cut off
+    private record EngineRun(long startedUs, String tenant, String statement) {}
+
+    private final Map<String, SentRequest> sentByAttempt = new HashMap<>(); // by attempt
+    private final Map<String, SentRequest> firstByRequest = new HashMap<>(); // by request
+    private final Map<String, EngineRun> runs = new HashMap<>(); // by attempt: the earliest run at any engine
+    private final Map<String, Long> maxAgesMs = new HashMap<>(); // by request class
+    // by data group: end of the last load before the cut
+    private final Map<Integer, Long> loadCompletedUs = new HashMap<>();
+    private final Map<String, Boolean> servedFromStore = new HashMap<>(); // by request first sent in the outage
+    private final Map<String, Double> servedWeight = new HashMap<>();
+    // first attempts in the outage, of classes with stored results
+    private final TreeMap<Long, SentRequest> demand = new TreeMap<>();
+    private final Map<String, Long> lastSentUs = new HashMap<>(); // by request
+    private final CacheBaselineModel baselines = new CacheBaselineModel();
+    private String zone;
+    private long cutUs = -1;
+    private long restoredUs = -1;
+    private long isolationKnownUs = Long.MAX_VALUE; // when the zone detected its isolation
     private long maxStaleMs;
     private long staleBoundMs;
     private long storedServed;
-    private long foreign;
+    private long foreignServed;
     private long loadsStored;
-    private long outdated;
-    private long unasked;
-
-    /** What the script and the gateways' logs tell of outages; the rest is of no account here. */
-    void script(Map<String, String> e, long us) {
-        switch (e.get("party") + " " + e.get("kind")) {
-            case "script ages" -> ages(e);
-            case "script store" -> store(e);
-            case "script hall-cut" -> cut(e.get("hall"), us);
-            case "script hall-back" -> back(us);
+    private long outdatedServed;
+    private long servedOfNoRun;
+
+    /** Processes the outage events of the schedule and of the gateways' logs; ignores others. */
+    void scriptEvent(Map<String, String> event, long timestampUs) {
+        switch (event.get("party") + " " + event.get("kind")) {
+            case "script ages" -> maxAges(event);
+            case "script store" -> storeLimits(event);
+            case "script hall-cut" -> zoneCut(event.get("hall"), timestampUs);
+            case "script hall-back" -> zoneRestored(timestampUs);
             case "gateway hall-moves" -> {
-                if (e.get("outcome").equals("ISOLATED")) {
-                    alone(us);
+                if (event.get("outcome").equals("ISOLATED")) {
+                    isolationDetected(timestampUs);
                 }
             }
-            default -> {} // of no account
+            default -> {} // not about outages
         }
     }
 
-    void ages(Map<String, String> e) {
-        ages.put(e.get("class"), Long.parseLong(e.get("age")));
-        replay.age(e.get("class"), Long.parseLong(e.get("age")) * 1000);
+    void maxAges(Map<String, String> event) {
+        maxAgesMs.put(event.get("class"), Long.parseLong(event.get("age")));
+        baselines.maxAge(event.get("class"), Long.parseLong(event.get("age")) * 1000);
     }
 
-    void store(Map<String, String> e) {
-        replay.store(Long.parseLong(e.get("bytes")), Long.parseLong(e.get("fill")) * 1000);
+    void storeLimits(Map<String, String> event) {
+        baselines.limits(Long.parseLong(event.get("bytes")), Long.parseLong(event.get("fill")) * 1000);
     }
 
-    void cut(String where, long us) {
-        hall = where;
-        cutAt = us;
+    void zoneCut(String cutZone, long timestampUs) {
+        zone = cutZone;
+        cutUs = timestampUs;
     }
 
-    /** A gateway has found its hall cut off: before that nobody hands out what is stored, whatever stores it. */
-    void alone(long us) {
-        alone = cutAt >= 0 ? Math.min(alone, us) : alone;
+    /**
+     * Records that a gateway detected the isolation of its zone: no stored results are served before that, by any cache
+     * policy.
+     */
+    void isolationDetected(long timestampUs) {
+        isolationKnownUs = cutUs >= 0 ? Math.min(isolationKnownUs, timestampUs) : isolationKnownUs;
     }
 
-    void back(long us) {
-        backAt = us;
+    void zoneRestored(long timestampUs) {
+        restoredUs = timestampUs;
     }
 
-    private boolean isOut(long us) {
-        return cutAt >= 0 && us >= cutAt && (backAt < 0 || us < backAt);
+    private boolean isDuringOutage(long timestampUs) {
+        return cutUs >= 0 && timestampUs >= cutUs && (restoredUs < 0 || timestampUs < restoredUs);
     }
 
-    void ask(Map<String, String> e, long us) {
-        Ask ask = new Ask(
-                e.get("request"),
-                e.get("class"),
-                e.get("hall"),
-                e.get("tenant"),
-                e.get("statement"),
-                Double.parseDouble(e.get("worth")),
-                Double.parseDouble(e.get("late")),
-                Long.parseLong(e.get("aim")),
-                Long.parseLong(e.getOrDefault("work", "0")),
-                us);
-        asks.put(e.get("attempt"), ask);
-        lastTry.put(ask.request, us);
-        boolean first = firsts.putIfAbsent(ask.request, ask) == null;
-        if (first && isOut(us) && ask.hall != null && ask.hall.equals(hall) && ages.getOrDefault(ask.cls, 0L) > 0) {
-            asked.put(us * 1000 + asked.size() % 1000, ask);
+    void attemptSent(Map<String, String> event, long sentUs) {
+        SentRequest sent = new SentRequest(
+                event.get("request"),
+                event.get("class"),
+                event.get("hall"),
+                event.get("tenant"),
+                event.get("statement"),
+                Double.parseDouble(event.get("worth")),
+                Double.parseDouble(event.get("late")),
+                Long.parseLong(event.get("aim")),
+                Long.parseLong(event.getOrDefault("work", "0")),
+                sentUs);
+        sentByAttempt.put(event.get("attempt"), sent);
+        lastSentUs.put(sent.request, sentUs);
+        boolean first = firstByRequest.putIfAbsent(sent.request, sent) == null;
+        if (first
+                && isDuringOutage(sentUs)
+                && sent.zone != null
+                && sent.zone.equals(zone)
+                && maxAgesMs.getOrDefault(sent.requestClass, 0L) > 0) {
+            demand.put(sentUs * 1000 + demand.size() % 1000, sent);
         }
     }
 
-    void began(Map<String, String> e, long us) {
-        Ask by = asks.get(e.get("attempt")); // null: fetched ahead
-        runs.putIfAbsent(e.get("attempt"), new Run(us, by == null ? null : by.tenant, e.get("request")));
+    void attemptStarted(Map<String, String> event, long timestampUs) {
+        SentRequest sent = sentByAttempt.get(event.get("attempt")); // null for a prefetch
+        runs.putIfAbsent(
+                event.get("attempt"),
+                new EngineRun(timestampUs, sent == null ? null : sent.tenant, event.get("request")));
     }
 
-    /** A load has ended well at an engine. */
-    void loaded(String statement, long us) {
-        int group = Math.floorMod(statement.hashCode(), GROUPS);
-        if (cutAt < 0 || us < cutAt - KNOWN_US) {
-            loaded.put(group, us);
+    /** Records that a load completed at an engine. */
+    void loadCompleted(String statement, long timestampUs) {
+        int group = Math.floorMod(statement.hashCode(), DATA_GROUPS);
+        if (cutUs < 0 || timestampUs < cutUs - LOAD_NOTICE_US) {
+            loadCompletedUs.put(group, timestampUs);
         }
     }
 
-    void served(Map<String, String> e, long us) {
-        Ask ask = asks.get(e.get("attempt"));
-        if (ask == null) {
+    void attemptServed(Map<String, String> event, long timestampUs) {
+        SentRequest sent = sentByAttempt.get(event.get("attempt"));
+        if (sent == null) {
             return;
         }
-        boolean stored = !"0".equals(e.getOrDefault("stored", "0"));
-        String[] row = e.getOrDefault("row", "").split(" ");
+        boolean stored = !"0".equals(event.getOrDefault("stored", "0"));
+        String[] row = event.getOrDefault("row", "").split(" ");
         if (row.length == 3) {
-            Run run = runs.get(row[2]);
-            foreign += !row[0].equals(ask.statement)
-                            || !row[1].equals(ask.cls)
-                            || run != null && run.tenant != null && !run.tenant.equals(ask.tenant)
+            EngineRun run = runs.get(row[2]);
+            foreignServed += !row[0].equals(sent.statement)
+                            || !row[1].equals(sent.requestClass)
+                            || run != null && run.tenant != null && !run.tenant.equals(sent.tenant)
                     ? 1
                     : 0;
             if (stored) {
-                stored(ask, run, us);
-            } else if (ask.hall != null && ask.hall.equals(hall == null ? OutagePlan.HALL : hall) && run != null) {
-                replay.served(ask, run.began, us);
+                recordStoredAnswer(sent, run, timestampUs);
+            } else if (sent.zone != null && sent.zone.equals(zone == null ? OutagePlan.ZONE : zone) && run != null) {
+                baselines.attemptServed(sent, run.startedUs, timestampUs);
             }
         }
-        if (kept.putIfAbsent(ask.request, stored) == null) {
-            keptWorth.put(ask.request, ask(ask).worthAt(us - ask(ask).us));
+        if (servedFromStore.putIfAbsent(sent.request, stored) == null) {
+            servedWeight.put(sent.request, firstAttempt(sent).weightAt(timestampUs - firstAttempt(sent).sentUs));
         }
     }
 
-    private Ask ask(Ask one) {
-        return firsts.get(one.request);
+    private SentRequest firstAttempt(SentRequest attempt) {
+        return firstByRequest.get(attempt.request);
     }
 
-    private void stored(Ask ask, Run run, long us) {
+    private void recordStoredAnswer(SentRequest sent, EngineRun run, long timestampUs) {
         storedServed++;
-        unasked += run == null ? 1 : 0;
-        loadsStored += ask.cls.equals("load") ? 1 : 0;
+        servedOfNoRun += run == null ? 1 : 0;
+        loadsStored += sent.requestClass.equals("load") ? 1 : 0;
         if (run != null) {
-            long age = (us - run.began) / 1000;
+            long age = (timestampUs - run.startedUs) / 1000;
             maxStaleMs = Math.max(maxStaleMs, age);
-            staleBoundMs = Math.max(staleBoundMs, ages.getOrDefault(ask.cls, 0L));
-            outdated += isOutdated(ask, run.began) ? 1 : 0;
+            staleBoundMs = Math.max(staleBoundMs, maxAgesMs.getOrDefault(sent.requestClass, 0L));
+            outdatedServed += isOutdated(sent, run.startedUs) ? 1 : 0;
         }
     }
 
-    /** Whether a load of which the hall could know has ended since. */
-    private boolean isOutdated(Ask ask, long began) {
-        Long changed = loaded.get(Math.floorMod(ask.statement.hashCode(), GROUPS));
-        return changed != null && changed > began && changed < cutAt - KNOWN_US;
+    /** Whether a load that the zone could know of has completed since. */
+    private boolean isOutdated(SentRequest sent, long startedUs) {
+        Long changed = loadCompletedUs.get(Math.floorMod(sent.statement.hashCode(), DATA_GROUPS));
+        return changed != null && changed > startedUs && changed < cutUs - LOAD_NOTICE_US;
     }
 
-    private boolean lruHas(Ask ask) {
-        long at = Math.max(alone, ask.us);
-        return lastTry.get(ask.request) >= alone && replay.lruHas(ask, at) && !isOutdated(ask, replay.began(ask));
+    private boolean lruWouldServe(SentRequest sent) {
+        long at = Math.max(isolationKnownUs, sent.sentUs);
+        return lastSentUs.get(sent.request) >= isolationKnownUs
+                && baselines.lruWouldServe(sent, at)
+                && !isOutdated(sent, baselines.resultStartedUs(sent));
     }
 
-    /** Asks of the outage with what came of them: second, worth asked, worth kept; for charts. */
+    /** Returns for each second of the outage: second, priority weight demanded, priority weight served. */
     List<double[]> bySecond() {
         TreeMap<Long, double[]> seconds = new TreeMap<>();
-        asked.values().forEach(a -> {
-            double[] s = seconds.computeIfAbsent((a.us - cutAt) / 1_000_000, k -> new double[] {k, 0, 0});
-            s[1] += a.worth;
-            s[2] += keptWorth.getOrDefault(a.request, 0.0);
+        demand.values().forEach(a -> {
+            double[] s = seconds.computeIfAbsent((a.sentUs - cutUs) / 1_000_000, k -> new double[] {k, 0, 0});
+            s[1] += a.priorityWeight;
+            s[2] += servedWeight.getOrDefault(a.request, 0.0);
         });
         return new ArrayList<>(seconds.values());
     }
 
-    void figures(Map<String, Object> f) {
-        double all = asked.values().stream().mapToDouble(Ask::worth).sum();
-        double none = asked.values().stream()
-                .filter(a -> Boolean.FALSE.equals(kept.get(a.request)))
-                .mapToDouble(a -> keptWorth.get(a.request))
+    void figures(Map<String, Object> figures) {
+        double demandedWeight = demand.values().stream()
+                .mapToDouble(SentRequest::priorityWeight)
+                .sum();
+        double uncachedWeight = demand.values().stream()
+                .filter(a -> Boolean.FALSE.equals(servedFromStore.get(a.request)))
+                .mapToDouble(a -> servedWeight.get(a.request))
                 .sum();
-        double mine = asked.values().stream()
-                .mapToDouble(a -> keptWorth.getOrDefault(a.request, 0.0))
+        double gatewayWeight = demand.values().stream()
+                .mapToDouble(a -> servedWeight.getOrDefault(a.request, 0.0))
                 .sum();
-        double lru = asked.values().stream()
-                .mapToDouble(a -> lruHas(a)
-                        ? a.worthAt(Math.max(0, alone - a.us))
-                        : Boolean.FALSE.equals(kept.get(a.request)) ? keptWorth.get(a.request) : 0)
+        double lruWeight = demand.values().stream()
+                .mapToDouble(a -> lruWouldServe(a)
+                        ? a.weightAt(Math.max(0, isolationKnownUs - a.sentUs))
+                        : Boolean.FALSE.equals(servedFromStore.get(a.request)) ? servedWeight.get(a.request) : 0)
                 .sum();
-        f.put("outageAsks", (long) asked.size());
-        f.put("storedServed", storedServed);
-        f.put("storedOfNoRun", unasked);
-        f.put("loadsFromStore", loadsStored);
-        f.put("outdatedServed", outdated);
-        f.put("foreignServed", foreign);
-        f.put("staleServedMostMs", maxStaleMs);
-        f.put("staleServedBoundMs", staleBoundMs);
-        f.put("outageWorthKept", all == 0 ? -1.0 : mine / all);
-        f.put("outageWorthLru", all == 0 ? -1.0 : lru / all);
-        f.put("outageWorthNone", all == 0 ? -1.0 : none / all);
-        f.put("outageWorthOracle", all == 0 ? -1.0 : replay.oracle(asked.values()) / all);
+        figures.put("outageAsks", (long) demand.size());
+        figures.put("storedServed", storedServed);
+        figures.put("storedOfNoRun", servedOfNoRun);
+        figures.put("loadsFromStore", loadsStored);
+        figures.put("outdatedServed", outdatedServed);
+        figures.put("foreignServed", foreignServed);
+        figures.put("staleServedMostMs", maxStaleMs);
+        figures.put("staleServedBoundMs", staleBoundMs);
+        figures.put("outageWorthKept", demandedWeight == 0 ? -1.0 : gatewayWeight / demandedWeight);
+        figures.put("outageWorthLru", demandedWeight == 0 ? -1.0 : lruWeight / demandedWeight);
+        figures.put("outageWorthNone", demandedWeight == 0 ? -1.0 : uncachedWeight / demandedWeight);
+        figures.put(
+                "outageWorthOracle", demandedWeight == 0 ? -1.0 : baselines.oracle(demand.values()) / demandedWeight);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/OutagePlan.java
+++ b/lab/src/main/java/sandpaddle/lab/OutagePlan.java
@@ -6,22 +6,33 @@
 import java.time.ZoneOffset;
 import java.util.Locale;
 
-/** One foreseen outage of the last hall: when it comes, how long it lasts, and what the operators' files say of it. */
+/**
+ * A scheduled outage of the last zone.
+ *
+ * @param from start
+ * @param length duration
+ * @param fill duration of prefetching before the outage
+ */
 record OutagePlan(Instant from, Duration length, Duration fill) {
-    static final String HALL = Site.HALLS.get(Site.HALLS.size() - 1);
-    static final int HALL_NUMBER = Site.HALLS.size() - 1;
+    static final String ZONE = LabDeployment.ZONES.get(LabDeployment.ZONES.size() - 1);
+    static final int ZONE_INDEX = LabDeployment.ZONES.size() - 1;
     static final long MEMORY_BYTES = 1 << 20;
-    static final long FILL_WORK_MS = 8_000; // a second
-    /** What the store's own clock may be off by; it makes answers older than they are. */
-    static final long SLACK_MS = 200;
+    static final long FILL_WORK_MS_PER_S = 8_000;
+    /** Allowed error of the store's wall clock; results are treated as older by this much. */
+    static final long CLOCK_SLACK_MS = 200;
 
     private static final Duration LEAD = Duration.ofSeconds(18);
     private static final Duration MAX_LEAD = Duration.ofSeconds(100);
-    private static final int SLOWER = 3; // times as long as founding took, which tells how loaded the machine is
+    // margin for a loaded machine, as a multiple of the time that formatting took
+    private static final int FORMAT_TIME_FACTOR = 3;
 
-    /** The gateways start now: the window begins once they had time to come up, and to hear what is asked. */
-    static OutagePlan after(Instant now, Duration founding, boolean brief) {
-        Duration lead = LEAD.plus(founding.multipliedBy(SLOWER)).plusSeconds(brief ? 0 : 20);
+    /**
+     * Plans an outage for gateways that start now: it begins after they had time to start and to observe the demand.
+     *
+     * @param formatting time that formatting the directories took
+     */
+    static OutagePlan schedule(Instant now, Duration formatting, boolean brief) {
+        Duration lead = LEAD.plus(formatting.multipliedBy(FORMAT_TIME_FACTOR)).plusSeconds(brief ? 0 : 20);
         Instant from = Instant.ofEpochSecond(
                 now.plus(lead.compareTo(MAX_LEAD) < 0 ? lead : MAX_LEAD).getEpochSecond());
         return brief
@@ -29,13 +40,15 @@
                 : new OutagePlan(from, Duration.ofSeconds(20), Duration.ofSeconds(14));
     }
 
-    /** How old a stored answer of a class may be: so short that what was answered long before is of no use. */
-    long maxAgeMs(String cls) {
-        return length.toMillis() + (cls.equals("report") ? 14_000 : 11_000);
+    /**
+     * Maximum age of a stored result of a class: short enough that results from long before the outage are of no use.
+     */
+    long maxAgeMs(String requestClass) {
+        return length.toMillis() + (requestClass.equals("report") ? 14_000 : 11_000);
     }
 
-    /** The sections of the operators' files. */
-    String json() {
+    /** Returns the sections of the operator's files. */
+    String operatorSections() {
         LocalDateTime start = LocalDateTime.ofInstant(from, ZoneOffset.UTC);
         return String.format(
                 Locale.ROOT,
@@ -45,14 +58,14 @@
                 "loss_unannounced_held_ms":4000,"return_held_ms":1000,"returning_ms":2000,"fill_work_ms_per_s":%d},
                 "content":{"memory_bytes":%d,"wall_slack_ms":%d,"max_age_ms":{"lookup":%d,"report":%d}},
                 """,
-                HALL,
+                ZONE,
                 start,
                 length.toSeconds(),
                 fill.toMillis() + 3000,
                 fill.toMillis(),
-                FILL_WORK_MS,
+                FILL_WORK_MS_PER_S,
                 MEMORY_BYTES,
-                SLACK_MS,
+                CLOCK_SLACK_MS,
                 maxAgeMs("lookup"),
                 maxAgeMs("report"));
     }
--- a/lab/src/main/java/sandpaddle/lab/PoolAudit.java
+++ b/lab/src/main/java/sandpaddle/lab/PoolAudit.java
@@ -6,68 +6,73 @@
 import java.util.Map;
 
 /**
- * Connections at engines against the pool policy's budget, counted at the engines. A connection that a relay has yet to
- * close stands beside the one that took its place, for a turn of the lab's loop: what is over counts once it has lasted
- * {@value #LASTS_US} us.
+ * Connections at engines against the budget of the pool policy, counted at the engines. While a proxy has yet to close
+ * a connection, its replacement may already be open for one turn of the lab's event loop: an excess counts only if it
+ * lasts {@value #MIN_EXCESS_DURATION_US} us.
  */
 final class PoolAudit {
-    static final long LASTS_US = 100_000;
+    static final long MIN_EXCESS_DURATION_US = 100_000;
 
-    private record Said(long each, long from, long holds) {}
+    private record BudgetChange(long each, long setUs, long effectiveUs) {}
 
-    private final List<Said> said = new ArrayList<>();
+    private final List<BudgetChange> budgets = new ArrayList<>();
     private final Map<String, Long> open = new HashMap<>();
-    private final Map<String, Long> overSince = new HashMap<>();
-    private final Map<String, Long> overNow = new HashMap<>();
-    private long overMost;
+    private final Map<String, Long> excessSince = new HashMap<>();
+    private final Map<String, Long> currentExcess = new HashMap<>();
+    private long maxExcess;
     private long maxOpen;
 
-    /** {@code each}: connections that an engine may carry, for certain from {@code holds} on. */
-    void budget(long each, long us, long holds) {
-        said.add(new Said(each, us, holds));
+    /**
+     * Records a budget.
+     *
+     * @param each connections that an engine may have
+     * @param effectiveUs from when the budget is in effect for certain
+     */
+    void budget(long each, long timestampUs, long effectiveUs) {
+        budgets.add(new BudgetChange(each, timestampUs, effectiveUs));
     }
 
-    /** The largest budget that may hold. */
-    private long allowed(long us) {
+    /** The largest budget that may be in effect. */
+    private long allowed(long timestampUs) {
         long max = 0;
-        for (int i = said.size() - 1; i >= 0; i--) {
-            max = Math.max(max, said.get(i).each);
-            if (said.get(i).holds <= us) {
+        for (int i = budgets.size() - 1; i >= 0; i--) {
+            max = Math.max(max, budgets.get(i).each);
+            if (budgets.get(i).effectiveUs <= timestampUs) {
                 break;
             }
         }
         return max;
     }
 
-    void connections(String engine, long count, long us) {
-        settle(engine, us);
+    void connections(String engine, long count, long timestampUs) {
+        recordLastingExcess(engine, timestampUs);
         open.put(engine, count);
         maxOpen = Math.max(maxOpen, count);
-        long over = said.isEmpty() ? 0 : count - allowed(us);
+        long over = budgets.isEmpty() ? 0 : count - allowed(timestampUs);
         if (over > 0) {
-            overSince.putIfAbsent(engine, us);
-            overNow.merge(engine, over, Math::min);
+            excessSince.putIfAbsent(engine, timestampUs);
+            currentExcess.merge(engine, over, Math::min);
         } else {
-            overSince.remove(engine);
-            overNow.remove(engine);
+            excessSince.remove(engine);
+            currentExcess.remove(engine);
         }
     }
 
-    /** What was over until now, if it lasted. */
-    private void settle(String engine, long us) {
-        Long since = overSince.get(engine);
-        if (since != null && us - since >= LASTS_US) {
-            overMost = Math.max(overMost, overNow.get(engine));
+    /** Records the excess up to now, if it lasted long enough. */
+    private void recordLastingExcess(String engine, long timestampUs) {
+        Long since = excessSince.get(engine);
+        if (since != null && timestampUs - since >= MIN_EXCESS_DURATION_US) {
+            maxExcess = Math.max(maxExcess, currentExcess.get(engine));
         }
     }
 
-    /** No more comes. */
-    void end(long us) {
-        List.copyOf(open.keySet()).forEach(e -> connections(e, open.get(e), us));
+    /** Ends the audit. */
+    void end(long timestampUs) {
+        List.copyOf(open.keySet()).forEach(e -> connections(e, open.get(e), timestampUs));
     }
 
-    void figures(Map<String, Object> f) {
-        f.put("poolOverMost", overMost);
-        f.put("poolOpenMost", maxOpen);
+    void figures(Map<String, Object> figures) {
+        figures.put("poolOverMost", maxExcess);
+        figures.put("poolOpenMost", maxOpen);
     }
 }
--- a/lab/src/main/java/sandpaddle/lab/ProcessUsage.java
+++ b/lab/src/main/java/sandpaddle/lab/ProcessUsage.java
@@ -10,35 +10,38 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What Linux tells of a process that runs: its CPU time, resident memory and descriptors. */
+/**
+ * Resource usage of a running process from the Linux {@code /proc} file system: CPU time, resident memory and
+ * descriptors.
+ */
 public final class ProcessUsage {
     private static final Pattern RESIDENT = Pattern.compile("VmRSS:\\s+(\\d+) kB");
-    private static final double KB_IN_MB = 1024.0;
-    private static final double NS_IN_SECOND = 1e9;
+    private static final double KB_PER_MB = 1024.0;
+    private static final double NS_PER_SECOND = 1e9;
 
     private final Path proc;
 
-    /** Of the process with this id. */
+    /** Reads the process with this ID. */
     public ProcessUsage(long pid) {
         proc = Path.of("/proc", Long.toString(pid));
     }
 
-    /** CPU time of each thread that runs now, by its id, in nanoseconds. */
+    /** CPU time in nanoseconds of each live thread, by thread ID. */
     public record CpuTimes(Map<String, Long> byThread) {
-        /** Before the process was started. */
+        /** The state before the process was started. */
         public static final CpuTimes NONE = new CpuTimes(Map.of());
 
-        /** Seconds of CPU since an earlier look; what threads took that have ended by now is left out. */
+        /** Returns the CPU time in seconds since an earlier sample; excludes threads that have ended meanwhile. */
         public double secondsSince(CpuTimes earlier) {
             long ns = 0;
             for (Map.Entry<String, Long> thread : byThread.entrySet()) {
                 ns += thread.getValue() - earlier.byThread.getOrDefault(thread.getKey(), 0L);
             }
-            return ns / NS_IN_SECOND;
+            return ns / NS_PER_SECOND;
         }
     }
 
-    /** CPU time of its threads so far. */
+    /** Samples the CPU time of all threads. */
     public CpuTimes cpuTimes() throws IOException {
         Map<String, Long> times = new HashMap<>();
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(proc.resolve("task"))) {
@@ -61,12 +64,12 @@
     public double residentMb() throws IOException {
         Matcher m = RESIDENT.matcher(Files.readString(proc.resolve("status")));
         if (!m.find()) {
-            throw new IOException("no resident memory in " + proc.resolve("status"));
+            throw new IOException("no VmRSS line in " + proc.resolve("status"));
         }
-        return Long.parseLong(m.group(1)) / KB_IN_MB;
+        return Long.parseLong(m.group(1)) / KB_PER_MB;
     }
 
-    /** Open descriptors. */
+    /** Number of open descriptors. */
     public int descriptors() throws IOException {
         int count = 0;
         try (DirectoryStream<Path> open = Files.newDirectoryStream(proc.resolve("fd"))) {
