--- a/lab/src/main/java/sandpaddle/lab/AskCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/AskCommand.java
@@ -16,20 +16,26 @@
 @Command(
         name = "ask",
         mixinStandardHelpOptions = true,
-        description = "Sends one query to a gateway and prints the answer.",
+        description = "Sends one query to a gateway and prints the result.",
         footerHeading = "%nExamples:%n",
         footer = {"  ask \"SELECT day FROM sales_17.orders\"", "  ask --route report --patience 9000 \"SELECT 1\""})
 final class AskCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "STATEMENT", description = "The statement, without fields.")
+    @Parameters(paramLabel = "STATEMENT", description = "The statement, without the comment that carries the fields.")
     private String statement;
 
-    @Option(names = "--port", defaultValue = "3307", description = "The gateway's, on 127.0.0.1 (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--port",
+            defaultValue = "3307",
+            description = "Port of the gateway on 127.0.0.1 (${DEFAULT-VALUE}).")
     private int port;
 
-    @Option(names = "--route", defaultValue = "lookup", description = "The class (${DEFAULT-VALUE}).")
+    @Option(names = "--route", defaultValue = "lookup", description = "The request class (${DEFAULT-VALUE}).")
     private String route;
 
-    @Option(names = "--patience", defaultValue = "5000", description = "Milliseconds (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--patience",
+            defaultValue = "5000",
+            description = "Client timeout in milliseconds (${DEFAULT-VALUE}).")
     private int patience;
 
     @Option(names = "--fields", paramLabel = "k=v,k=v", description = "Further fields, such as once=nightly-17.")
--- a/lab/src/main/java/sandpaddle/lab/AuditCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/AuditCommand.java
@@ -35,10 +35,10 @@
             "recoverySeconds");
     private static final double RECOVERY_TOLERANCE_S = 1; // the end of the experiment is not recorded as an event
 
-    @Parameters(paramLabel = "FILE", description = "The events of a run.")
+    @Parameters(paramLabel = "FILE", description = "Event file of a run.")
     private Path file;
 
-    @Option(names = "--against", paramLabel = "FILE", description = "The figures that the run wrote.")
+    @Option(names = "--against", paramLabel = "FILE", description = "File of figures written by the run.")
     private Path against;
 
     @Override
--- a/lab/src/main/java/sandpaddle/lab/CostCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/CostCommand.java
@@ -38,14 +38,14 @@
             split = ",",
             defaultValue = "0,100,1000",
             paramLabel = "N",
-            description = "Requests held meanwhile (${DEFAULT-VALUE}).")
+            description = "Requests queued meanwhile (${DEFAULT-VALUE}).")
     private List<Integer> held;
 
     @Option(
             names = "--requests",
             defaultValue = "2000",
             paramLabel = "N",
-            description = "Requests of each round (${DEFAULT-VALUE}).")
+            description = "Requests per round (${DEFAULT-VALUE}).")
     private int requests;
 
     @Override
--- a/lab/src/main/java/sandpaddle/lab/FleetCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/FleetCommand.java
@@ -42,29 +42,35 @@
     @Option(names = "--engines", defaultValue = "6", description = "How many (${DEFAULT-VALUE}).")
     private int engines;
 
-    @Option(names = "--load", defaultValue = "0.7", description = "Of what the engines can do (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--load",
+            defaultValue = "0.7",
+            description = "Demand as a share of the capacity of the engines (${DEFAULT-VALUE}).")
     private double load;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws arrivals, work, habits and faults.")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of arrivals, work, client behavior and faults.")
     private long seed;
 
-    @Option(names = "--short", description = "Scaled down: under 50 s in all.")
+    @Option(names = "--short", description = "Shorter run: under 50 s in total.")
     private boolean brief;
 
     @Option(
             names = "--sharing",
             defaultValue = "on",
             paramLabel = "on|off",
-            description = "Whether gateways share anything (${DEFAULT-VALUE}).")
+            description = "Whether gateways share state (${DEFAULT-VALUE}).")
     private String sharing;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the figures go.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Output file of the figures.")
     private Path json;
 
-    @Option(names = "--events", paramLabel = "FILE", description = "Where every party's events go, a line each.")
+    @Option(
+            names = "--events",
+            paramLabel = "FILE",
+            description = "Output file of the events of all parties, one per line.")
     private Path eventsFile;
 
-    @Option(names = "--charts", paramLabel = "DIR", description = "Where charts go, as PNG files.")
+    @Option(names = "--charts", paramLabel = "DIR", description = "Output directory of charts (PNG).")
     private Path charts;
 
     @Option(
@@ -74,7 +80,10 @@
             description = "The gateway's jar (${DEFAULT-VALUE}).")
     private Path jar;
 
-    @Option(names = "--logs", paramLabel = "DIR", description = "Where logs and disks stay; else they are removed.")
+    @Option(
+            names = "--logs",
+            paramLabel = "DIR",
+            description = "Directory of logs and gateway directories, which are otherwise removed.")
     private Path logs;
 
     @Override
--- a/lab/src/main/java/sandpaddle/lab/ReportCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/ReportCommand.java
@@ -29,10 +29,14 @@
     private static final List<String> ZERO_FIGURES =
             List.of("secondAnswers", "lost", "loadsRunTwice", "coldFalls", "drainBreaks");
 
-    @Parameters(paramLabel = "FILE", arity = "1..*", description = "Figures of runs.")
+    @Parameters(paramLabel = "FILE", arity = "1..*", description = "Files of figures written by runs.")
     private List<Path> files;
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = ".", description = "Where table.md and the charts go.")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            defaultValue = ".",
+            description = "Output directory of table.md and the charts.")
     private Path out;
 
     private record ReportedRun(Map<String, Object> figures) {
--- a/lab/src/main/java/sandpaddle/lab/RetryStormCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/RetryStormCommand.java
@@ -31,17 +31,16 @@
         }
     }
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws arrivals, work and habits (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of arrivals, work and client behavior (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(
-            names = "--outage",
-            converter = Seconds.class,
-            paramLabel = "30s",
-            description = "How long engines are gone.")
+    @Option(names = "--outage", converter = Seconds.class, paramLabel = "30s", description = "Duration of the outage.")
     private Duration outage;
 
-    @Option(names = "--short", description = "Scaled down: under 45 s in all.")
+    @Option(names = "--short", description = "Shorter run: under 45 s in total.")
     private boolean brief;
 
     @Option(
@@ -53,22 +52,28 @@
     @Option(names = "--script", defaultValue = "outage", description = "${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
     private RetryStormExperiment.Script script;
 
-    @Option(names = "--load", defaultValue = "0.75", description = "Of what the engines can do (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--load",
+            defaultValue = "0.75",
+            description = "Demand as a share of the capacity of the engines (${DEFAULT-VALUE}).")
     private double load;
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
-            description = "The gateways' operator's file, in place of the lab's.")
+            description = "Operator's file of the gateways, instead of the lab's own.")
     private Path operator;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the figures go.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Output file of the figures.")
     private Path json;
 
-    @Option(names = "--events", paramLabel = "FILE", description = "Where every party's events go, a line each.")
+    @Option(
+            names = "--events",
+            paramLabel = "FILE",
+            description = "Output file of the events of all parties, one per line.")
     private Path eventsFile;
 
-    @Option(names = "--charts", paramLabel = "DIR", description = "Where charts go, as PNG.")
+    @Option(names = "--charts", paramLabel = "DIR", description = "Output directory of charts (PNG).")
     private Path charts;
 
     @Option(
@@ -78,7 +83,10 @@
             description = "The gateway's jar (${DEFAULT-VALUE}).")
     private Path jar;
 
-    @Option(names = "--logs", paramLabel = "DIR", description = "Where the gateways' logs stay; else they are removed.")
+    @Option(
+            names = "--logs",
+            paramLabel = "DIR",
+            description = "Directory of the gateways' logs, which are otherwise removed.")
     private Path logs;
 
     @Override
--- a/lab/src/main/java/sandpaddle/lab/TryCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/TryCommand.java
@@ -22,13 +22,13 @@
 @Command(
         name = "try",
         mixinStandardHelpOptions = true,
-        description = "Starts stand-in engines, a control feed and a gateway on loopback, prints a client line to "
+        description = "Starts stand-in engines, a control feed and a gateway on loopback, prints a client command to "
                 + "paste, "
-                + "and ends all of it on Ctrl-C.")
+                + "and ends everything on Ctrl-C.")
 final class TryCommand implements Callable<Integer> {
     private static final int ENGINES = 3;
 
-    @Option(names = "--port", defaultValue = "3307", description = "Where the gateway listens (${DEFAULT-VALUE}).")
+    @Option(names = "--port", defaultValue = "3307", description = "Port of the gateway (${DEFAULT-VALUE}).")
     private int port;
 
     @Option(
@@ -49,7 +49,7 @@
             names = "--for",
             paramLabel = "10s",
             converter = RetryStormCommand.Seconds.class,
-            description = "Ends by itself after so long.")
+            description = "Ends after this time.")
     private Duration max;
 
     @Override
@@ -130,7 +130,7 @@
                     mysql --skip-ssl --comments -h 127.0.0.1 -P %d -u app core -e \\
                         "/* route=lookup,trace=$(printf %%016x $RANDOM$RANDOM),patience=5000 */ %s"
 
-                The statement tells the stand-ins what it costs: work=MICROSECONDS. Ctrl-C ends all of it.
+                The work of a query is set in its statement: work=MICROSECONDS. Ctrl-C ends everything.
 
                 """, ENGINES, port, statement, port, statement);
     }
