--- a/lab/src/main/java/sandpaddle/lab/StormCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/RetryStormCommand.java
@@ -9,15 +9,16 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.Option;
 
-/** {@code storm}: one run of {@link StormExperiment}. */
+/** The {@code storm} command: runs {@link RetryStormExperiment}. */
 @Command(
         name = "storm",
         mixinStandardHelpOptions = true,
-        description = "Kills all stand-in engines, restarts them cold, and counts what clients got from real gateways.",
+        description =
+                "Kills all stand-in engines, restarts them cold, and measures what clients got from real gateways.",
         footerHeading = "%nExamples:%n",
         footer = {"  storm --short --damping off", "  storm --seed 3 --script second --json out.json --events out.jsonl"
         })
-final class StormCommand implements Callable<Integer> {
+final class RetryStormCommand implements Callable<Integer> {
     enum Damping {
         ON,
         OFF
@@ -30,44 +31,49 @@
         }
     }
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws arrivals, work and habits (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of arrivals, work and client behavior (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(
-            names = "--outage",
-            converter = Seconds.class,
-            paramLabel = "30s",
-            description = "How long engines are gone.")
+    @Option(names = "--outage", converter = Seconds.class, paramLabel = "30s", description = "Duration of the outage.")
     private Duration outage;
 
-    @Option(names = "--short", description = "Scaled down: under 45 s in all.")
+    @Option(names = "--short", description = "Shorter run: under 45 s in total.")
     private boolean brief;
 
     @Option(
             names = "--damping",
             defaultValue = "on",
-            description = "The gateways' storm subsystem: ${COMPLETION-CANDIDATES}.")
+            description = "The gateways' overload controller: ${COMPLETION-CANDIDATES}.")
     private Damping damping;
 
     @Option(names = "--script", defaultValue = "outage", description = "${COMPLETION-CANDIDATES} (${DEFAULT-VALUE}).")
-    private StormExperiment.Script script;
+    private RetryStormExperiment.Script script;
 
-    @Option(names = "--load", defaultValue = "0.75", description = "Of what the engines can do (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--load",
+            defaultValue = "0.75",
+            description = "Demand as a share of the capacity of the engines (${DEFAULT-VALUE}).")
     private double load;
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
-            description = "The gateways' operator's file, in place of the lab's.")
+            description = "Operator's file of the gateways, instead of the lab's own.")
     private Path operator;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where the figures go.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Output file of the figures.")
     private Path json;
 
-    @Option(names = "--events", paramLabel = "FILE", description = "Where every party's events go, a line each.")
+    @Option(
+            names = "--events",
+            paramLabel = "FILE",
+            description = "Output file of the events of all parties, one per line.")
     private Path eventsFile;
 
-    @Option(names = "--charts", paramLabel = "DIR", description = "Where charts go, as PNG.")
+    @Option(names = "--charts", paramLabel = "DIR", description = "Output directory of charts (PNG).")
     private Path charts;
 
     @Option(
@@ -77,7 +83,10 @@
             description = "The gateway's jar (${DEFAULT-VALUE}).")
     private Path jar;
 
-    @Option(names = "--logs", paramLabel = "DIR", description = "Where the gateways' logs stay; else they are removed.")
+    @Option(
+            names = "--logs",
+            paramLabel = "DIR",
+            description = "Directory of the gateways' logs, which are otherwise removed.")
     private Path logs;
 
     @Override
@@ -89,13 +98,13 @@
         } else if (file == null) {
             file = Files.writeString(folder.resolve("operator.json"), "{\"storm\": {\"enabled\": true}}\n");
         }
-        StormResult result;
+        RetryStormResult result;
         try (Events events = new Events(eventsFile)) {
-            result = new StormExperiment(
-                            new StormExperiment.Plan(
+            result = new RetryStormExperiment(
+                            new RetryStormExperiment.Plan(
                                     seed,
                                     script,
-                                    StormExperiment.Times.of(brief, outage),
+                                    RetryStormExperiment.Times.of(brief, outage),
                                     file,
                                     load,
                                     8,
@@ -115,7 +124,7 @@
         if (logs == null) {
             remove(folder);
         }
-        return result.brokenRules() == 0 ? 0 : Main.BROKEN;
+        return result.ruleViolations() == 0 ? 0 : Main.RULE_VIOLATED;
     }
 
     static void remove(Path folder) throws IOException {
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleCommand.java
@@ -152,7 +152,7 @@
         if (logs == null) {
             FleetCommand.remove(folder);
         }
-        return passed(results) ? 0 : Main.BROKEN;
+        return passed(results) ? 0 : Main.RULE_VIOLATED;
     }
 
     private void rejectInvalidSizes() throws RunRejectedException {
--- a/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/sandpaddle/lab/scale/ScaleRun.java
@@ -23,10 +23,10 @@
 import sandpaddle.fleet.member.Member;
 import sandpaddle.lab.ClientStatistics;
 import sandpaddle.lab.Events;
+import sandpaddle.lab.FaultInjectingProxy;
 import sandpaddle.lab.FleetLogs;
+import sandpaddle.lab.LabDeployment;
 import sandpaddle.lab.Loopback;
-import sandpaddle.lab.Relay;
-import sandpaddle.lab.Site;
 import sandpaddle.lab.StandInFeed;
 
 /**
@@ -77,7 +77,7 @@
     private final SplittableRandom random;
     private final List<ControlMachine> control = new ArrayList<>();
     private final List<SimulationHostProcess> hosts = new ArrayList<>();
-    private final List<Relay> relays = new ArrayList<>();
+    private final List<FaultInjectingProxy> relays = new ArrayList<>();
     private long version = 1;
     private Exception failure;
 
@@ -146,7 +146,7 @@
             Runtime.getRuntime().removeShutdownHook(abortHook);
             hosts.forEach(SimulationHostProcess::shutDown);
             control.forEach(ControlMachine::abort);
-            relays.forEach(Relay::close);
+            relays.forEach(FaultInjectingProxy::close);
             feed.close();
             FleetLogs.gather(
                     plan.folder(), control.stream().map(ControlMachine::name).toList(), events);
@@ -177,7 +177,8 @@
         Map<String, InetSocketAddress> routes = new LinkedHashMap<>();
         if (plan.fault().disconnectsZone()) {
             for (Member member : fleet.control()) {
-                Relay relay = new Relay(loop, Loopback.at(member.port()), random.split(), true);
+                FaultInjectingProxy relay =
+                        new FaultInjectingProxy(loop, Loopback.at(member.port()), random.split(), true);
                 relays.add(relay);
                 routes.put(member.name(), relay.address());
             }
@@ -185,13 +186,13 @@
         Path operator = fleet.gatewayFile("hollow", routes);
         Path config = Files.writeString(
                 plan.folder().resolve("hollow.json"),
-                Site.configOfPeer(
+                LabDeployment.configOfPeer(
                         "hollow",
                         0,
                         plan.size().gateways(),
                         1,
                         feed.address(),
-                        feed.known(),
+                        feed.snapshotJson(),
                         plan.seed(),
                         fleet.zones()));
         List<List<String>> gatewaysByHost =
@@ -335,7 +336,7 @@
         loop.scheduleAfter(span.dividedBy(3), () -> recordFailure(this::injectFault));
         if (plan.fault() == Fault.RETURN_ZONE) {
             loop.scheduleAfter(span.multipliedBy(2).dividedBy(3), () -> {
-                relays.forEach(Relay::heal);
+                relays.forEach(FaultInjectingProxy::heal);
                 recordEvent("zone-back", "zone", faultZone());
             });
         }
@@ -357,7 +358,7 @@
             case NONE -> {}
             case CONTROL_MACHINE -> killLeader();
             case ZONE, RETURN_ZONE -> {
-                relays.forEach(Relay::cut);
+                relays.forEach(FaultInjectingProxy::cut);
                 recordEvent("zone-cut", "zone", faultZone());
             }
             case RESTART_TENTH -> restartTenth();
