--- a/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
@@ -15,7 +15,8 @@
 /**
  * Adaptive concurrency limits of each engine and of the fleet, adjusted by additive increase and multiplicative
  * decrease: a limit grows while latencies are near the best known ones, and is cut on slow answers, full queues and
- * late attempts. Limits count the threads of all gateways; a gateway may use them up to its share of the traffic.
+ * late attempts. Limits count the threads of all gateways; a gateway compares its threads with a limit times its share
+ * of the traffic ({@link TrafficShare}).
  * {@link OverloadDetector} decides when limits are enforced.
  */
 public final class ConcurrencyLimits {
@@ -23,7 +24,7 @@
     static final double OVERLOAD_SLOWDOWN = 2.5;
     /** Natural logarithm of {@link #OVERLOAD_SLOWDOWN}. */
     static final double LOG_OVERLOAD_SLOWDOWN = Math.log(OVERLOAD_SLOWDOWN);
-    /** Greatest limit of an engine, in threads per core: the throughput of an engine declines well before. */
+    /** Greatest limit of an engine, in threads per core; its throughput declines at fewer threads already. */
     static final double MAX_THREADS_PER_CORE = 2.5;
 
     /** Initial limit of an engine that has started, in threads per core. */
@@ -32,12 +33,13 @@
     private static final double MIN_THREADS_PER_CORE = 1.2;
     /** Natural logarithm of the slowdown below which a limit may grow. */
     private static final double LOG_GROWTH_SLOWDOWN = Math.log(1.6);
-    /** Multiple of the limits for the class with the highest priority weight per work. */
+    /** Factor on all limits for requests of the class with the highest priority weight per work. */
     private static final double HIGH_WEIGHT_MULTIPLE = 1.5;
     /** Least limit of the fleet after cuts, in threads per core. */
     private static final double FLEET_MIN_THREADS_PER_CORE = 2.0;
     /**
-     * Greatest fleet limit where reports omit queries in flight, in threads per core: twice an equal share when busy.
+     * Greatest limit of the fleet where load reports do not state the queries in flight, in threads per core. Higher
+     * than {@link #MAX_THREADS_PER_CORE}, to leave room for a gateway with more than an equal share of the traffic.
      */
     private static final double FLEET_MAX_THREADS_PER_CORE = 4.0;
     /** Increase of the fleet's limit per round of fast answers, in threads per core. */
@@ -85,9 +87,11 @@
     }
 
     /**
-     * Whether a request fits within the limits. On an engine without own queries, this gateway's share of the fleet's
-     * limit applies in place of its share of the engine's limit, and a request that fits only partly is admitted with a
-     * probability equal to the fraction of its threads that fits. One query on the whole fleet is always permitted.
+     * Whether a request fits within the limits. None fits on an engine whose limit the threads of all gateways reach.
+     * Otherwise this gateway's threads there must be below its share of the engine's limit. On an engine that runs no
+     * query of this gateway, the gateway's share of the fleet's limit applies instead: a request that fits only partly
+     * is admitted with a probability equal to the fraction of its threads that fits, and if this gateway uses no
+     * threads on the fleet, the request fits.
      */
     boolean isWithinLimits(PendingRequest request, EngineState engine) {
         double multiple = estimators.hasHighestWeightPerWork(request.classIndex()) ? HIGH_WEIGHT_MULTIPLE : 1;
@@ -105,14 +109,21 @@
         return fleetThreads == 0 || required < fleet.threads() * multiple * traffic.share();
     }
 
-    /** Whether successful answers are near the best latency, so that a missing answer is lost rather than late. */
+    /**
+     * Whether successful answers are on average near the best known latency. While they are, a missing answer is taken
+     * to be lost; otherwise it may only be late.
+     */
     public boolean areAnswersFast() {
         return answersLogSlowdown < LOG_GROWTH_SLOWDOWN;
     }
 
     /**
-     * Adjusts the limits to the latency of an attempt (us). Timeouts count with their elapsed time; otherwise only the
-     * fast answers of an overloaded engine would be taken into account.
+     * Adjusts the limits to the latency of an attempt. While answers are not fast ({@link #areAnswersFast}), the caller
+     * also records timeouts; otherwise only the fast answers of an overloaded engine would be taken into account.
+     *
+     * @param attempt the attempt
+     * @param latencyUs latency of the attempt (us); for a timeout the time since the attempt was sent
+     * @param answered whether the attempt succeeded; false for a timeout
      */
     public void recordLatency(Attempt attempt, double latencyUs, boolean answered) {
         double logSlowdown = estimators.recordLatency(attempt.request(), latencyUs);
@@ -137,7 +148,7 @@
         fleet.recordSlowdown(logSlowdown);
         if (fleet.logSlowdown() < LOG_GROWTH_SLOWDOWN) {
             double cores = engines.totalCores();
-            // without reported queries the traffic share is assumed to be equal, so the fleet's limit may be higher
+            // without reported queries the traffic share stays equal, though this gateway may have more of the traffic
             double maxPerCore = loadView.reportsInFlight() ? MAX_THREADS_PER_CORE : FLEET_MAX_THREADS_PER_CORE;
             double growth = FLEET_GROWTH_PER_CORE * cores;
             fleet.raise(growth / (fleet.threads() * traffic.share()), maxPerCore * cores);
--- a/gateway/src/main/java/sandpaddle/decision/concurrency/OverloadDetector.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/OverloadDetector.java
@@ -72,7 +72,7 @@
 
     /**
      * Whether an engine is overloaded. While reports are sparse, a warm engine counts as overloaded when the fleet is,
-     * since its own reports are too few and too old.
+     * since the engine's reports are too few and too old.
      */
     public boolean isOverloaded(EngineState engine) {
         boolean sparse = arrivals.areReportsSparse();
@@ -103,7 +103,10 @@
         return context.nowUs() - Math.max(lastSignAtUs, context.lastStallAtUs()) < holdUs;
     }
 
-    /** Whether a lightly loaded engine may be sent work during an overload: within the own share, and at a rate. */
+    /**
+     * Whether a lightly loaded engine may be sent work during an overload: while this gateway's threads on the fleet
+     * are within the gateway's share, and at a limited rate.
+     */
     private boolean mayFill(EngineState engine) {
         double maxThreads = ConcurrencyLimits.MAX_THREADS_PER_CORE * traffic.share() * engines.totalCores();
         return loadView.isLightlyLoaded(engine)
@@ -179,7 +182,7 @@
     }
 
     /**
-     * Whether own threads exceed this gateway's share of a busy fleet: the earliest overload signal where reports omit
+     * Whether this gateway's threads exceed its share of a busy fleet: the earliest overload signal where reports omit
      * queries or arrive only in health checks. With little traffic a few heavy queries suffice for it, so an average
      * load that is known to be low overrules it.
      */
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionBudget.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionBudget.java
@@ -12,7 +12,7 @@
      * Counts a connection that is about to be opened, if the budget allows it.
      *
      * @param engine the engine's id
-     * @param control whether it is for a call that cancels or changes a query, for which a share is reserved
+     * @param control whether the connection is for a call that cancels or changes a query; a share is reserved for them
      * @return whether it was counted and may be opened
      */
     default boolean tryAcquire(String engine, boolean control) {
--- a/gateway/src/main/java/sandpaddle/engineclient/ConnectionRequest.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/ConnectionRequest.java
@@ -35,7 +35,7 @@
      * @param loop the event loop
      * @param pool the pool of the engine
      * @param callback receives the outcome, once
-     * @param reserved whether it may use the connections reserved for calls that cancel or change a query
+     * @param reserved whether the request may use the connections reserved for calls that cancel or change a query
      */
     ConnectionRequest(EventLoop loop, ConnectionPool pool, ConnectionPool.Callback callback, boolean reserved) {
         this.loop = loop;
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Whether it has its connection or has failed. */
+    /** Whether the request has its connection or has failed. */
     boolean isDone() {
         return done;
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/EngineConnection.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/EngineConnection.java
@@ -67,17 +67,20 @@
         established.setListener(this);
     }
 
-    /** Whether it was established at {@code from} or later, which proves that the host was reachable then. */
+    /** Whether the connection was established at {@code from} or later, which proves that the host was reachable. */
     boolean isConnectedSince(Instant from) {
         return !connectedAt.isBefore(from);
     }
 
-    /** Whether it has carried a call. */
+    /** Whether the connection has carried a call. */
     boolean wasUsed() {
         return used;
     }
 
-    /** Marks that a response on it may be a duplicate: the real one must not be read as that of another query. */
+    /**
+     * Marks that the last response on this connection may be a duplicate of an earlier one. The response to the last
+     * call may then still follow, and must not be read as that of another query.
+     */
     void suspectDuplicateResponse() {
         maybeDuplicateResponse = true;
     }
@@ -86,7 +89,7 @@
         return maybeDuplicateResponse;
     }
 
-    /** Whether it has ended, or received bytes outside a call. */
+    /** Whether the connection has ended, or received bytes outside a call. */
     boolean isStale() {
         return ended || connection.isStale();
     }
@@ -172,7 +175,7 @@
         }
     }
 
-    /** Whether it has ended and can carry no further call. */
+    /** Whether the connection has ended and can carry no further call. */
     boolean isEnded() {
         return ended;
     }
--- a/gateway/src/main/java/sandpaddle/engineclient/IdleConnections.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/IdleConnections.java
@@ -8,24 +8,27 @@
 
 /**
  * The idle connections of a pool, least recently used first. A connection may carry the call of another query once it
- * has been quiet for {@link #QUIET_PERIOD}. Confined to the event loop's thread.
+ * has been idle for {@link #QUIET_PERIOD}; it is then called quiet. Confined to the event loop's thread.
  */
 final class IdleConnections {
-    /** Within this time a late duplicate response is detected and not read as the response to the next call. */
+    /**
+     * How long a connection stays unused after a call. A late duplicate of that call's response that arrives in this
+     * time is detected and not read as the response to the next call.
+     */
     static final Duration QUIET_PERIOD = Duration.ofMillis(50);
 
-    /** A connection established within this time proves that the engine was reachable. */
+    /** Greatest age at which a connection that was never used still serves as proof that the engine is reachable. */
     private static final Duration PROOF_PERIOD = Duration.ofSeconds(2);
 
     /**
      * An idle connection.
      *
      * @param connection the connection
-     * @param since when its last call ended
-     * @param generation of the pool at that time
+     * @param since when the connection became idle
+     * @param generation the pool's generation at that time; see {@link #invalidate}
      */
     record Idle(EngineConnection connection, Instant since, int generation) {
-        /** When it may carry the call of another query. */
+        /** When the connection is quiet and may carry the call of another query. */
         Instant quietAt() {
             return since.plus(QUIET_PERIOD);
         }
@@ -50,7 +53,7 @@
         idle.removeIf(entry -> entry.connection == connection);
     }
 
-    /** Whether a connection that was taken may still be used. */
+    /** Whether a connection may be used: it belongs to the current generation and is not stale. */
     boolean isReusable(Idle entry) {
         return entry.generation == generation && !entry.connection.isStale();
     }
@@ -68,14 +71,16 @@
             if (isReusable(entry)) {
                 return entry.connection;
             }
-            entry.connection.abandon(); // already removed: does not modify the queue during the iteration
+            // the entry is removed already, so remove(), which the pool calls, does not change the iterated queue
+            entry.connection.abandon();
         }
         return null;
     }
 
     /**
-     * Takes the connection that will be quiet first; null if there is none, or if connections expire before they are
-     * quiet: the engine could then close the connection while a call is written to it.
+     * Takes the connection whose quiet period ends first; the caller waits until {@link Idle#quietAt}. Null if there is
+     * no idle connection, or if connections expire before they are quiet: the engine could then close the connection
+     * while a call is written to it.
      */
     Idle takeQuietSoon() {
         return QUIET_PERIOD.compareTo(maxIdle) < 0 ? idle.pollFirst() : null;
@@ -107,7 +112,7 @@
         }
     }
 
-    /** Closes the one that has been idle longest; returns whether there was one. */
+    /** Closes the connection that has been idle longest; returns whether there was one. */
     boolean closeOldest() {
         Idle oldest = idle.pollFirst();
         if (oldest != null) {
@@ -122,7 +127,10 @@
         }
     }
 
-    /** Closes all; connections that were taken to await their quiet period must not be used either. */
+    /**
+     * Closes all idle connections and begins a new generation, so that connections which {@link #takeQuietSoon} has
+     * handed out, and whose quiet period has not ended, are not used either.
+     */
     void invalidate() {
         generation++;
         closeAll();
--- a/gateway/src/main/java/sandpaddle/engineclient/QueryCalls.java
+++ b/gateway/src/main/java/sandpaddle/engineclient/QueryCalls.java
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Bars other queries from using it, since its last response may have been a duplicate. */
+    /** Bars other queries from using the reserved connection, since its last response may have been a duplicate. */
     void suspectDuplicateResponse() {
         if (reserved != null) {
             reserved.suspectDuplicateResponse();
--- a/gateway/src/main/java/sandpaddle/fleet/limit/allocator/Floors.java
+++ b/gateway/src/main/java/sandpaddle/fleet/limit/allocator/Floors.java
@@ -11,20 +11,24 @@
 import java.util.Set;
 
 /**
- * The floors of a limit: what each gateway may use without a lease, when it is partitioned from the leader. Normally an
- * even part of {@code floorShare} of the limit; if that is less than one unit, one unit each while the limit has as
- * many. Of limits for each engine every gateway has one unit on some engines, chosen by rendezvous hashing. If a limit
- * has fewer units than there are gateways, half of it goes to gateways chosen by hashing, and the others have no floor.
+ * The floors of a limit: what each gateway may use without a lease, when it is partitioned from the leader. Normally
+ * each gateway has an equal part of {@code floorShare} of the limit. If that part is less than one unit, each gateway
+ * has one unit, provided that the limit has a unit for each. If it has not, half of its units go to gateways chosen by
+ * hashing, one unit each, and the others have no floor.
+ *
+ * <p>The limits of single engines that come from one limit for each engine differ: if the equal part is less than one
+ * unit and the limit is no rate, a gateway has a floor of one unit on some of the engines only, chosen by rendezvous
+ * hashing ({@link #onEngines}).
  */
 public final class Floors {
     private Floors() {}
 
-    /** The even floor of each gateway, rounded down; in thousandths for a rate. */
+    /** The floor of each gateway if all have an equal one, rounded down, in the unit of {@code amount}. */
     public static long even(long amount, int members, double floorShare) {
         return members == 0 ? 0 : (long) (amount * floorShare / members);
     }
 
-    /** The floors of a limit that is not for each engine, in the order of {@code members}. */
+    /** The floors of a limit, in the order of {@code members}, unless {@link #onEngines} places them. */
     public static long[] of(String limit, long amount, List<String> members, double floorShare) {
         long[] floors = new long[members.size()];
         long each = even(amount, members.size(), floorShare);
@@ -44,17 +48,28 @@
         return floors;
     }
 
-    /** The number of gateways that have a floor of one unit on an engine whose limit has this amount. */
+    /**
+     * Returns how many gateways have a floor of one unit on each engine: enough that each gateway has one on some
+     * engine, or {@code floorShare} of the engine's limit if that is more, but at most half of the limit.
+     *
+     * @param amount limit of one engine
+     * @param members number of gateways
+     * @param engines number of engines
+     * @param floorShare part of the limit that is given out as floors
+     */
     static long places(long amount, int members, int engines, double floorShare) {
         long needed = (members + engines - 1) / Math.max(1, engines);
         return Math.min(amount / 2, Math.max(needed, (long) (amount * floorShare)));
     }
 
     /**
-     * Places floors of one unit on engines: the members with a floor, by limit id. In rounds, each gateway gets a place
-     * on the engine that ranks highest for it among those with a free place.
+     * Chooses the gateways that have a floor of one unit on each engine. In rounds, each gateway gets a place on that
+     * engine with a free place which ranks highest for the gateway.
      *
-     * @param places number of places on each engine
+     * @param limits ids of the limits, one for each engine
+     * @param places number of gateways with a floor on each engine
+     * @param members names of the gateways
+     * @return names of the gateways with a floor, by limit id
      */
     static Map<String, Set<String>> onEngines(List<String> limits, long places, List<String> members) {
         Map<String, Set<String>> membersByLimit = new HashMap<>();
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/LoopCoordinator.java
@@ -139,7 +139,7 @@
         FleetView next = counters.adoptView();
         boolean released = orphaned.release(nowUs, counters::ended);
         boolean isLeaseUsable = next.isLeased(nowUs) && nowUs >= next.usableFromUs();
-        if (next == view && isLeaseUsable == wasLeaseUsable && !released && !isStale && !tenants.hasGrown()) {
+        if (next == view && isLeaseUsable == wasLeaseUsable && !released && !isStale && !tenants.pollGrown()) {
             return List.of();
         }
         // under a valid lease, attempts over quota are left to end by themselves
@@ -184,7 +184,7 @@
         String counted = tenants.countedName(query.tenant());
         loopEvents.offer(new LoopEvent.QueryReceived(clock.now(), classIndex, counted, query));
         counters.addReceived(classIndex, counted);
-        if (tenants.hasGrown()) {
+        if (tenants.pollGrown()) {
             isStale = true;
             loopEvents.offer(new LoopEvent.TenantSeen(clock.now(), counted));
         }
--- a/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantIndexes.java
+++ b/gateway/src/main/java/sandpaddle/fleet/node/loop/TenantIndexes.java
@@ -6,25 +6,29 @@
 import sandpaddle.fleet.limit.LimitScope;
 
 /**
- * Assigns each tenant that sent a query the index by which the decision module counts it. From {@link #MAX_TENANTS} on,
- * new ones count as one tenant, together with queries without a tenant, so that memory stays bounded whatever names
- * clients send. Owned by the event loop.
+ * Assigns each tenant that sent a query an index, by which the decision module counts the tenant's queries. Index 0,
+ * {@link #OTHERS}, counts queries without a tenant. Once all {@link #MAX_TENANTS} indexes are assigned, index 0 also
+ * counts every new tenant, so that memory stays bounded whatever names clients send. Owned by the event loop.
  */
 final class TenantIndexes {
+    /** Largest number of indexes, that of {@link #OTHERS} included. */
     static final int MAX_TENANTS = 4096;
-    /** Name that counts queries without a tenant, tenants beyond the bound, and names that are not valid in a limit. */
+    /**
+     * Name under which queries are counted that have no tenant, a tenant beyond the bound, or a tenant whose name is
+     * not valid in a limit.
+     */
     static final String OTHERS = "default";
 
     private final Map<String, Integer> indexes = new LinkedHashMap<>();
     private final Map<String, String> countedNames = new HashMap<>();
-    private boolean grown; // whether a tenant was added since the last hasGrown
+    private boolean grown; // whether a tenant was added since the last pollGrown
 
     TenantIndexes() {
         indexes.put(OTHERS, 0);
         countedNames.put("", OTHERS);
     }
 
-    /** The name under which a tenant is counted; adds the tenant if it is new. */
+    /** The name under which a tenant is counted; a new name is assigned the next index. */
     String countedName(String tenant) {
         String countedName = countedNames.get(tenant);
         if (countedName == null) {
@@ -50,8 +54,8 @@
         return indexes.getOrDefault(counted, -1);
     }
 
-    /** Whether a tenant was added since the last call. */
-    boolean hasGrown() {
+    /** Returns whether a tenant was added since the last call, and clears this flag. */
+    boolean pollGrown() {
         boolean wasSet = grown;
         grown = false;
         return wasSet;
--- a/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/margin/WindowOutcome.java
@@ -10,7 +10,7 @@
  * @param missed whether the link was not lost at all; the delays are meaningless then
  * @param unreliable whether the delays must not be learned from: the wall clock was set during the window, the outage
  *     had begun before the window was tracked, or it lasted into the next window
- * @param startDelayMs milliseconds from the planned start to the loss; negative if the loss came early
+ * @param startDelayMs milliseconds from the planned start to the loss of the link; negative if it was lost early
  * @param endDelayMs milliseconds from the planned end to the return; negative if the link returned early
  */
 public record WindowOutcome(
--- a/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseSettings.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/phase/PhaseSettings.java
@@ -4,14 +4,14 @@
  * Confirmation and lead times of the phases. Confirmation times are in microseconds of monotonic time, lead times in
  * milliseconds of the schedule's wall-clock time.
  *
- * @param lossConfirmUs time for which the link must be unreachable before a loss counts while a window is open or
+ * @param lossConfirmUs time for which the link must be unreachable before it counts as lost while a window is open or
  *     clients are returning
- * @param unannouncedLossConfirmUs the same at any other time; longer, so that a short interruption is not taken for an
- *     outage
- * @param returnConfirmUs time for which the link must be reachable before a return counts
+ * @param unannouncedLossConfirmUs like {@code lossConfirmUs}, at any other time; longer, so that a short interruption
+ *     is not taken for an outage
+ * @param returnConfirmUs time for which the link must be reachable before it counts as returned
  * @param returningUs duration over which clients and refreshes are spread after the return
- * @param expectLeadMs how long before its earliest loss a window is expected
- * @param prefetchLeadMs how long before the earliest loss prefetching starts; at most {@code expectLeadMs}
+ * @param expectLeadMs how long before the earliest expected loss of the link the zone begins to expect the window
+ * @param prefetchLeadMs how long before that loss prefetching starts; at most {@code expectLeadMs}
  * @param settleMs how long the link must have been back before a window counts as over, so that a flapping link is part
  *     of the window
  */
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Planner.java
@@ -13,9 +13,9 @@
  * <p>The choice is greedy by surrogate density (Pirkul 1987): marginal value divided by the sum of the fractions of the
  * byte budget and of the work budget that a candidate takes. If the single best candidate has more value than all of
  * those together, it is chosen alone. The value is at least a quarter of the optimum, as the design page proves, and
- * close to it if each candidate takes little of the budgets. Fetches are scheduled backwards from the expected loss by
- * maximum age: the answers with the shortest one are fetched last, so that they are youngest at the loss. O(n log n)
- * for n candidates.
+ * close to it if each candidate takes little of the budgets. Fetches are scheduled backwards by maximum age from a
+ * deadline before the expected loss of the link: the answers with the shortest maximum age are fetched last, so that
+ * they are youngest when the link is lost. O(n log n) for n candidates.
  */
 public final class Planner {
     /** Largest number of candidates in one plan; the rest of the list is ignored. */
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Schedules all fetches at once, by marginal value per engine work and regardless of maximum age, since the loss
-     * may come at any moment.
+     * Schedules all fetches at once, by marginal value per engine work and regardless of maximum age, since the link
+     * may be lost at any moment.
      */
     private static double scheduleImmediately(List<Choice> chosen, long wallMs, List<Fetch> fetches) {
         List<Choice> byDensity = new ArrayList<>(chosen);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/PrefetchBudget.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/PrefetchBudget.java
@@ -7,19 +7,19 @@
  * @param workUsPerSecond engine work, in microseconds per second
  * @param plannedFraction fraction of the engine work that a plan may use, above 0 and at most 1; the rest makes up for
  *     times in which fetching is throttled
- * @param safetyMs time between the last planned fetch and the earliest loss
- * @param delayedOnsetMs planning horizon for a delayed onset: if less time than this is left, or the loss is overdue,
- *     the plan starts the work of this time immediately
+ * @param safetyMs time between the deadline of the planned fetches and the earliest expected loss of the zone's link
+ * @param delayedOnsetMs if less time than this is left until the deadline, or the deadline has passed, a plan starts at
+ *     once as much work as the budget allows for this time; 0 to plan no work after the deadline
  */
 public record PrefetchBudget(
         long bytes, long workUsPerSecond, double plannedFraction, long safetyMs, long delayedOnsetMs) {
     /**
-     * Creates a budget without a horizon for a delayed onset.
+     * Creates a budget that plans no work after the deadline of the planned fetches.
      *
      * @param bytes bytes that may be stored
      * @param workUsPerSecond engine work, in microseconds per second
      * @param plannedFraction fraction of the engine work that a plan may use
-     * @param safetyMs time between the last planned fetch and the earliest loss
+     * @param safetyMs time between the deadline of the planned fetches and the earliest expected loss of the link
      */
     public PrefetchBudget(long bytes, long workUsPerSecond, double plannedFraction, long safetyMs) {
         this(bytes, workUsPerSecond, plannedFraction, safetyMs, 0);
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Returns this budget with another horizon for a delayed onset. */
+    /** Returns this budget with another {@code delayedOnsetMs}. */
     PrefetchBudget withDelayedOnset(long horizonMs) {
         return new PrefetchBudget(bytes, workUsPerSecond, plannedFraction, safetyMs, horizonMs);
     }
@@ -53,7 +53,7 @@
         return Math.max(0, durationMs) / 1000.0 * workUsPerSecond * plannedFraction;
     }
 
-    /** Returns how long planned engine work takes, in milliseconds. */
+    /** Returns how long the budget needs for planned engine work (us), in milliseconds. */
     long durationMs(double workUs) {
         return workUsPerSecond == 0
                 ? Long.MAX_VALUE / 4
--- a/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/plan/Prefetcher.java
@@ -14,13 +14,14 @@
  * Prefetching of one gateway: records which statements clients request and what their answers cost, and returns the
  * answers to fetch while an outage of the zone is expected.
  *
- * <p>Each answer is fetched by one gateway of the zone, the first of its {@link ReplicaOwners}; the others report to it
- * how many requests they expect. The plan is recomputed at a fixed interval, so that it follows the results of fetches
- * and the time to the loss. A call takes O(n log n) for n candidates when it plans; otherwise its cost is that of the
+ * <p>Each answer is fetched by one gateway of the zone, the first of the answer's {@link ReplicaOwners}; the others
+ * report to that gateway how many requests for the answer they expect. The plan is recomputed at a fixed interval, to
+ * take into account which fetches have ended and how much time is left until the link is lost. A call of {@link
+ * #startDueFetches} takes O(n log n) for n candidates when it recomputes the plan; otherwise its cost is that of the
  * fetches that it starts. Not thread-safe.
  */
 public final class Prefetcher {
-    /** Largest number of reports to neighbours at one time. */
+    /** Largest number of reports that one call of {@link #demandReports} returns. */
     static final int MAX_DEMAND_REPORTS = 2000;
 
     /**
@@ -49,15 +50,16 @@
     private final PlanExecutor planExecutor = new PlanExecutor();
     private Plan plan = Plan.EMPTY;
     private long plannedAtUs = Long.MIN_VALUE;
-    private boolean hasNeighbourDemand; // since the last window
+    private boolean hasNeighbourDemand; // whether a report arrived since the reports were last discarded
 
     /**
      * Creates a prefetcher without history.
      *
      * @param self name of this gateway
-     * @param budget budget of this gateway alone: its bytes are those of the store divided by {@link
-     *     ReplicaOwners#REPLICA_COUNT}, since neighbours send as many bytes; its work is the zone's divided by its
-     *     gateways
+     * @param budget budget of this gateway alone: {@code bytes} is the size of the store divided by {@link
+     *     ReplicaOwners#REPLICA_COUNT}, since the store also takes copies of answers that neighbours fetch, about as
+     *     many bytes for each further replica; {@code workUsPerSecond} is that of the zone divided by the number of
+     *     gateways in it
      * @param replanIntervalUs time between two plans, in microseconds
      * @param history request frequency of statements
      * @param candidates answers that may be fetched
@@ -72,7 +74,7 @@
     }
 
     /**
-     * Records a client's request of a repeatable class, whatever its response.
+     * Records a client's request of a repeatable class when it arrives, whether or not it is answered later.
      *
      * @param wallMs wall-clock time in milliseconds
      * @param fingerprint fingerprint of the statement
@@ -81,14 +83,14 @@
         history.recordRequest(wallMs, fingerprint);
     }
 
-    /** Records that an engine answered such a request. */
+    /** Records that an engine answered a request of a repeatable class. */
     public void recordAnswer(Candidate candidate) {
         candidates.recordAnswer(candidate);
     }
 
     /**
-     * Records the demand that a neighbour reports, until the window is over. Reports that arrive while no window is
-     * expected are discarded at the next call of {@link #startDueFetches}.
+     * Records the demand that a neighbour reports. Reports are kept while the zone expects an outage or prefetches for
+     * it; in any other phase, as when the zone is isolated, the next call of {@link #startDueFetches} discards them.
      */
     public void receiveDemand(String neighbour, Candidate candidate, double demand) {
         candidates.recordDemand(neighbour, candidate, demand);
@@ -101,7 +103,7 @@
      * @param nowUs monotonic time in microseconds
      * @param wallMs wall-clock time in milliseconds
      * @param zoneState state of the zone
-     * @param limit limit that live traffic leaves
+     * @param limit limit on the fetches, from the capacity that live traffic leaves
      * @param storedAtMs returns when the stored copy was fetched (wall clock, ms), or -1 if there is none or a load has
      *     made it outdated
      */
@@ -153,12 +155,13 @@
     }
 
     /**
-     * Returns the demand that this gateway expects for answers that other gateways fetch, by value, at most {@value
-     * #MAX_DEMAND_REPORTS} reports.
+     * Returns the demand that this gateway expects for answers that other gateways fetch: at most {@value
+     * #MAX_DEMAND_REPORTS} reports, those with the highest product of demand and priority weight first.
      */
     public List<DemandReport> demandReports(TimeRange outage, Collection<String> liveGateways) {
         Planner.Forecast forecast = history.forecast(outage);
         List<DemandReport> reports = new ArrayList<>();
+        // the recipient compares a candidate with its stored copy; whether this gateway has one does not matter
         for (Candidate candidate : candidates.list(id -> -1)) {
             double demand = forecast.demand(candidate.fingerprint(), outage);
             List<String> owners = ReplicaOwners.of(candidate.key().id(), liveGateways);
--- a/gateway/src/main/java/sandpaddle/fleet/outage/quota/FloorReallocation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/outage/quota/FloorReallocation.java
@@ -10,34 +10,39 @@
 import java.util.TreeSet;
 
 /**
- * Reallocates the floors of a limit for the duration of an expected outage. The gateways of the affected zone get their
- * expected demand, up to a fraction of the limit. The floors of all other gateways shrink in proportion to what they
- * have above the minimum floor.
+ * Reallocates the floors of a limit for the duration of an expected outage. The gateways of the affected zones get
+ * their expected demand, up to a fraction of the limit for all of them together. The floors of all other gateways
+ * shrink in proportion to what they have above the minimum floor.
  *
- * <p>The sum of the floors never grows, so any bound on the limit that holds with the usual floors holds with these.
- * The duration of the reallocation depends on the wall clock; that a quota passes to another gateway only when its
- * holder must have given it up is ensured by the lease, as for every transfer of quotas. Amounts are whole units. O(n
- * log n) for n gateways.
+ * <p>The sum of the floors never grows, so a limit that covers the usual floors also covers these. The wall clock
+ * decides only when floors are reallocated. It does not decide when quotas pass from one gateway to another: as in
+ * every transfer of quotas, the lease ensures that a gateway gets a quota only after the former holder must have given
+ * it up. Amounts are whole units. O(n log n) for n gateways.
  */
 public final class FloorReallocation {
     private FloorReallocation() {}
 
     /**
-     * Whether the reallocation for an outage is active at a time (wall clock, ms). The usual floors apply after the
-     * expected return.
+     * Whether the schedule alone makes the reallocation for an outage active at a time (wall clock, ms): from the lead
+     * time before the earliest expected loss until the expected return. {@link #zonesWithReallocation} adds zones that
+     * are still isolated then.
      */
     public static boolean isActive(PlannedOutage outage, long wallMs, FloorReallocationSettings settings) {
         return wallMs >= outage.lossAtMs() - settings.leadMs() && wallMs < outage.returnAtMs();
     }
 
-    /** Returns the zones whose reallocation is active: by schedule, or because the zone is still isolated. */
+    /**
+     * Returns the zones whose reallocation is active: by the schedule, or because a zone with an expected outage is
+     * still isolated after its expected return.
+     */
     public static Set<String> zonesWithReallocation(
             List<PlannedOutage> outages, Set<String> isolatedZones, long wallMs, FloorReallocationSettings settings) {
         Set<String> zones = new TreeSet<>();
         outages.stream()
                 .filter(outage -> isActive(outage, wallMs, settings))
                 .forEach(outage -> zones.add(outage.zone()));
-        // unannounced outages have no effect: an isolated gateway does not receive new floors
+        // an isolated zone without an expected outage gets no reallocation: an isolated gateway does not receive new
+        // floors
         outages.stream()
                 .filter(outage ->
                         isolatedZones.contains(outage.zone()) && wallMs >= outage.lossAtMs() - settings.leadMs())
@@ -46,7 +51,7 @@
     }
 
     /**
-     * Returns the floors of all gateways in one limit; the usual ones if no zone has an outage.
+     * Returns the floors of all gateways in one limit; the usual ones if no zone has an active reallocation.
      *
      * @param limit the limit
      * @param gateways usual floors and expected demand
@@ -71,7 +76,7 @@
                 .sum();
         long receivingFloors = receiving.stream().mapToLong(GatewayFloor::floor).sum();
         long maxIncrease = Math.max(0, (long) Math.floor(limit * settings.maxFraction()) - receivingFloors);
-        // capacity without a floor is not used, so that the sum of floors stays as validated against the limit
+        // floors are only moved, not made from the rest of the limit: their sum stays as validated against the limit
         long moved = Math.min(Math.min(missing, available), maxIncrease);
         if (moved <= 0) {
             return floors;
--- a/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/Consensus.java
@@ -20,9 +20,10 @@
         record Committed(long index, byte[] result) implements ProposalOutcome {}
 
         /**
-         * The command was not accepted: propose it to the leader, or later if none is known.
+         * The command was not accepted: this gateway is not the leader, or can accept no command now. Propose it again:
+         * to the leader if one is named, else later.
          *
-         * @param leader name of the leader, if one is known
+         * @param leader name of the gateway to propose to, if another one is known to lead
          */
         record NotLeader(Optional<String> leader) implements ProposalOutcome {}
 
@@ -38,8 +39,8 @@
     void propose(byte[] command, Consumer<ProposalOutcome> outcome);
 
     /**
-     * Queries a majority whether this gateway is still the leader. The answer true proves that no other leader was
-     * elected before this call, so that heartbeats received before it may be confirmed.
+     * Asks a majority of the voters whether this gateway is still the leader. The answer true proves that no other
+     * leader had been elected when this method was called, so that heartbeats received by then may be confirmed.
      */
     void confirmLeadership(Consumer<Boolean> leads);
 
--- a/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/raft/RaftIncarnation.java
@@ -282,7 +282,7 @@
                 : Optional.ofNullable((VoterEndpoint) node.getTerm().getLeaderEndpoint());
     }
 
-    /** Whether this node believes to be the leader. */
+    /** Whether this node is the leader as far as it knows; another may have been elected since. */
     public boolean isLeader() {
         return !hasEnded()
                 && node.getTerm().getLeaderEndpoint() != null
--- a/gateway/src/main/java/sandpaddle/mysql/CommandFlow.java
+++ b/gateway/src/main/java/sandpaddle/mysql/CommandFlow.java
@@ -12,7 +12,7 @@
 final class CommandFlow {
     /** Handles the packets of one client. */
     interface Handler {
-        /** Whether it accepts a packet now; false while a query is open. */
+        /** Whether this handler accepts a packet now; false while a query is open. */
         boolean acceptsPackets();
 
         /** Whether the session has ended, so that no packet is accepted any more. */
--- a/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
+++ b/gateway/src/main/java/sandpaddle/mysql/MysqlFrontend.java
@@ -46,7 +46,7 @@
      * @param address the address to listen on; port 0 selects a free port
      * @param service receives the queries
      * @param maxSessions limit on open sessions
-     * @param seed of the random scrambles
+     * @param seed seed of the random scrambles
      * @throws IOException if the address cannot be bound
      */
     public MysqlFrontend(EventLoop loop, InetSocketAddress address, QueryService service, int maxSessions, long seed)
--- a/gateway/src/main/java/sandpaddle/mysql/OpenQuery.java
+++ b/gateway/src/main/java/sandpaddle/mysql/OpenQuery.java
@@ -6,10 +6,13 @@
 import sandpaddle.query.Query;
 import sandpaddle.query.QueryService;
 
-/** The query that a session has open; at most one. The first answer closes it, and later answers are ignored. */
+/**
+ * The query that a session has open; at most one. Its answer or {@link #cancel} closes it; an answer that comes after
+ * that is ignored.
+ */
 final class OpenQuery {
     private final QueryService service;
-    private int latestId; // identifies the latest query
+    private int latestId; // number of the latest query, by which an answer to an earlier one is recognized
     private boolean open;
     private QueryService.PendingQuery pendingQuery;
 
@@ -21,8 +24,9 @@
      * Submits a query.
      *
      * @param query the query
-     * @param waited the part of its timeout that has passed since it arrived
-     * @param readInput reads what the client has sent by now, which may cancel the query
+     * @param waited time since the query arrived, which counts towards its timeout
+     * @param readInput reads what the client has sent so far; called right before an attempt is written, so that a
+     *     cancellation or disconnect that has already arrived closes the query and prevents the attempt
      * @param callback receives the answer once, within this call or later
      */
     void submit(Query query, Duration waited, Runnable readInput, Consumer<Answer> callback) {
@@ -41,6 +45,7 @@
                         callback.accept(answer);
                     }
                 });
+        // an answer or cancellation within service.submit closes the query, and its callback may open the next one
         if (isOpen(id)) {
             pendingQuery = submitted;
         }
--- a/gateway/src/main/java/sandpaddle/mysql/SessionTimeouts.java
+++ b/gateway/src/main/java/sandpaddle/mysql/SessionTimeouts.java
@@ -41,7 +41,7 @@
         firstCommandTimer = cancelTimer(firstCommandTimer);
     }
 
-    /** Stops the timeout of the current packet; the next one gets its own. */
+    /** Stops the timeout of the current packet; the next packet gets another timeout. */
     void packetCompleted() {
         packetTimer = cancelTimer(packetTimer);
     }
--- a/gateway/src/main/java/sandpaddle/mysql/Statement.java
+++ b/gateway/src/main/java/sandpaddle/mysql/Statement.java
@@ -7,7 +7,23 @@
 import java.util.regex.Pattern;
 import sandpaddle.query.Query;
 
-/** The parsed text of a COM_QUERY: a statement for the gateway itself, or a query with its fields in a comment. */
+/**
+ * The parsed text of a COM_QUERY: a statement that the gateway itself answers, or a query for an engine. A query states
+ * its fields as {@code name=value} pairs, separated by commas, in a comment before the SQL ({@link FieldComment}):
+ *
+ * <ul>
+ *   <li>{@code route}: request class; required
+ *   <li>{@code trace}: trace id, 16 hex digits; required
+ *   <li>{@code patience}: timeout in milliseconds; required
+ *   <li>{@code weight}: estimated work in milliseconds
+ *   <li>{@code est_mb}: estimated memory in MB
+ *   <li>{@code once}: name of the run of a load, which must not run twice
+ *   <li>{@code again}: 1 if an earlier attempt under the name in {@code once} may have run, else 0
+ *   <li>{@code customer}: tenant
+ *   <li>{@code nonce}: idempotency key
+ *   <li>{@code entity}: ordering key
+ * </ul>
+ */
 sealed interface Statement {
     /**
      * KILL [QUERY | CONNECTION] id.
@@ -20,13 +36,13 @@
     /** A query to run on an engine. */
     record RunQuery(Query query) implements Statement {}
 
-    /** SHOW WARNINGS: asks for the note on the last result. */
+    /** SHOW WARNINGS: returns the note that came with the answer to the session's last query, or no row without one. */
     record ShowWarnings() implements Statement {}
 
-    /** SET, which drivers send on their own; accepted without effect. */
+    /** SET without a field comment, which drivers send by themselves; acknowledged without effect. */
     record SetOption() implements Statement {}
 
-    /** A text that is rejected, with the reason that the client receives. */
+    /** A text that is rejected; the client receives the reason. */
     record Malformed(String reason) implements Statement {}
 
     Pattern KILL =
@@ -40,9 +56,12 @@
     Pattern DECIMAL = Pattern.compile("[+-]?(?:\\d+\\.?\\d*|\\.\\d+)(?:[eE][+-]?\\d{1,3})?");
     long MAX_MS = Duration.ofDays(1).toMillis();
 
-    /** Parses the text of a COM_QUERY; one that cannot be used yields {@link Malformed}. */
+    /**
+     * Parses the text of a COM_QUERY. Returns {@link Malformed} for a query without a required field or with an invalid
+     * one.
+     */
     static Statement parse(byte[] text) {
-        String sql = new String(text, StandardCharsets.ISO_8859_1); // one char for each byte, so that offsets match
+        String sql = new String(text, StandardCharsets.ISO_8859_1); // one char per byte: engines get the same bytes
         SqlScanner scanner = new SqlScanner(sql);
         String withoutComments = scanner.withoutLeadingComments();
         Matcher kill = KILL.matcher(withoutComments);
@@ -120,7 +139,7 @@
         return Duration.ofNanos(Math.round(ms * 1e6));
     }
 
-    /** A numeric field: the default if absent, NaN if it is not a number. */
+    /** The value of a numeric field: the default if the field is absent, NaN if its text is not a number. */
     private static double numberField(Map<String, String> fields, String name, double defaultValue) {
         String text = fields.get(name);
         if (text == null) {
--- a/gateway/src/main/java/sandpaddle/overload/OverloadController.java
+++ b/gateway/src/main/java/sandpaddle/overload/OverloadController.java
@@ -74,8 +74,8 @@
      * @param signals the signals that caused it
      * @param capacityCores cores of reachable engines, scaled by slow start
      * @param admittedWorkUsPerS expected rate of work sent to engines, in microseconds per second
-     * @param complianceShare of the clients that retry after a Retry-After, the share that waits as long as advised
-     * @param rejectedReturnShare of the rejected clients, the share that retries
+     * @param complianceShare fraction of the clients retrying after a Retry-After that waited as long as advised
+     * @param rejectedReturnShare fraction of the rejected clients that retry
      */
     public record PhaseChange(
             OverloadPhase from,
@@ -154,7 +154,7 @@
      * @param nowUs the time
      * @param fingerprint {@link StatementFingerprint} of the query
      * @param classIndex position of its request class in the settings
-     * @param workUs its estimated work, 0 if unknown
+     * @param workUs estimated work of the query, 0 if unknown
      * @return the query with the advice on it
      */
     public TrackedQuery queryArrived(long nowUs, long fingerprint, int classIndex, long workUs) {
@@ -363,8 +363,8 @@
      * @param rememberedStatements entries in use in the table of rejected statements
      * @param maxRememberedStatements size of that table
      * @param evictedStatements entries evicted from that table before they expired
-     * @param complianceShare of the clients that retry after a Retry-After, the share that waits as long as advised
-     * @param rejectedReturnShare of the rejected clients, the share that retries
+     * @param complianceShare fraction of the clients retrying after a Retry-After that waited as long as advised
+     * @param rejectedReturnShare fraction of the rejected clients that retry
      */
     public record Stats(
             OverloadPhase phase,
--- a/gateway/src/main/java/sandpaddle/overload/OverloadSettings.java
+++ b/gateway/src/main/java/sandpaddle/overload/OverloadSettings.java
@@ -69,7 +69,7 @@
     /**
      * Deduplication of loads that name their run.
      *
-     * @param enabled whether it is on
+     * @param enabled whether deduplication is on
      * @param retentionUs how long the outcome of a run is remembered
      * @param maxEntries maximum number of runs in flight and remembered
      * @param maxResultBytes maximum size of all cached results
--- a/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
+++ b/gateway/src/main/java/sandpaddle/overload/RetryAfterScheduler.java
@@ -7,11 +7,12 @@
  * Chooses the Retry-After of each rejected client, so that retries arrive at the rate that the fleet can serve. A ring
  * of time slots extends to the longest Retry-After; each slot counts the work that its retries are expected to bring,
  * and a client gets the earliest slot with spare capacity. If no slot has any, as in an outage longer than the longest
- * Retry-After, it gets the slot with the least excess in the later half: a retry that comes too early only wastes one
- * of the client's few attempts, and the last slot for all would synchronize their retries.
+ * Retry-After, the client gets that slot in the later half of the ring in which scheduled work exceeds capacity least.
+ * The earlier half is avoided, since a retry that comes too early only wastes one of the client's few attempts. Not all
+ * clients get the last slot, since their retries would then arrive together.
  *
- * <p>A call passes over the slots at most once, which takes a few microseconds for a minute of slots. Not thread-safe;
- * times are in microseconds and never decrease.
+ * <p>A call of {@link #schedule} visits each slot at most once, and the later half once more if all slots are full;
+ * this takes a few microseconds for a minute of slots. Not thread-safe; times are in microseconds and never decrease.
  */
 public final class RetryAfterScheduler {
     private static final double US_PER_S = 1e6;
@@ -22,14 +23,14 @@
     private final double[] capacityUs;
     private final long[] slotNumbers; // the slot that each index of the ring holds
     private final SplittableRandom random;
-    private long firstFreeSlot; // earlier slots are full
+    private long firstFreeSlot; // earlier slots are over or full
     private double defaultCapacityUs; // for slots beyond the forecast
 
     /**
      * Creates a scheduler without scheduled retries and without capacity.
      *
      * @param slotUs length of a slot
-     * @param minUs shortest Retry-After, apart from the jitter
+     * @param minUs shortest Retry-After, before the jitter is added
      * @param maxUs longest Retry-After
      * @param random source of the jitter within a slot
      */
@@ -43,7 +44,12 @@
         this.random = random;
     }
 
-    /** Updates the work that retries may bring, in microseconds per second by time. Call it several times a second. */
+    /**
+     * Updates the capacity of the slots. Call it several times a second.
+     *
+     * @param nowUs the time
+     * @param workPerSecond work that retries may bring at a time, in microseconds of work per second
+     */
     public void forecast(long nowUs, LongToDoubleFunction workPerSecond) {
         long firstSlot = nowUs / slotUs;
         for (long slot = firstSlot; slot <= firstSlot + slotCount; slot++) {
@@ -70,7 +76,7 @@
      *
      * @param nowUs the time
      * @param workUs work that the retry is expected to bring
-     * @return its Retry-After, at most the longest
+     * @return the Retry-After, in microseconds, at most the longest that was configured
      */
     public long schedule(long nowUs, double workUs) {
         long firstSlot = (nowUs + minUs + slotUs - 1) / slotUs;
@@ -85,20 +91,23 @@
             }
         }
         if (chosenSlot < 0) {
-            chosenSlot = emptiestSlotOf(firstSlot + (lastSlot - firstSlot) / 2, lastSlot);
+            chosenSlot = slotWithLeastExcess(firstSlot + (lastSlot - firstSlot) / 2, lastSlot);
         }
         scheduledWorkUs[indexOf(chosenSlot)] += workUs;
         return Math.max(0, Math.min(chosenSlot * slotUs + random.nextLong(slotUs), nowUs + slotCount * slotUs) - nowUs);
     }
 
-    /** The spare capacity below which a slot counts as full: a tenth of this work. */
+    /** The spare capacity below which a slot counts as full: a tenth of the work of the retry to schedule. */
     private static double minSpareWorkUs(double workUs) {
         return workUs / 10;
     }
 
-    /** Returns the slot with the least excess. Ties are broken at random, since a fixed order would fill one slot. */
-    private long emptiestSlotOf(long firstSlot, long lastSlot) {
-        long emptiestSlot = firstSlot;
+    /**
+     * Returns the slot in which the scheduled work exceeds the capacity least. The search starts at a random slot, so
+     * that ties are broken at random; a fixed order would choose the first of equal slots each time.
+     */
+    private long slotWithLeastExcess(long firstSlot, long lastSlot) {
+        long leastExcessSlot = firstSlot;
         double minExcessUs = Double.POSITIVE_INFINITY;
         long offset = random.nextLong(lastSlot - firstSlot + 1);
         for (long step = 0; step <= lastSlot - firstSlot; step++) {
@@ -107,10 +116,10 @@
             double excessUs = scheduledWorkUs[index] - capacityUs[index];
             if (excessUs < minExcessUs) {
                 minExcessUs = excessUs;
-                emptiestSlot = slot;
+                leastExcessSlot = slot;
             }
         }
-        return emptiestSlot;
+        return leastExcessSlot;
     }
 
     /** The work that retries are expected to bring in the slot of a time (us). */
--- a/gateway/src/test/java/sandpaddle/fleet/limit/day/SimulatedVoters.java
+++ b/gateway/src/test/java/sandpaddle/fleet/limit/day/SimulatedVoters.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Runs the allocator of each voter that believes to be the leader. Returns the outputs by voter. */
+    /** Runs the allocator of each voter that is the leader as far as it knows. Returns the outputs by voter. */
     Map<Integer, AllocatorOutput> step(long nowUs) {
         proposals.removeIf(proposal -> {
             if (proposal.commitAtUs <= nowUs) {
--- a/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
+++ b/gateway/src/test/java/sandpaddle/fleet/node/loop/LoopPartsTest.java
@@ -23,16 +23,16 @@
     void tenantsBeyondBoundCountAsOne() {
         TenantIndexes tenants = new TenantIndexes();
         assertEquals(TenantIndexes.OTHERS, tenants.countedName(""));
-        assertFalse(tenants.hasGrown());
+        assertFalse(tenants.pollGrown());
         for (int i = 1; i < TenantIndexes.MAX_TENANTS; i++) {
             assertEquals("t" + i, tenants.countedName("t" + i));
             assertEquals(i, tenants.index("t" + i));
         }
-        assertTrue(tenants.hasGrown());
+        assertTrue(tenants.pollGrown());
         for (int i = 0; i < 2 * TenantIndexes.MAX_TENANTS; i++) {
             assertEquals(TenantIndexes.OTHERS, tenants.countedName("late" + i));
         }
-        assertFalse(tenants.hasGrown());
+        assertFalse(tenants.pollGrown());
         assertEquals(0, tenants.index(TenantIndexes.OTHERS));
         assertEquals(-1, tenants.indexOrMinusOne("late1"));
         assertEquals("t7", tenants.countedName("t7"), "an earlier tenant keeps its index");
