--- a/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
+++ b/gateway/src/main/java/sandpaddle/decision/concurrency/ConcurrencyLimits.java
@@ -38,8 +38,8 @@
     /** Least limit of the fleet after cuts, in threads per core. */
     private static final double FLEET_MIN_THREADS_PER_CORE = 2.0;
     /**
-     * Greatest limit of the fleet where load reports do not state the queries in flight, in threads per core. Higher
-     * than {@link #MAX_THREADS_PER_CORE}, to leave room for a gateway with more than an equal share of the traffic.
+     * Greatest limit of the fleet where load reports do not state the queries in flight, in threads per core: twice
+     * an equal share when the fleet is busy, since this gateway may have more than an equal share of the traffic.
      */
     private static final double FLEET_MAX_THREADS_PER_CORE = 4.0;
     /** Increase of the fleet's limit per round of fast answers, in threads per core. */
