--- a/gateway/src/main/java/sandpaddle/config/DecisionSettingsReader.java
+++ b/gateway/src/main/java/sandpaddle/config/DecisionSettingsReader.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import sandpaddle.decision.settings.DecisionSettings;
 import sandpaddle.decision.settings.EngineKind;
 import sandpaddle.decision.settings.LoadField;
@@ -69,16 +70,19 @@
         JsonObject object = settings.object();
         JsonObject specifics = object.objectOrEmpty("specifics");
         PlatformNames names = PlatformNames.read(object);
-        int gateways = settings.count("balancers", 1, "this one");
-        int ownIndex = settings.count("me", 0, "the first");
+        int gateways = settings.count("balancers", 1, "");
+        int ownIndex = settings.count("me", 0, "");
         if (ownIndex >= gateways) {
-            String problem = "is " + ownIndex + " of " + gateways;
-            settings.warn("me", problem + ": its share of the traffic stays one of " + gateways);
+            String problem = "is " + ownIndex + "; expected less than 'balancers' (" + gateways + ")";
+            settings.warn("me", problem + ": read as given, with a traffic share of 1/" + gateways);
         }
         LenientReader report = lenient(object.objectOrEmpty("report"));
         checkTenantShares(settings);
         if (names.zones().isEmpty() && settings.has("failure_domains")) {
-            settings.warn("failure_domains", "is empty: each zone that a list names counts as one of its own");
+            settings.warn(
+                    "failure_domains",
+                    "is empty; expected the names of zones: each zone name in an endpoint list is treated as a "
+                            + "separate zone");
         }
         return new DecisionSettings(
                 gateways,
@@ -131,7 +135,9 @@
     private List<EngineKind> engineKinds(List<String> names, LenientReader specifics, LenientReader settings)
             throws InvalidFieldException {
         if (names.isEmpty() && settings.has("models")) {
-            settings.warn("models", "is empty: engines count by their position and rating");
+            settings.warn(
+                    "models",
+                    "is empty; expected the names of engine kinds: engines count by their position and rating");
         }
         List<EngineKind> kinds = new ArrayList<>();
         while (kinds.size() < names.size() || specifics.object().elementOrNull("size_cores", kinds.size()) != null) {
@@ -152,7 +158,7 @@
         }
         LenientReader element = lenient(new JsonObject(specifics.object().path(), Map.of(key, size)));
         return size.doubleValue() < 0
-                ? element.number(key, 0, LenientReader.MAX_FACTOR, "as if it were not told")
+                ? element.number(key, 0, LenientReader.MAX_FACTOR, "as if it were missing")
                 : element.number(key, min, MAX_ENGINE_SIZE, "");
     }
 
@@ -162,7 +168,10 @@
         for (Object name : report.has("fields") ? report.object().list("fields") : List.of()) {
             LoadField field = LOAD_FIELDS.get(String.valueOf(name));
             if (field == null) {
-                report.warn("fields", "has the unknown value '" + name + "': what it tells is not heeded");
+                report.warn(
+                        "fields",
+                        "has the unknown value '" + name + "'; expected one of " + new TreeSet<>(LOAD_FIELDS.keySet())
+                                + ": this value of load reports is ignored");
             }
             fields.add(field);
         }
--- a/gateway/src/main/java/sandpaddle/config/GatewayConfig.java
+++ b/gateway/src/main/java/sandpaddle/config/GatewayConfig.java
@@ -168,7 +168,7 @@
             throws InvalidFieldException {
         long value = object.integerOr(field, defaultValue);
         if (value < min || value > Integer.MAX_VALUE) {
-            throw object.invalidField(field, "is under " + min + " or too large");
+            throw object.invalidField(field, "is " + value + "; expected " + min + " to " + Integer.MAX_VALUE);
         }
         return value;
     }
@@ -180,7 +180,9 @@
         long us = new LenientReader(bounds, alreadyReported).microsOr(field, defaultUs);
         if (!bounds.has(field) || us < minUs) {
             us = bounds.has(field) ? minUs : defaultUs;
-            String found = bounds.has(field) ? "is " + LenientReader.format(bounds.number(field)) : "is missing";
+            String found = bounds.has(field)
+                    ? "is " + LenientReader.format(bounds.number(field)) + "; expected " + minUs + " or more"
+                    : "is missing";
             warnings.add(bounds.invalidField(field, found + ": read as " + us).getMessage());
         }
         return Duration.of(us, ChronoUnit.MICROS);
--- a/gateway/src/main/java/sandpaddle/config/JsonObject.java
+++ b/gateway/src/main/java/sandpaddle/config/JsonObject.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
  * A JSON object read with typed accessors. A field that is {@code null} counts as absent. Each accessor throws {@link
@@ -176,7 +177,7 @@
     /** Accepts an integer that is written with a fraction of zeros, such as {@code 5.0}. */
     private long asInteger(String field, Number number) throws InvalidFieldException {
         if (number.doubleValue() != number.longValue()) {
-            throw invalidField(field, "is no whole number");
+            throw invalidField(field, "is " + number + "; expected a 64-bit integer");
         }
         return number.longValue();
     }
@@ -215,7 +216,9 @@
     public <T> T oneOf(String field, Map<String, T> values) throws InvalidFieldException {
         T value = values.get(string(field));
         if (value == null) {
-            throw invalidField(field, "has the unknown value '" + string(field) + "'");
+            throw invalidField(
+                    field,
+                    "has the unknown value '" + string(field) + "'; expected one of " + new TreeSet<>(values.keySet()));
         }
         return value;
     }
--- a/gateway/src/main/java/sandpaddle/config/LenientReader.java
+++ b/gateway/src/main/java/sandpaddle/config/LenientReader.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
  * Reads an object of the platform's settings whose numbers may be out of bounds. Such a number is clamped, and a
@@ -63,7 +64,7 @@
     int count(String field, int min, String consequence) throws InvalidFieldException {
         double value = object.number(field);
         if (value != Math.rint(value)) {
-            throw object.invalidField(field, "is no whole number");
+            throw object.invalidField(field, "is " + format(value) + "; expected an integer");
         }
         return (int) clamp(field, value, min, Integer.MAX_VALUE, consequence);
     }
@@ -96,7 +97,13 @@
     <T> T enumOr(String field, Map<String, T> values, T defaultValue, String consequence) throws InvalidFieldException {
         String text = object.stringOrNull(field);
         if (text == null || !values.containsKey(text)) {
-            warn(field, (text == null ? "is missing: " : "has the unknown value '" + text + "': ") + consequence);
+            warn(
+                    field,
+                    (text == null
+                                    ? "is missing: "
+                                    : "has the unknown value '" + text + "'; expected one of "
+                                            + new TreeSet<>(values.keySet()) + ": ")
+                            + consequence);
             return defaultValue;
         }
         return values.get(text);
@@ -106,7 +113,11 @@
         double clamped = Math.max(min, Math.min(max, value));
         if (clamped != value) {
             String suffix = consequence.isEmpty() ? "" : ", " + consequence;
-            warn(field, "is " + format(value) + ": read as " + format(clamped) + suffix);
+            warn(
+                    field,
+                    "is " + format(value) + "; expected "
+                            + (value < min ? format(min) + " or more" : format(max) + " or less") + ": read as "
+                            + format(clamped) + suffix);
         }
         return clamped;
     }
--- a/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
+++ b/gateway/src/main/java/sandpaddle/config/PlatformRulesReader.java
@@ -22,11 +22,11 @@
     static PlatformLimits limits(LenientReader bounds) throws InvalidFieldException {
         int maxAttempts = bounds.count("max_attempts", 0, "");
         if (maxAttempts == 0) {
-            bounds.warn("max_attempts", "allows none: every request is refused");
+            bounds.warn("max_attempts", "is 0; expected 1 or more: every request is refused");
         }
         int maxPending = bounds.count("most_held", 0, "");
         if (maxPending == 0) {
-            bounds.warn("most_held", "allows none: every request is turned away");
+            bounds.warn("most_held", "is 0; expected 1 or more: every request is rejected");
         }
         return new PlatformLimits(
                 bounds.flagOr("cancel", false, READ_AS_NOT_PERMITTED),
@@ -35,7 +35,7 @@
                 bounds.flagOr("second_copies", false, READ_AS_NOT_PERMITTED),
                 maxAttempts,
                 maxPending,
-                bounds.microsOr("max_retry_after_us", 0, MAX_RETRY_AFTER_US, "longer advice is not given"),
+                bounds.microsOr("max_retry_after_us", 0, MAX_RETRY_AFTER_US, "a longer Retry-After is not sent"),
                 bounds.microsOr("connect_timeout_us", 0),
                 bounds.microsOr("conn_idle_us", 0));
     }
@@ -44,13 +44,15 @@
     static PlatformRules rules(LenientReader rules) throws InvalidFieldException {
         double slowStartFrom = rules.number("cold_from", 0, 1, "");
         if (slowStartFrom == 0) {
-            rules.warn("cold_from", "is 0: an engine gets nothing as it starts, and more as it warms up");
+            rules.warn(
+                    "cold_from",
+                    "is 0; expected above 0: an engine starts with no capacity, which grows during its warm-up");
         }
         long overloadWindowUs = rules.micros("fall_us");
         double overloadMultiple = rules.number("tip_multiple", 0, LenientReader.MAX_FACTOR, "");
         if (overloadMultiple == 0 || overloadWindowUs == 0) {
             String field = overloadMultiple == 0 ? "tip_multiple" : "fall_us";
-            rules.warn(field, "is 0: cold engines get next to nothing until they are warm");
+            rules.warn(field, "is 0; expected above 0: engines receive almost no requests until they are warm");
         }
         double freeRetries = rules.numberOr("budget_free", 0, 0, MAX_FREE_RETRIES, "");
         double retryShare = rules.numberOr("extra_share", 0, 0, LenientReader.MAX_FACTOR, "");
--- a/gateway/src/main/java/sandpaddle/config/RequestClassReader.java
+++ b/gateway/src/main/java/sandpaddle/config/RequestClassReader.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import sandpaddle.decision.settings.DeduplicationScope;
 import sandpaddle.decision.settings.Idempotency;
 import sandpaddle.decision.settings.RequestClass;
@@ -42,7 +43,10 @@
         for (JsonObject object : settings.indexedObjects("classes")) {
             LenientReader fields = new LenientReader(object, warnings);
             if (fields.has("name") && !seenNames.add(object.string("name"))) {
-                fields.warn("name", "is '" + object.string("name") + "' a second time: no query can name this class");
+                fields.warn(
+                        "name",
+                        "is '" + object.string("name") + "', which an earlier class has; expected a unique name: no "
+                                + "query can select this class");
             }
             classes.add(requestClass(fields, classes.size()));
         }
@@ -81,7 +85,7 @@
     private static double priorityWeight(LenientReader fields) throws InvalidFieldException {
         double weight = fields.numberOr("value", 1, 0, LenientReader.MAX_FACTOR, "");
         if (weight == 0) {
-            fields.warn("value", "is 0: its answers earn nothing, and it is served all the same");
+            fields.warn("value", "is 0: requests of this class have no priority weight, but are still served");
         } else if (!fields.has("value")) {
             fields.warn("value", "is missing: read as 1");
         }
@@ -103,8 +107,9 @@
         if (scope == null) {
             fields.warn(
                     "key_scope",
-                    "has the unknown value '" + fields.object().string("key_scope") + "': what may have run is "
-                            + "not sent again, as if the effect were 'unsafe'");
+                    "has the unknown value '" + fields.object().string("key_scope") + "'; expected one of "
+                            + new TreeSet<>(SCOPES.keySet())
+                            + ": requests that may have run are not retried, as with the effect 'unsafe'");
             return Idempotency.NOT_IDEMPOTENT;
         }
         if (windowUs == 0) {
@@ -125,11 +130,17 @@
             return Math.max(1, deadlineUs / DEADLINE_PER_OBJECTIVE);
         }
         if (objectiveUs == 0) {
-            fields.warn("aim_us", "is 0 or missing: no answer can be in time, all before the deadline count alike");
+            fields.warn(
+                    "aim_us",
+                    "is 0 or missing; expected above 0: read as 'hard_limit_us', since no answer can meet it and all "
+                            + "answers before the deadline count alike");
             return deadlineUs;
         }
         if (objectiveUs > deadlineUs) {
-            fields.warn("aim_us", "is above 'hard_limit_us': every answer before the deadline is in time");
+            fields.warn(
+                    "aim_us",
+                    "is above 'hard_limit_us': read as 'hard_limit_us', so every answer before the deadline meets the "
+                            + "latency objective");
         }
         return Math.min(objectiveUs, deadlineUs);
     }
@@ -166,7 +177,7 @@
             }
         }
         if (indices.isEmpty()) {
-            fields.warn(field, "allows nothing: requests of this class are refused");
+            fields.warn(field, "permits no engine kind or zone: requests of this class are refused");
         }
         return indices;
     }
--- a/gateway/src/test/java/sandpaddle/config/GatewayConfigTest.java
+++ b/gateway/src/test/java/sandpaddle/config/GatewayConfigTest.java
@@ -47,16 +47,17 @@
                 "\"listen\": \"localhost\"",
                 "field 'listen' is no address of the form 10.0.0.4:8080"
             },
-            {"\"sockets\": 1024", "\"sockets\": 0", "field 'limits.sockets' is under 1 or too large"},
+            {"\"sockets\": 1024", "\"sockets\": 0", "field 'limits.sockets' is 0; expected 1 to 2147483647"},
             {"\"seed\": \"8c1f30d27a5be964\"", "\"seed\": \"high\"", "field 'seed' is not 16 hex digits"},
             {"\"max_attempts\": 5", "\"max_attempts\": \"5\"", "field 'settings.bounds.max_attempts' has the wrong type"
             },
             {"\"drain_grace_us\"", "\"drain\"", "field 'settings.rules.drain_grace_us' is missing"},
-            {"\"me\": 0", "\"me\": 0.5", "field 'settings.me' is no whole number"},
+            {"\"me\": 0", "\"me\": 0.5", "field 'settings.me' is 0.5; expected an integer"},
             {
                 "\"effect\": \"unsafe\"",
                 "\"effect\": \"rare\"",
-                "field 'settings.classes[2].effect' has the unknown value 'rare'"
+                "field 'settings.classes[2].effect' has the unknown value 'rare'; expected one of [keyed, safe, "
+                        + "unsafe]"
             },
             {"\"effect\": \"unsafe\"", "\"effect\": null", "field 'settings.classes[2].effect' is missing"},
             {
@@ -103,7 +104,8 @@
         assertEquals(event.engines().get(0).entry().status(), EngineStatus.DRAINING);
         assertEquals(
                 event.errors().get(0),
-                "field 'known.events.members.hosts.health' has the unknown value 'Well' " + "(engine "
+                "field 'known.events.members.hosts.health' has the unknown value 'Well'; expected one of [Gone, "
+                        + "Ready, Terminating] (engine "
                         + event.engines().get(0).entry().id() + ")");
     }
 
--- a/gateway/src/test/java/sandpaddle/config/LenientSettingsTest.java
+++ b/gateway/src/test/java/sandpaddle/config/LenientSettingsTest.java
@@ -48,25 +48,26 @@
                     "\"balancers\": 0",
                     config -> config.decisionSettings().gateways(),
                     1,
-                    "field 'settings.balancers' is 0: read as 1, this one"),
+                    "field 'settings.balancers' is 0; expected 1 or more: read as 1"),
             testCase(
                     "\"balancers\": 1",
                     "\"balancers\": 4294967296",
                     config -> config.decisionSettings().gateways(),
                     Integer.MAX_VALUE,
-                    "field 'settings.balancers' is 4294967296: read as 2147483647, this one"),
+                    "field 'settings.balancers' is 4294967296; expected 2147483647 or less: read as 2147483647"),
             testCase(
                     "\"me\": 0",
                     "\"me\": -1",
                     config -> config.decisionSettings().gatewayIndex(),
                     0,
-                    "field 'settings.me' is -1: read as 0, the first"),
+                    "field 'settings.me' is -1; expected 0 or more: read as 0"),
             testCase(
                     "\"me\": 0",
                     "\"me\": 7",
                     config -> config.decisionSettings().gatewayIndex(),
                     7,
-                    "field 'settings.me' is 7 of 1: its share of the traffic stays one of 1"),
+                    "field 'settings.me' is 7; expected less than 'balancers' (1): read as given, with a "
+                            + "traffic share of 1/1"),
             testCase(
                     "\"zone\": 0",
                     "\"zone\": -1",
@@ -90,19 +91,22 @@
                     "\"discovery\": \"carrier\"",
                     config -> config.decisionSettings().subscribe(),
                     false,
-                    "field 'settings.discovery' has the unknown value 'carrier': changes are taken to come unasked"),
+                    "field 'settings.discovery' has the unknown value 'carrier'; expected one of [automatic, "
+                            + "subscribe]: changes are taken to come unasked"),
             testCase(
                     "\"failure_domains\": [\"hall-a\"]",
                     "\"failure_domains\": []",
                     config -> config.names().zones(),
                     List.of(),
-                    "field 'settings.failure_domains' is empty: each zone that a list names counts as one of its own"),
+                    "field 'settings.failure_domains' is empty; expected the names of zones: each zone name in an "
+                            + "endpoint list is treated as a separate zone"),
             testCase(
                     "\"models\": [\"toy\"]",
                     "\"models\": []",
                     config -> config.decisionSettings().kinds().size(),
                     1,
-                    "field 'settings.models' is empty: engines count by their position and rating"),
+                    "field 'settings.models' is empty; expected the names of engine kinds: engines count by "
+                            + "their position and rating"),
         };
     }
 
@@ -114,8 +118,8 @@
                     "\"aim_us\": 99000000",
                     config -> requestClass(config, 0).latencyObjectiveUs(),
                     7_500_000L,
-                    "field 'settings.classes[0].aim_us' is above 'hard_limit_us': every answer before the deadline is "
-                            + "in time"),
+                    "field 'settings.classes[0].aim_us' is above 'hard_limit_us': read as 'hard_limit_us', so every "
+                            + "answer before the deadline meets the latency objective"),
             testCase(
                     "\"aim_us\": 1500000",
                     "\"aim_us\": 0",
@@ -128,14 +132,14 @@
                     "\"aim_us\": 0, \"aim_stretch\": null",
                     config -> requestClass(config, 0).latencyObjectiveUs(),
                     7_500_000L,
-                    "field 'settings.classes[0].aim_us' is 0 or missing: no answer can be in time, all before the "
-                            + "deadline count alike"),
+                    "field 'settings.classes[0].aim_us' is 0 or missing; expected above 0: read as 'hard_limit_us', "
+                            + "since no answer can meet it and all answers before the deadline count alike"),
             testCase(
                     "\"aim_stretch\": 1.5",
                     "\"aim_stretch\": 1e300",
                     config -> requestClass(config, 0).objectiveStretch(),
                     1e6,
-                    "field 'settings.classes[0].aim_stretch' is 1.0E300: read as 1000000"),
+                    "field 'settings.classes[0].aim_stretch' is 1.0E300; expected 1000000 or less: read as 1000000"),
             testCase(
                     "\"aim_us\": 3000000",
                     "\"aim_us\": 3000000.75",
@@ -147,13 +151,15 @@
                     "\"hard_limit_us\": 1e30",
                     config -> requestClass(config, 1).deadlineUs(),
                     31_536_000_000_000L,
-                    "field 'settings.classes[1].hard_limit_us' is 1.0E30: read as 31536000000000"),
+                    "field 'settings.classes[1].hard_limit_us' is 1.0E30; expected 31536000000000 or less: "
+                            + "read as 31536000000000"),
             testCase(
                     "\"value\": 1.0",
                     "\"value\": 0",
                     config -> requestClass(config, 0).priorityWeight(),
                     0.0,
-                    "field 'settings.classes[0].value' is 0: its answers earn nothing, and it is served all the same"),
+                    "field 'settings.classes[0].value' is 0: requests of this class have no priority weight, but are "
+                            + "still served"),
             testCase(
                     "\"value\": 1.0",
                     "\"value\": null",
@@ -165,13 +171,14 @@
                     "\"late_worth\": 7",
                     config -> requestClass(config, 0).latePriorityWeight(),
                     1.0,
-                    "field 'settings.classes[0].late_worth' is 7: read as 1"),
+                    "field 'settings.classes[0].late_worth' is 7; expected 1 or less: read as 1"),
             testCase(
                     "\"name\": \"report\"",
                     "\"name\": \"lookup\"",
                     config -> config.names().requestClasses().indexOf("lookup"),
                     0,
-                    "field 'settings.classes[1].name' is 'lookup' a second time: no query can name this class"),
+                    "field 'settings.classes[1].name' is 'lookup', which an earlier class has; expected a unique "
+                            + "name: no query can select this class"),
             testCase(
                     "\"effect\": \"unsafe\"",
                     "\"effect\": \"unsafe\", \"key_scope\": \"rack\"",
@@ -183,8 +190,8 @@
                     "\"effect\": \"keyed\", \"key_scope\": \"rack\", \"window_us\": 5",
                     config -> requestClass(config, 2).idempotency(),
                     Idempotency.NOT_IDEMPOTENT,
-                    "field 'settings.classes[2].key_scope' has the unknown value 'rack': what may have run is not sent "
-                            + "again, as if the effect were 'unsafe'"),
+                    "field 'settings.classes[2].key_scope' has the unknown value 'rack'; expected one of [all, "
+                            + "cell, zone]: requests that may have run are not retried, as with the effect 'unsafe'"),
             testCase(
                     "\"effect\": \"unsafe\"",
                     "\"effect\": \"keyed\"",
@@ -215,7 +222,8 @@
                     "\"effect\": \"unsafe\", \"allowed_on\": []",
                     config -> requestClass(config, 2).permittedKinds(),
                     List.of(),
-                    "field 'settings.classes[2].allowed_on' allows nothing: requests of this class are " + "refused"),
+                    "field 'settings.classes[2].allowed_on' permits no engine kind or zone: requests of this class "
+                            + "are refused"),
         };
     }
 
@@ -229,13 +237,15 @@
                             .map(RequestClass::threads)
                             .toList(),
                     List.of(1, 1, 1),
-                    "field 'settings.specifics.class_threads[0]' is 0: read as 1"),
+                    "field 'settings.specifics.class_threads[0]' is 0; expected 1 or more: read as 1"),
             testCase(
                     "\"fields\": [\"utilization\", \"backlog\", \"x0\"]",
                     "\"fields\": [\"mood\", \"x0\", null]",
                     config -> config.decisionSettings().reportFields().indexOf(LoadField.MEMORY),
                     1,
-                    "field 'settings.report.fields' has the unknown value 'mood': what it tells is not heeded"),
+                    "field 'settings.report.fields' has the unknown value 'mood'; expected one of [backlog, "
+                            + "errors_per_s, outstanding, recent_ms, throughput, utilization, x0, x1]: "
+                            + "this value of load reports is ignored"),
             testCase(
                     "\"fields\": [\"utilization\", \"backlog\", \"x0\"]",
                     "\"fields\": [\"recent_ms\"]",
@@ -247,7 +257,8 @@
                     "\"how\": \"never\"",
                     config -> config.decisionSettings().reportsInAnswers(),
                     false,
-                    "field 'settings.report.how' has the unknown value 'never': answers are taken to hold no reports"),
+                    "field 'settings.report.how' has the unknown value 'never'; expected one of [inline, off, "
+                            + "on_probe]: answers are taken to hold no reports"),
             testCase(
                     "\"report\": ",
                     "\"tale\": ",
@@ -259,19 +270,20 @@
                     "\"max_attempts\": 0",
                     config -> config.decisionSettings().limits().maxAttempts(),
                     0,
-                    "field 'settings.bounds.max_attempts' allows none: every request is refused"),
+                    "field 'settings.bounds.max_attempts' is 0; expected 1 or more: every request is refused"),
             testCase(
                     "\"max_attempts\": 5",
                     "\"max_attempts\": 4294967296",
                     config -> config.decisionSettings().limits().maxAttempts(),
                     Integer.MAX_VALUE,
-                    "field 'settings.bounds.max_attempts' is 4294967296: read as 2147483647"),
+                    "field 'settings.bounds.max_attempts' is 4294967296; expected 2147483647 or less: read "
+                            + "as 2147483647"),
             testCase(
                     "\"most_held\": 20000",
                     "\"most_held\": 0",
                     config -> config.decisionSettings().limits().maxQueued(),
                     0,
-                    "field 'settings.bounds.most_held' allows none: every request is turned away"),
+                    "field 'settings.bounds.most_held' is 0; expected 1 or more: every request is rejected"),
             testCase(
                     "\"cancel\": true",
                     "\"cancel\": null",
@@ -284,13 +296,14 @@
                     config -> config.decisionSettings().limits().maxRetryAfterUs(),
                     60_000_000L,
                     "field 'settings.bounds."
-                            + "max_retry_after_us' is 1.0E15: read as 60000000, longer advice is not given"),
+                            + "max_retry_after_us' is 1.0E15; expected 60000000 or less: read as 60000000, a longer "
+                            + "Retry-After is not sent"),
             testCase(
                     "\"connect_timeout_us\": 250000",
                     "\"connect_timeout_us\": 0",
                     config -> config.connectTimeout().toMillis(),
                     1L,
-                    "field 'settings.bounds.connect_timeout_us' is 0: read as 1000"),
+                    "field 'settings.bounds.connect_timeout_us' is 0; expected 1000 or more: read as 1000"),
             testCase(
                     "\"connect_timeout_us\": 250000",
                     "\"connect_timeout_us\": null",
@@ -302,7 +315,7 @@
                     "\"conn_idle_us\": 0",
                     config -> config.engineIdleTimeout().toMillis(),
                     1L,
-                    "field 'settings.bounds.conn_idle_us' is 0: read as 1000"),
+                    "field 'settings.bounds.conn_idle_us' is 0; expected 1000 or more: read as 1000"),
         };
     }
 
@@ -314,26 +327,27 @@
                     "\"cold_from\": 0",
                     config -> config.decisionSettings().rules().slowStartFrom(),
                     0.0,
-                    "field 'settings.rules.cold_from' is 0: an engine gets nothing as it starts, and more as it warms "
-                            + "up"),
+                    "field 'settings.rules.cold_from' is 0; expected above 0: an engine starts with no capacity, which "
+                            + "grows during its warm-up"),
             testCase(
                     "\"cold_from\": 0.3",
                     "\"cold_from\": 1.3",
                     config -> config.decisionSettings().rules().slowStartFrom(),
                     1.0,
-                    "field 'settings.rules.cold_from' is 1.3: read as 1"),
+                    "field 'settings.rules.cold_from' is 1.3; expected 1 or less: read as 1"),
             testCase(
                     "\"cold_us\": 15000000",
                     "\"cold_us\": -1",
                     config -> config.decisionSettings().rules().slowStartUs(),
                     0L,
-                    "field 'settings.rules.cold_us' is -1: read as 0"),
+                    "field 'settings.rules.cold_us' is -1; expected 0 or more: read as 0"),
             testCase(
                     "\"tip_multiple\": 4.0",
                     "\"tip_multiple\": 0",
                     config -> config.decisionSettings().rules().overloadMultiple(),
                     0.0,
-                    "field 'settings.rules.tip_multiple' is 0: cold engines get next to nothing until they are warm"),
+                    "field 'settings.rules.tip_multiple' is 0; expected above 0: engines receive almost no "
+                            + "requests until they are warm"),
             testCase(
                     "\"cold_from\": 0.3",
                     "\"cold_from\": 0.3, \"extra_share\": 0.1, \"budget_free\": 8",
@@ -352,7 +366,8 @@
                     "\"size_cores\": [-8]",
                     config -> config.decisionSettings().kinds().get(0).cores(),
                     0.0,
-                    "field 'settings.specifics.size_cores[0]' is -8: read as 0, as if it were not told"),
+                    "field 'settings.specifics.size_cores[0]' is -8; expected 0 or more: read as 0, as if it "
+                            + "were missing"),
             testCase(
                     "\"size_cores\": [8]",
                     "\"size_cores\": [8.5]",
@@ -364,13 +379,13 @@
                     "\"progress_us\": -1",
                     config -> config.decisionSettings().features().progressIntervalUs(),
                     0L,
-                    "field 'settings.specifics.progress_us' is -1: read as 0"),
+                    "field 'settings.specifics.progress_us' is -1; expected 0 or more: read as 0"),
             testCase(
                     "\"probe\": 0.0081",
                     "\"probe\": -3",
                     config -> config.decisionSettings().costs().healthCheck(),
                     0.0,
-                    "field 'settings.charges.probe' is -3: read as 0"),
+                    "field 'settings.charges.probe' is -3; expected 0 or more: read as 0"),
             testCase(
                     "\"balancers\": 1",
                     "\"balancers\": 1, \"tenants\": [{\"fraction\": 0.7}, {\"fraction\": 0.7}]",
--- a/gateway/src/test/java/sandpaddle/integration/GatewayProcessIntegrationTest.java
+++ b/gateway/src/test/java/sandpaddle/integration/GatewayProcessIntegrationTest.java
@@ -100,8 +100,9 @@
                         config(feed.port(), GatewayFixture.event(1, true, GatewayFixture.host("e", engine, "Ready")))
                                 .replace(GatewayFixture.SETTINGS, unusual),
                         "")) {
-            assertTrue(
-                    process.hasLogged("configuration: field 'settings.rules.cold_from' is 0: an engine gets nothing"));
+            assertTrue(process.hasLogged(
+                    "configuration: field 'settings.rules.cold_from' is 0; expected above 0: an engine "
+                            + "starts with no capacity"));
             Client client = Client.connect(process.address());
             for (int i = 0; i < 3; i++) {
                 assertEquals(client.execute(GatewayFixture.queryComment("lookup", i, 5000) + SQL), "1st||");
