--- a/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceStore.java
+++ b/gateway/src/main/java/sandpaddle/fleet/verdict/evidence/EvidenceStore.java
@@ -117,7 +117,10 @@
         return enforceCapacity(entry) ? PutResult.ADDED : PutResult.OVER_CAPACITY;
     }
 
-    /** Adopts more accurate times of a copy. The version stays the same, since no peer needs to receive the record again. */
+    /**
+     * Adopts more accurate times of a copy. The version stays the same, since no peer needs to receive the record
+     * again.
+     */
     private void mergeCopy(Entry known, EvidenceRecord copy) {
         EvidenceRecord merged = known.evidence.mergeTimes(copy);
         if (!merged.equals(known.evidence)) {
