--- a/gateway/src/main/java/sandpaddle/config/EndpointListEvent.java
+++ b/gateway/src/main/java/sandpaddle/config/EndpointListEvent.java
@@ -95,7 +95,7 @@
         String name = host.string(field);
         int index = names.indexOf(name);
         if (index < 0 && !names.isEmpty()) {
-            String problem = "has the unknown value '" + name + "'; expected one of " + names;
+            String problem = "has the unknown value '" + name + "'";
             errors.add(host.invalidField(field, problem).getMessage());
         }
         return index >= 0 ? index : UNKNOWN - 1 - (name.hashCode() & Integer.MAX_VALUE >>> 1);
