--- a/gateway/src/main/java/sandpaddle/fleet/state/SnapshotException.java
+++ b/gateway/src/main/java/sandpaddle/fleet/state/SnapshotException.java
@@ -1,6 +1,9 @@
 package sandpaddle.fleet.state;
 
-/** A snapshot of replicated state cannot be decoded, or would be too large. The state in memory is unchanged. */
+/**
+ * A snapshot of replicated state cannot be decoded, or would be too large. A single state is unchanged then; a state
+ * machine of several parts may have replaced some of them.
+ */
 public final class SnapshotException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
